--- a/src/main/java/olivechute/health/ConnectionHealth.java
+++ b/src/main/java/olivechute/health/ConnectionHealth.java
@@ -143,7 +143,7 @@
 
     /** How many retries the node has left, in one line for the log. */
     public String describe(long nowUs) {
-        return "retries left " + Math.round(retryBudget.left(nowUs));
+        return "retries left " + Math.round(retryBudget.availableTokens(nowUs));
     }
 
     /** Passes on what is believed of each endpoint: its name and a line for the log. */
--- a/src/main/java/olivechute/health/HealthSettings.java
+++ b/src/main/java/olivechute/health/HealthSettings.java
@@ -15,9 +15,9 @@
         double maxEjectedPart,
         double maxClassEjectedPart,
         long minAcceptTimeoutUs,
-        RetryBudget.Rate tenantRetries,
-        RetryBudget.Rate allRetries) {
+        RetryBudget.BucketRate tenantRetries,
+        RetryBudget.BucketRate allRetries) {
     /** What holds where the operators say nothing. */
     public static final HealthSettings DEFAULT = new HealthSettings(
-            1.0 / 3, 0.5, 160_000, new RetryBudget.Rate(0.3, 2, 20), new RetryBudget.Rate(0.2, 5, 60));
+            1.0 / 3, 0.5, 160_000, new RetryBudget.BucketRate(0.3, 2, 20), new RetryBudget.BucketRate(0.2, 5, 60));
 }
--- a/src/main/java/olivechute/loadbalancing/AdmissionControl.java
+++ b/src/main/java/olivechute/loadbalancing/AdmissionControl.java
@@ -11,54 +11,54 @@
     static final long STALE_LIST_GRACE_US = 300_000;
 
     /** Part of the stretch of the latency objective that may be spent in the queue. */
-    private static final double STRETCH_FOR_QUEUE = 0.5;
+    private static final double QUEUE_STRETCH_FRACTION = 0.5;
     /** Part of the fixed latency objective for which a request is queued where the tail of the latency counts. */
-    private static final double TAIL_OBJECTIVE_FOR_QUEUE = 0.5;
+    private static final double QUEUE_TAIL_OBJECTIVE_FRACTION = 0.5;
 
     /** A client's time left may vary by this much between two first tries. */
-    private static final long RETRY_TOLERANCE_US = 20_000;
+    private static final long RETRY_DETECTION_TOLERANCE_US = 20_000;
 
     private final LoadBalancerSettings settings;
     private final TenantQueues queues;
-    private final QuotaEstimator quota;
-    private final long queuePollUs;
+    private final QuotaEstimator quotaEstimator;
+    private final long queueCheckIntervalUs;
 
     /** {@code queuePollUs}: how often queued requests are looked at. */
-    AdmissionControl(LoadBalancerSettings settings, TenantQueues queues, QuotaEstimator quota, long queuePollUs) {
+    AdmissionControl(LoadBalancerSettings settings, TenantQueues queues, QuotaEstimator quotaEstimator, long queueCheckIntervalUs) {
         this.settings = settings;
         this.queues = queues;
-        this.quota = quota;
-        this.queuePollUs = queuePollUs;
+        this.quotaEstimator = quotaEstimator;
+        this.queueCheckIntervalUs = queueCheckIntervalUs;
     }
 
     /** Sets the request's times and the queue that it belongs to. */
     void admit(long nowUs, PendingRequest pending) {
-        RequestClass c = pending.requestClass;
-        pending.overQuota = quota.onArrival(nowUs, pending.tenantQueue, pending.request.retry());
-        pending.queue = queues.queue(pending.tenantQueue, pending.classStats.index, pending.overQuota);
+        RequestClass requestClass = pending.requestClass;
+        pending.overQuota = quotaEstimator.onArrival(nowUs, pending.tenantQueue, pending.clientRequest.retry());
+        pending.classQueue = queues.classQueue(pending.tenantQueue, pending.classStats.index, pending.overQuota);
         boolean tailCounts = settings.tail().weight() > 0;
-        long firstTryUs = firstTryUs(nowUs, pending);
-        double stretch = STRETCH_FOR_QUEUE * Math.max(0, c.objectiveStretch() - 1);
-        long slackUs = tailCounts ? 0 : (long) (stretch * pending.expectedWorkUs());
+        long firstAttemptAtUs = firstAttemptAtUs(nowUs, pending);
+        double queueStretch = QUEUE_STRETCH_FRACTION * Math.max(0, requestClass.objectiveStretch() - 1);
+        long queueStretchUs = tailCounts ? 0 : (long) (queueStretch * pending.expectedWorkUs());
         pending.latestStartUs =
-                Math.min(pending.giveUpAtUs - queuePollUs, firstTryUs + c.latencyObjectiveUs() + slackUs);
-        long queuedUntilUs = pending.latestStartUs;
+                Math.min(pending.clientDeadlineUs - queueCheckIntervalUs, firstAttemptAtUs + requestClass.latencyObjectiveUs() + queueStretchUs);
+        long queueDeadlineUs = pending.latestStartUs;
         if (tailCounts) {
-            long queueUs = pending.overQuota ? 0 : (long) (TAIL_OBJECTIVE_FOR_QUEUE * c.latencyObjectiveUs());
-            queuedUntilUs = Math.min(queuedUntilUs, firstTryUs + queueUs);
+            long maxQueueTimeUs = pending.overQuota ? 0 : (long) (QUEUE_TAIL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveUs());
+            queueDeadlineUs = Math.min(queueDeadlineUs, firstAttemptAtUs + maxQueueTimeUs);
         }
-        pending.queuedUntilUs = Math.min(pending.giveUpAtUs - QUEUE_ANSWER_MARGIN_US, queuedUntilUs);
+        pending.queueDeadlineUs = Math.min(pending.clientDeadlineUs - QUEUE_ANSWER_MARGIN_US, queueDeadlineUs);
     }
 
     /**
      * When the client first tried: the latency objective counts from there. Unless clients mark their retries, one with
      * less time left than others of its class is taken for one.
      */
-    private long firstTryUs(long nowUs, PendingRequest pending) {
-        Request request = pending.request;
-        long longestUs = pending.classStats.longestTimeLeftUs;
+    private long firstAttemptAtUs(long nowUs, PendingRequest pending) {
+        Request request = pending.clientRequest;
+        long maxTimeLeftUs = pending.classStats.maxTimeLeftUs;
         boolean retry =
-                settings.marksRetries() ? request.retry() : request.timeLeftUs() < longestUs - RETRY_TOLERANCE_US;
-        return retry ? nowUs - (longestUs - request.timeLeftUs()) : nowUs;
+                settings.marksRetries() ? request.retry() : request.timeLeftUs() < maxTimeLeftUs - RETRY_DETECTION_TOLERANCE_US;
+        return retry ? nowUs - (maxTimeLeftUs - request.timeLeftUs()) : nowUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/Attempt.java
+++ b/src/main/java/olivechute/loadbalancing/Attempt.java
@@ -8,7 +8,7 @@
     final Endpoint endpoint;
     final long sentAtUs;
     /** Whether no idle connection was there to carry it. */
-    final boolean onNewConnection;
+    final boolean usesNewConnection;
 
     boolean inFlight = true;
     /** Whether its start has been overdue; see {@link ClassExclusion}. */
@@ -17,13 +17,13 @@
     private long startedAtUs = NOT_STARTED;
 
     Attempt(PendingRequest request, Endpoint endpoint, long sentAtUs) {
-        this.onNewConnection = !endpoint.connections.hasIdle(endpoint.attempts.size());
+        this.usesNewConnection = !endpoint.connectionCount.hasIdle(endpoint.attempts.size());
         this.request = request;
         this.endpoint = endpoint;
         this.sentAtUs = sentAtUs;
     }
 
-    void start(long nowUs) {
+    void markStarted(long nowUs) {
         startedAtUs = nowUs;
     }
 
@@ -39,7 +39,7 @@
 
     /** How long its start may take: the latency objective, with the stretch of a mean request. */
     double startTimeoutUs() {
-        RequestClass c = request.requestClass;
-        return c.latencyObjectiveUs() + c.objectiveStretch() * request.classStats.meanRunTimeUs();
+        RequestClass requestClass = request.requestClass;
+        return requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * request.classStats.meanRunTimeUs();
     }
 }
--- a/src/main/java/olivechute/loadbalancing/AttemptObserver.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptObserver.java
@@ -2,56 +2,56 @@
 
 /** Draws from the course of each attempt what it tells of its endpoint, and passes it to the parts that keep it. */
 final class AttemptObserver {
-    private static final double KIND_RUN_TIME_WEIGHT = 0.02;
+    private static final double KIND_RUN_TIME_SAMPLE_WEIGHT = 0.02;
 
     private final EndpointStats stats;
-    private final CapacityEstimator capacity;
-    private final OutlierDetector outliers;
+    private final CapacityEstimator capacityEstimator;
+    private final OutlierDetector outlierDetector;
 
-    AttemptObserver(EndpointStats stats, CapacityEstimator capacity, OutlierDetector outliers) {
+    AttemptObserver(EndpointStats stats, CapacityEstimator capacityEstimator, OutlierDetector outlierDetector) {
         this.stats = stats;
-        this.capacity = capacity;
-        this.outliers = outliers;
+        this.capacityEstimator = capacityEstimator;
+        this.outlierDetector = outlierDetector;
     }
 
     /** The endpoint reported that the attempt runs. */
     void onStarted(long nowUs, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint;
         endpoint.classExclusion.onStarted(attempt.request.classStats.index);
-        capacity.onStarted(endpoint);
+        capacityEstimator.onStarted(endpoint);
         double waitedUs = nowUs - attempt.sentAtUs;
-        if (attempt.onNewConnection) {
+        if (attempt.usesNewConnection) {
             stats.onConnectDelay(Math.max(0, waitedUs - endpoint.startWait.recentUs(stats.medianStartWaitUs)));
             waitedUs = Math.max(0, waitedUs - stats.connectDelayUs());
         }
         endpoint.startWait.onStarted(waitedUs);
-        stats.lastStartReportedAtUs = nowUs;
+        stats.lastStartReportAtUs = nowUs;
     }
 
-    void onEnd(long nowUs, Attempt attempt, AttemptOutcome outcome, LoadReport load) {
+    void onEnd(long nowUs, Attempt attempt, AttemptOutcome outcome, LoadReport loadReport) {
         Endpoint endpoint = attempt.endpoint;
-        capacity.onReport(nowUs, endpoint, load);
+        capacityEstimator.onReport(nowUs, endpoint, loadReport);
         switch (outcome) {
             case OK -> onSuccess(nowUs, attempt);
             case REJECTED -> {
-                capacity.onRejected(nowUs, endpoint);
-                outliers.onRejected(nowUs, endpoint);
+                capacityEstimator.onRejected(nowUs, endpoint);
+                outlierDetector.onRejected(nowUs, endpoint);
             }
             case RESET -> {
-                endpoint.connections.closeIdle(endpoint.attempts.size());
-                outliers.onReset(nowUs, endpoint);
+                endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
+                outlierDetector.onReset(nowUs, endpoint);
             }
             case CONNECT_FAILED -> {
-                endpoint.connections.closeIdle(endpoint.attempts.size());
-                endpoint.startWait.resetToLeast();
+                endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
+                endpoint.startWait.resetToMin();
                 stats.onConnectDelay((double) (nowUs - attempt.sentAtUs));
-                outliers.onConnectFailed(nowUs, endpoint);
+                outlierDetector.onConnectFailed(nowUs, endpoint);
             }
-            case ERROR -> outliers.onError(nowUs, endpoint);
+            case ERROR -> outlierDetector.onError(nowUs, endpoint);
             case ACCEPT_TIMEOUT, STALE_CONNECTION, CANCEL_UNCONFIRMED, SUPPRESSED -> {
                 // Not the endpoint's fault but its connection's, which HealthView judges.
-                endpoint.connections.closeIdle(endpoint.attempts.size());
-                endpoint.startWait.resetToLeast();
+                endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
+                endpoint.startWait.resetToMin();
             }
             case TIMEOUT, CANCELLED, NOT_SENT -> {
                 // tells nothing of the endpoint
@@ -62,15 +62,15 @@
     private void onSuccess(long nowUs, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint;
         RequestClassStats classStats = attempt.request.classStats;
-        outliers.onSuccess(endpoint);
+        outlierDetector.onSuccess(endpoint);
         double runTimeUs = nowUs - attempt.runningSinceUs();
         stats.onFinished(runTimeUs);
         classStats.onFinished(runTimeUs, attempt.request.slots);
         double relativeRunTime = runTimeUs / classStats.meanRunTimeUs();
-        double relativeTotal = (nowUs - attempt.sentAtUs) / classStats.meanRunTimeUs();
-        boolean congested = endpoint.latency.onFinished(relativeRunTime, relativeTotal);
+        double relativeTotalTime = (nowUs - attempt.sentAtUs) / classStats.meanRunTimeUs();
+        boolean congested = endpoint.latencyStats.onFinished(relativeRunTime, relativeTotalTime);
         endpoint.kindStats.relativeRunTime +=
-                KIND_RUN_TIME_WEIGHT * (relativeRunTime - endpoint.kindStats.relativeRunTime);
-        endpoint.window.onFinished(congested, nowUs, classStats.meanRunTimeUs(), endpoint.attempts.size());
+                KIND_RUN_TIME_SAMPLE_WEIGHT * (relativeRunTime - endpoint.kindStats.relativeRunTime);
+        endpoint.concurrencyWindow.onFinished(congested, nowUs, classStats.meanRunTimeUs(), endpoint.attempts.size());
     }
 }
--- a/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
@@ -9,9 +9,9 @@
      */
     private static final double PRIOR_ENDPOINTS = 2;
     /** An endpoint that reported no free slot for longer gets a request all the same, while the fleet has capacity. */
-    private static final long RETRY_FULL_US = 2 * LoadReportState.FRESH_US;
+    private static final long FULL_ENDPOINT_RETRY_US = 2 * LoadReportState.MAX_REPORT_AGE_US;
     /** Reports of more free slots than this are taken for wrong. */
-    private static final double MOST_SLOTS = 1e6;
+    private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
     private static final double HALF_SLOT = 0.5;
 
@@ -24,55 +24,55 @@
     }
 
     void onReport(long nowUs, Endpoint endpoint, LoadReport report) {
-        if (report != null && report.freeSlots() >= 0 && report.freeSlots() < MOST_SLOTS) {
-            endpoint.loadReport.onReport(
-                    nowUs, report.freeSlots(), report.freeMemory(), LoadReportState.DELAY_US, endpoint);
+        if (report != null && report.freeSlots() >= 0 && report.freeSlots() < MAX_PLAUSIBLE_SLOTS) {
+            endpoint.loadReportState.onReport(
+                    nowUs, report.freeSlots(), report.freeMemory(), LoadReportState.REPORT_DELAY_US, endpoint);
             if (Double.isNaN(stats.meanFreeSlots)) {
                 stats.meanFreeSlots = report.freeSlots();
             }
-            stats.seeSlots(report.freeSlots());
+            stats.updateMaxSlots(report.freeSlots());
         }
     }
 
     /** An endpoint that reports its load rejected a request: that counts as a report of no free slot. */
     void onRejected(long nowUs, Endpoint endpoint) {
-        if (endpoint.loadReport.everReported()) {
-            endpoint.loadReport.onReport(nowUs, 0, Double.NaN, 0, endpoint);
+        if (endpoint.loadReportState.hasReported()) {
+            endpoint.loadReportState.onReport(nowUs, 0, Double.NaN, 0, endpoint);
         }
     }
 
     /** An endpoint reported that a request runs. */
     void onStarted(Endpoint endpoint) {
         int running = endpoint.runningSlots();
-        stats.seeSlots(running);
-        endpoint.kindStats.seeSlots(running);
-        endpoint.loadReport.onRunning(running);
+        stats.updateMaxSlots(running);
+        endpoint.kindStats.updateMaxSlots(running);
+        endpoint.loadReportState.onRunningSlots(running);
     }
 
-    void updateMean(long nowUs, Collection<Endpoint> endpoints) {
-        double sum = 0;
-        int heard = 0;
+    void updateMeanFreeSlots(long nowUs, Collection<Endpoint> endpoints) {
+        double freeSlots = 0;
+        int reportingEndpoints = 0;
         for (Endpoint endpoint : endpoints) {
-            if (endpoint.active() && endpoint.loadReport.fresh(nowUs)) {
-                sum += endpoint.loadReport.freeSlots();
-                heard++;
+            if (endpoint.active() && endpoint.loadReportState.isFresh(nowUs)) {
+                freeSlots += endpoint.loadReportState.freeSlots();
+                reportingEndpoints++;
             }
         }
-        stats.meanFreeSlots = heard == 0 ? Double.NaN : (sum + PRIOR_ENDPOINTS) / (heard + PRIOR_ENDPOINTS);
+        stats.meanFreeSlots = reportingEndpoints == 0 ? Double.NaN : (freeSlots + PRIOR_ENDPOINTS) / (reportingEndpoints + PRIOR_ENDPOINTS);
     }
 
     /** Whether a request of so many slots may be sent there now. */
     boolean hasCapacity(long nowUs, Endpoint endpoint, int slots, double memory) {
         int attempts = endpoint.attempts.size();
-        boolean busy = endpoint.inFlight.slots() > 0;
-        if (busy && (awaitsStart(nowUs, endpoint) || attempts >= endpoint.health.concurrencyLimit())) {
+        boolean busy = endpoint.inFlightHistory.slots() > 0;
+        if (busy && (hasPendingStart(nowUs, endpoint) || attempts >= endpoint.health.concurrencyLimit())) {
             return false;
         }
-        if (endpoint.memoryInFlight() + memory > endpoint.loadReport.typicalMemory()) {
+        if (endpoint.memoryInFlight() + memory > endpoint.loadReportState.typicalMemory()) {
             return false;
         }
         return Double.isNaN(stats.meanFreeSlots)
-                ? endpoint.window.hasRoom(attempts)
+                ? endpoint.concurrencyWindow.hasCapacity(attempts)
                 : freeSlots(nowUs, endpoint) >= slots - HALF_SLOT;
     }
 
@@ -83,14 +83,14 @@
      * report may be untrue and its answer will tell.
      */
     private double freeSlots(long nowUs, Endpoint endpoint) {
-        boolean retryFull = endpoint.attempts.isEmpty()
-                && endpoint.loadReport.fullFor(nowUs, RETRY_FULL_US)
+        boolean retryFullEndpoint = endpoint.attempts.isEmpty()
+                && endpoint.loadReportState.isReportedFullFor(nowUs, FULL_ENDPOINT_RETRY_US)
                 && stats.meanFreeSlots >= 1;
-        if (retryFull || !endpoint.loadReport.fresh(nowUs)) {
-            double presumed = endpoint.inSlowStart(nowUs, settings.rules()) ? 1 : stats.meanFreeSlots;
-            return presumed - endpoint.inFlight.slots();
+        if (retryFullEndpoint || !endpoint.loadReportState.isFresh(nowUs)) {
+            double assumedFreeSlots = endpoint.inSlowStart(nowUs, settings.rules()) ? 1 : stats.meanFreeSlots;
+            return assumedFreeSlots - endpoint.inFlightHistory.slots();
         }
-        return endpoint.loadReport.slotsLeftByOthers(nowUs, stats.meanRunTimeUs()) - endpoint.inFlight.slots();
+        return endpoint.loadReportState.slotsAvailableToNode(nowUs, stats.meanRunTimeUs()) - endpoint.inFlightHistory.slots();
     }
 
     /**
@@ -99,19 +99,19 @@
      * request: a fast endpoint far away gets one request a round trip. The first is given up after its start time-out,
      * the second after twice that and so on, so that lost notices block nobody.
      */
-    private boolean awaitsStart(long nowUs, Endpoint endpoint) {
+    private boolean hasPendingStart(long nowUs, Endpoint endpoint) {
         if (!settings.notifiesStart()) {
             return false;
         }
-        int waiting = 0;
-        double untilUs = 0;
+        int pendingStarts = 0;
+        double blockedUntilUs = 0;
         for (int i = 0; i < endpoint.attempts.size(); i++) {
             Attempt attempt = endpoint.attempts.get(i);
             if (!attempt.started()) {
-                waiting++;
-                untilUs = attempt.sentAtUs + waiting * attempt.startTimeoutUs();
+                pendingStarts++;
+                blockedUntilUs = attempt.sentAtUs + pendingStarts * attempt.startTimeoutUs();
             }
         }
-        return nowUs < untilUs;
+        return nowUs < blockedUntilUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -8,31 +8,31 @@
  * be lost on the network, so the second in a row excludes the class, and each further one for twice as long.
  */
 final class ClassExclusion {
-    private static final long FIRST_US = 8_000_000;
-    private static final long MAX_US = 32_000_000;
+    private static final long FIRST_EXCLUSION_US = 8_000_000;
+    private static final long MAX_EXCLUSION_US = 32_000_000;
     private static final int MAX_DOUBLINGS = 5;
-    private static final int OVERDUE_TO_EXCLUDE = 2;
+    private static final int EXCLUSION_THRESHOLD = 2;
 
-    private final int[] overdueInRow;
+    private final int[] consecutiveOverdueStarts;
     private final long[] excludedUntilUs;
 
     ClassExclusion(int classCount) {
-        overdueInRow = new int[classCount];
+        consecutiveOverdueStarts = new int[classCount];
         excludedUntilUs = new long[classCount];
     }
 
     void onStarted(int classIndex) {
-        overdueInRow[classIndex] = 0;
+        consecutiveOverdueStarts[classIndex] = 0;
     }
 
     void onStartOverdue(long nowUs, int classIndex) {
-        int inRow = ++overdueInRow[classIndex];
-        int doublings = Math.min(MAX_DOUBLINGS, inRow - OVERDUE_TO_EXCLUDE);
-        excludedUntilUs[classIndex] = inRow < OVERDUE_TO_EXCLUDE ? 0 : nowUs + Math.min(MAX_US, FIRST_US << doublings);
+        int overdueStarts = ++consecutiveOverdueStarts[classIndex];
+        int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - EXCLUSION_THRESHOLD);
+        excludedUntilUs[classIndex] = overdueStarts < EXCLUSION_THRESHOLD ? 0 : nowUs + Math.min(MAX_EXCLUSION_US, FIRST_EXCLUSION_US << doublings);
     }
 
     void clear() {
-        Arrays.fill(overdueInRow, 0);
+        Arrays.fill(consecutiveOverdueStarts, 0);
         Arrays.fill(excludedUntilUs, 0);
     }
 
@@ -42,6 +42,6 @@
 
     /** Whether the last start of this class that was due was not reported. */
     boolean lastStartOverdue(int classIndex) {
-        return overdueInRow[classIndex] > 0;
+        return consecutiveOverdueStarts[classIndex] > 0;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
+++ b/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
@@ -5,32 +5,32 @@
  * one more for each request that finishes while half of the window is in use, a quarter fewer when requests queue.
  */
 final class ConcurrencyWindow {
-    private static final double MAX = 64;
-    private static final double DECREASE = 0.75;
+    private static final double MAX_SIZE = 64;
+    private static final double DECREASE_FACTOR = 0.75;
 
     private double size = 1;
-    private long decreasedAtUs;
+    private long lastDecreasedAtUs;
 
     void onFinished(boolean congested, long nowUs, double meanRunTimeUs, int attemptsInFlight) {
         if (congested) {
-            if (nowUs - decreasedAtUs > meanRunTimeUs) {
+            if (nowUs - lastDecreasedAtUs > meanRunTimeUs) {
                 decrease();
-                decreasedAtUs = nowUs;
+                lastDecreasedAtUs = nowUs;
             }
         } else if (attemptsInFlight + 1 >= size / 2) {
-            size = Math.min(MAX, size + 1);
+            size = Math.min(MAX_SIZE, size + 1);
         }
     }
 
     void decrease() {
-        size = Math.max(1, DECREASE * size);
+        size = Math.max(1, DECREASE_FACTOR * size);
     }
 
     void clear() {
         size = 1;
     }
 
-    boolean hasRoom(int attemptsInFlight) {
+    boolean hasCapacity(int attemptsInFlight) {
         return attemptsInFlight < Math.floor(size);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ConnectionCount.java
+++ b/src/main/java/olivechute/loadbalancing/ConnectionCount.java
@@ -2,28 +2,28 @@
 
 /** How many connections to one endpoint are open, as far as this node's attempts show it. */
 final class ConnectionCount {
-    private int open;
-    private long allUsedAtUs;
+    private int openConnections;
+    private long allLastInUseAtUs;
 
     /** So many attempts are in flight, each on a connection of its own. */
     void onSend(long nowUs, int attemptsInFlight) {
-        if (attemptsInFlight >= open) {
-            open = attemptsInFlight;
-            allUsedAtUs = nowUs;
+        if (attemptsInFlight >= openConnections) {
+            openConnections = attemptsInFlight;
+            allLastInUseAtUs = nowUs;
         }
     }
 
     /** All connections but those of the attempts in flight are gone. */
-    void closeIdle(int attemptsInFlight) {
-        open = attemptsInFlight;
+    void onIdleClosed(int attemptsInFlight) {
+        openConnections = attemptsInFlight;
     }
 
     boolean hasIdle(int attemptsInFlight) {
-        return open > attemptsInFlight;
+        return openConnections > attemptsInFlight;
     }
 
     /** When all of them were last in use, in microseconds. */
-    long allUsedAtUs() {
-        return allUsedAtUs;
+    long allLastInUseAtUs() {
+        return allLastInUseAtUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/Endpoint.java
+++ b/src/main/java/olivechute/loadbalancing/Endpoint.java
@@ -11,36 +11,36 @@
     /** Drawn once: the endpoints of lowest rank are this node's working set. */
     final double rank;
     /** Whether it is in this node's zone. */
-    final boolean local;
+    final boolean inLocalZone;
 
     EndpointInfo info;
     EndpointHealth health = EndpointHealth.HEALTHY;
     /** Whether the list has lost it without saying that it drains, where only draining binds. */
     boolean unlisted;
     /** Instances of each tenant on it; the weights of the share controller. */
-    int[] instances = new int[0];
+    int[] tenantInstances = new int[0];
 
     final List<Attempt> attempts = new ArrayList<>();
-    final InFlightHistory inFlight = new InFlightHistory();
-    final ConnectionCount connections = new ConnectionCount();
-    final LoadReportState loadReport = new LoadReportState();
+    final InFlightHistory inFlightHistory = new InFlightHistory();
+    final ConnectionCount connectionCount = new ConnectionCount();
+    final LoadReportState loadReportState = new LoadReportState();
     final StartWait startWait = new StartWait();
-    final LatencyStats latency;
-    final ConcurrencyWindow window = new ConcurrencyWindow();
-    final OutlierState ejection = new OutlierState();
+    final LatencyStats latencyStats;
+    final ConcurrencyWindow concurrencyWindow = new ConcurrencyWindow();
+    final OutlierState outlierState = new OutlierState();
     final ClassExclusion classExclusion;
     final SlowStartSends slowStartSends = new SlowStartSends();
     /** When it was last probed, in microseconds. */
-    long probedAtUs = Long.MIN_VALUE / 2;
+    long lastProbedAtUs = Long.MIN_VALUE / 2;
 
     private double memoryInFlight;
 
-    Endpoint(EndpointInfo info, EndpointKindStats kindStats, double rank, boolean local, int classCount) {
+    Endpoint(EndpointInfo info, EndpointKindStats kindStats, double rank, boolean inLocalZone, int classCount) {
         this.info = info;
         this.kindStats = kindStats;
         this.rank = rank;
-        this.local = local;
-        this.latency = new LatencyStats(kindStats.relativeRunTime);
+        this.inLocalZone = inLocalZone;
+        this.latencyStats = new LatencyStats(kindStats.relativeRunTime);
         this.classExclusion = new ClassExclusion(classCount);
     }
 
@@ -65,48 +65,48 @@
 
     /** Its process started anew: recent observations are forgotten; the long-term running time is kept. */
     void onRestart() {
-        window.clear();
-        latency.clear();
+        concurrencyWindow.clear();
+        latencyStats.clear();
         startWait.clear();
-        connections.closeIdle(0);
+        connectionCount.onIdleClosed(0);
         classExclusion.clear();
-        ejection.clear();
-        loadReport.clear();
+        outlierState.clear();
+        loadReportState.clear();
     }
 
     void onSend(long nowUs, Attempt attempt, ServiceRules rules) {
-        if (warmth(nowUs - rules.overloadWindowUs(), rules) < 1) {
+        if (slowStartCapacity(nowUs - rules.overloadWindowUs(), rules) < 1) {
             slowStartSends.onSend(nowUs, attempt.request);
         }
-        loadReport.onSend(nowUs);
+        loadReportState.onSend(nowUs);
         attempts.add(attempt);
-        connections.onSend(nowUs, attempts.size());
-        inFlight.add(nowUs, attempt.request.slots);
+        connectionCount.onSend(nowUs, attempts.size());
+        inFlightHistory.add(nowUs, attempt.request.slots);
         memoryInFlight += attempt.request.memory;
     }
 
     void onAttemptEnd(long nowUs, Attempt attempt) {
         attempts.remove(attempt);
-        inFlight.add(nowUs, -attempt.request.slots);
+        inFlightHistory.add(nowUs, -attempt.request.slots);
         memoryInFlight = attempts.isEmpty() ? 0 : memoryInFlight - attempt.request.memory;
     }
 
     /** The part of its capacity that it has for certain by the rules of slow start, from 0 to 1. */
-    double warmth(long nowUs, ServiceRules rules) {
-        long startedAtUs = Math.max(info.startedAtUs(), ejection.presumedStartUs);
+    double slowStartCapacity(long nowUs, ServiceRules rules) {
+        long startedAtUs = Math.max(info.startedAtUs(), outlierState.assumedStartUs);
         if (startedAtUs <= 0 || nowUs - startedAtUs >= rules.slowStartDurationUs()) {
             return 1;
         }
-        double part = (1 - rules.slowStartCapacity()) * Math.max(0, nowUs - startedAtUs);
-        return rules.slowStartCapacity() + part / rules.slowStartDurationUs();
+        double rampedUs = (1 - rules.slowStartCapacity()) * Math.max(0, nowUs - startedAtUs);
+        return rules.slowStartCapacity() + rampedUs / rules.slowStartDurationUs();
     }
 
     boolean inSlowStart(long nowUs, ServiceRules rules) {
-        return warmth(nowUs, rules) < 1;
+        return slowStartCapacity(nowUs, rules) < 1;
     }
 
     boolean hasIdleConnection() {
-        return connections.hasIdle(attempts.size());
+        return connectionCount.hasIdle(attempts.size());
     }
 
     double memoryInFlight() {
--- a/src/main/java/olivechute/loadbalancing/EndpointSelector.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointSelector.java
@@ -10,104 +10,104 @@
  */
 final class EndpointSelector {
     /** Slots that a request over its quota must leave free. */
-    private static final int OVER_QUOTA_RESERVE = 2;
+    private static final int OVER_QUOTA_RESERVED_SLOTS = 2;
 
     /** The same in quiet times. */
-    private static final int QUIET_OVER_QUOTA_RESERVE = 1;
+    private static final int LOW_LOAD_OVER_QUOTA_RESERVED_SLOTS = 1;
     /** Times are quiet while the mean endpoint has more than the slots over this number free. */
-    private static final double QUIET_DIVISOR = 3;
+    private static final double LOW_LOAD_DIVISOR = 3;
     /** If no start was reported for so long, endpoints that start requests late are tried again. */
-    private static final long START_WAIT_TRUSTED_US = 1_000_000;
+    private static final long MAX_START_REPORT_AGE_US = 1_000_000;
 
     private final LoadBalancerSettings settings;
     private final EndpointTable endpoints;
     private final EndpointStats stats;
     private final WorkingSet workingSet;
-    private final CapacityEstimator capacity;
+    private final CapacityEstimator capacityEstimator;
     private final SlowStart slowStart;
     private final RetryPolicy retryPolicy;
-    private final LoadProber prober;
-    private final EndpointDraw draw;
+    private final LoadProber loadProber;
+    private final WeightedEndpointPicker endpointPicker;
     /** Candidates of one selection; fields so that selections allocate nothing. */
-    private final List<Endpoint> heard = new ArrayList<>();
+    private final List<Endpoint> knownLoadCandidates = new ArrayList<>();
 
-    private final List<Endpoint> unheard = new ArrayList<>();
+    private final List<Endpoint> unknownLoadCandidates = new ArrayList<>();
 
     EndpointSelector(
             LoadBalancerSettings settings,
             EndpointTable endpoints,
             EndpointStats stats,
             WorkingSet workingSet,
-            CapacityEstimator capacity,
+            CapacityEstimator capacityEstimator,
             SlowStart slowStart,
             RetryPolicy retryPolicy,
-            LoadProber prober,
-            EndpointDraw draw) {
+            LoadProber loadProber,
+            WeightedEndpointPicker endpointPicker) {
         this.settings = settings;
         this.endpoints = endpoints;
         this.stats = stats;
         this.workingSet = workingSet;
-        this.capacity = capacity;
+        this.capacityEstimator = capacityEstimator;
         this.slowStart = slowStart;
         this.retryPolicy = retryPolicy;
-        this.prober = prober;
-        this.draw = draw;
+        this.loadProber = loadProber;
+        this.endpointPicker = endpointPicker;
     }
 
     /** Returns {@code null} if no endpoint has capacity, or while the answers to probes are awaited. */
     Endpoint select(long nowUs, PendingRequest request) {
-        heard.clear();
-        unheard.clear();
-        collect(nowUs, request, endpoints.local());
-        collect(nowUs, request, endpoints.remote());
-        Endpoint selected = draw.draw(request, heard);
-        if (selected != null || unheard.isEmpty()) {
+        knownLoadCandidates.clear();
+        unknownLoadCandidates.clear();
+        collectCandidates(nowUs, request, endpoints.local());
+        collectCandidates(nowUs, request, endpoints.remote());
+        Endpoint selected = endpointPicker.pick(request, knownLoadCandidates);
+        if (selected != null || unknownLoadCandidates.isEmpty()) {
             return selected;
         }
-        if (prober.probe(nowUs, request, unheard) || request.overQuota) {
+        if (loadProber.probe(nowUs, request, unknownLoadCandidates) || request.overQuota) {
             return null;
         }
-        return draw.draw(request, unheard);
+        return endpointPicker.pick(request, unknownLoadCandidates);
     }
 
-    private void collect(long nowUs, PendingRequest request, List<Endpoint> candidates) {
-        int slots = neededSlots(request);
-        double left = limitedChoice(request) ? candidates.size() : workingSet.size();
+    private void collectCandidates(long nowUs, PendingRequest request, List<Endpoint> zoneEndpoints) {
+        int requiredSlots = requiredSlots(request);
+        double remaining = hasFewEligibleEndpoints(request) ? zoneEndpoints.size() : workingSet.size();
         double startWaitWeight = startWaitWeight();
-        for (int i = 0; i < candidates.size(); i++) {
-            Endpoint endpoint = candidates.get(i);
-            boolean starting = endpoint.inSlowStart(nowUs, settings.rules());
-            if ((left <= 0 && !starting) || !available(nowUs, request, endpoint, startWaitWeight)) {
+        for (int i = 0; i < zoneEndpoints.size(); i++) {
+            Endpoint endpoint = zoneEndpoints.get(i);
+            boolean inSlowStart = endpoint.inSlowStart(nowUs, settings.rules());
+            if ((remaining <= 0 && !inSlowStart) || !isAvailable(nowUs, request, endpoint, startWaitWeight)) {
                 continue;
             }
-            left--;
-            if (suitable(nowUs, request, endpoint, slots)) {
-                addCandidate(nowUs, request, endpoint, starting);
+            remaining--;
+            if (isSuitable(nowUs, request, endpoint, requiredSlots)) {
+                addCandidate(nowUs, request, endpoint, inSlowStart);
             }
         }
     }
 
     /** A request over its quota leaves some slots free; yet one as wide as an endpoint still fits on an idle one. */
-    private int neededSlots(PendingRequest request) {
+    private int requiredSlots(PendingRequest request) {
         if (!request.overQuota) {
             return request.slots;
         }
-        int reserve = stats.meanFreeSlots > stats.mostSlotsSeen / QUIET_DIVISOR
-                ? QUIET_OVER_QUOTA_RESERVE
-                : OVER_QUOTA_RESERVE;
-        return Math.max(request.slots, Math.min(request.slots + reserve, (int) stats.mostSlotsSeen));
+        int reservedSlots = stats.meanFreeSlots > stats.maxSlotsObserved / LOW_LOAD_DIVISOR
+                ? LOW_LOAD_OVER_QUOTA_RESERVED_SLOTS
+                : OVER_QUOTA_RESERVED_SLOTS;
+        return Math.max(request.slots, Math.min(request.slots + reservedSlots, (int) stats.maxSlotsObserved));
     }
 
     /** Whether so few endpoints may run the request that the working set is too small a choice. */
-    private static boolean limitedChoice(PendingRequest request) {
-        return request.requestClass.endpointKind() != null || request.possiblyExecuted != null;
+    private static boolean hasFewEligibleEndpoints(PendingRequest request) {
+        return request.requestClass.endpointKind() != null || request.possiblyExecutedAttempt != null;
     }
 
     /** How far the recent wait for a start still holds: reports of load tell more, the longer requests run. */
     private double startWaitWeight() {
         return settings.loadReporting() == LoadReporting.NONE
                 ? 1
-                : 1 - Math.exp(-LoadReportState.DELAY_US / stats.meanRunTimeUs());
+                : 1 - Math.exp(-LoadReportState.REPORT_DELAY_US / stats.meanRunTimeUs());
     }
 
     /**
@@ -116,39 +116,39 @@
      * queued too long at endpoints; a node that is late itself must find that out, so the wait is trusted for a while
      * only.
      */
-    private boolean available(long nowUs, PendingRequest request, Endpoint endpoint, double startWaitWeight) {
+    private boolean isAvailable(long nowUs, PendingRequest request, Endpoint endpoint, double startWaitWeight) {
         int classIndex = request.classStats.index;
         double startWaitUs = startWaitWeight * endpoint.startWait.recentUs(stats.medianStartWaitUs);
-        boolean behind = startWaitUs > request.latestStartUs - nowUs
-                && nowUs - stats.lastStartReportedAtUs < START_WAIT_TRUSTED_US;
+        boolean startsTooLate = startWaitUs > request.latestStartUs - nowUs
+                && nowUs - stats.lastStartReportAtUs < MAX_START_REPORT_AGE_US;
         return endpoint.active()
-                && !endpoint.ejection.ejected(nowUs)
-                && !behind
+                && !endpoint.outlierState.isEjected(nowUs)
+                && !startsTooLate
                 && !endpoint.classExclusion.excluded(nowUs, classIndex)
                 && endpoint.health.admits(nowUs, classIndex);
     }
 
-    private boolean suitable(long nowUs, PendingRequest request, Endpoint endpoint, int slots) {
+    private boolean isSuitable(long nowUs, PendingRequest request, Endpoint endpoint, int requiredSlots) {
         return retryPolicy.mayRunAt(nowUs, request, endpoint)
-                && capacity.hasCapacity(nowUs, endpoint, slots, request.memory)
+                && capacityEstimator.hasCapacity(nowUs, endpoint, requiredSlots, request.memory)
                 && slowStart.admits(nowUs, endpoint, request);
     }
 
-    private void addCandidate(long nowUs, PendingRequest request, Endpoint endpoint, boolean starting) {
-        if (isHeard(nowUs, endpoint, starting)) {
-            heard.add(endpoint);
-        } else if (nowUs - endpoint.probedAtUs > LoadProber.REPROBE_US || probedInVain(nowUs, request, endpoint)) {
-            unheard.add(endpoint);
+    private void addCandidate(long nowUs, PendingRequest request, Endpoint endpoint, boolean inSlowStart) {
+        if (hasKnownLoad(nowUs, endpoint, inSlowStart)) {
+            knownLoadCandidates.add(endpoint);
+        } else if (nowUs - endpoint.lastProbedAtUs > LoadProber.MIN_PROBE_INTERVAL_US || probesUnanswered(nowUs, request, endpoint)) {
+            unknownLoadCandidates.add(endpoint);
         }
     }
 
-    private boolean isHeard(long nowUs, Endpoint endpoint, boolean starting) {
-        return starting || settings.loadReporting() == LoadReporting.NONE || endpoint.loadReport.fresh(nowUs);
+    private boolean hasKnownLoad(long nowUs, Endpoint endpoint, boolean inSlowStart) {
+        return inSlowStart || settings.loadReporting() == LoadReporting.NONE || endpoint.loadReportState.isFresh(nowUs);
     }
 
     /** An endpoint that never reports is used without, once the request has waited for the answers. */
-    private static boolean probedInVain(long nowUs, PendingRequest request, Endpoint endpoint) {
-        return !endpoint.loadReport.everReported()
-                && nowUs - request.arrivedAtUs > LoadProber.ROUNDS * LoadProber.answerWaitUs(request);
+    private static boolean probesUnanswered(long nowUs, PendingRequest request, Endpoint endpoint) {
+        return !endpoint.loadReportState.hasReported()
+                && nowUs - request.arrivedAtUs > LoadProber.MAX_ROUNDS * LoadProber.answerWaitUs(request);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/EndpointStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointStats.java
@@ -5,33 +5,33 @@
  * measures it and read by the others. Times are microseconds.
  */
 final class EndpointStats {
-    private static final double CONNECT_DELAY_WEIGHT = 0.2;
-    private static final double RUN_TIME_WEIGHT = 0.02;
-    private static final double IN_FLIGHT_WEIGHT = 0.1;
+    private static final double CONNECT_DELAY_SAMPLE_WEIGHT = 0.2;
+    private static final double RUN_TIME_SAMPLE_WEIGHT = 0.02;
+    private static final double IN_FLIGHT_SAMPLE_WEIGHT = 0.1;
 
     /** Mean free slots of the endpoints whose reports are fresh; NaN while none is. */
     double meanFreeSlots = Double.NaN;
     /** The most slots that one endpoint was seen to have. */
-    double mostSlotsSeen = 1;
+    double maxSlotsObserved = 1;
 
     double medianRelativeRunTime = 1;
     double medianStartWaitUs;
     double medianErrorRate;
 
     /** When an endpoint last reported that a request started. */
-    long lastStartReportedAtUs;
+    long lastStartReportAtUs;
 
-    private double meanRunTimeUs = LoadReportState.DELAY_US;
+    private double meanRunTimeUs = LoadReportState.REPORT_DELAY_US;
     private double connectDelayUs;
-    private int inFlight;
-    private double meanInFlight;
+    private int attemptsInFlight;
+    private double meanAttemptsInFlight;
 
-    void seeSlots(double slots) {
-        mostSlotsSeen = Math.max(mostSlotsSeen, slots);
+    void updateMaxSlots(double slots) {
+        maxSlotsObserved = Math.max(maxSlotsObserved, slots);
     }
 
     void onFinished(double runTimeUs) {
-        meanRunTimeUs += RUN_TIME_WEIGHT * (runTimeUs - meanRunTimeUs);
+        meanRunTimeUs += RUN_TIME_SAMPLE_WEIGHT * (runTimeUs - meanRunTimeUs);
     }
 
     /** Running time of requests lately, of all classes. */
@@ -40,7 +40,7 @@
     }
 
     void onConnectDelay(double delayUs) {
-        connectDelayUs += CONNECT_DELAY_WEIGHT * (delayUs - connectDelayUs);
+        connectDelayUs += CONNECT_DELAY_SAMPLE_WEIGHT * (delayUs - connectDelayUs);
     }
 
     /** What a new connection lately added to the wait of its first request. */
@@ -49,20 +49,20 @@
     }
 
     void onSend() {
-        inFlight++;
+        attemptsInFlight++;
     }
 
     void onAttemptEnd() {
-        inFlight--;
+        attemptsInFlight--;
     }
 
     /** Once an interval. */
-    void sampleInFlight() {
-        meanInFlight += IN_FLIGHT_WEIGHT * (inFlight - meanInFlight);
+    void sampleAttemptsInFlight() {
+        meanAttemptsInFlight += IN_FLIGHT_SAMPLE_WEIGHT * (attemptsInFlight - meanAttemptsInFlight);
     }
 
     /** Attempts of this node in flight, smoothed. */
-    double meanInFlight() {
-        return meanInFlight;
+    double meanAttemptsInFlight() {
+        return meanAttemptsInFlight;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/EndpointTable.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointTable.java
@@ -14,7 +14,7 @@
 /** The endpoints that a node knows, kept by the updates of the endpoint list. */
 final class EndpointTable {
     /** An endpoint that the list has lost is forgotten after so many failures in a row. */
-    private static final int FAILURES_TO_FORGET = 3;
+    private static final int FAILURES_TO_REMOVE = 3;
 
     private static final Comparator<Endpoint> BY_RANK = Comparator.comparingDouble(e -> e.rank);
 
@@ -23,7 +23,7 @@
     private final SplittableRandom random;
     private final Map<String, Endpoint> byName = new LinkedHashMap<>();
     private final Collection<Endpoint> all = Collections.unmodifiableCollection(byName.values());
-    private final Map<String, EndpointKindStats> kinds = new LinkedHashMap<>();
+    private final Map<String, EndpointKindStats> statsByKind = new LinkedHashMap<>();
     private final List<Endpoint> local = new ArrayList<>();
     private final List<Endpoint> remote = new ArrayList<>();
 
@@ -57,30 +57,30 @@
     }
 
     /** Takes an update of the list; a failed one is none. */
-    void update(ListUpdateKind kind, List<EndpointInfo> listed) {
-        Set<String> names = new HashSet<>();
+    void update(ListUpdateKind updateKind, List<EndpointInfo> listed) {
+        Set<String> listedNames = new HashSet<>();
         for (EndpointInfo info : listed) {
-            Endpoint known = byName.get(info.name());
-            if (known != null && info.state() == EndpointState.REMOVED && survivesRemoval(known)) {
-                known.unlisted = true;
+            Endpoint existing = byName.get(info.name());
+            if (existing != null && info.state() == EndpointState.REMOVED && staysAfterRemoval(existing)) {
+                existing.unlisted = true;
             } else {
-                names.add(info.name());
-                update(known, info);
+                listedNames.add(info.name());
+                update(existing, info);
             }
         }
-        if (kind != ListUpdateKind.DELTA) {
-            removeMissing(names);
+        if (updateKind != ListUpdateKind.DELTA) {
+            removeMissing(listedNames);
         }
-        byName.values().removeIf(EndpointTable::forgotten);
-        rank();
+        byName.values().removeIf(EndpointTable::isObsolete);
+        sortByRank();
     }
 
-    private void update(Endpoint known, EndpointInfo info) {
-        Endpoint endpoint = known;
-        if (known == null) {
+    private void update(Endpoint existing, EndpointInfo info) {
+        Endpoint endpoint = existing;
+        if (existing == null) {
             endpoint = add(info);
-        } else if (info.startedAtUs() != known.info.startedAtUs()) {
-            known.onRestart();
+        } else if (info.startedAtUs() != existing.info.startedAtUs()) {
+            existing.onRestart();
         }
         endpoint.info = info;
         endpoint.health = healthView.endpoint(info.name());
@@ -88,18 +88,18 @@
     }
 
     private Endpoint add(EndpointInfo info) {
-        EndpointKindStats kind = kinds.computeIfAbsent(String.valueOf(info.kind()), k -> new EndpointKindStats());
-        boolean inZone = info.zone() == null || info.zone().equals(settings.zone());
+        EndpointKindStats kindStats = statsByKind.computeIfAbsent(String.valueOf(info.kind()), k -> new EndpointKindStats());
+        boolean inLocalZone = info.zone() == null || info.zone().equals(settings.zone());
         int classCount = settings.classes().size();
-        Endpoint endpoint = new Endpoint(info, kind, random.nextDouble(), inZone, classCount);
+        Endpoint endpoint = new Endpoint(info, kindStats, random.nextDouble(), inLocalZone, classCount);
         byName.put(info.name(), endpoint);
         return endpoint;
     }
 
-    private void removeMissing(Set<String> names) {
+    private void removeMissing(Set<String> listedNames) {
         for (Endpoint endpoint : byName.values()) {
-            if (!names.contains(endpoint.name())) {
-                endpoint.unlisted = survivesRemoval(endpoint);
+            if (!listedNames.contains(endpoint.name())) {
+                endpoint.unlisted = staysAfterRemoval(endpoint);
                 if (!endpoint.unlisted) {
                     endpoint.markRemoved();
                 }
@@ -113,19 +113,19 @@
      * against lists that lose endpoints, or a whole zone, that still serve; costs some failed connects where they are
      * gone indeed.
      */
-    private boolean survivesRemoval(Endpoint endpoint) {
-        return settings.rules().onlyDrainingBinds() && endpoint.active();
+    private boolean staysAfterRemoval(Endpoint endpoint) {
+        return settings.rules().keepsUnlistedEndpoints() && endpoint.active();
     }
 
-    private static boolean forgotten(Endpoint endpoint) {
+    private static boolean isObsolete(Endpoint endpoint) {
         boolean removed = endpoint.info.state() == EndpointState.REMOVED;
-        boolean lost = endpoint.unlisted && endpoint.ejection.failures >= FAILURES_TO_FORGET;
-        return endpoint.attempts.isEmpty() && (removed || lost);
+        boolean unlistedAndFailing = endpoint.unlisted && endpoint.outlierState.failureCount >= FAILURES_TO_REMOVE;
+        return endpoint.attempts.isEmpty() && (removed || unlistedAndFailing);
     }
 
-    private void rank() {
+    private void sortByRank() {
         local.clear();
         remote.clear();
-        byName.values().stream().sorted(BY_RANK).forEach(e -> (e.local ? local : remote).add(e));
+        byName.values().stream().sorted(BY_RANK).forEach(e -> (e.inLocalZone ? local : remote).add(e));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/HealthView.java
+++ b/src/main/java/olivechute/loadbalancing/HealthView.java
@@ -32,7 +32,7 @@
      * @param last how the attempt before ended
      * @param timeLeftUs microseconds until the client gives up
      */
-    boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome last, long timeLeftUs);
+    boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome lastOutcome, long timeLeftUs);
 
     /**
      * For how long the endpoint list may have lacked endpoints that drain, so that nothing may be sent by it; 0 while
--- a/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
@@ -9,15 +9,15 @@
      */
     private static final double CONNECTION_COST_UNIT_US = 1e8;
 
-    private static final double LEAST_REQUESTS_PER_SECOND = 0.01;
+    private static final double MIN_REQUESTS_PER_SECOND = 0.01;
 
-    private final CostWeights costs;
+    private final CostWeights costWeights;
     private final long idleTimeoutUs;
     private final TenantQueues queues;
     private final LoadBalancer.Helper helper;
 
     IdleConnectionPolicy(LoadBalancerSettings settings, TenantQueues queues, LoadBalancer.Helper helper) {
-        this.costs = settings.costs();
+        this.costWeights = settings.costs();
         this.idleTimeoutUs = settings.limits().connectionIdleTimeoutUs();
         this.queues = queues;
         this.helper = helper;
@@ -25,24 +25,24 @@
 
     void closeIdle(long nowUs, Collection<Endpoint> endpoints) {
         for (Endpoint endpoint : endpoints) {
-            if (endpoint.active() && endpoint.hasIdleConnection() && idleTooLong(nowUs, endpoint, endpoints.size())) {
-                endpoint.connections.closeIdle(endpoint.attempts.size());
+            if (endpoint.active() && endpoint.hasIdleConnection() && isIdleTooLong(nowUs, endpoint, endpoints.size())) {
+                endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
                 helper.closeIdleConnections(endpoint.name());
             }
         }
     }
 
-    private boolean idleTooLong(long nowUs, Endpoint endpoint, int endpointCount) {
-        return nowUs - endpoint.connections.allUsedAtUs()
-                > Math.min(worthKeepingUs(endpointCount), (double) idleTimeoutUs);
+    private boolean isIdleTooLong(long nowUs, Endpoint endpoint, int endpointCount) {
+        return nowUs - endpoint.connectionCount.allLastInUseAtUs()
+                > Math.min(economicIdleTimeUs(endpointCount), (double) idleTimeoutUs);
     }
 
     /** For how long an idle connection is worth keeping; the tenants' quotas tell how often it is needed. */
-    private double worthKeepingUs(int endpointCount) {
-        if (costs.connection() == 0) {
+    private double economicIdleTimeUs(int endpointCount) {
+        if (costWeights.connection() == 0) {
             return Double.MAX_VALUE;
         }
-        double requestsPerSecond = Math.max(LEAST_REQUESTS_PER_SECOND, queues.totalQuotaPerSecond() / endpointCount);
-        return CONNECTION_COST_UNIT_US * costs.handshake() / (costs.connection() * requestsPerSecond);
+        double requestsPerSecond = Math.max(MIN_REQUESTS_PER_SECOND, queues.totalQuotaPerSecond() / endpointCount);
+        return CONNECTION_COST_UNIT_US * costWeights.handshake() / (costWeights.connection() * requestsPerSecond);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/InFlightHistory.java
+++ b/src/main/java/olivechute/loadbalancing/InFlightHistory.java
@@ -6,11 +6,11 @@
  */
 final class InFlightHistory {
     static final long STEP_US = 100_000;
-    private static final int STEPS = 8;
+    private static final int STEP_COUNT = 8;
 
-    private final int[] slotsAtStep = new int[STEPS];
+    private final int[] slotsAtStep = new int[STEP_COUNT];
     private int slots;
-    private long step;
+    private long currentStep;
 
     static long stepOf(long timeUs) {
         return timeUs / STEP_US;
@@ -22,26 +22,26 @@
     }
 
     /** So many more slots are in flight from now on; a negative number ends some. */
-    void add(long nowUs, int more) {
-        long now = stepOf(nowUs);
-        for (long s = Math.max(step, now - STEPS); s < now; s++) {
-            slotsAtStep[(int) (s % STEPS)] = slots;
+    void add(long nowUs, int slotDelta) {
+        long nowStep = stepOf(nowUs);
+        for (long pastStep = Math.max(currentStep, nowStep - STEP_COUNT); pastStep < nowStep; pastStep++) {
+            slotsAtStep[(int) (pastStep % STEP_COUNT)] = slots;
         }
-        step = now;
-        slots += more;
+        currentStep = nowStep;
+        slots += slotDelta;
     }
 
     /** Slots in flight at the end of a step, which must not lie further back than the history. */
     int slotsAt(long pastStep) {
-        return pastStep >= step ? slots : slotsAtStep[(int) Math.floorMod(pastStep, (long) STEPS)];
+        return pastStep >= currentStep ? slots : slotsAtStep[(int) Math.floorMod(pastStep, (long) STEP_COUNT)];
     }
 
     /** Slots that were in flight all the time since a step, as far as the history's steps show it. */
-    int leastSlotsSince(long pastStep) {
-        int least = slots;
-        for (long s = pastStep; s < step; s++) {
-            least = Math.min(least, slotsAt(s));
+    int minSlotsSince(long pastStep) {
+        int minSlots = slots;
+        for (long laterStep = pastStep; laterStep < currentStep; laterStep++) {
+            minSlots = Math.min(minSlots, slotsAt(laterStep));
         }
-        return least;
+        return minSlots;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
+++ b/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
@@ -10,7 +10,7 @@
     private final ServiceRules rules;
     private final SplittableRandom random;
     private final LoadBalancer.Helper helper;
-    private int failuresInRow;
+    private int consecutiveFailures;
     private boolean scheduled;
 
     ListWatchRetry(ServiceRules rules, SplittableRandom random, LoadBalancer.Helper helper) {
@@ -21,22 +21,22 @@
 
     /** A watch that was started from outside may fail while the next one is scheduled already. */
     void onFailed() {
-        failuresInRow++;
+        consecutiveFailures++;
         if (!scheduled) {
             scheduled = true;
-            long delayUs = rules.cappedPollDelayUs(failuresInRow > 1 ? LATER_DELAY_US : FIRST_DELAY_US);
+            long delayUs = rules.cappedPollDelayUs(consecutiveFailures > 1 ? LATER_DELAY_US : FIRST_DELAY_US);
             helper.schedule(ShareLoadBalancer.WATCH_TIMER, delayUs / 2 + random.nextLong(delayUs / 2 + 1));
         }
     }
 
-    void onList(ListUpdateKind kind) {
+    void onListReceived(ListUpdateKind kind) {
         if (kind != ListUpdateKind.RESTORED) {
-            failuresInRow = 0;
+            consecutiveFailures = 0;
         }
     }
 
     void onTimer() {
         scheduled = false;
-        helper.watchList();
+        helper.watchEndpointList();
     }
 }
--- a/src/main/java/olivechute/loadbalancing/LoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancer.java
@@ -12,7 +12,7 @@
     void start(long nowUs);
 
     /** The endpoint list changed, or a call for it failed. */
-    void onListUpdate(long nowUs, ListUpdateKind kind, List<EndpointInfo> endpoints);
+    void onListUpdate(long nowUs, ListUpdateKind updateKind, List<EndpointInfo> endpoints);
 
     /** A request arrived. Exactly one final answer is owed until the client gives up. */
     void onRequest(long nowUs, Request request);
@@ -24,13 +24,13 @@
      * @param complete whether the request needs no further answer
      */
     void onAttemptEnd(
-            long nowUs, String id, int attempt, AttemptOutcome outcome, long tookUs, boolean complete, LoadReport load);
+            long nowUs, String id, int attemptIndex, AttemptOutcome outcome, long durationUs, boolean complete, LoadReport loadReport);
 
     /** An endpoint reported on an attempt in flight; {@code progress} is the part that is done, from 0 to 1. */
-    void onAttemptSignal(long nowUs, String id, int attempt, AttemptSignal signal, double progress);
+    void onAttemptSignal(long nowUs, String id, int attemptIndex, AttemptSignal signal, double progress);
 
     /** The answer to a probe, or its failure. */
-    void onProbeResult(long nowUs, String endpoint, boolean succeeded, long tookUs, LoadReport load);
+    void onProbeResult(long nowUs, String endpoint, boolean succeeded, long durationUs, LoadReport loadReport);
 
     /** The client closed or cancelled: no answer is owed any more. */
     void onClientGone(long nowUs, String id);
@@ -53,7 +53,7 @@
         void fail(String id);
 
         /** Stops waiting for an attempt. */
-        void cancel(String id, int attempt);
+        void cancel(String id, int attemptIndex);
 
         /** Probes an endpoint for its load. */
         void probe(String endpoint);
@@ -62,7 +62,7 @@
         void closeIdleConnections(String endpoint);
 
         /** Subscribes to the endpoint list. */
-        void watchList();
+        void watchEndpointList();
 
         /** Calls {@link LoadBalancer#onTimer} with this id after so many microseconds. */
         void schedule(long timerId, long delayUs);
--- a/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
@@ -84,30 +84,30 @@
         require(tail.missFraction() >= 0 && tail.missFraction() <= 1, "tail.missFraction");
     }
 
-    private static void check(RequestClass c) {
-        require(c != null && c.name() != null, "classes.name");
-        require(c.deadlineUs() > 0, "classes.deadlineUs of " + c.name());
+    private static void check(RequestClass requestClass) {
+        require(requestClass != null && requestClass.name() != null, "classes.name");
+        require(requestClass.deadlineUs() > 0, "classes.deadlineUs of " + requestClass.name());
         require(
-                c.latencyObjectiveUs() >= 0 && c.latencyObjectiveUs() <= c.deadlineUs(),
-                "classes.latencyObjectiveUs of " + c.name());
-        require(c.objectiveStretch() >= 0, "classes.objectiveStretch of " + c.name());
-        require(c.priorityWeight() >= 0 && c.latePriorityWeight() >= 0, "classes.priorityWeight of " + c.name());
-        require(c.idempotency() != null, "classes.idempotency of " + c.name());
+                requestClass.latencyObjectiveUs() >= 0 && requestClass.latencyObjectiveUs() <= requestClass.deadlineUs(),
+                "classes.latencyObjectiveUs of " + requestClass.name());
+        require(requestClass.objectiveStretch() >= 0, "classes.objectiveStretch of " + requestClass.name());
+        require(requestClass.priorityWeight() >= 0 && requestClass.latePriorityWeight() >= 0, "classes.priorityWeight of " + requestClass.name());
+        require(requestClass.idempotency() != null, "classes.idempotency of " + requestClass.name());
         require(
-                c.idempotency() != Idempotency.KEYED
-                        || (c.deduplicationScope() != null && c.deduplicationWindowUs() >= 0),
-                "classes.deduplicationScope of " + c.name());
+                requestClass.idempotency() != Idempotency.KEYED
+                        || (requestClass.deduplicationScope() != null && requestClass.deduplicationWindowUs() >= 0),
+                "classes.deduplicationScope of " + requestClass.name());
     }
 
-    private static void check(Tenant t) {
-        require(t != null && t.name() != null, "tenants.name");
-        require(t.share() >= 0, "tenants.share of " + t.name());
-        require(t.quotaPerSecond() >= 0, "tenants.quotaPerSecond of " + t.name());
+    private static void check(Tenant tenant) {
+        require(tenant != null && tenant.name() != null, "tenants.name");
+        require(tenant.share() >= 0, "tenants.share of " + tenant.name());
+        require(tenant.quotaPerSecond() >= 0, "tenants.quotaPerSecond of " + tenant.name());
     }
 
-    private static void require(boolean holds, String what) {
-        if (!holds) {
-            throw new IllegalArgumentException(what + ": missing or contradictory");
+    private static void require(boolean condition, String valueName) {
+        if (!condition) {
+            throw new IllegalArgumentException(valueName + ": missing or contradictory");
         }
     }
 }
--- a/src/main/java/olivechute/loadbalancing/LoadProber.java
+++ b/src/main/java/olivechute/loadbalancing/LoadProber.java
@@ -9,64 +9,64 @@
  */
 final class LoadProber {
     /** An endpoint is not probed twice within this time. */
-    static final long REPROBE_US = 600_000;
+    static final long MIN_PROBE_INTERVAL_US = 600_000;
     /** Rounds of probes for one request. */
-    static final int ROUNDS = 2;
+    static final int MAX_ROUNDS = 2;
 
     private static final int PROBES_PER_ROUND = 3;
-    private static final long ANSWER_WAIT_US = 50_000;
+    private static final long MAX_ANSWER_WAIT_US = 50_000;
     /** Part of a request's value that may be spent on probes. */
-    private static final double BUDGET_PER_REQUEST = 0.01;
+    private static final double PROBE_COST_PER_REQUEST = 0.01;
     /** The most probes that a request adds to the budget if they are free. */
-    private static final double MOST_PROBES_PER_REQUEST = 8;
+    private static final double MAX_PROBES_PER_REQUEST = 8;
     /** The budget holds at most so many probes for each endpoint. */
-    private static final double MOST_PROBES_PER_ENDPOINT = 4;
+    private static final double MAX_PROBES_PER_ENDPOINT = 4;
 
     private final boolean enabled;
     private final double probesPerRequest;
     private final EndpointTable endpoints;
-    private final EndpointDraw draw;
+    private final WeightedEndpointPicker endpointPicker;
     private final LoadBalancer.Helper helper;
-    private double budget;
+    private double probeBudget;
 
-    LoadProber(LoadBalancerSettings settings, EndpointTable endpoints, EndpointDraw draw, LoadBalancer.Helper helper) {
+    LoadProber(LoadBalancerSettings settings, EndpointTable endpoints, WeightedEndpointPicker endpointPicker, LoadBalancer.Helper helper) {
         this.enabled = settings.loadReporting() != LoadReporting.NONE
                 && settings.limits().probesAllowed();
         this.probesPerRequest = Math.min(
-                MOST_PROBES_PER_REQUEST, BUDGET_PER_REQUEST / settings.costs().probe());
+                MAX_PROBES_PER_REQUEST, PROBE_COST_PER_REQUEST / settings.costs().probe());
         this.endpoints = endpoints;
-        this.draw = draw;
+        this.endpointPicker = endpointPicker;
         this.helper = helper;
     }
 
     void onRequest() {
-        budget = Math.min(budget + probesPerRequest, MOST_PROBES_PER_ENDPOINT * endpoints.size());
+        probeBudget = Math.min(probeBudget + probesPerRequest, MAX_PROBES_PER_ENDPOINT * endpoints.size());
     }
 
     /** Probes some of the endpoints, which are taken from the list; true while the request should wait for answers. */
-    boolean probe(long nowUs, PendingRequest request, List<Endpoint> unheard) {
+    boolean probe(long nowUs, PendingRequest request, List<Endpoint> candidates) {
         if (!enabled) {
             return false;
         }
-        if (request.probeRounds > 0 && nowUs < request.probedAtUs + answerWaitUs(request)) {
+        if (request.probeRounds > 0 && nowUs < request.lastProbedAtUs + answerWaitUs(request)) {
             return true;
         }
-        int reserve = request.overQuota ? endpoints.size() : 0;
-        int probes = request.probeRounds < ROUNDS ? Math.min(PROBES_PER_ROUND, unheard.size()) : 0;
-        for (int i = 0; i < probes && budget >= 1 + reserve; i++) {
-            Endpoint endpoint = draw.draw(request, unheard);
-            unheard.remove(endpoint);
-            endpoint.probedAtUs = nowUs;
-            budget--;
-            request.probedAtUs = nowUs;
+        int reservedProbes = request.overQuota ? endpoints.size() : 0;
+        int maxProbes = request.probeRounds < MAX_ROUNDS ? Math.min(PROBES_PER_ROUND, candidates.size()) : 0;
+        for (int i = 0; i < maxProbes && probeBudget >= 1 + reservedProbes; i++) {
+            Endpoint endpoint = endpointPicker.pick(request, candidates);
+            candidates.remove(endpoint);
+            endpoint.lastProbedAtUs = nowUs;
+            probeBudget--;
+            request.lastProbedAtUs = nowUs;
             helper.probe(endpoint.name());
         }
         request.probeRounds++;
-        return request.probedAtUs == nowUs;
+        return request.lastProbedAtUs == nowUs;
     }
 
     /** However short its time in the queue, a request probes and still finds an endpoint before it is answered. */
     static long answerWaitUs(PendingRequest request) {
-        return Math.min(ANSWER_WAIT_US, (request.queuedUntilUs - request.arrivedAtUs) / (ROUNDS + 1));
+        return Math.min(MAX_ANSWER_WAIT_US, (request.queueDeadlineUs - request.arrivedAtUs) / (MAX_ROUNDS + 1));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/OutlierDetector.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierDetector.java
@@ -26,11 +26,11 @@
     /** First ejection where the failure may be one request's or one connection's. */
     private static final long BRIEF_EJECTION_US = 20_000;
 
-    private static final double ERROR_WEIGHT = 0.1;
+    private static final double ERROR_SAMPLE_WEIGHT = 0.1;
     /** Errors over the median rate at which an endpoint is ejected, as a part of its responses. */
-    private static final double ERROR_RATE_OVER_MEDIAN = 0.3;
+    private static final double ERROR_RATE_MARGIN = 0.3;
     /** Failures held against it before errors eject it. */
-    private static final int ERRORS_TOLERATED = 2;
+    private static final int TOLERATED_FAILURES = 2;
 
     /** An endpoint is slow at this multiple of its peers' running time. */
     private static final double SLOW_MULTIPLE = 2.5;
@@ -40,12 +40,12 @@
     private static final double RUNNING_AGE_DIVISOR = 1.5;
 
     /** Running times and error rates halve their distance to the median in 4 s. */
-    private static final double KEPT_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 4e6);
+    private static final double RETAINED_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 4e6);
     /** Waits for a start halve their distance to the least one in 2 s. */
-    private static final double START_WAIT_KEPT_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 2e6);
+    private static final double START_WAIT_RETAINED_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 2e6);
 
     /** A start that is awaited for longer says nothing of the usual wait. */
-    private static final long LONGEST_WAIT_COUNTED_US = 4_000_000;
+    private static final long MAX_COUNTED_START_WAIT_US = 4_000_000;
 
     private final LoadBalancerSettings settings;
     private final EndpointStats stats;
@@ -59,17 +59,17 @@
 
     /** A request succeeded: each success halves the failures held against the endpoint. */
     void onSuccess(Endpoint endpoint) {
-        OutlierState state = endpoint.ejection;
-        state.failures /= 2;
-        state.connectionLost = false;
-        state.errorRate = Smoothing.smooth(state.errorRate, 0, ERROR_WEIGHT);
+        OutlierState state = endpoint.outlierState;
+        state.failureCount /= 2;
+        state.connectionReset = false;
+        state.errorRate = Smoothing.smooth(state.errorRate, 0, ERROR_SAMPLE_WEIGHT);
     }
 
     void onError(long nowUs, Endpoint endpoint) {
-        OutlierState state = endpoint.ejection;
-        state.errorRate = Smoothing.smooth(state.errorRate, 1, ERROR_WEIGHT);
-        boolean outlier = state.errorRate > stats.medianErrorRate + ERROR_RATE_OVER_MEDIAN;
-        if (outlier && state.failures++ >= ERRORS_TOLERATED) {
+        OutlierState state = endpoint.outlierState;
+        state.errorRate = Smoothing.smooth(state.errorRate, 1, ERROR_SAMPLE_WEIGHT);
+        boolean outlier = state.errorRate > stats.medianErrorRate + ERROR_RATE_MARGIN;
+        if (outlier && state.failureCount++ >= TOLERATED_FAILURES) {
             eject(nowUs, endpoint, FAILURE_EJECTION_US);
         }
     }
@@ -81,42 +81,42 @@
 
     /** One reset may be the connection's alone; two in a row are not. */
     void onReset(long nowUs, Endpoint endpoint) {
-        OutlierState state = endpoint.ejection;
-        long ejectionUs = state.connectionLost ? FAILURE_EJECTION_US : BRIEF_EJECTION_US;
-        state.connectionLost = true;
+        OutlierState state = endpoint.outlierState;
+        long ejectionUs = state.connectionReset ? FAILURE_EJECTION_US : BRIEF_EJECTION_US;
+        state.connectionReset = true;
         eject(nowUs, endpoint, ejectionUs);
     }
 
     /** After a reset this shows that the process ended: it is taken to start anew when the ejection ends. */
     void onConnectFailed(long nowUs, Endpoint endpoint) {
-        OutlierState state = endpoint.ejection;
+        OutlierState state = endpoint.outlierState;
         eject(nowUs, endpoint, FAILURE_EJECTION_US);
-        if (state.connectionLost) {
-            state.presumedStartUs = state.ejectedUntilUs;
+        if (state.connectionReset) {
+            state.assumedStartUs = state.ejectedUntilUs;
         }
     }
 
     /** Doubles the ejection with each failure, and draws from its second half so that nodes return out of step. */
-    private void eject(long nowUs, Endpoint endpoint, long firstUs) {
-        OutlierState state = endpoint.ejection;
-        endpoint.window.decrease();
-        long backoffUs = Math.min(MAX_EJECTION_US, firstUs << Math.min(MAX_DOUBLINGS, state.failures++));
+    private void eject(long nowUs, Endpoint endpoint, long firstEjectionUs) {
+        OutlierState state = endpoint.outlierState;
+        endpoint.concurrencyWindow.decrease();
+        long backoffUs = Math.min(MAX_EJECTION_US, firstEjectionUs << Math.min(MAX_DOUBLINGS, state.failureCount++));
         state.ejectedUntilUs = nowUs + backoffUs / 2 + random.nextLong(backoffUs / 2 + 1);
     }
 
     /** Called at each step of {@link InFlightHistory#STEP_US}. */
     void update(long nowUs, Collection<Endpoint> endpoints) {
         updateMedians(endpoints);
-        int active = 0;
-        int slow = 0;
+        int activeCount = 0;
+        int slowCount = 0;
         for (Endpoint endpoint : endpoints) {
             double relativeRunTime = examineAttempts(nowUs, endpoint);
-            endpoint.ejection.slow = endpoint.active() && relativeRunTime > slowLimit(endpoint);
-            active += endpoint.active() ? 1 : 0;
-            slow += endpoint.ejection.slow ? 1 : 0;
+            endpoint.outlierState.slow = endpoint.active() && relativeRunTime > slowThreshold(endpoint);
+            activeCount += endpoint.active() ? 1 : 0;
+            slowCount += endpoint.outlierState.slow ? 1 : 0;
         }
-        if (slow * 2 > active) {
-            endpoints.forEach(e -> e.ejection.slow = false);
+        if (slowCount * 2 > activeCount) {
+            endpoints.forEach(e -> e.outlierState.slow = false);
         }
     }
 
@@ -126,11 +126,11 @@
         List<Double> errorRates = new ArrayList<>();
         for (Endpoint endpoint : endpoints) {
             if (endpoint.active()) {
-                OutlierState state = endpoint.ejection;
+                OutlierState state = endpoint.outlierState;
                 state.errorRate =
-                        Smoothing.fadeAndCollect(state.errorRate, stats.medianErrorRate, KEPT_PER_UPDATE, errorRates);
-                endpoint.startWait.fade(START_WAIT_KEPT_PER_UPDATE, startWaits);
-                endpoint.latency.fade(stats.medianRelativeRunTime, KEPT_PER_UPDATE, runTimes);
+                        Smoothing.decayAndCollect(state.errorRate, stats.medianErrorRate, RETAINED_PER_UPDATE, errorRates);
+                endpoint.startWait.decay(START_WAIT_RETAINED_PER_UPDATE, startWaits);
+                endpoint.latencyStats.decay(stats.medianRelativeRunTime, RETAINED_PER_UPDATE, runTimes);
             }
         }
         stats.medianStartWaitUs = Smoothing.median(startWaits, 0);
@@ -138,35 +138,35 @@
         stats.medianRelativeRunTime = Smoothing.median(runTimes, 1);
     }
 
-    private double slowLimit(Endpoint endpoint) {
-        double usual = endpoint.latency.known() ? endpoint.latency.longTerm() / LONG_TERM_DIVISOR : 0;
-        return SLOW_MULTIPLE * Math.max(stats.medianRelativeRunTime, usual);
+    private double slowThreshold(Endpoint endpoint) {
+        double ownBaseline = endpoint.latencyStats.hasLongTermRunTime() ? endpoint.latencyStats.longTermRelativeRunTime() / LONG_TERM_DIVISOR : 0;
+        return SLOW_MULTIPLE * Math.max(stats.medianRelativeRunTime, ownBaseline);
     }
 
     /** The endpoint's recent running time, with the age of what still runs; starts that are overdue are noted. */
     private double examineAttempts(long nowUs, Endpoint endpoint) {
-        double relativeRunTime = endpoint.latency.recent(stats.medianRelativeRunTime);
+        double relativeRunTime = endpoint.latencyStats.recentRelativeRunTime(stats.medianRelativeRunTime);
         for (Attempt attempt : endpoint.attempts) {
             double ageUs = nowUs - attempt.runningSinceUs();
             if (attempt.started() || !settings.notifiesStart()) {
                 double relativeAge = ageUs / attempt.request.classStats.meanRunTimeUs();
                 relativeRunTime = Math.max(relativeRunTime, relativeAge / RUNNING_AGE_DIVISOR);
             } else {
-                examineWaiting(nowUs, endpoint, attempt, ageUs);
+                examinePendingStart(nowUs, endpoint, attempt, ageUs);
             }
         }
         return relativeRunTime;
     }
 
-    private void examineWaiting(long nowUs, Endpoint endpoint, Attempt attempt, double ageUs) {
+    private void examinePendingStart(long nowUs, Endpoint endpoint, Attempt attempt, double ageUs) {
         int classIndex = attempt.request.classStats.index;
         if (!attempt.startOverdue && ageUs > attempt.startTimeoutUs()) {
             attempt.startOverdue = true;
             endpoint.classExclusion.onStartOverdue(nowUs, classIndex);
         }
-        boolean noticesLost =
+        boolean startReportsMissing =
                 settings.loadReporting() != LoadReporting.NONE && endpoint.classExclusion.lastStartOverdue(classIndex);
-        if (ageUs < LONGEST_WAIT_COUNTED_US && !noticesLost && !attempt.startOverdue) {
+        if (ageUs < MAX_COUNTED_START_WAIT_US && !startReportsMissing && !attempt.startOverdue) {
             endpoint.startWait.onStillWaiting(ageUs);
         }
     }
--- a/src/main/java/olivechute/loadbalancing/OutlierState.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierState.java
@@ -7,27 +7,27 @@
     /** Whether it runs far slower than its peers. */
     boolean slow;
     /** Failures in a row; halved by each success. */
-    int failures;
+    int failureCount;
     /** Whether a connection broke and nothing has succeeded since. */
-    boolean connectionLost;
+    boolean connectionReset;
     /** When the present ejection ends. */
     long ejectedUntilUs;
     /**
      * End of the last ejection that followed a broken connection and a failed connect. The process is taken to start at
      * that moment, whatever the endpoint list says; 0 if there was none.
      */
-    long presumedStartUs;
+    long assumedStartUs;
 
     /** The endpoint started anew; what is held against the process before says nothing of it. */
     void clear() {
         errorRate = Double.NaN;
         slow = false;
-        failures = 0;
-        connectionLost = false;
+        failureCount = 0;
+        connectionReset = false;
         ejectedUntilUs = 0;
     }
 
-    boolean ejected(long nowUs) {
+    boolean isEjected(long nowUs) {
         return nowUs < ejectedUntilUs || slow;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/PendingRequest.java
+++ b/src/main/java/olivechute/loadbalancing/PendingRequest.java
@@ -6,7 +6,7 @@
 
 /** A request from its arrival until it is answered and has no attempt in flight. Times are microseconds. */
 final class PendingRequest {
-    final Request request;
+    final Request clientRequest;
     final RequestClassStats classStats;
     final RequestClass requestClass;
     final TenantQueue tenantQueue;
@@ -15,47 +15,47 @@
     final double memory;
 
     final long arrivedAtUs;
-    final long giveUpAtUs;
+    final long clientDeadlineUs;
     /** When it must have been sent to be worth sending. */
     long latestStartUs;
     /** When it is answered if it is still queued. */
-    long queuedUntilUs;
+    long queueDeadlineUs;
     /** The queue of its tenant that it waits in. */
-    ArrayDeque<PendingRequest> queue;
+    ArrayDeque<PendingRequest> classQueue;
     /** Whether it exceeds its tenant's quota. */
     boolean overQuota;
 
     final List<Attempt> attempts = new ArrayList<>(1);
     int attemptsInFlight;
     /** The first attempt that may have been executed, or {@code null}. */
-    Attempt possiblyExecuted;
+    Attempt possiblyExecutedAttempt;
     /** Whether it needs no further answer. */
     boolean answered;
 
     /** Rounds of probes that were sent for it. */
     int probeRounds;
 
-    long probedAtUs;
+    long lastProbedAtUs;
 
-    PendingRequest(long arrivedAtUs, Request request, RequestClassStats classStats, TenantQueue tenantQueue) {
+    PendingRequest(long arrivedAtUs, Request clientRequest, RequestClassStats classStats, TenantQueue tenantQueue) {
         this.arrivedAtUs = arrivedAtUs;
-        this.request = request;
-        this.slots = Math.max(1, request.slots());
-        this.memory = request.memory() > 0 ? request.memory() : 0;
+        this.clientRequest = clientRequest;
+        this.slots = Math.max(1, clientRequest.slots());
+        this.memory = clientRequest.memory() > 0 ? clientRequest.memory() : 0;
         this.classStats = classStats;
         this.requestClass = classStats.requestClass;
         this.tenantQueue = tenantQueue;
-        this.giveUpAtUs = arrivedAtUs + request.timeLeftUs();
+        this.clientDeadlineUs = arrivedAtUs + clientRequest.timeLeftUs();
     }
 
     /** Expected running time in each of its slots. */
     double expectedWorkUs() {
-        return request.expectedWorkUs() > 0 ? request.expectedWorkUs() : classStats.meanRunTimeUs();
+        return clientRequest.expectedWorkUs() > 0 ? clientRequest.expectedWorkUs() : classStats.meanRunTimeUs();
     }
 
     /** Expected slot time, in calls of its class; see {@link RequestClassStats#callWorkUs()}. */
-    double calls() {
-        return slots * expectedWorkUs() / classStats.callWorkUs();
+    double referenceRequests() {
+        return slots * expectedWorkUs() / classStats.referenceWorkUs();
     }
 
     /** How long after its latency objective begins to count a wait for it is acceptable. */
--- a/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
+++ b/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
@@ -7,7 +7,7 @@
 /** Takes queued requests in their order and finds an endpoint for each, until no tenant's requests find one. */
 final class QueueDispatcher {
     /** Queued requests of one class that are tried for an endpoint in each turn. */
-    private static final int LOOKAHEAD = 4;
+    private static final int LOOKAHEAD_REQUESTS = 4;
 
     /** Sends a request to an endpoint. */
     interface Sender {
@@ -15,28 +15,28 @@
     }
 
     private final TenantQueues queues;
-    private final List<RequestClassStats> classOrder;
+    private final List<RequestClassStats> classesByValue;
     private final EndpointTable endpoints;
     private final EndpointSelector selector;
     private final WorkingSet workingSet;
-    private final RetryAfterEstimator retryAfter;
+    private final RetryAfterEstimator retryAfterEstimator;
     private final Sender sender;
 
     /** {@code classOrder} is the caller's list of all classes, the most valuable for their work first. */
     QueueDispatcher(
             TenantQueues queues,
-            List<RequestClassStats> classOrder,
+            List<RequestClassStats> classesByValue,
             EndpointTable endpoints,
             EndpointSelector selector,
             WorkingSet workingSet,
-            RetryAfterEstimator retryAfter,
+            RetryAfterEstimator retryAfterEstimator,
             Sender sender) {
         this.queues = queues;
-        this.classOrder = classOrder;
+        this.classesByValue = classesByValue;
         this.endpoints = endpoints;
         this.selector = selector;
         this.workingSet = workingSet;
-        this.retryAfter = retryAfter;
+        this.retryAfterEstimator = retryAfterEstimator;
         this.sender = sender;
     }
 
@@ -44,7 +44,7 @@
         queues.unblockAll();
         for (TenantQueue tenant = queues.next(); tenant != null; tenant = queues.next()) {
             if (dispatchTenant(nowUs, tenant)) {
-                queues.onReleased(tenant);
+                queues.onRequestTaken(tenant);
             } else {
                 tenant.blocked = true;
             }
@@ -61,8 +61,8 @@
     }
 
     private boolean dispatchClasses(long nowUs, TenantQueue tenant, boolean overQuota) {
-        for (int i = 0; i < classOrder.size(); i++) {
-            ArrayDeque<PendingRequest> queue = queues.queue(tenant, classOrder.get(i).index, overQuota);
+        for (int i = 0; i < classesByValue.size(); i++) {
+            ArrayDeque<PendingRequest> queue = queues.classQueue(tenant, classesByValue.get(i).index, overQuota);
             if (!queue.isEmpty() && dispatchFromQueue(nowUs, queue)) {
                 return true;
             }
@@ -78,13 +78,13 @@
     private boolean dispatchFromQueue(long nowUs, ArrayDeque<PendingRequest> queue) {
         PendingRequest oldest = queue.peekFirst();
         boolean newestFirst = 2 * nowUs > oldest.arrivedAtUs + oldest.latestStartUs;
-        Iterator<PendingRequest> it = newestFirst ? queue.descendingIterator() : queue.iterator();
-        for (int tried = 0; it.hasNext() && tried < LOOKAHEAD; tried++) {
-            PendingRequest request = it.next();
+        Iterator<PendingRequest> iterator = newestFirst ? queue.descendingIterator() : queue.iterator();
+        for (int tried = 0; iterator.hasNext() && tried < LOOKAHEAD_REQUESTS; tried++) {
+            PendingRequest request = iterator.next();
             Endpoint endpoint = selector.select(nowUs, request);
             if (endpoint != null) {
-                it.remove();
-                retryAfter.onRelease(nowUs, request);
+                iterator.remove();
+                retryAfterEstimator.onRelease(nowUs, request);
                 sender.send(nowUs, request, endpoint);
                 return true;
             }
--- a/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
@@ -11,9 +11,9 @@
  */
 final class QuotaEstimator {
     /** Arrivals are forgotten over this time. */
-    private static final double LONG_MEMORY_US = 10e6;
+    private static final double LONG_TERM_DECAY_US = 10e6;
     /** And over this one, to see all traffic of this node jump. */
-    private static final double SHORT_MEMORY_US = 1.5e6;
+    private static final double SHORT_TERM_DECAY_US = 1.5e6;
     /** Traffic has jumped if it grew by this factor at least. */
     private static final double JUMP_FACTOR = 1.3;
     /** And if it lies so many standard deviations above what was expected. */
@@ -40,22 +40,22 @@
     }
 
     /** Counts an arrival; true if it exceeds the quota. */
-    boolean onArrival(long nowUs, TenantQueue tenant, boolean retry) {
-        double othersArrivals = countArrival(nowUs, tenant, retry);
-        double quota = tenant.tenant.quotaPerSecond();
-        double othersQuota = queues.totalQuotaPerSecond() - quota;
-        double othersExpected =
-                othersQuota * memorySeconds(nowUs, LONG_MEMORY_US) + PRIOR_REQUESTS * settings.fleetSize();
-        TenantQuota state = tenant.quota;
-        state.ratePerSecond = (othersArrivals + PRIOR_REQUESTS) / othersExpected * quota;
-        double refill = state.ratePerSecond * (nowUs - state.updatedAtUs) / MICROS_PER_SECOND;
-        state.tokens = Math.min(state.tokens + refill, Math.max(TenantQuota.BURST, state.ratePerSecond));
-        state.updatedAtUs = nowUs;
-        if (othersQuota <= 0 || quota <= 0 || settings.overQuotaWeight() >= 1) {
+    boolean onArrival(long nowUs, TenantQueue tenantQueue, boolean retry) {
+        double otherTenantsArrivals = countArrival(nowUs, tenantQueue, retry);
+        double quotaPerSecond = tenantQueue.tenant.quotaPerSecond();
+        double otherTenantsQuotaPerSecond = queues.totalQuotaPerSecond() - quotaPerSecond;
+        double otherTenantsExpectedArrivals =
+                otherTenantsQuotaPerSecond * observedSeconds(nowUs, LONG_TERM_DECAY_US) + PRIOR_REQUESTS * settings.fleetSize();
+        TenantQuota tenantQuota = tenantQueue.quota;
+        tenantQuota.ratePerSecond = (otherTenantsArrivals + PRIOR_REQUESTS) / otherTenantsExpectedArrivals * quotaPerSecond;
+        double refill = tenantQuota.ratePerSecond * (nowUs - tenantQuota.updatedAtUs) / MICROS_PER_SECOND;
+        tenantQuota.tokens = Math.min(tenantQuota.tokens + refill, Math.max(TenantQuota.BURST_REQUESTS, tenantQuota.ratePerSecond));
+        tenantQuota.updatedAtUs = nowUs;
+        if (otherTenantsQuotaPerSecond <= 0 || quotaPerSecond <= 0 || settings.overQuotaWeight() >= 1) {
             return false;
         }
-        boolean overQuota = state.tokens < 1;
-        state.tokens -= overQuota ? 0 : 1;
+        boolean overQuota = tenantQuota.tokens < 1;
+        tenantQuota.tokens -= overQuota ? 0 : 1;
         return overQuota;
     }
 
@@ -65,32 +65,32 @@
     }
 
     /** Returns the arrivals of the other tenants. */
-    private double countArrival(long nowUs, TenantQueue tenant, boolean retry) {
-        double others = 0;
-        for (TenantQueue each : queues.all()) {
-            double arrivals = each.quota.longTermArrivals * longTermDecay(nowUs, each.quota);
-            if (each != tenant) {
-                others += arrivals;
+    private double countArrival(long nowUs, TenantQueue tenantQueue, boolean retry) {
+        double otherTenantsArrivals = 0;
+        for (TenantQueue queue : queues.all()) {
+            double arrivals = queue.quota.longTermArrivals * longTermDecay(nowUs, queue.quota);
+            if (queue != tenantQueue) {
+                otherTenantsArrivals += arrivals;
             } else {
-                each.quota.longTermArrivals = arrivals + (retry ? 0 : 1);
-                each.quota.shortTermArrivals = shortTermArrivals(nowUs, each.quota) + (retry ? 0 : 1);
+                queue.quota.longTermArrivals = arrivals + (retry ? 0 : 1);
+                queue.quota.shortTermArrivals = shortTermArrivals(nowUs, queue.quota) + (retry ? 0 : 1);
             }
         }
-        return others;
+        return otherTenantsArrivals;
     }
 
     /** What is left of the long-term arrivals since they were last updated, from 0 to 1. */
     private static double longTermDecay(long nowUs, TenantQuota quota) {
-        return Math.exp(-(nowUs - quota.updatedAtUs) / LONG_MEMORY_US);
+        return Math.exp(-(nowUs - quota.updatedAtUs) / LONG_TERM_DECAY_US);
     }
 
     private static double shortTermArrivals(long nowUs, TenantQuota quota) {
-        return quota.shortTermArrivals * Math.exp(-(nowUs - quota.updatedAtUs) / SHORT_MEMORY_US);
+        return quota.shortTermArrivals * Math.exp(-(nowUs - quota.updatedAtUs) / SHORT_TERM_DECAY_US);
     }
 
     /** Seconds of traffic that a forgetting count holds; less of it shortly after the start. */
-    private double memorySeconds(long nowUs, double memoryUs) {
-        return memoryUs / MICROS_PER_SECOND * (1 - Math.exp(-(nowUs - startedAtUs) / memoryUs));
+    private double observedSeconds(long nowUs, double decayUs) {
+        return decayUs / MICROS_PER_SECOND * (1 - Math.exp(-(nowUs - startedAtUs) / decayUs));
     }
 
     /**
@@ -98,22 +98,22 @@
      * jumps too. A flood is one tenant's. Guards against taking the restart of another node for floods by everybody.
      */
     void adjustToTrafficShift(long nowUs) {
-        double scale = memorySeconds(nowUs, SHORT_MEMORY_US) / memorySeconds(nowUs, LONG_MEMORY_US);
-        double expected = 0;
-        double expectedOfJumped = 0;
-        double seen = 0;
-        for (TenantQueue each : queues.all()) {
-            double usual = scale * each.quota.longTermArrivals * longTermDecay(nowUs, each.quota);
-            double recent = shortTermArrivals(nowUs, each.quota);
-            expected += usual;
-            expectedOfJumped += recent > JUMP_FACTOR * usual ? usual : 0;
-            seen += Math.min(recent, 2 * JUMP_FACTOR * usual); // no one tenant may carry the others along
+        double scale = observedSeconds(nowUs, SHORT_TERM_DECAY_US) / observedSeconds(nowUs, LONG_TERM_DECAY_US);
+        double totalBaseline = 0;
+        double jumpedBaseline = 0;
+        double totalRecent = 0;
+        for (TenantQueue queue : queues.all()) {
+            double baseline = scale * queue.quota.longTermArrivals * longTermDecay(nowUs, queue.quota);
+            double recent = shortTermArrivals(nowUs, queue.quota);
+            totalBaseline += baseline;
+            jumpedBaseline += recent > JUMP_FACTOR * baseline ? baseline : 0;
+            totalRecent += Math.min(recent, 2 * JUMP_FACTOR * baseline); // no one tenant may carry the others along
         }
-        boolean mostJumped = expectedOfJumped > expected / 2;
-        boolean clear = seen > JUMP_FACTOR * expected && seen > expected + JUMP_DEVIATIONS * Math.sqrt(expected);
-        if (mostJumped && clear) {
-            for (TenantQueue each : queues.all()) {
-                each.quota.longTermArrivals *= seen / expected;
+        boolean mostTrafficJumped = jumpedBaseline > totalBaseline / 2;
+        boolean significant = totalRecent > JUMP_FACTOR * totalBaseline && totalRecent > totalBaseline + JUMP_DEVIATIONS * Math.sqrt(totalBaseline);
+        if (mostTrafficJumped && significant) {
+            for (TenantQueue queue : queues.all()) {
+                queue.quota.longTermArrivals *= totalRecent / totalBaseline;
             }
         }
     }
--- a/src/main/java/olivechute/loadbalancing/Request.java
+++ b/src/main/java/olivechute/loadbalancing/Request.java
@@ -24,7 +24,7 @@
         double memory,
         boolean retry) {
     /** The same request with another time left. */
-    public Request withTimeLeft(long leftUs) {
-        return new Request(id, requestClass, tenant, idempotencyKey, leftUs, expectedWorkUs, slots, memory, retry);
+    public Request withTimeLeft(long newTimeLeftUs) {
+        return new Request(id, requestClass, tenant, idempotencyKey, newTimeLeftUs, expectedWorkUs, slots, memory, retry);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/RequestLifecycle.java
+++ b/src/main/java/olivechute/loadbalancing/RequestLifecycle.java
@@ -11,12 +11,12 @@
     private final LoadBalancer.Helper helper;
     private final EndpointStats stats;
     private final TenantQueues queues;
-    private final QuotaEstimator quota;
-    private final RetryAfterEstimator retryAfter;
+    private final QuotaEstimator quotaEstimator;
+    private final RetryAfterEstimator retryAfterEstimator;
     private final RetryPolicy retryPolicy;
-    private final long queuePollUs;
+    private final long queueCheckIntervalUs;
     private final RequestTable requests = new RequestTable();
-    private boolean queueTimerRuns;
+    private boolean queueTimerScheduled;
 
     /** {@code queuePollUs}: how often queued requests are looked at. */
     RequestLifecycle(
@@ -24,18 +24,18 @@
             LoadBalancer.Helper helper,
             EndpointStats stats,
             TenantQueues queues,
-            QuotaEstimator quota,
-            RetryAfterEstimator retryAfter,
+            QuotaEstimator quotaEstimator,
+            RetryAfterEstimator retryAfterEstimator,
             RetryPolicy retryPolicy,
-            long queuePollUs) {
+            long queueCheckIntervalUs) {
         this.settings = settings;
         this.helper = helper;
         this.stats = stats;
         this.queues = queues;
-        this.quota = quota;
-        this.retryAfter = retryAfter;
+        this.quotaEstimator = quotaEstimator;
+        this.retryAfterEstimator = retryAfterEstimator;
         this.retryPolicy = retryPolicy;
-        this.queuePollUs = queuePollUs;
+        this.queueCheckIntervalUs = queueCheckIntervalUs;
     }
 
     RequestTable requests() {
@@ -45,22 +45,22 @@
     /** Queues a request, a retry ahead of the others. */
     void enqueue(PendingRequest request, boolean retry) {
         queues.enqueue(request, retry);
-        if (!queueTimerRuns) {
-            startQueueTimer();
+        if (!queueTimerScheduled) {
+            scheduleQueueTimer();
         }
     }
 
     /** To be called when the queue's timer was due and what could be dispatched has left the queues. */
-    void continueQueueTimer() {
-        queueTimerRuns = false;
+    void rescheduleQueueTimer() {
+        queueTimerScheduled = false;
         if (!queues.isEmpty()) {
-            startQueueTimer();
+            scheduleQueueTimer();
         }
     }
 
-    private void startQueueTimer() {
-        queueTimerRuns = true;
-        helper.schedule(ShareLoadBalancer.QUEUE_TIMER, queuePollUs);
+    private void scheduleQueueTimer() {
+        queueTimerScheduled = true;
+        helper.schedule(ShareLoadBalancer.QUEUE_TIMER, queueCheckIntervalUs);
     }
 
     void send(long nowUs, PendingRequest request, Endpoint endpoint) {
@@ -70,66 +70,66 @@
         stats.onSend();
         endpoint.onSend(nowUs, attempt, settings.rules());
         if (!settings.notifiesStart()) {
-            request.tenantQueue.usage.add(nowUs, request.slots);
+            request.tenantQueue.slotUsage.add(nowUs, request.slots);
         }
-        helper.send(request.request.id(), endpoint.name(), 0);
+        helper.send(request.clientRequest.id(), endpoint.name(), 0);
     }
 
-    void onStarted(long nowUs, Attempt attempt) {
-        attempt.start(nowUs);
+    void onAttemptStarted(long nowUs, Attempt attempt) {
+        attempt.markStarted(nowUs);
         if (settings.notifiesStart()) {
-            attempt.request.tenantQueue.usage.add(nowUs, attempt.request.slots);
+            attempt.request.tenantQueue.slotUsage.add(nowUs, attempt.request.slots);
         }
     }
 
     /** The attempt is no longer in flight. */
-    void onEnd(long nowUs, Attempt attempt) {
+    void onAttemptEnd(long nowUs, Attempt attempt) {
         PendingRequest request = attempt.request;
         attempt.inFlight = false;
         request.attemptsInFlight--;
         attempt.endpoint.onAttemptEnd(nowUs, attempt);
         stats.onAttemptEnd();
         if (attempt.started() || !settings.notifiesStart()) {
-            request.tenantQueue.usage.add(nowUs, -request.slots);
+            request.tenantQueue.slotUsage.add(nowUs, -request.slots);
         }
     }
 
     /** What follows for the request of an attempt that has ended. */
-    void afterEnd(long nowUs, Attempt attempt, AttemptOutcome outcome, boolean complete) {
+    void continueAfterAttempt(long nowUs, Attempt attempt, AttemptOutcome outcome, boolean complete) {
         PendingRequest request = attempt.request;
         request.answered |= complete;
         if (!request.answered) {
-            if (!outcome.neverExecuted() && request.possiblyExecuted == null) {
-                request.possiblyExecuted = attempt;
+            if (!outcome.neverExecuted() && request.possiblyExecutedAttempt == null) {
+                request.possiblyExecutedAttempt = attempt;
             }
             if (request.attemptsInFlight == 0) {
-                retryOrAnswer(nowUs, request, outcome);
+                retryOrReject(nowUs, request, outcome);
             }
         }
         requests.removeIfDone(request);
     }
 
-    private void retryOrAnswer(long nowUs, PendingRequest request, AttemptOutcome last) {
-        if (retryPolicy.allowsRetry(nowUs, request, last)) {
-            retryPolicy.extendQueueTime(nowUs, request, last);
+    private void retryOrReject(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
+        if (retryPolicy.allowsRetry(nowUs, request, lastOutcome)) {
+            retryPolicy.extendQueueTime(nowUs, request, lastOutcome);
             enqueue(request, true);
         } else {
-            answer(nowUs, request);
+            rejectOrFail(nowUs, request);
         }
     }
 
     /** Answers those queued requests that match. */
-    void answerQueuedIf(long nowUs, Predicate<PendingRequest> condition) {
-        queues.removeIf(condition, request -> answer(nowUs, request));
+    void rejectOrFailQueuedIf(long nowUs, Predicate<PendingRequest> condition) {
+        queues.removeIf(condition, request -> rejectOrFail(nowUs, request));
     }
 
     /** The final answer of a request that was not served: a rejection where its client may safely try again. */
-    void answer(long nowUs, PendingRequest request) {
+    void rejectOrFail(long nowUs, PendingRequest request) {
         request.answered = true;
-        String id = request.request.id();
+        String id = request.clientRequest.id();
         if (RetryPolicy.mayReject(request)) {
-            quota.onRejected(request);
-            helper.reject(id, retryAfter.forRequest(nowUs, request));
+            quotaEstimator.onRejected(request);
+            helper.reject(id, retryAfterEstimator.forRequest(nowUs, request));
         } else {
             helper.fail(id);
         }
--- a/src/main/java/olivechute/loadbalancing/RequestTable.java
+++ b/src/main/java/olivechute/loadbalancing/RequestTable.java
@@ -8,7 +8,7 @@
     private final Map<String, PendingRequest> byId = new HashMap<>();
 
     void add(PendingRequest request) {
-        byId.put(request.request.id(), request);
+        byId.put(request.clientRequest.id(), request);
     }
 
     /** Returns {@code null} if the request is not known. */
@@ -17,18 +17,18 @@
     }
 
     /** The attempt that an event names, or {@code null} if it is unknown or has ended. */
-    Attempt attemptInFlight(String id, int number) {
+    Attempt attemptInFlight(String id, int attemptIndex) {
         PendingRequest request = byId.get(id);
-        if (request == null || number < 0 || number >= request.attempts.size()) {
+        if (request == null || attemptIndex < 0 || attemptIndex >= request.attempts.size()) {
             return null;
         }
-        Attempt attempt = request.attempts.get(number);
+        Attempt attempt = request.attempts.get(attemptIndex);
         return attempt.inFlight ? attempt : null;
     }
 
     void removeIfDone(PendingRequest request) {
         if (request.answered && request.attemptsInFlight == 0) {
-            byId.remove(request.request.id());
+            byId.remove(request.clientRequest.id());
         }
     }
 }
--- a/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
@@ -7,53 +7,53 @@
  * estimate from this node's view, not a promise. Times are microseconds.
  */
 final class RetryAfterEstimator {
-    private static final double GAP_WEIGHT = 0.1;
+    private static final double INTERVAL_SAMPLE_WEIGHT = 0.1;
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final TenantQueues queues;
-    private final long leastUs;
-    private final long mostUs;
-    private double releaseGapUs = Double.NaN;
-    private long releasedAtUs;
+    private final long minRetryAfterUs;
+    private final long maxRetryAfterUs;
+    private double releaseIntervalUs = Double.NaN;
+    private long lastReleaseAtUs;
 
-    RetryAfterEstimator(TenantQueues queues, long leastUs, long mostUs) {
+    RetryAfterEstimator(TenantQueues queues, long minRetryAfterUs, long maxRetryAfterUs) {
         this.queues = queues;
-        this.leastUs = leastUs;
-        this.mostUs = mostUs;
+        this.minRetryAfterUs = minRetryAfterUs;
+        this.maxRetryAfterUs = maxRetryAfterUs;
     }
 
     /** A queued request was sent. One that was sent at its arrival tells the clients' gap, not the endpoints'. */
     void onRelease(long nowUs, PendingRequest request) {
         if (nowUs > request.arrivedAtUs) {
-            double waitedUs = nowUs - Math.max(releasedAtUs, request.arrivedAtUs);
-            releaseGapUs = Smoothing.smooth(releaseGapUs, waitedUs, GAP_WEIGHT);
+            double waitedUs = nowUs - Math.max(lastReleaseAtUs, request.arrivedAtUs);
+            releaseIntervalUs = Smoothing.smooth(releaseIntervalUs, waitedUs, INTERVAL_SAMPLE_WEIGHT);
         }
-        releasedAtUs = nowUs;
+        lastReleaseAtUs = nowUs;
     }
 
     /** For a request that is rejected from the queue. */
     long forRequest(long nowUs, PendingRequest request) {
-        double waitedUs = nowUs - Math.max(releasedAtUs, request.arrivedAtUs);
-        double estimate = queueDelayUs(waitedUs, (double) Math.max(0, request.queuedUntilUs - request.arrivedAtUs));
+        double waitedUs = nowUs - Math.max(lastReleaseAtUs, request.arrivedAtUs);
+        double estimateUs = queueDelayUs(waitedUs, (double) Math.max(0, request.queueDeadlineUs - request.arrivedAtUs));
         TenantQuota quota = request.tenantQueue.quota;
         if (request.overQuota && quota.ratePerSecond > 0) {
-            estimate = Math.max(estimate, (1 - quota.tokens) / quota.ratePerSecond * MICROS_PER_SECOND);
+            estimateUs = Math.max(estimateUs, (1 - quota.tokens) / quota.ratePerSecond * MICROS_PER_SECOND);
         }
-        return bounded(estimate);
+        return clamp(estimateUs);
     }
 
     /** For a request that is rejected before it was queued. */
     long forNewRequest() {
-        return bounded(queueDelayUs(0, Double.MAX_VALUE));
+        return clamp(queueDelayUs(0, Double.MAX_VALUE));
     }
 
-    private double queueDelayUs(double waitedUs, double longestInQueueUs) {
-        double queued = queues.size();
-        double gapUs = Double.isNaN(releaseGapUs) ? waitedUs : Math.max(releaseGapUs, waitedUs);
-        return gapUs + Math.min(queued * gapUs, longestInQueueUs);
+    private double queueDelayUs(double waitedUs, double maxQueueTimeUs) {
+        double queuedRequests = queues.size();
+        double intervalUs = Double.isNaN(releaseIntervalUs) ? waitedUs : Math.max(releaseIntervalUs, waitedUs);
+        return intervalUs + Math.min(queuedRequests * intervalUs, maxQueueTimeUs);
     }
 
-    private long bounded(double estimateUs) {
-        return (long) Math.min((double) mostUs, Math.max((double) leastUs, estimateUs));
+    private long clamp(double estimateUs) {
+        return (long) Math.min((double) maxRetryAfterUs, Math.max((double) minRetryAfterUs, estimateUs));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/RetryBudget.java
+++ b/src/main/java/olivechute/loadbalancing/RetryBudget.java
@@ -12,7 +12,7 @@
  */
 public final class RetryBudget {
     private static final double MICROS_PER_SECOND = 1e6;
-    private static final double FULL_COST = 1;
+    private static final double POSSIBLY_EXECUTED_COST = 1;
     private static final double NOT_EXECUTED_COST = 0.5;
 
     /**
@@ -22,62 +22,62 @@
      * @param perSecond tokens a second besides
      * @param capacity the most tokens that are saved up
      */
-    public record Rate(double perFirstAttempt, double perSecond, double capacity) {}
+    public record BucketRate(double perFirstAttempt, double perSecond, double capacity) {}
 
-    private final Bucket all;
-    private final Map<String, Bucket> byTenant = new HashMap<>();
-    private final Bucket otherTenants;
+    private final Bucket nodeBucket;
+    private final Map<String, Bucket> tenantBuckets = new HashMap<>();
+    private final Bucket otherTenantsBucket;
 
     /** Makes half-full buckets, one for each of these tenants. */
-    public RetryBudget(Collection<String> tenants, Rate tenantRate, Rate allRate) {
-        tenants.forEach(tenant -> byTenant.put(tenant, new Bucket(tenantRate)));
-        this.otherTenants = new Bucket(tenantRate);
-        this.all = new Bucket(allRate);
+    public RetryBudget(Collection<String> tenants, BucketRate tenantRate, BucketRate nodeRate) {
+        tenants.forEach(tenant -> tenantBuckets.put(tenant, new Bucket(tenantRate)));
+        this.otherTenantsBucket = new Bucket(tenantRate);
+        this.nodeBucket = new Bucket(nodeRate);
     }
 
     /** A request of this tenant was sent for the first time. */
     public void onFirstAttempt(long nowUs, String tenant) {
-        all.onFirstAttempt(nowUs);
+        nodeBucket.onFirstAttempt(nowUs);
         bucketOf(tenant).onFirstAttempt(nowUs);
     }
 
     /** Takes what a retry costs after such an outcome; false if the tenant or the node has not that much. */
-    public boolean tryTake(long nowUs, String tenant, AttemptOutcome last) {
-        double cost = cost(last);
-        Bucket own = bucketOf(tenant);
-        if (all.refill(nowUs) < cost || own.refill(nowUs) < cost) {
+    public boolean tryTake(long nowUs, String tenant, AttemptOutcome lastOutcome) {
+        double cost = cost(lastOutcome);
+        Bucket tenantBucket = bucketOf(tenant);
+        if (nodeBucket.refill(nowUs) < cost || tenantBucket.refill(nowUs) < cost) {
             return false;
         }
-        all.tokens -= cost;
-        own.tokens -= cost;
+        nodeBucket.tokens -= cost;
+        tenantBucket.tokens -= cost;
         return true;
     }
 
     /** Tokens that the node has left. */
-    public double left(long nowUs) {
-        return all.refill(nowUs);
+    public double availableTokens(long nowUs) {
+        return nodeBucket.refill(nowUs);
     }
 
-    private static double cost(AttemptOutcome last) {
-        return switch (last) {
+    private static double cost(AttemptOutcome lastOutcome) {
+        return switch (lastOutcome) {
             case STALE_CONNECTION, SUPPRESSED -> 0;
             case CONNECT_FAILED, REJECTED -> NOT_EXECUTED_COST;
-            default -> FULL_COST;
+            default -> POSSIBLY_EXECUTED_COST;
         };
     }
 
     private Bucket bucketOf(String tenant) {
-        return byTenant.getOrDefault(tenant, otherTenants);
+        return tenantBuckets.getOrDefault(tenant, otherTenantsBucket);
     }
 
     private static final class Bucket {
         private static final long NEVER_US = Long.MIN_VALUE;
 
-        private final Rate rate;
+        private final BucketRate rate;
         private double tokens;
         private long refilledAtUs = NEVER_US;
 
-        Bucket(Rate rate) {
+        Bucket(BucketRate rate) {
             this.rate = rate;
             this.tokens = rate.capacity() / 2;
         }
--- a/src/main/java/olivechute/loadbalancing/RetryPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/RetryPolicy.java
@@ -11,7 +11,7 @@
  */
 final class RetryPolicy {
     /** Nothing is sent within this time before the end of the deduplication window. */
-    private static final long WINDOW_MARGIN_US = 20_000;
+    private static final long DEDUPLICATION_WINDOW_MARGIN_US = 20_000;
 
     private final LoadBalancerSettings settings;
     private final HealthView healthView;
@@ -22,36 +22,36 @@
     }
 
     /** Whether there may be another attempt after one that ended so; takes it from the retry budget. */
-    boolean allowsRetry(long nowUs, PendingRequest request, AttemptOutcome last) {
-        boolean effectAllows =
-                request.possiblyExecuted == null || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
-        return effectAllows
-                && last != AttemptOutcome.NOT_SENT
-                && last != AttemptOutcome.CANCEL_UNCONFIRMED
+    boolean allowsRetry(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
+        boolean safeToRepeat =
+                request.possiblyExecutedAttempt == null || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+        return safeToRepeat
+                && lastOutcome != AttemptOutcome.NOT_SENT
+                && lastOutcome != AttemptOutcome.CANCEL_UNCONFIRMED
                 && request.attempts.size() < settings.limits().maxAttempts()
-                && nowUs <= request.giveUpAtUs - AdmissionControl.QUEUE_ANSWER_MARGIN_US
+                && nowUs <= request.clientDeadlineUs - AdmissionControl.QUEUE_ANSWER_MARGIN_US
                 && healthView.allowsRetry(
                         nowUs,
                         request.tenantQueue.tenant.name(),
                         request.classStats.index,
-                        last,
-                        request.giveUpAtUs - nowUs);
+                        lastOutcome,
+                        request.clientDeadlineUs - nowUs);
     }
 
     /**
      * Sets the times of a request that waits for a retry. After an outcome that is no sign of load it gets more time to
      * find an endpoint.
      */
-    void extendQueueTime(long nowUs, PendingRequest request, AttemptOutcome last) {
-        boolean connectionsFault = last == AttemptOutcome.ACCEPT_TIMEOUT
-                || last == AttemptOutcome.STALE_CONNECTION
-                || last == AttemptOutcome.SUPPRESSED;
-        if (connectionsFault) {
-            long laterUs = Math.min(
-                    request.giveUpAtUs - AdmissionControl.QUEUE_ANSWER_MARGIN_US,
+    void extendQueueTime(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
+        boolean connectionFailed = lastOutcome == AttemptOutcome.ACCEPT_TIMEOUT
+                || lastOutcome == AttemptOutcome.STALE_CONNECTION
+                || lastOutcome == AttemptOutcome.SUPPRESSED;
+        if (connectionFailed) {
+            long extendedUntilUs = Math.min(
+                    request.clientDeadlineUs - AdmissionControl.QUEUE_ANSWER_MARGIN_US,
                     nowUs + request.requestClass.latencyObjectiveUs());
-            request.latestStartUs = Math.max(request.latestStartUs, laterUs);
-            request.queuedUntilUs = Math.max(request.queuedUntilUs, laterUs);
+            request.latestStartUs = Math.max(request.latestStartUs, extendedUntilUs);
+            request.queueDeadlineUs = Math.max(request.queueDeadlineUs, extendedUntilUs);
         }
     }
 
@@ -60,32 +60,32 @@
      * that may have been executed, one that still drops the repeat.
      */
     boolean mayRunAt(long nowUs, PendingRequest request, Endpoint endpoint) {
-        RequestClass c = request.requestClass;
-        if (c.endpointKind() != null && !c.endpointKind().equals(endpoint.info.kind())) {
+        RequestClass requestClass = request.requestClass;
+        if (requestClass.endpointKind() != null && !requestClass.endpointKind().equals(endpoint.info.kind())) {
             return false;
         }
-        if (request.possiblyExecuted == null || c.idempotency() != Idempotency.KEYED) {
+        if (request.possiblyExecutedAttempt == null || requestClass.idempotency() != Idempotency.KEYED) {
             return true;
         }
-        EndpointInfo first = request.possiblyExecuted.endpoint.info;
-        long windowEndUs = request.possiblyExecuted.sentAtUs + c.deduplicationWindowUs();
-        return nowUs < windowEndUs - WINDOW_MARGIN_US && sameScope(c.deduplicationScope(), first, endpoint.info);
+        EndpointInfo firstEndpoint = request.possiblyExecutedAttempt.endpoint.info;
+        long windowEndUs = request.possiblyExecutedAttempt.sentAtUs + requestClass.deduplicationWindowUs();
+        return nowUs < windowEndUs - DEDUPLICATION_WINDOW_MARGIN_US && sameScope(requestClass.deduplicationScope(), firstEndpoint, endpoint.info);
     }
 
-    private static boolean sameScope(DeduplicationScope scope, EndpointInfo x, EndpointInfo y) {
+    private static boolean sameScope(DeduplicationScope scope, EndpointInfo first, EndpointInfo second) {
         return switch (scope) {
             case ALL -> true;
-            case ZONE -> x.zone().equals(y.zone());
-            case CELL -> x.zone().equals(y.zone()) && x.cell() == y.cell();
+            case ZONE -> first.zone().equals(second.zone());
+            case CELL -> first.zone().equals(second.zone()) && first.cell() == second.cell();
         };
     }
 
     /** Whether the client may be told to try again itself, at whatever node. */
     static boolean mayReject(PendingRequest request) {
-        RequestClass c = request.requestClass;
+        RequestClass requestClass = request.requestClass;
         return request.attemptsInFlight == 0
-                && (request.possiblyExecuted == null
-                        || c.idempotency() == Idempotency.IDEMPOTENT
-                        || (c.idempotency() == Idempotency.KEYED && c.deduplicationScope() == DeduplicationScope.ALL));
+                && (request.possiblyExecutedAttempt == null
+                        || requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || (requestClass.idempotency() == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ServiceRules.java
+++ b/src/main/java/olivechute/loadbalancing/ServiceRules.java
@@ -20,12 +20,12 @@
         long slowStartDurationUs,
         double overloadMultiple,
         long overloadWindowUs,
-        boolean onlyDrainingBinds) {
+        boolean keepsUnlistedEndpoints) {
     /** Calls for the list that follow each other more closely would poll without end. */
-    private static final long LEAST_POLL_DELAY_US = 50_000;
+    private static final long MIN_POLL_DELAY_US = 50_000;
 
     /** The given delay in microseconds, or less of it where the list has to be polled sooner. */
     public long cappedPollDelayUs(long delayUs) {
-        return listPollIntervalUs > 0 ? Math.min(delayUs, Math.max(LEAST_POLL_DELAY_US, listPollIntervalUs)) : delayUs;
+        return listPollIntervalUs > 0 ? Math.min(delayUs, Math.max(MIN_POLL_DELAY_US, listPollIntervalUs)) : delayUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ShareController.java
+++ b/src/main/java/olivechute/loadbalancing/ShareController.java
@@ -17,29 +17,29 @@
 
     private static final int INITIAL_INSTANCES = 10;
     /** A tenant within this distance of its share is left as it is. */
-    private static final double TOLERANCE = 0.02;
+    private static final double SHARE_TOLERANCE = 0.02;
     /** The running mean gives the last interval at least this weight, or it would answer no late change. */
-    private static final double LEAST_INTERVAL_WEIGHT = 0.05;
+    private static final double MIN_INTERVAL_WEIGHT = 0.05;
     /** A tenant keeps at least one instance wherever it has some. */
-    private static final int INSTANCES_TO_TAKE_ONE = 2;
+    private static final int MIN_INSTANCES_TO_TAKE = 2;
 
     private final List<TenantQueue> tenants = new ArrayList<>();
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final int initialInstances;
-    private final double tolerance;
-    private final double leastIntervalWeight;
-    private long intervals;
-    private int credit;
+    private final double shareTolerance;
+    private final double minIntervalWeight;
+    private long intervalCount;
+    private int unassignedInstances;
 
     ShareController() {
-        this(INITIAL_INSTANCES, TOLERANCE, LEAST_INTERVAL_WEIGHT);
+        this(INITIAL_INSTANCES, SHARE_TOLERANCE, MIN_INTERVAL_WEIGHT);
     }
 
     /** Each tenant starts with {@code initialInstances} on each endpoint. */
-    ShareController(int initialInstances, double tolerance, double leastIntervalWeight) {
+    ShareController(int initialInstances, double shareTolerance, double minIntervalWeight) {
         this.initialInstances = initialInstances;
-        this.tolerance = tolerance;
-        this.leastIntervalWeight = leastIntervalWeight;
+        this.shareTolerance = shareTolerance;
+        this.minIntervalWeight = minIntervalWeight;
     }
 
     /** A tenant that was not known before. */
@@ -52,10 +52,10 @@
     void setEndpoints(Iterable<Endpoint> listed) {
         endpoints.clear();
         for (Endpoint endpoint : listed) {
-            int known = endpoint.instances.length;
-            if (known < tenants.size()) {
-                endpoint.instances = Arrays.copyOf(endpoint.instances, tenants.size());
-                Arrays.fill(endpoint.instances, known, tenants.size(), initialInstances);
+            int knownTenants = endpoint.tenantInstances.length;
+            if (knownTenants < tenants.size()) {
+                endpoint.tenantInstances = Arrays.copyOf(endpoint.tenantInstances, tenants.size());
+                Arrays.fill(endpoint.tenantInstances, knownTenants, tenants.size(), initialInstances);
             }
             endpoints.add(endpoint);
         }
@@ -65,74 +65,74 @@
     int totalInstances(TenantQueue tenant) {
         int sum = 0;
         for (Endpoint endpoint : endpoints) {
-            sum += endpoint.active() ? endpoint.instances[tenant.index] : 0;
+            sum += endpoint.active() ? endpoint.tenantInstances[tenant.index] : 0;
         }
         return sum;
     }
 
     /** Instances taken from tenants and not given to others yet. */
-    int credit() {
-        return credit;
+    int unassignedInstances() {
+        return unassignedInstances;
     }
 
     /** Moves instances by the slot time that the tenants used since the last call; nothing moves if none was used. */
     void onInterval() {
-        double total = 0;
+        double totalSlotTimeUs = 0;
         for (TenantQueue tenant : tenants) {
-            total += tenant.usage.slotTimeUs;
+            totalSlotTimeUs += tenant.slotUsage.intervalSlotTimeUs;
         }
-        if (total <= 0) {
+        if (totalSlotTimeUs <= 0) {
             return;
         }
-        intervals++;
-        updateAverages(total);
-        List<TenantQueue> below = new ArrayList<>();
-        List<TenantQueue> above = new ArrayList<>();
+        intervalCount++;
+        updateAverages(totalSlotTimeUs);
+        List<TenantQueue> belowShare = new ArrayList<>();
+        List<TenantQueue> aboveShare = new ArrayList<>();
         for (TenantQueue tenant : tenants) {
-            if (tenant.usage.averageShare > tenant.tenant.share() + tolerance) {
-                above.add(tenant);
-            } else if (tenant.usage.averageShare < tenant.tenant.share() - tolerance) {
-                below.add(tenant);
+            if (tenant.slotUsage.averageShare > tenant.tenant.share() + shareTolerance) {
+                aboveShare.add(tenant);
+            } else if (tenant.slotUsage.averageShare < tenant.tenant.share() - shareTolerance) {
+                belowShare.add(tenant);
             }
         }
-        takeInstances(above, below);
-        giveInstances(below);
+        takeInstances(aboveShare, belowShare);
+        giveInstances(belowShare);
     }
 
-    private void updateAverages(double total) {
-        double weight = Math.max(1.0 / intervals, leastIntervalWeight);
+    private void updateAverages(double totalSlotTimeUs) {
+        double weight = Math.max(1.0 / intervalCount, minIntervalWeight);
         for (TenantQueue tenant : tenants) {
-            SlotUsage usage = tenant.usage;
-            usage.averageShare = weight * usage.slotTimeUs / total + (1 - weight) * usage.averageShare;
-            usage.slotTimeUs = 0;
+            SlotUsage usage = tenant.slotUsage;
+            usage.averageShare = weight * usage.intervalSlotTimeUs / totalSlotTimeUs + (1 - weight) * usage.averageShare;
+            usage.intervalSlotTimeUs = 0;
         }
     }
 
-    private static double excess(TenantQueue tenant) {
-        return tenant.usage.averageShare - tenant.tenant.share();
+    private static double shareExcess(TenantQueue tenant) {
+        return tenant.slotUsage.averageShare - tenant.tenant.share();
     }
 
-    private void takeInstances(List<TenantQueue> above, List<TenantQueue> below) {
+    private void takeInstances(List<TenantQueue> aboveShare, List<TenantQueue> belowShare) {
         for (Endpoint endpoint : endpoints) {
-            if (below.stream().noneMatch(t -> endpoint.instances[t.index] > 0)) {
+            if (belowShare.stream().noneMatch(t -> endpoint.tenantInstances[t.index] > 0)) {
                 continue;
             }
-            for (TenantQueue tenant : above) {
-                if (endpoint.instances[tenant.index] >= INSTANCES_TO_TAKE_ONE) {
-                    endpoint.instances[tenant.index]--;
-                    credit++;
+            for (TenantQueue tenant : aboveShare) {
+                if (endpoint.tenantInstances[tenant.index] >= MIN_INSTANCES_TO_TAKE) {
+                    endpoint.tenantInstances[tenant.index]--;
+                    unassignedInstances++;
                 }
             }
         }
     }
 
-    private void giveInstances(List<TenantQueue> below) {
-        below.sort(Comparator.comparingDouble(ShareController::excess));
-        for (TenantQueue tenant : below) {
+    private void giveInstances(List<TenantQueue> belowShare) {
+        belowShare.sort(Comparator.comparingDouble(ShareController::shareExcess));
+        for (TenantQueue tenant : belowShare) {
             for (Endpoint endpoint : endpoints) {
-                if (credit > 0 && endpoint.instances[tenant.index] > 0) {
-                    endpoint.instances[tenant.index]++;
-                    credit--;
+                if (unassignedInstances > 0 && endpoint.tenantInstances[tenant.index] > 0) {
+                    endpoint.tenantInstances[tenant.index]++;
+                    unassignedInstances--;
                 }
             }
         }
--- a/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
@@ -16,15 +16,15 @@
  */
 public final class ShareLoadBalancer implements LoadBalancer {
     /** Queued requests are looked at this often at least. */
-    private static final long MAX_QUEUE_POLL_US = 20_000;
+    private static final long MAX_QUEUE_CHECK_INTERVAL_US = 20_000;
 
-    private static final long MIN_QUEUE_POLL_US = 1_000;
+    private static final long MIN_QUEUE_CHECK_INTERVAL_US = 1_000;
     /** And so many times within the shortest latency objective. */
-    private static final long QUEUE_POLLS_PER_OBJECTIVE = 8;
+    private static final long QUEUE_CHECKS_PER_OBJECTIVE = 8;
     /** How often endpoints are examined. */
-    private static final long EXAMINATION_PERIOD_US = InFlightHistory.STEP_US;
+    private static final long EXAMINATION_INTERVAL_US = InFlightHistory.STEP_US;
     /** A class of which no request finished yet is taken to run for so many times its latency objective. */
-    private static final double EXPECTED_RUN_TIME_IN_OBJECTIVES = 4;
+    private static final double EXPECTED_RUN_TIME_MULTIPLE = 4;
 
     static final long EXAMINATION_TIMER = 1;
     static final long WATCH_TIMER = 2;
@@ -35,27 +35,27 @@
     private final HealthView healthView;
     private final Map<String, RequestClassStats> classes = new HashMap<>();
     /** The same, the most valuable for their work first. */
-    private final List<RequestClassStats> classOrder = new ArrayList<>();
+    private final List<RequestClassStats> classesByValue = new ArrayList<>();
 
     private final EndpointStats stats = new EndpointStats();
-    private final ShareController shares = new ShareController();
+    private final ShareController shareController = new ShareController();
     private final EndpointTable endpoints;
     private final TenantQueues queues;
-    private final QuotaEstimator quota;
-    private final AdmissionControl admission;
-    private final RetryAfterEstimator retryAfter;
+    private final QuotaEstimator quotaEstimator;
+    private final AdmissionControl admissionControl;
+    private final RetryAfterEstimator retryAfterEstimator;
     private final RequestLifecycle lifecycle;
     private final SlowStart slowStart;
     private final WorkingSet workingSet;
-    private final CapacityEstimator capacity;
-    private final OutlierDetector outliers;
-    private final AttemptObserver observer;
+    private final CapacityEstimator capacityEstimator;
+    private final OutlierDetector outlierDetector;
+    private final AttemptObserver attemptObserver;
     private final IdleConnectionPolicy idleConnections;
-    private final ListWatchRetry listWatch;
-    private final LoadProber prober;
+    private final ListWatchRetry listWatchRetry;
+    private final LoadProber loadProber;
     private final QueueDispatcher dispatcher;
 
-    private long nextIntervalUs;
+    private long nextIntervalAtUs;
 
     /** Makes a load balancer that knows nothing of its sockets; {@code seed} feeds its only source of randomness. */
     public ShareLoadBalancer(LoadBalancerSettings settings, long seed, Helper helper) {
@@ -70,43 +70,43 @@
         this.settings = settings;
         this.helper = helper;
         this.healthView = healthView;
-        long queuePollUs = addClasses();
+        long queueCheckIntervalUs = addClasses();
         SplittableRandom random = new SplittableRandom(seed);
         endpoints = new EndpointTable(settings, healthView, random);
-        queues = new TenantQueues(settings.tenants(), classOrder.size(), shares);
-        quota = new QuotaEstimator(settings, queues);
-        admission = new AdmissionControl(settings, queues, quota, queuePollUs);
-        retryAfter =
-                new RetryAfterEstimator(queues, queuePollUs, settings.limits().maxRetryAfterUs());
+        queues = new TenantQueues(settings.tenants(), classesByValue.size(), shareController);
+        quotaEstimator = new QuotaEstimator(settings, queues);
+        admissionControl = new AdmissionControl(settings, queues, quotaEstimator, queueCheckIntervalUs);
+        retryAfterEstimator =
+                new RetryAfterEstimator(queues, queueCheckIntervalUs, settings.limits().maxRetryAfterUs());
         RetryPolicy retryPolicy = new RetryPolicy(settings, healthView);
-        lifecycle = new RequestLifecycle(settings, helper, stats, queues, quota, retryAfter, retryPolicy, queuePollUs);
-        slowStart = new SlowStart(settings, classOrder, random);
+        lifecycle = new RequestLifecycle(settings, helper, stats, queues, quotaEstimator, retryAfterEstimator, retryPolicy, queueCheckIntervalUs);
+        slowStart = new SlowStart(settings, classesByValue, random);
         workingSet = new WorkingSet(stats);
-        capacity = new CapacityEstimator(settings, stats);
-        outliers = new OutlierDetector(settings, stats, random);
-        observer = new AttemptObserver(stats, capacity, outliers);
+        capacityEstimator = new CapacityEstimator(settings, stats);
+        outlierDetector = new OutlierDetector(settings, stats, random);
+        attemptObserver = new AttemptObserver(stats, capacityEstimator, outlierDetector);
         idleConnections = new IdleConnectionPolicy(settings, queues, helper);
-        listWatch = new ListWatchRetry(settings.rules(), random, helper);
-        EndpointDraw draw = new EndpointDraw(settings.costs(), stats, random);
-        prober = new LoadProber(settings, endpoints, draw, helper);
+        listWatchRetry = new ListWatchRetry(settings.rules(), random, helper);
+        WeightedEndpointPicker endpointPicker = new WeightedEndpointPicker(settings.costs(), stats, random);
+        loadProber = new LoadProber(settings, endpoints, endpointPicker, helper);
         EndpointSelector selector = new EndpointSelector(
-                settings, endpoints, stats, workingSet, capacity, slowStart, retryPolicy, prober, draw);
+                settings, endpoints, stats, workingSet, capacityEstimator, slowStart, retryPolicy, loadProber, endpointPicker);
         dispatcher =
-                new QueueDispatcher(queues, classOrder, endpoints, selector, workingSet, retryAfter, lifecycle::send);
+                new QueueDispatcher(queues, classesByValue, endpoints, selector, workingSet, retryAfterEstimator, lifecycle::send);
     }
 
     /** Returns how often queued requests are looked at, in microseconds. */
     private long addClasses() {
-        long pollUs = MAX_QUEUE_POLL_US;
-        for (RequestClass c : settings.classes()) {
-            double expectedUs = EXPECTED_RUN_TIME_IN_OBJECTIVES * c.latencyObjectiveUs();
-            RequestClassStats classStats = new RequestClassStats(c, classes.size(), expectedUs);
-            classes.put(c.name(), classStats);
-            classOrder.add(classStats);
-            long objectivePollUs = c.latencyObjectiveUs() / QUEUE_POLLS_PER_OBJECTIVE;
-            pollUs = Math.max(MIN_QUEUE_POLL_US, Math.min(pollUs, objectivePollUs));
+        long checkIntervalUs = MAX_QUEUE_CHECK_INTERVAL_US;
+        for (RequestClass requestClass : settings.classes()) {
+            double expectedUs = EXPECTED_RUN_TIME_MULTIPLE * requestClass.latencyObjectiveUs();
+            RequestClassStats classStats = new RequestClassStats(requestClass, classes.size(), expectedUs);
+            classes.put(requestClass.name(), classStats);
+            classesByValue.add(classStats);
+            long objectiveCheckIntervalUs = requestClass.latencyObjectiveUs() / QUEUE_CHECKS_PER_OBJECTIVE;
+            checkIntervalUs = Math.max(MIN_QUEUE_CHECK_INTERVAL_US, Math.min(checkIntervalUs, objectiveCheckIntervalUs));
         }
-        return pollUs;
+        return checkIntervalUs;
     }
 
     /** The endpoints that the load balancer knows. */
@@ -116,26 +116,26 @@
 
     @Override
     public void start(long nowUs) {
-        nextIntervalUs = nowUs + ShareController.INTERVAL_US;
+        nextIntervalAtUs = nowUs + ShareController.INTERVAL_US;
         for (TenantQueue tenant : queues.all()) {
-            tenant.usage.start(nowUs);
+            tenant.slotUsage.start(nowUs);
         }
-        quota.start(nowUs);
-        helper.schedule(EXAMINATION_TIMER, EXAMINATION_PERIOD_US);
+        quotaEstimator.start(nowUs);
+        helper.schedule(EXAMINATION_TIMER, EXAMINATION_INTERVAL_US);
         if (settings.pollsList()) {
-            helper.watchList();
+            helper.watchEndpointList();
         }
     }
 
     @Override
-    public void onListUpdate(long nowUs, ListUpdateKind kind, List<EndpointInfo> listed) {
-        if (kind == ListUpdateKind.FAILED) {
-            listWatch.onFailed();
+    public void onListUpdate(long nowUs, ListUpdateKind updateKind, List<EndpointInfo> listed) {
+        if (updateKind == ListUpdateKind.FAILED) {
+            listWatchRetry.onFailed();
             return;
         }
-        listWatch.onList(kind);
-        endpoints.update(kind, listed);
-        shares.setEndpoints(endpoints.all());
+        listWatchRetry.onListReceived(updateKind);
+        endpoints.update(updateKind, listed);
+        shareController.setEndpoints(endpoints.all());
         dispatchQueued(nowUs);
     }
 
@@ -146,50 +146,50 @@
             helper.fail(request.id());
             return;
         }
-        PendingRequest pending = new PendingRequest(nowUs, request, classStats, queues.of(request.tenant()));
+        PendingRequest pending = new PendingRequest(nowUs, request, classStats, queues.tenantQueue(request.tenant()));
         lifecycle.requests().add(pending);
         classStats.onArrival(request, pending.slots);
-        admission.admit(nowUs, pending);
-        prober.onRequest();
+        admissionControl.admit(nowUs, pending);
+        loadProber.onRequest();
         if (nowUs >= pending.latestStartUs) { // next to no time left: no timer may come before
-            lifecycle.answer(nowUs, pending);
+            lifecycle.rejectOrFail(nowUs, pending);
         } else {
             lifecycle.enqueue(pending, false);
         }
         dispatchQueued(nowUs);
-        if (nowUs >= pending.queuedUntilUs && queues.remove(pending)) {
-            lifecycle.answer(nowUs, pending);
+        if (nowUs >= pending.queueDeadlineUs && queues.remove(pending)) {
+            lifecycle.rejectOrFail(nowUs, pending);
         }
     }
 
     @Override
     public void onAttemptEnd(
-            long nowUs, String id, int number, AttemptOutcome outcome, long tookUs, boolean complete, LoadReport load) {
-        Attempt attempt = lifecycle.requests().attemptInFlight(id, number);
+            long nowUs, String id, int attemptIndex, AttemptOutcome outcome, long durationUs, boolean complete, LoadReport loadReport) {
+        Attempt attempt = lifecycle.requests().attemptInFlight(id, attemptIndex);
         if (attempt == null) {
             return;
         }
-        lifecycle.onEnd(nowUs, attempt);
-        observer.onEnd(nowUs, attempt, outcome, load);
-        lifecycle.afterEnd(nowUs, attempt, outcome, complete);
+        lifecycle.onAttemptEnd(nowUs, attempt);
+        attemptObserver.onEnd(nowUs, attempt, outcome, loadReport);
+        lifecycle.continueAfterAttempt(nowUs, attempt, outcome, complete);
         dispatchQueued(nowUs);
     }
 
     @Override
-    public void onAttemptSignal(long nowUs, String id, int number, AttemptSignal signal, double progress) {
-        Attempt attempt = lifecycle.requests().attemptInFlight(id, number);
+    public void onAttemptSignal(long nowUs, String id, int attemptIndex, AttemptSignal signal, double progress) {
+        Attempt attempt = lifecycle.requests().attemptInFlight(id, attemptIndex);
         if (attempt != null && signal == AttemptSignal.STARTED && !attempt.started()) {
-            lifecycle.onStarted(nowUs, attempt);
-            observer.onStarted(nowUs, attempt);
+            lifecycle.onAttemptStarted(nowUs, attempt);
+            attemptObserver.onStarted(nowUs, attempt);
             dispatchQueued(nowUs);
         }
     }
 
     @Override
-    public void onProbeResult(long nowUs, String name, boolean succeeded, long tookUs, LoadReport load) {
-        Endpoint endpoint = endpoints.get(name);
+    public void onProbeResult(long nowUs, String endpointName, boolean succeeded, long durationUs, LoadReport loadReport) {
+        Endpoint endpoint = endpoints.get(endpointName);
         if (endpoint != null && succeeded) {
-            capacity.onReport(nowUs, endpoint, load);
+            capacityEstimator.onReport(nowUs, endpoint, loadReport);
             dispatchQueued(nowUs);
         }
     }
@@ -205,42 +205,42 @@
     @Override
     public void onTimer(long nowUs, long timerId) {
         if (timerId == WATCH_TIMER) {
-            listWatch.onTimer();
+            listWatchRetry.onTimer();
         } else if (timerId == EXAMINATION_TIMER) {
-            helper.schedule(EXAMINATION_TIMER, EXAMINATION_PERIOD_US);
-            if (nowUs >= nextIntervalUs) {
+            helper.schedule(EXAMINATION_TIMER, EXAMINATION_INTERVAL_US);
+            if (nowUs >= nextIntervalAtUs) {
                 onInterval(nowUs);
             }
-            examine(nowUs);
+            examineEndpoints(nowUs);
         } else if (timerId == QUEUE_TIMER) {
-            lifecycle.answerQueuedIf(nowUs, request -> nowUs >= request.queuedUntilUs);
+            lifecycle.rejectOrFailQueuedIf(nowUs, request -> nowUs >= request.queueDeadlineUs);
             dispatchQueued(nowUs);
-            lifecycle.continueQueueTimer();
+            lifecycle.rescheduleQueueTimer();
         }
     }
 
     @Override
     public long retryAfterUs(long nowUs) {
-        return retryAfter.forNewRequest();
+        return retryAfterEstimator.forNewRequest();
     }
 
     private void onInterval(long nowUs) {
         for (TenantQueue tenant : queues.all()) {
-            tenant.usage.add(nowUs, 0);
+            tenant.slotUsage.add(nowUs, 0);
         }
-        shares.onInterval();
-        stats.sampleInFlight();
-        slowStart.onInterval(nowUs, endpoints.all(), stats.meanInFlight(), stats.meanFreeSlots);
+        shareController.onInterval();
+        stats.sampleAttemptsInFlight();
+        slowStart.onInterval(nowUs, endpoints.all(), stats.meanAttemptsInFlight(), stats.meanFreeSlots);
         workingSet.onInterval();
-        nextIntervalUs = nowUs + ShareController.INTERVAL_US;
+        nextIntervalAtUs = nowUs + ShareController.INTERVAL_US;
     }
 
-    private void examine(long nowUs) {
-        quota.adjustToTrafficShift(nowUs);
-        classOrder.sort(RequestClassStats::compareByValue);
+    private void examineEndpoints(long nowUs) {
+        quotaEstimator.adjustToTrafficShift(nowUs);
+        classesByValue.sort(RequestClassStats::compareByValue);
         idleConnections.closeIdle(nowUs, endpoints.all());
-        capacity.updateMean(nowUs, endpoints.all());
-        outliers.update(nowUs, endpoints.all());
+        capacityEstimator.updateMeanFreeSlots(nowUs, endpoints.all());
+        outlierDetector.update(nowUs, endpoints.all());
     }
 
     /**
@@ -254,7 +254,7 @@
         if (staleForUs == 0) {
             dispatcher.dispatch(nowUs);
         } else if (staleForUs > AdmissionControl.STALE_LIST_GRACE_US) {
-            lifecycle.answerQueuedIf(nowUs, request -> request.attempts.isEmpty());
+            lifecycle.rejectOrFailQueuedIf(nowUs, request -> request.attempts.isEmpty());
         }
     }
 }
--- a/src/main/java/olivechute/loadbalancing/SlotUsage.java
+++ b/src/main/java/olivechute/loadbalancing/SlotUsage.java
@@ -5,7 +5,7 @@
     /** Running mean of the tenant's part of all slot time. */
     double averageShare;
     /** Slot time used since the share controller last looked. */
-    double slotTimeUs;
+    double intervalSlotTimeUs;
 
     private int runningSlots;
     private long updatedAtUs;
@@ -15,9 +15,9 @@
     }
 
     /** So many more slots run from now on; a negative number ends some. */
-    void add(long nowUs, int slots) {
-        slotTimeUs += (double) runningSlots * (nowUs - updatedAtUs);
+    void add(long nowUs, int slotDelta) {
+        intervalSlotTimeUs += (double) runningSlots * (nowUs - updatedAtUs);
         updatedAtUs = nowUs;
-        runningSlots += slots;
+        runningSlots += slotDelta;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -13,22 +13,22 @@
  */
 final class SlowStart {
     /** Standard deviations of the fleet's calls that are left free under the budget. */
-    private static final double DEVIATIONS = 2;
+    private static final double MARGIN_DEVIATIONS = 2;
     /** The part of the budget that all nodes share alike, whatever their traffic. */
-    private static final double EQUAL_PART = 0.25;
+    private static final double EQUAL_FRACTION = 0.25;
     /** The part of the budget that is used, as a core may have up to a third more slots than it bears. */
-    private static final double USED_PART = 0.75;
+    private static final double USED_FRACTION = 0.75;
     /** Of the slots that were seen in use over the fleet's mean this part is believed, where none are reported. */
-    private static final double SEEN_PART = 0.75;
+    private static final double OBSERVED_EXCESS_FRACTION = 0.75;
     /** Weight of the last interval in the smoothed figures of the fleet. */
-    private static final double INTERVAL_WEIGHT = 0.1;
+    private static final double INTERVAL_SAMPLE_WEIGHT = 0.1;
 
     private final ServiceRules rules;
     private final int fleetSize;
-    private final boolean loadIsReported;
+    private final boolean loadReported;
     private final List<RequestClassStats> classes;
     private final SplittableRandom random;
-    private double meanInFlight;
+    private double meanAttemptsInFlight;
     /** Slots in use by all nodes; NaN where none are reported. */
     private double slotsInUse = Double.NaN;
 
@@ -36,7 +36,7 @@
     SlowStart(LoadBalancerSettings settings, List<RequestClassStats> classes, SplittableRandom random) {
         this.rules = settings.rules();
         this.fleetSize = settings.fleetSize();
-        this.loadIsReported = settings.loadReporting() != LoadReporting.NONE;
+        this.loadReported = settings.loadReporting() != LoadReporting.NONE;
         this.classes = classes;
         this.random = random;
     }
@@ -47,20 +47,20 @@
      * @param ownMeanInFlight attempts of this node in flight
      * @param meanFreeSlots free slots that endpoints report
      */
-    void onInterval(long nowUs, Collection<Endpoint> endpoints, double ownMeanInFlight, double meanFreeSlots) {
-        meanInFlight = ownMeanInFlight;
-        double inUse = 0;
+    void onInterval(long nowUs, Collection<Endpoint> endpoints, double ownMeanAttemptsInFlight, double meanFreeSlots) {
+        meanAttemptsInFlight = ownMeanAttemptsInFlight;
+        double usedSlots = 0;
         for (Endpoint endpoint : endpoints) {
             if (endpoint.active()) {
-                inUse += endpoint.kindStats.slots - meanFreeSlots;
+                usedSlots += endpoint.kindStats.maxSlots - meanFreeSlots;
                 if (!endpoint.inSlowStart(nowUs, rules)) {
-                    endpoint.kindStats.countWarm(endpoint.runningSlots());
+                    endpoint.kindStats.countWarmedUp(endpoint.runningSlots());
                 }
             }
         }
-        slotsInUse = Smoothing.smooth(slotsInUse, inUse, INTERVAL_WEIGHT);
+        slotsInUse = Smoothing.smooth(slotsInUse, usedSlots, INTERVAL_SAMPLE_WEIGHT);
         for (Endpoint endpoint : endpoints) {
-            endpoint.kindStats.endInterval(INTERVAL_WEIGHT);
+            endpoint.kindStats.endInterval(INTERVAL_SAMPLE_WEIGHT);
         }
     }
 
@@ -71,35 +71,35 @@
      */
     boolean admits(long nowUs, Endpoint endpoint, PendingRequest request) {
         long windowStartUs = nowUs - rules.overloadWindowUs();
-        double warmth = endpoint.warmth(windowStartUs, rules);
-        if (warmth >= 1) {
+        double capacityFraction = endpoint.slowStartCapacity(windowStartUs, rules);
+        if (capacityFraction >= 1) {
             return true;
         }
         double totalSlotTimeUs = 0;
-        double meanCallWorkUs = 0; // work of a call, weighed by work
-        double sumOfSquares = 0; // of the work of a call
-        for (RequestClassStats c : classes) {
-            totalSlotTimeUs += c.slotTimeUs();
-            meanCallWorkUs += (c.slotTimeUs() * c.callWorkUs() - meanCallWorkUs * c.slotTimeUs()) / totalSlotTimeUs;
-            sumOfSquares += c.callWorkUs() * c.callWorkUs();
+        double meanReferenceWorkUs = 0; // work of a call, weighed by work
+        double sumOfSquaredWork = 0; // of the work of a call
+        for (RequestClassStats requestClass : classes) {
+            totalSlotTimeUs += requestClass.totalSlotTimeUs();
+            meanReferenceWorkUs += (requestClass.totalSlotTimeUs() * requestClass.referenceWorkUs() - meanReferenceWorkUs * requestClass.totalSlotTimeUs()) / totalSlotTimeUs;
+            sumOfSquaredWork += requestClass.referenceWorkUs() * requestClass.referenceWorkUs();
         }
-        double capacity = rules.overloadMultiple() * warmth * slots(endpoint.kindStats) / endpoint.latency.longTerm();
-        double bearableCalls = capacity * rules.overloadWindowUs() / meanCallWorkUs;
-        double budget = fleetBudget(bearableCalls, sumOfSquares, meanCallWorkUs);
-        double nodeWorkUs = Math.min(bearableCalls, trafficPart() * budget) * meanCallWorkUs / fleetSize;
-        double grantedUs = granted(endpoint, nodeWorkUs, totalSlotTimeUs);
-        double neededUs = Math.min(1, request.calls()) * request.classStats.callWorkUs();
-        return endpoint.slowStartSends.workSinceUs(windowStartUs) + neededUs <= grantedUs;
+        double slotCapacity = rules.overloadMultiple() * capacityFraction * estimatedSlots(endpoint.kindStats) / endpoint.latencyStats.longTermRelativeRunTime();
+        double sustainableRequests = slotCapacity * rules.overloadWindowUs() / meanReferenceWorkUs;
+        double budgetRequests = fleetBudgetRequests(sustainableRequests, sumOfSquaredWork, meanReferenceWorkUs);
+        double nodeBudgetUs = Math.min(sustainableRequests, trafficWeight() * budgetRequests) * meanReferenceWorkUs / fleetSize;
+        double grantedWorkUs = grantedWorkUs(endpoint, nodeBudgetUs, totalSlotTimeUs);
+        double requiredWorkUs = Math.min(1, request.referenceRequests()) * request.classStats.referenceWorkUs();
+        return endpoint.slowStartSends.workSinceUs(windowStartUs) + requiredWorkUs <= grantedWorkUs;
     }
 
-    private double granted(Endpoint endpoint, double nodeWorkUs, double totalSlotTimeUs) {
-        double granted = 0;
-        for (RequestClassStats c : classes) {
-            double draw = (endpoint.slowStartSends.draw(random) + (double) c.index / classes.size()) % 1;
-            granted +=
-                    c.callWorkUs() * Math.ceil(nodeWorkUs * c.slotTimeUs() / totalSlotTimeUs / c.callWorkUs() - draw);
+    private double grantedWorkUs(Endpoint endpoint, double nodeBudgetUs, double totalSlotTimeUs) {
+        double sumUs = 0;
+        for (RequestClassStats requestClass : classes) {
+            double roundingOffset = (endpoint.slowStartSends.roundingDraw(random) + (double) requestClass.index / classes.size()) % 1;
+            sumUs +=
+                    requestClass.referenceWorkUs() * Math.ceil(nodeBudgetUs * requestClass.totalSlotTimeUs() / totalSlotTimeUs / requestClass.referenceWorkUs() - roundingOffset);
         }
-        return granted;
+        return sumUs;
     }
 
     /**
@@ -108,24 +108,24 @@
      * if each had this node's traffic. Over all nodes these figures have the slots in use as their mean, so that the
      * parts together stay within the budget; a node that has seen more takes most of what is over it as well.
      */
-    private double slots(EndpointKindStats kind) {
-        double inUse = fleetSize * kind.runningSlots();
-        if (loadIsReported || Double.isNaN(inUse)) {
-            return kind.slots;
+    private double estimatedSlots(EndpointKindStats kindStats) {
+        double usedSlots = fleetSize * kindStats.runningSlotsPerEndpoint();
+        if (loadReported || Double.isNaN(usedSlots)) {
+            return kindStats.maxSlots;
         }
-        return inUse + SEEN_PART * Math.max(0, kind.slots - inUse);
+        return usedSlots + OBSERVED_EXCESS_FRACTION * Math.max(0, kindStats.maxSlots - usedSlots);
     }
 
     /** Calls that all nodes together may send where the endpoint bears so many. */
-    private double fleetBudget(double bearableCalls, double sumOfSquares, double meanCallWorkUs) {
-        double root = Math.sqrt(DEVIATIONS * DEVIATIONS / 4 + bearableCalls) - DEVIATIONS / 2;
-        double certain = bearableCalls - DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquares) / meanCallWorkUs;
-        return Math.min(USED_PART * bearableCalls, Math.max(root * root, certain));
+    private double fleetBudgetRequests(double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
+        double sqrtArrivalBound = Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4 + sustainableRequests) - MARGIN_DEVIATIONS / 2;
+        double roundingBound = sustainableRequests - MARGIN_DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquaredWork) / meanReferenceWorkUs;
+        return Math.min(USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
     }
 
     /** This node's part of the budget by its traffic; the mean over all nodes is one. */
-    private double trafficPart() {
-        double traffic = fleetSize * meanInFlight / slotsInUse;
-        return slotsInUse > 0 ? EQUAL_PART + (1 - EQUAL_PART) * traffic : 1;
+    private double trafficWeight() {
+        double relativeTraffic = fleetSize * meanAttemptsInFlight / slotsInUse;
+        return slotsInUse > 0 ? EQUAL_FRACTION + (1 - EQUAL_FRACTION) * relativeTraffic : 1;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/SlowStartSends.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStartSends.java
@@ -9,32 +9,32 @@
 final class SlowStartSends {
     private static final double NOT_DRAWN = -1;
 
-    private record Sent(long atUs, RequestClassStats classStats, double calls) {}
+    private record RecentSend(long sentAtUs, RequestClassStats classStats, double referenceRequests) {}
 
-    private final ArrayDeque<Sent> recent = new ArrayDeque<>();
-    private double draw = NOT_DRAWN;
+    private final ArrayDeque<RecentSend> recentSends = new ArrayDeque<>();
+    private double roundingDraw = NOT_DRAWN;
 
     void onSend(long nowUs, PendingRequest request) {
-        recent.addLast(new Sent(nowUs, request.classStats, request.calls()));
+        recentSends.addLast(new RecentSend(nowUs, request.classStats, request.referenceRequests()));
     }
 
     /** Slot time of what was sent after a moment, as its classes run now; earlier sends are forgotten. */
     double workSinceUs(long sinceUs) {
-        while (!recent.isEmpty() && recent.peekFirst().atUs() <= sinceUs) {
-            recent.removeFirst();
+        while (!recentSends.isEmpty() && recentSends.peekFirst().sentAtUs() <= sinceUs) {
+            recentSends.removeFirst();
         }
-        double sum = 0;
-        for (Sent sent : recent) {
-            sum += sent.calls() * sent.classStats().callWorkUs();
+        double workUs = 0;
+        for (RecentSend send : recentSends) {
+            workUs += send.referenceRequests() * send.classStats().referenceWorkUs();
         }
-        return sum;
+        return workUs;
     }
 
     /** From 0 to 1; drawn once for each endpoint, and the same from then on. */
-    double draw(SplittableRandom random) {
-        if (draw == NOT_DRAWN) {
-            draw = random.nextDouble();
+    double roundingDraw(SplittableRandom random) {
+        if (roundingDraw == NOT_DRAWN) {
+            roundingDraw = random.nextDouble();
         }
-        return draw;
+        return roundingDraw;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/Smoothing.java
+++ b/src/main/java/olivechute/loadbalancing/Smoothing.java
@@ -18,11 +18,11 @@
     }
 
     /** The value after it kept only a part of its distance to another one; added to its peers unless it is NaN. */
-    static double fadeAndCollect(double value, double towards, double kept, List<Double> peers) {
-        double faded = towards + (value - towards) * kept;
+    static double decayAndCollect(double value, double target, double retainedFraction, List<Double> peerValues) {
+        double decayed = target + (value - target) * retainedFraction;
         if (!Double.isNaN(value)) {
-            peers.add(faded);
+            peerValues.add(decayed);
         }
-        return faded;
+        return decayed;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/StartWait.java
+++ b/src/main/java/olivechute/loadbalancing/StartWait.java
@@ -5,10 +5,10 @@
     private static final double SAMPLE_WEIGHT = 0.3;
 
     private double recentUs = Double.NaN;
-    private double leastUs = Double.MAX_VALUE;
+    private double minUs = Double.MAX_VALUE;
 
     void onStarted(double waitedUs) {
-        leastUs = Math.min(leastUs, waitedUs);
+        minUs = Math.min(minUs, waitedUs);
         recentUs = Smoothing.smooth(recentUs, waitedUs, SAMPLE_WEIGHT);
     }
 
@@ -16,14 +16,14 @@
     void onStillWaiting(double waitedUs) {
         if (!(waitedUs <= recentUs)) {
             recentUs = waitedUs;
-            leastUs = Math.min(leastUs, waitedUs);
+            minUs = Math.min(minUs, waitedUs);
         }
     }
 
     /** What seemed to be a wait at the endpoint was the connection's fault. */
-    void resetToLeast() {
-        if (leastUs < Double.MAX_VALUE) {
-            recentUs = leastUs;
+    void resetToMin() {
+        if (minUs < Double.MAX_VALUE) {
+            recentUs = minUs;
         }
     }
 
@@ -32,8 +32,8 @@
     }
 
     /** Recent waits lose their weight; the least wait that was ever seen stays. */
-    void fade(double kept, java.util.List<Double> peers) {
-        recentUs = Smoothing.fadeAndCollect(recentUs, leastUs, kept, peers);
+    void decay(double retainedFraction, java.util.List<Double> peerValues) {
+        recentUs = Smoothing.decayAndCollect(recentUs, minUs, retainedFraction, peerValues);
     }
 
     double recentUs(double ifUnknown) {
--- a/src/main/java/olivechute/loadbalancing/TenantQueue.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQueue.java
@@ -9,22 +9,22 @@
     final Tenant tenant;
     final int index;
     /** One queue for each class, then one for each class's requests over the quota. */
-    final List<ArrayDeque<PendingRequest>> queues = new ArrayList<>();
+    final List<ArrayDeque<PendingRequest>> classQueues = new ArrayList<>();
     /** Requests in all queues. */
-    int size;
+    int queuedRequests;
     /** Stride scheduling: the queue with the lowest pass is next. */
     double pass;
     /** Whether none of its requests found an endpoint in the present round. */
     boolean blocked;
 
     final TenantQuota quota = new TenantQuota();
-    final SlotUsage usage = new SlotUsage();
+    final SlotUsage slotUsage = new SlotUsage();
 
     TenantQueue(Tenant tenant, int index, int queueCount) {
         this.tenant = tenant;
         this.index = index;
         for (int i = 0; i < queueCount; i++) {
-            queues.add(new ArrayDeque<>());
+            classQueues.add(new ArrayDeque<>());
         }
     }
 }
--- a/src/main/java/olivechute/loadbalancing/TenantQueues.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQueues.java
@@ -20,7 +20,7 @@
     /** Stands for the tenants that the settings do not name; it has no claim to a share. */
     private static final Tenant UNKNOWN_TENANT = new Tenant("", 0, 0);
 
-    private final ShareController shares;
+    private final ShareController shareController;
     private final int classCount;
     private final Map<String, TenantQueue> byName = new LinkedHashMap<>();
     /** The same in an array, as they are looked through at each event. */
@@ -29,8 +29,8 @@
     private double virtualTime;
     private double totalQuotaPerSecond;
 
-    TenantQueues(List<Tenant> tenants, int classCount, ShareController shares) {
-        this.shares = shares;
+    TenantQueues(List<Tenant> tenants, int classCount, ShareController shareController) {
+        this.shareController = shareController;
         this.classCount = classCount;
         (tenants.isEmpty() ? List.of(ANY_TENANT) : tenants).forEach(this::add);
     }
@@ -41,12 +41,12 @@
         all = Arrays.copyOf(all, byName.size());
         all[queue.index] = queue;
         totalQuotaPerSecond += tenant.quotaPerSecond();
-        shares.addTenant(queue);
+        shareController.addTenant(queue);
         return queue;
     }
 
-    TenantQueue of(String tenant) {
-        TenantQueue queue = byName.getOrDefault(tenant == null ? "" : tenant, byName.get(""));
+    TenantQueue tenantQueue(String tenantName) {
+        TenantQueue queue = byName.getOrDefault(tenantName == null ? "" : tenantName, byName.get(""));
         return queue == null ? add(UNKNOWN_TENANT) : queue;
     }
 
@@ -60,33 +60,33 @@
     }
 
     /** The queue of a class, or of its requests over the quota. */
-    ArrayDeque<PendingRequest> queue(TenantQueue tenant, int classIndex, boolean overQuota) {
-        return tenant.queues.get(classIndex + (overQuota ? classCount : 0));
+    ArrayDeque<PendingRequest> classQueue(TenantQueue tenant, int classIndex, boolean overQuota) {
+        return tenant.classQueues.get(classIndex + (overQuota ? classCount : 0));
     }
 
-    void enqueue(PendingRequest request, boolean first) {
+    void enqueue(PendingRequest request, boolean atHead) {
         TenantQueue tenant = request.tenantQueue;
-        if (tenant.size++ == 0) {
+        if (tenant.queuedRequests++ == 0) {
             tenant.pass = Math.max(tenant.pass, virtualTime);
         }
-        if (first) {
-            request.queue.addFirst(request);
+        if (atHead) {
+            request.classQueue.addFirst(request);
         } else {
-            request.queue.addLast(request);
+            request.classQueue.addLast(request);
         }
     }
 
     /** False if the request is not queued. */
     boolean remove(PendingRequest request) {
-        boolean removed = request.queue.remove(request);
-        request.tenantQueue.size -= removed ? 1 : 0;
+        boolean removed = request.classQueue.remove(request);
+        request.tenantQueue.queuedRequests -= removed ? 1 : 0;
         return removed;
     }
 
     /** Removes the requests that match, and passes each on. */
     void removeIf(Predicate<PendingRequest> condition, Consumer<PendingRequest> removed) {
         for (TenantQueue tenant : all) {
-            for (ArrayDeque<PendingRequest> queue : tenant.queues) {
+            for (ArrayDeque<PendingRequest> queue : tenant.classQueues) {
                 removeIf(tenant, queue, condition, removed);
             }
         }
@@ -101,7 +101,7 @@
             PendingRequest request = it.next();
             if (condition.test(request)) {
                 it.remove();
-                tenant.size--;
+                tenant.queuedRequests--;
                 removed.accept(request);
             }
         }
@@ -109,7 +109,7 @@
 
     boolean isEmpty() {
         for (TenantQueue tenant : all) {
-            if (tenant.size > 0) {
+            if (tenant.queuedRequests > 0) {
                 return false;
             }
         }
@@ -120,7 +120,7 @@
     int size() {
         int sum = 0;
         for (TenantQueue tenant : all) {
-            sum += tenant.size;
+            sum += tenant.queuedRequests;
         }
         return sum;
     }
@@ -136,7 +136,7 @@
     TenantQueue next() {
         TenantQueue next = null;
         for (TenantQueue tenant : all) {
-            if (tenant.size > 0 && !tenant.blocked && (next == null || tenant.pass < next.pass)) {
+            if (tenant.queuedRequests > 0 && !tenant.blocked && (next == null || tenant.pass < next.pass)) {
                 next = tenant;
             }
         }
@@ -144,9 +144,9 @@
     }
 
     /** One request of the tenant whose turn it was has been taken from its queue. */
-    void onReleased(TenantQueue tenant) {
-        tenant.size--;
+    void onRequestTaken(TenantQueue tenant) {
+        tenant.queuedRequests--;
         virtualTime = tenant.pass;
-        tenant.pass += 1.0 / Math.max(1, shares.totalInstances(tenant));
+        tenant.pass += 1.0 / Math.max(1, shareController.totalInstances(tenant));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/EndpointDraw.java
+++ b/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
@@ -13,56 +13,56 @@
  * machines, slow connects and endpoints that start requests late, whatever the cause; requests spill over where that
  * gains more than it costs. An endpoint whose wait was chance is passed over for a second or two.
  */
-final class EndpointDraw {
+final class WeightedEndpointPicker {
     /** Prices count double, as short waits cost little. */
-    private static final double PRICE_FACTOR = 2;
+    private static final double COST_WEIGHT_FACTOR = 2;
     /** Costs this part of the request's latency budget apart count as equal. */
-    private static final double TOLERANCE = 0.1;
+    private static final double COST_TOLERANCE = 0.1;
 
-    private final CostWeights costs;
+    private final CostWeights costWeights;
     private final EndpointStats stats;
     private final SplittableRandom random;
     /** Of one draw; a field so that draws allocate nothing. */
     private final List<Endpoint> cheapest = new ArrayList<>();
 
-    EndpointDraw(CostWeights costs, EndpointStats stats, SplittableRandom random) {
-        this.costs = costs;
+    WeightedEndpointPicker(CostWeights costWeights, EndpointStats stats, SplittableRandom random) {
+        this.costWeights = costWeights;
         this.stats = stats;
         this.random = random;
     }
 
     /** Returns {@code null} if there are no candidates. */
-    Endpoint draw(PendingRequest request, List<Endpoint> candidates) {
-        double budgetUs = request.latencyBudgetUs();
-        double leastUs = Double.MAX_VALUE;
+    Endpoint pick(PendingRequest request, List<Endpoint> candidates) {
+        double latencyBudgetUs = request.latencyBudgetUs();
+        double minCostUs = Double.MAX_VALUE;
         for (Endpoint endpoint : candidates) {
-            leastUs = Math.min(leastUs, costUs(request, endpoint, budgetUs));
+            minCostUs = Math.min(minCostUs, costUs(request, endpoint, latencyBudgetUs));
         }
-        int tenant = request.tenantQueue.index;
-        int instances = 0;
+        int tenantIndex = request.tenantQueue.index;
+        int totalInstances = 0;
         cheapest.clear();
         for (Endpoint endpoint : candidates) {
-            if (costUs(request, endpoint, budgetUs) <= leastUs + TOLERANCE * budgetUs) {
+            if (costUs(request, endpoint, latencyBudgetUs) <= minCostUs + COST_TOLERANCE * latencyBudgetUs) {
                 cheapest.add(endpoint);
-                instances += endpoint.instances[tenant];
+                totalInstances += endpoint.tenantInstances[tenantIndex];
             }
         }
-        int pick = instances <= 0 ? 0 : random.nextInt(instances);
+        int remaining = totalInstances <= 0 ? 0 : random.nextInt(totalInstances);
         for (Endpoint endpoint : cheapest) {
-            pick -= endpoint.instances[tenant];
-            if (pick < 0) {
+            remaining -= endpoint.tenantInstances[tenantIndex];
+            if (remaining < 0) {
                 return endpoint;
             }
         }
         return null;
     }
 
-    private double costUs(PendingRequest request, Endpoint endpoint, double budgetUs) {
-        boolean connects = !endpoint.hasIdleConnection();
-        double price = (endpoint.local ? 0 : costs.crossZone()) + (connects ? costs.handshake() : 0);
-        return endpoint.latency.longTerm() * request.expectedWorkUs()
+    private double costUs(PendingRequest request, Endpoint endpoint, double latencyBudgetUs) {
+        boolean needsConnection = !endpoint.hasIdleConnection();
+        double costWeight = (endpoint.inLocalZone ? 0 : costWeights.crossZone()) + (needsConnection ? costWeights.handshake() : 0);
+        return endpoint.latencyStats.longTermRelativeRunTime() * request.expectedWorkUs()
                 + endpoint.startWait.recentUs(stats.medianStartWaitUs)
-                + (connects ? stats.connectDelayUs() : 0)
-                + PRICE_FACTOR * price * budgetUs;
+                + (needsConnection ? stats.connectDelayUs() : 0)
+                + COST_WEIGHT_FACTOR * costWeight * latencyBudgetUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/WorkingSet.java
+++ b/src/main/java/olivechute/loadbalancing/WorkingSet.java
@@ -6,14 +6,14 @@
  * requests find no capacity.
  */
 final class WorkingSet {
-    private static final double LEAST = 6;
-    private static final double PER_ATTEMPT_IN_FLIGHT = 2;
-    private static final double EXTRA_KEPT_PER_INTERVAL = 0.95;
-    private static final long GROWTH_PERIOD_US = 20_000;
+    private static final double MIN_SIZE = 6;
+    private static final double ENDPOINTS_PER_ATTEMPT_IN_FLIGHT = 2;
+    private static final double EXTRA_RETAINED_PER_INTERVAL = 0.95;
+    private static final long GROWTH_INTERVAL_US = 20_000;
 
     private final EndpointStats stats;
-    private double extra;
-    private long grownAtUs;
+    private double extraEndpoints;
+    private long lastGrownAtUs;
 
     WorkingSet(EndpointStats stats) {
         this.stats = stats;
@@ -21,17 +21,17 @@
 
     /** A request within its quota found no capacity. */
     void onNoCapacity(long nowUs, int endpointCount) {
-        if (nowUs > grownAtUs + GROWTH_PERIOD_US) {
-            grownAtUs = nowUs;
-            extra = Math.min(endpointCount, extra + 1);
+        if (nowUs > lastGrownAtUs + GROWTH_INTERVAL_US) {
+            lastGrownAtUs = nowUs;
+            extraEndpoints = Math.min(endpointCount, extraEndpoints + 1);
         }
     }
 
     void onInterval() {
-        extra *= EXTRA_KEPT_PER_INTERVAL;
+        extraEndpoints *= EXTRA_RETAINED_PER_INTERVAL;
     }
 
     double size() {
-        return LEAST + PER_ATTEMPT_IN_FLIGHT * stats.meanInFlight() + extra;
+        return MIN_SIZE + ENDPOINTS_PER_ATTEMPT_IN_FLIGHT * stats.meanAttemptsInFlight() + extraEndpoints;
     }
 }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -132,7 +132,7 @@
                 config.settings().limits().connectionIdleTimeoutUs(),
                 config.dialTimeout(),
                 connections,
-                config.settings().rules().onlyDrainingBinds());
+                config.settings().rules().keepsUnlistedEndpoints());
     }
 
     private MetricsReporting reporting(NodeConfig config) throws IOException {
--- a/src/main/java/olivechute/proxy/RequestDispatcher.java
+++ b/src/main/java/olivechute/proxy/RequestDispatcher.java
@@ -352,7 +352,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpointList() {
         listSource.watch();
     }
 
--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -272,7 +272,7 @@
         }
 
         @Override
-        public void watchList() {
+        public void watchEndpointList() {
             action("WATCH", "on", true);
         }
 
--- a/src/test/java/olivechute/loadbalancing/Harness.java
+++ b/src/test/java/olivechute/loadbalancing/Harness.java
@@ -146,7 +146,7 @@
                         r.slowStartDurationUs(),
                         r.overloadMultiple(),
                         r.overloadWindowUs(),
-                        r.onlyDrainingBinds()));
+                        r.keepsUnlistedEndpoints()));
     }
 
     /** The same for a fleet of this size that may not probe. */
@@ -182,7 +182,7 @@
     void list(ListUpdateKind kind, EndpointInfo... entries) {
         if (kind != ListUpdateKind.DELTA && kind != ListUpdateKind.FAILED) {
             for (String w : listed.keySet()) {
-                if (!settings.rules().onlyDrainingBinds()) {
+                if (!settings.rules().keepsUnlistedEndpoints()) {
                     drainedAt.putIfAbsent(w, now);
                 }
             }
@@ -191,7 +191,7 @@
             listed.put(e.name(), e);
             if (e.state() == EndpointState.ACTIVE) {
                 drainedAt.remove(e.name());
-            } else if (e.state() == EndpointState.DRAINING || !settings.rules().onlyDrainingBinds()) {
+            } else if (e.state() == EndpointState.DRAINING || !settings.rules().keepsUnlistedEndpoints()) {
                 drainedAt.putIfAbsent(e.name(), now);
             }
         }
@@ -388,7 +388,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpointList() {
         watches++;
         log.add(now + " watch");
     }
--- a/src/test/java/olivechute/loadbalancing/RecordedDay.java
+++ b/src/test/java/olivechute/loadbalancing/RecordedDay.java
@@ -385,7 +385,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpointList() {
         write("WATCH on true");
         at(now + 40 * MS, () -> list(ListUpdateKind.FULL));
     }
--- a/src/test/java/olivechute/loadbalancing/RetryBudgetTest.java
+++ b/src/test/java/olivechute/loadbalancing/RetryBudgetTest.java
@@ -11,8 +11,8 @@
 
 public class RetryBudgetTest {
     private static final long S = 1_000_000;
-    private final RetryBudget.Rate each = new RetryBudget.Rate(0.5, 1, 10);
-    private final RetryBudget.Rate all = new RetryBudget.Rate(0.25, 0, 40);
+    private final RetryBudget.BucketRate each = new RetryBudget.BucketRate(0.5, 1, 10);
+    private final RetryBudget.BucketRate all = new RetryBudget.BucketRate(0.25, 0, 40);
 
     private RetryBudget budget() {
         List<String> told = new ArrayList<>(List.of("a", "b", "new"));
--- a/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
@@ -35,7 +35,7 @@
 
     private void use(double... slotSeconds) {
         for (int i = 0; i < slotSeconds.length; i++) {
-            tenants.get(i).usage.slotTimeUs = slotSeconds[i];
+            tenants.get(i).slotUsage.intervalSlotTimeUs = slotSeconds[i];
         }
     }
 
@@ -44,16 +44,16 @@
         ShareController shares = shares(4, 0, 1, 0.5, 0.5);
         use(3, 1);
         shares.onInterval();
-        assertEquals(0.75, tenants.get(0).usage.averageShare, 1e-12); // k = 1
+        assertEquals(0.75, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 1
         use(0, 0);
         shares.onInterval();
-        assertEquals(0.75, tenants.get(0).usage.averageShare, 1e-12); // idle: k stays 1
+        assertEquals(0.75, tenants.get(0).slotUsage.averageShare, 1e-12); // idle: k stays 1
         use(1, 3);
         shares.onInterval();
-        assertEquals(0.5, tenants.get(0).usage.averageShare, 1e-12); // k = 2: 0.25/2 + 0.75/2
+        assertEquals(0.5, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 2: 0.25/2 + 0.75/2
         use(0, 5);
         shares.onInterval();
-        assertEquals(1.0 / 3, tenants.get(0).usage.averageShare, 1e-12); // k = 3: 0/3 + 2/3 * 0.5
+        assertEquals(1.0 / 3, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 3: 0/3 + 2/3 * 0.5
     }
 
     @Test
@@ -65,7 +65,7 @@
         }
         use(1, 0);
         shares.onInterval();
-        assertEquals(0.625, tenants.get(0).usage.averageShare, 1e-12); // 1/4 * 1 + 3/4 * 0.5
+        assertEquals(0.625, tenants.get(0).slotUsage.averageShare, 1e-12); // 1/4 * 1 + 3/4 * 0.5
     }
 
     @Test
@@ -73,8 +73,8 @@
         ShareController shares = shares(4, 0, 2, 0.5, 0.5);
         use(0.519, 0.481);
         shares.onInterval();
-        assertArrayEquals(new int[] {4, 4}, endpoints.get(0).instances);
-        assertEquals(0, shares.credit());
+        assertArrayEquals(new int[] {4, 4}, endpoints.get(0).tenantInstances);
+        assertEquals(0, shares.unassignedInstances());
     }
 
     @Test
@@ -82,9 +82,9 @@
         ShareController shares = shares(3, 0, 2, 0.2, 0.3, 0.5);
         use(6, 2, 2); // 0.6 / 0.2 / 0.2: t2 is hurt most
         shares.onInterval();
-        assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(0).instances);
-        assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(1).instances);
-        assertEquals(0, shares.credit());
+        assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(0).tenantInstances);
+        assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(1).tenantInstances);
+        assertEquals(0, shares.unassignedInstances());
     }
 
     @Test
@@ -92,16 +92,16 @@
         ShareController shares = shares(2, 0, 1, 0.1, 0.1, 0.8);
         use(4, 4, 2); // two tenants above, one hurt
         shares.onInterval();
-        assertArrayEquals(new int[] {1, 1, 3}, endpoints.get(0).instances);
-        assertEquals(1, shares.credit()); // two earned, one spent
+        assertArrayEquals(new int[] {1, 1, 3}, endpoints.get(0).tenantInstances);
+        assertEquals(1, shares.unassignedInstances()); // two earned, one spent
         use(4, 4, 2);
         shares.onInterval();
-        assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).instances);
-        assertEquals(0, shares.credit());
+        assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).tenantInstances);
+        assertEquals(0, shares.unassignedInstances());
         use(4, 4, 2);
         shares.onInterval();
-        assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).instances);
-        assertEquals(0, shares.credit());
+        assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).tenantInstances);
+        assertEquals(0, shares.unassignedInstances());
     }
 
     @Test
@@ -116,14 +116,14 @@
                     random.nextDouble(),
                     random.nextInt(3) == 0 ? 0 : 1);
             shares.onInterval();
-            int sum = shares.credit();
+            int sum = shares.unassignedInstances();
             for (Endpoint endpoint : endpoints) {
-                for (int c : endpoint.instances) {
+                for (int c : endpoint.tenantInstances) {
                     assertTrue(c >= 1);
                     sum += c;
                 }
             }
-            assertTrue(shares.credit() >= 0);
+            assertTrue(shares.unassignedInstances() >= 0);
             assertEquals(10 * 7 * 5, sum);
         }
     }
@@ -136,7 +136,7 @@
         Endpoint added = endpoint("new");
         endpoints.add(added);
         shares.setEndpoints(endpoints);
-        assertArrayEquals(new int[] {3, 3}, added.instances);
-        assertArrayEquals(new int[] {2, 4}, endpoints.get(0).instances);
+        assertArrayEquals(new int[] {3, 3}, added.tenantInstances);
+        assertArrayEquals(new int[] {2, 4}, endpoints.get(0).tenantInstances);
     }
 }
--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -708,7 +708,7 @@
                 1);
         h.workers(1);
         h.module.onProbeResult(h.now, "w0", true, MS, new LoadReport(20, Double.NaN, 0.9, 10));
-        for (int i = 0; i <= TenantQuota.BURST; i++) { // all but the last are within the quota
+        for (int i = 0; i <= TenantQuota.BURST_REQUESTS; i++) { // all but the last are within the quota
             h.request("r" + i, "c", "a", 5 * S);
             assertEquals("w0", h.workerOf("r" + i));
             h.outcome("r" + i, 0, AttemptOutcome.OK, LoadReport.NONE);
@@ -898,10 +898,10 @@
                 1);
         h.workers(3);
         for (int i = 0; i < 3; i++) {
-            LatencyStats latency = h.module.endpoints().get("w" + i).latency;
-            latency.recent = i == 2 ? 3 : 1;
-            latency.longTerm = latency.recent;
-            latency.samples = finished;
+            LatencyStats latency = h.module.endpoints().get("w" + i).latencyStats;
+            latency.recentRelativeRunTime = i == 2 ? 3 : 1;
+            latency.longTermRelativeRunTime = latency.recentRelativeRunTime;
+            latency.sampleCount = finished;
             for (int n = 0; n < 20; n++) {
                 h.module.onProbeResult(h.now, "w" + i, true, MS, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
             }
@@ -1175,7 +1175,7 @@
             h.request("b", "c", "a", 5 * S);
             h.outcome("b", AttemptOutcome.CONNECT_FAILED);
             h.advance(S);
-            assertEquals(died, h.module.endpoints().get("w0").warmth(h.now, h.settings.rules()) < 1);
+            assertEquals(died, h.module.endpoints().get("w0").slowStartCapacity(h.now, h.settings.rules()) < 1);
         }
     }
 
@@ -1245,7 +1245,7 @@
                         false),
                 3);
         h.workers(3);
-        h.module.endpoints().get("w1").instances[0] = 30; // 10 : 30 : 10
+        h.module.endpoints().get("w1").tenantInstances[0] = 30; // 10 : 30 : 10
         Map<String, Integer> placed = new LinkedHashMap<>();
         for (int i = 0; i < 5000; i++) {
             h.request("r" + i, "c", "a", 5 * S);
@@ -1263,7 +1263,7 @@
                 "c", 60 * S, 50 * S, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
         Harness h = new Harness(settings(List.of(slow), three, LoadReporting.NONE, true, false), 3);
         h.workers(1);
-        int[] counts = h.module.endpoints().get("w0").instances;
+        int[] counts = h.module.endpoints().get("w0").tenantInstances;
         counts[0] = 15;
         counts[1] = 5;
         for (int i = 0; i < 100; i++) {
--- a/src/test/java/olivechute/loadbalancing/SlowStartTest.java
+++ b/src/test/java/olivechute/loadbalancing/SlowStartTest.java
@@ -119,7 +119,7 @@
                         s.rampTime(),
                         s.fallMultiple(),
                         s.overloadFor(),
-                        r.onlyDrainingBinds()));
+                        r.keepsUnlistedEndpoints()));
         EndpointInfo[] entries = new EndpointInfo[s.old()];
         for (int w = 0; w < s.old(); w++) {
             workers.put("w" + w, new Model());
@@ -575,7 +575,7 @@
         h.started("a");
         h.outcome("a", AttemptOutcome.RESET);
         Endpoint endpoint = h.module.endpoints().get("w0");
-        OutlierState ejection = endpoint.ejection;
+        OutlierState ejection = endpoint.outlierState;
         for (int i = 0; i < 8; i++) {
             h.advance(Math.max(0, ejection.ejectedUntilUs - h.now) + S); // and a stretch, as each try counts
             h.request("b" + i, "c", "a", 60 * S);
@@ -586,9 +586,9 @@
             }
             assertTrue(ejection.ejectedUntilUs > h.now, "no rest at " + i + ", seed " + SEED);
             assertTrue(
-                    endpoint.warmth(ejection.ejectedUntilUs, h.settings.rules())
+                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, h.settings.rules())
                             == h.settings.rules().slowStartCapacity(),
-                    endpoint.warmth(ejection.ejectedUntilUs, h.settings.rules()) + " after a rest of "
+                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, h.settings.rules()) + " after a rest of "
                             + (ejection.ejectedUntilUs - h.now) + " us, seed " + SEED);
         }
     }
