--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -121,7 +121,7 @@
     public void move(InetSocketAddress to) {
         if (!to.equals(connection.address())) {
             Logger.info("discovery moves to {}", to);
-            lease.onMoved(loop.now());
+            lease.onDiscoveryMoved(loop.now());
             connection.move(to);
             watch();
         }
@@ -218,7 +218,7 @@
             first.countDown();
         }
         if (clock.pushed()) {
-            LockSupport.parkNanos(clock.agentPauseMs() * 1_000_000L);
+            LockSupport.parkNanos(clock.agentRetryPauseMs() * 1_000_000L);
             watch();
         } else {
             loop.post(new ProxyEvent.ListFailed());
@@ -287,7 +287,7 @@
         } catch (DiscoveryCallException e) {
             counts.failed(e.reason());
             if (e.reason() == Reason.UNREACHABLE) {
-                lease.onUnreachable(asOf);
+                lease.onDiscoveryUnreachable(asOf);
             } else if (e.reason() == Reason.REFUSED) {
                 lease.onRejected(asOf, loop.now());
             } else if (e.reason().writtenUnread()) {
--- a/src/main/java/olivechute/endpointlist/EndpointListLease.java
+++ b/src/main/java/olivechute/endpointlist/EndpointListLease.java
@@ -21,18 +21,18 @@
     /** The same after a new configuration that moves discovery, counted from the signal. */
     static final long NOTIFIED_AFTER_MOVE_US = 4_000_000;
     /** A process may be stalled for so long between reading its clock and writing. */
-    static final long STALL_US = 150_000;
+    static final long MAX_STALL_US = 150_000;
     /** A discovery that rejects a call sooner is up and busy; one that is down has the call wait first. */
-    static final long IMMEDIATE_REJECTION_US = 1_000_000;
+    static final long IMMEDIATE_REJECTION_LIMIT_US = 1_000_000;
     /** For so long after an answer a discovery that has calls wait and rejects them is taken to be down. */
-    static final long DOWN_BY_REJECTIONS_US = 10_000_000;
+    static final long MAX_ASSUMED_DOWN_US = 10_000_000;
 
     private static final long NEVER_US = Long.MIN_VALUE;
 
-    private final boolean endless;
+    private final boolean nonExpiring;
     private final long graceUs;
-    private final long lengthUs;
-    private final long downByRejectionsUs;
+    private final long durationUs;
+    private final long maxAssumedDownUs;
     private volatile long expiresAtUs;
 
     /** What was known before this moment renews nothing any more. Guarded by this. */
@@ -44,29 +44,29 @@
     /** Whether an answer ever renewed the list. Guarded by this. */
     private boolean everAnswered;
     /** Guarded by this. */
-    private long answeredAsOfUs;
+    private long lastAnswerAsOfUs;
 
-    private EndpointListLease(boolean endless, long graceUs, long lengthUs, long downByRejectionsUs, long expiresAtUs) {
-        this.endless = endless;
+    private EndpointListLease(boolean nonExpiring, long graceUs, long durationUs, long maxAssumedDownUs, long expiresAtUs) {
+        this.nonExpiring = nonExpiring;
         this.graceUs = graceUs;
-        this.lengthUs = lengthUs;
-        this.downByRejectionsUs = downByRejectionsUs;
+        this.durationUs = durationUs;
+        this.maxAssumedDownUs = maxAssumedDownUs;
         this.expiresAtUs = expiresAtUs;
     }
 
     /** For a node that polls discovery under these rules; holds from the first renewal on. */
     public static EndpointListLease forPolledList(ServiceRules rules) {
-        long graceUs = Math.max(0, rules.drainGraceUs() - STALL_US);
+        long graceUs = Math.max(0, rules.drainGraceUs() - MAX_STALL_US);
         return new EndpointListLease(
                 false,
                 graceUs,
                 rules.cappedPollDelayUs(NOTIFIED_AFTER_US) + graceUs,
-                rules.cappedPollDelayUs(DOWN_BY_REJECTIONS_US),
+                rules.cappedPollDelayUs(MAX_ASSUMED_DOWN_US),
                 NEVER_US);
     }
 
     /** A lease that always holds. */
-    public static EndpointListLease endless() {
+    public static EndpointListLease nonExpiring() {
         return new EndpointListLease(true, 0, 0, 0, Long.MAX_VALUE);
     }
 
@@ -77,11 +77,11 @@
 
     /** For how long it has expired; 0 while it holds, {@link Long#MAX_VALUE} if it never did. */
     public long expiredForUs(long nowUs) {
-        long expiresUs = expiresAtUs;
-        if (nowUs < expiresUs) {
+        long expiryUs = expiresAtUs;
+        if (nowUs < expiryUs) {
             return 0;
         }
-        return expiresUs == NEVER_US ? Long.MAX_VALUE : nowUs - expiresUs;
+        return expiryUs == NEVER_US ? Long.MAX_VALUE : nowUs - expiryUs;
     }
 
     /** The list was complete at a moment: the call was sent then whose answer is in use now. */
@@ -90,17 +90,17 @@
             invalidated = false;
             discoveryBusy = false;
             everAnswered = true;
-            answeredAsOfUs = Math.max(answeredAsOfUs, asOfUs);
+            lastAnswerAsOfUs = Math.max(lastAnswerAsOfUs, asOfUs);
             extend(asOfUs);
         }
     }
 
     private void extend(long fromUs) {
-        expiresAtUs = Math.max(expiresAtUs, fromUs + lengthUs);
+        expiresAtUs = Math.max(expiresAtUs, fromUs + durationUs);
     }
 
     /** No connection to discovery could be made, tried at this moment: it notified nobody until then. */
-    public synchronized void onUnreachable(long atUs) {
+    public synchronized void onDiscoveryUnreachable(long atUs) {
         extend(atUs);
     }
 
@@ -113,9 +113,9 @@
      * after the last answer, less where the settings have it so.
      */
     public synchronized void onRejected(long sentAtUs, long rejectedAtUs) {
-        discoveryBusy |= rejectedAtUs - sentAtUs < IMMEDIATE_REJECTION_US;
-        boolean believedDown = sentAtUs < answeredAsOfUs + downByRejectionsUs;
-        if (everAnswered && !discoveryBusy && !invalidated && believedDown) {
+        discoveryBusy |= rejectedAtUs - sentAtUs < IMMEDIATE_REJECTION_LIMIT_US;
+        boolean assumedDown = sentAtUs < lastAnswerAsOfUs + maxAssumedDownUs;
+        if (everAnswered && !discoveryBusy && !invalidated && assumedDown) {
             extend(sentAtUs);
         }
     }
@@ -126,12 +126,12 @@
     }
 
     /** A new configuration moved discovery at this moment. */
-    public synchronized void onMoved(long atUs) {
+    public synchronized void onDiscoveryMoved(long atUs) {
         invalidate(atUs, NOTIFIED_AFTER_MOVE_US + graceUs);
     }
 
     private void invalidate(long atUs, long validForUs) {
-        if (!endless) {
+        if (!nonExpiring) {
             invalidatedAtUs = atUs;
             invalidated = true;
             expiresAtUs = Math.min(expiresAtUs, atUs + validForUs);
--- a/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
+++ b/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
@@ -9,27 +9,27 @@
  * used whatever it says. A change names its endpoints and is always used.
  */
 public final class ListPlausibilityCheck {
-    private static final int LEAST_TO_DOUBT = 2;
+    private static final int MIN_KNOWN_ENDPOINTS = 2;
 
-    private Set<String> known = new HashSet<>();
+    private Set<String> knownEndpoints = new HashSet<>();
 
     /** Whether a full list of these endpoints, in whatever state, should be polled once more. */
     public boolean isImplausible(Set<String> listed) {
-        long retained = known.stream().filter(listed::contains).count();
-        return known.size() >= LEAST_TO_DOUBT && 2 * retained < known.size();
+        long retainedEndpoints = knownEndpoints.stream().filter(listed::contains).count();
+        return knownEndpoints.size() >= MIN_KNOWN_ENDPOINTS && 2 * retainedEndpoints < knownEndpoints.size();
     }
 
     /** A full list is used. */
     public void onFullList(Set<String> listed) {
-        known = new HashSet<>(listed);
+        knownEndpoints = new HashSet<>(listed);
     }
 
     /** A change is used: this endpoint is listed from now on, or no longer. */
     public void onChange(String endpoint, boolean listed) {
         if (listed) {
-            known.add(endpoint);
+            knownEndpoints.add(endpoint);
         } else {
-            known.remove(endpoint);
+            knownEndpoints.remove(endpoint);
         }
     }
 }
--- a/src/main/java/olivechute/endpointlist/WatchTimeouts.java
+++ b/src/main/java/olivechute/endpointlist/WatchTimeouts.java
@@ -25,10 +25,10 @@
     /** The protocol's bound: no change counts as notified later than this. */
     static final int NOTIFIED_AFTER_MS = 6000;
 
-    static final int SHORTEST_WAIT_MS = 2000;
-    static final int LONGEST_WAIT_MS = 3000;
+    static final int MIN_POLL_WAIT_MS = 2000;
+    static final int MAX_POLL_WAIT_MS = 3000;
     /** For an answer to come after the wait is over. */
-    static final int ANSWER_TIME_MS = 400;
+    static final int ANSWER_MARGIN_MS = 400;
     /**
      * For an answer with the full list: a busy discovery rejects sooner, and one that has not rejected may still
      * answer. A call given up loses its place, and the next one stands behind all others.
@@ -40,23 +40,23 @@
      * For an answer to what is newer than a version: a crowded discovery has calls wait for 3 s before their turn, and
      * whoever gives up before that has wasted the turn.
      */
-    private static final int CHANGES_TIMEOUT_MS = LONGEST_WAIT_MS + ANSWER_TIME_MS;
+    private static final int CHANGES_TIMEOUT_MS = MAX_POLL_WAIT_MS + ANSWER_MARGIN_MS;
     /** The longest that such an answer is waited for after others were given up. */
     private static final int MAX_BACKOFF_TIMEOUT_MS = 12_000;
 
-    private static final int IMMEDIATE_MS = 1;
+    private static final int SHORT_WAIT_MS = 1;
     /** The longest time without a call to an agent, however long the drain's grace. */
-    private static final int LONGEST_AGENT_WAIT_MS = 1000;
+    private static final int MAX_AGENT_WAIT_MS = 1000;
 
-    private static final int LEAST_WAIT_MS = 50;
+    private static final int MIN_WAIT_MS = 50;
     /** An agent that has a list answers far sooner; one that says nothing has notified of nothing either. */
-    private static final int FIRST_PUSHED_ANSWER_MS = 250;
+    private static final int FIRST_PUSHED_ANSWER_TIMEOUT_MS = 250;
     /** A crowded discovery may reject a new process some times; the node must be ready all the same. */
-    private static final int FIRST_POLLED_ANSWER_MS = 4000;
+    private static final int FIRST_POLLED_ANSWER_TIMEOUT_MS = 4000;
 
     private final boolean pushed;
     private final int agentWaitMs;
-    private final int longestWaitMs;
+    private final int maxPollWaitMs;
     private final DoubleSupplier random;
 
     /**
@@ -75,12 +75,12 @@
      */
     public WatchTimeouts(boolean pushed, ServiceRules rules, DoubleSupplier random) {
         this.pushed = pushed;
-        long graceMs = Math.min(LONGEST_AGENT_WAIT_MS, rules.drainGraceUs() / (4 * MICROS_PER_MS));
-        long polledMs = rules.cappedPollDelayUs(2L * MICROS_PER_MS * LONGEST_AGENT_WAIT_MS) / (2 * MICROS_PER_MS);
-        this.agentWaitMs = (int) Math.max(LEAST_WAIT_MS, Math.min(graceMs, polledMs));
-        long longestCallUs = (long) MICROS_PER_MS * (LONGEST_WAIT_MS + ANSWER_TIME_MS);
-        this.longestWaitMs =
-                (int) Math.max(LEAST_WAIT_MS, rules.cappedPollDelayUs(longestCallUs) / MICROS_PER_MS - ANSWER_TIME_MS);
+        long maxWaitForGraceMs = Math.min(MAX_AGENT_WAIT_MS, rules.drainGraceUs() / (4 * MICROS_PER_MS));
+        long maxWaitForPollIntervalMs = rules.cappedPollDelayUs(2L * MICROS_PER_MS * MAX_AGENT_WAIT_MS) / (2 * MICROS_PER_MS);
+        this.agentWaitMs = (int) Math.max(MIN_WAIT_MS, Math.min(maxWaitForGraceMs, maxWaitForPollIntervalMs));
+        long maxCallUs = (long) MICROS_PER_MS * (MAX_POLL_WAIT_MS + ANSWER_MARGIN_MS);
+        this.maxPollWaitMs =
+                (int) Math.max(MIN_WAIT_MS, rules.cappedPollDelayUs(maxCallUs) / MICROS_PER_MS - ANSWER_MARGIN_MS);
         this.random = random;
     }
 
@@ -89,9 +89,9 @@
         if (pushed) {
             return new Call(agentWaitMs, 2 * agentWaitMs);
         }
-        int shortestMs = longestWaitMs * SHORTEST_WAIT_MS / LONGEST_WAIT_MS;
-        int waitMs = shortestMs + (int) (random.getAsDouble() * (longestWaitMs - shortestMs + 1));
-        return new Call(waitMs, waitMs + ANSWER_TIME_MS);
+        int minPollWaitMs = maxPollWaitMs * MIN_POLL_WAIT_MS / MAX_POLL_WAIT_MS;
+        int waitMs = minPollWaitMs + (int) (random.getAsDouble() * (maxPollWaitMs - minPollWaitMs + 1));
+        return new Call(waitMs, waitMs + ANSWER_MARGIN_MS);
     }
 
     /** A call for the full list. */
@@ -104,7 +104,7 @@
      * its turn also if that is nothing.
      */
     public Call afterFailure() {
-        return new Call(IMMEDIATE_MS, pushed ? agentWaitMs : CHANGES_TIMEOUT_MS);
+        return new Call(SHORT_WAIT_MS, pushed ? agentWaitMs : CHANGES_TIMEOUT_MS);
     }
 
     /**
@@ -112,9 +112,9 @@
      * discovery that is slow, or a list that is long, would otherwise never get an answer through, and the more calls
      * are given up the slower it is. An agent answers at once or has nothing to say.
      */
-    public Call withBackoff(Call call, int timeoutsInRow) {
+    public Call withBackoff(Call call, int consecutiveTimeouts) {
         int timeoutMs = call.timeoutMs();
-        for (int i = 0; i < timeoutsInRow && timeoutMs < MAX_BACKOFF_TIMEOUT_MS && !pushed; i++) {
+        for (int i = 0; i < consecutiveTimeouts && timeoutMs < MAX_BACKOFF_TIMEOUT_MS && !pushed; i++) {
             timeoutMs = Math.min(MAX_BACKOFF_TIMEOUT_MS, 2 * timeoutMs);
         }
         return new Call(call.waitMs(), timeoutMs);
@@ -126,12 +126,12 @@
     }
 
     /** How long to pause after a failed call to an agent; where discovery is polled the load balancer says it. */
-    public int agentPauseMs() {
+    public int agentRetryPauseMs() {
         return agentWaitMs / 2;
     }
 
     /** How long a node that starts waits for its first answer before it takes requests. */
     public int firstAnswerTimeoutMs() {
-        return pushed ? FIRST_PUSHED_ANSWER_MS : FIRST_POLLED_ANSWER_MS;
+        return pushed ? FIRST_PUSHED_ANSWER_TIMEOUT_MS : FIRST_POLLED_ANSWER_TIMEOUT_MS;
     }
 }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -77,7 +77,7 @@
         pools = pools(config, upstream);
         lease = config.settings().pollsList()
                 ? EndpointListLease.forPolledList(config.settings().rules())
-                : EndpointListLease.endless();
+                : EndpointListLease.nonExpiring();
         watch = new EndpointListWatcher(
                 loop, config.discovery(), config.known(), config.settings(), config.seed(), lease);
         reporting = config.figures() == null ? null : reporting(config);
--- a/src/main/java/olivechute/proxy/RequestDispatcher.java
+++ b/src/main/java/olivechute/proxy/RequestDispatcher.java
@@ -66,7 +66,7 @@
                 maxOpenRequests,
                 maxBodyBytes,
                 RequestMetrics.NONE,
-                EndpointListLease.endless());
+                EndpointListLease.nonExpiring());
     }
 
     /**
--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -32,53 +32,53 @@
     private static final long TOPIC_STARTED = 1;
     private static final long TOPIC_PROGRESS = 2;
 
-    private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<Long, List<EndpointInfo>> pools = new LinkedHashMap<>();
+    private final Map<String, Instance> instances = new LinkedHashMap<>();
+    private final Map<Long, List<EndpointInfo>> endpointLists = new LinkedHashMap<>();
     private JsonGenerator out;
 
     private SimulatorAdapter() {}
 
     /** Serves batches until the input ends; returns the exit status. */
     public static int run(InputStream input, OutputStream output, PrintStream errors) {
-        SimulatorAdapter wire = new SimulatorAdapter();
+        SimulatorAdapter adapter = new SimulatorAdapter();
         ByteArrayOutputStream line = new ByteArrayOutputStream(1 << 16);
-        long number = 0;
+        long lineNumber = 0;
         try {
             byte[] chunk = new byte[1 << 16];
-            for (int n = input.read(chunk); n >= 0; n = input.read(chunk)) {
-                int from = 0;
-                for (int i = 0; i < n; i++) {
+            for (int bytesRead = input.read(chunk); bytesRead >= 0; bytesRead = input.read(chunk)) {
+                int lineStart = 0;
+                for (int i = 0; i < bytesRead; i++) {
                     if (chunk[i] == '\n') {
-                        line.write(chunk, from, i - from);
-                        from = i + 1;
-                        number++;
-                        wire.batch(line.toByteArray(), output);
+                        line.write(chunk, lineStart, i - lineStart);
+                        lineStart = i + 1;
+                        lineNumber++;
+                        adapter.processBatch(line.toByteArray(), output);
                         line.reset();
                     }
                 }
-                line.write(chunk, from, n - from);
+                line.write(chunk, lineStart, bytesRead - lineStart);
             }
             if (line.size() > 0) {
-                number++;
-                wire.batch(line.toByteArray(), output);
+                lineNumber++;
+                adapter.processBatch(line.toByteArray(), output);
             }
             return 0;
         } catch (InvalidValueException | IOException e) {
-            String what = e instanceof JsonProcessingException p ? p.getOriginalMessage() : e.getMessage();
-            errors.println("line " + Math.max(1, number) + ": " + what);
+            String message = e instanceof JsonProcessingException p ? p.getOriginalMessage() : e.getMessage();
+            errors.println("line " + Math.max(1, lineNumber) + ": " + message);
             return 1;
         }
     }
 
-    private void batch(byte[] text, OutputStream output) throws IOException {
-        JsonFields batch = JsonFields.parse("batch", text);
-        long now = batch.micros("at_time");
+    private void processBatch(byte[] line, OutputStream output) throws IOException {
+        JsonFields batch = JsonFields.parse("batch", line);
+        long nowUs = batch.micros("at_time");
         ByteArrayOutputStream reply = new ByteArrayOutputStream(256);
         out = JSON.createGenerator(reply);
         out.writeStartObject();
         out.writeArrayFieldStart("output");
         for (JsonFields event : batch.nodes("inbox")) {
-            event(now, event);
+            processEvent(nowUs, event);
         }
         out.writeEndArray();
         out.writeEndObject();
@@ -88,101 +88,101 @@
         output.flush();
     }
 
-    private void event(long now, JsonFields e) {
-        String name = e.text("m");
-        if (name.equals("POOL")) {
-            List<EndpointInfo> entries = new ArrayList<>();
-            for (JsonFields n : e.nodes("elements")) {
-                entries.add(entry(n));
+    private void processEvent(long nowUs, JsonFields event) {
+        String eventType = event.text("m");
+        if (eventType.equals("POOL")) {
+            List<EndpointInfo> endpoints = new ArrayList<>();
+            for (JsonFields element : event.nodes("elements")) {
+                endpoints.add(decodeEndpoint(element));
             }
-            pools.put(e.integer("ref"), entries);
+            endpointLists.put(event.integer("ref"), endpoints);
             return;
         }
-        String instance = e.textOr("i", null);
-        if (instance == null) {
+        String instanceId = event.textOr("i", null);
+        if (instanceId == null) {
             return;
         }
-        if (name.equals("HALT")) {
-            hosts.remove(instance);
+        if (eventType.equals("HALT")) {
+            instances.remove(instanceId);
             return;
         }
-        if (name.equals("PROVISION")) {
-            Host host = new Host(instance);
-            hosts.put(instance, host);
-            host.guard(() -> {
-                JsonFields profile = e.node("profile_data");
-                host.settings = LoadBalancerSettingsDecoder.settings(profile);
-                host.report = LoadReportFields.of(profile);
-                host.module = new ShareLoadBalancer(host.settings, e.integer("init_seed"), host);
-                host.module.start(now);
+        if (eventType.equals("PROVISION")) {
+            Instance instance = new Instance(instanceId);
+            instances.put(instanceId, instance);
+            instance.runGuarded(() -> {
+                JsonFields profile = event.node("profile_data");
+                instance.settings = LoadBalancerSettingsDecoder.settings(profile);
+                instance.loadReportFields = LoadReportFields.of(profile);
+                instance.loadBalancer = new ShareLoadBalancer(instance.settings, event.integer("init_seed"), instance);
+                instance.loadBalancer.start(nowUs);
             });
             return;
         }
-        Host host = hosts.get(instance);
-        if (host == null) {
+        Instance instance = instances.get(instanceId);
+        if (instance == null) {
             return;
         }
-        host.guard(() -> host.event(now, name, e));
+        instance.runGuarded(() -> instance.handleEvent(nowUs, eventType, event));
     }
 
-    private static EndpointInfo entry(JsonFields n) {
+    private static EndpointInfo decodeEndpoint(JsonFields element) {
         return new EndpointInfo(
-                n.text("executor"),
-                n.textOr("locality", ""),
-                n.textOr("machine", ""),
-                (int) n.integerOr("cluster", 0),
-                LoadBalancerSettingsDecoder.state(n),
-                n.numberOr("capacity_hint", 1),
-                n.microsOr("since", 0));
+                element.text("executor"),
+                element.textOr("locality", ""),
+                element.textOr("machine", ""),
+                (int) element.integerOr("cluster", 0),
+                LoadBalancerSettingsDecoder.state(element),
+                element.numberOr("capacity_hint", 1),
+                element.microsOr("since", 0));
     }
 
     /** One instance: its module, and the actions it asks for. */
-    private final class Host implements LoadBalancer.Helper {
-        private final String instance;
+    private final class Instance implements LoadBalancer.Helper {
+        private final String instanceId;
         private LoadBalancerSettings settings;
-        private ShareLoadBalancer module;
-        private LoadReportFields report;
+        private ShareLoadBalancer loadBalancer;
+        private LoadReportFields loadReportFields;
 
-        Host(String instance) {
-            this.instance = instance;
+        Instance(String instance) {
+            this.instanceId = instance;
         }
 
         /** Runs a call of the module; its failure is reported as the wire's crash action. */
-        void guard(Runnable call) {
+        void runGuarded(Runnable call) {
             try {
                 call.run();
             } catch (InvalidValueException e) {
                 throw e;
             } catch (RuntimeException e) {
                 StackTraceElement[] trace = e.getStackTrace();
-                action("CRASH", "text", e + (trace.length > 0 ? " at " + trace[0] : ""));
-                hosts.remove(instance);
+                writeAction("CRASH", "text", e + (trace.length > 0 ? " at " + trace[0] : ""));
+                instances.remove(instanceId);
             }
         }
 
-        void event(long now, String name, JsonFields e) {
+        void handleEvent(long now, String name, JsonFields e) {
             switch (name) {
                 case "DIRECTORY_UPDATE" -> onListUpdate(now, e);
-                case "ARRIVAL" -> module.onRequest(now, request(e));
+                case "ARRIVAL" -> loadBalancer.onRequest(now, decodeRequest(e));
                 case "CLOSED_ATTEMPT" ->
-                    module.onAttemptEnd(
+                    loadBalancer.onAttemptEnd(
                             now,
                             e.text("ref"),
                             (int) e.integerOr("n", 0),
-                            outcome(e),
+                            decodeOutcome(e),
                             e.microsOr("took", 0),
                             e.flag("complete"),
-                            report.row(e.list("feedback")));
-                case "SIGNAL" -> onSignal(now, e);
+                            loadReportFields.row(e.list("feedback")));
+                case "SIGNAL" -> onAttemptSignal(now, e);
                 case "PROBE_DONE" ->
-                    module.onProbeResult(
+                    loadBalancer.onProbeResult(
                             now,
                             e.text("executor"),
                             e.integer("code") == 1,
                             e.microsOr("took", 0),
-                            report.row(e.list("feedback")));
-                case "HANGUP" -> module.onClientGone(now, e.text("ref"));
-                case "WAKEUP" -> module.onTimer(now, e.integer("mark"));
+                            loadReportFields.row(e.list("feedback")));
+                case "HANGUP" -> loadBalancer.onClientGone(now, e.text("ref"));
+                case "WAKEUP" -> loadBalancer.onTimer(now, e.integer("mark"));
                 default -> {}
             }
         }
@@ -196,18 +196,18 @@
                         case "unavailable" -> ListUpdateKind.FAILED;
                         default -> throw e.unknown("scope");
                     };
-            List<EndpointInfo> listed = kind == ListUpdateKind.FAILED ? List.of() : pools.get(e.integer("ref"));
+            List<EndpointInfo> listed = kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(e.integer("ref"));
             if (listed == null) {
                 throw new InvalidValueException("POOL " + e.integer("ref") + " was never defined");
             }
-            module.onListUpdate(now, kind, listed);
+            loadBalancer.onListUpdate(now, kind, listed);
         }
 
-        private Request request(JsonFields e) {
+        private Request decodeRequest(JsonFields e) {
             return new Request(
                     e.text("ref"),
                     e.text("lane"),
-                    tenant(e),
+                    decodeTenant(e),
                     e.textOr("key", null),
                     e.micros("left"),
                     e.has("cost") ? e.number("cost") * MICROS_PER_SECOND : Double.NaN,
@@ -216,19 +216,19 @@
                     e.flag("retry"));
         }
 
-        private void onSignal(long now, JsonFields e) {
+        private void onAttemptSignal(long now, JsonFields e) {
             long topic = e.integer("topic");
             if (topic == TOPIC_STARTED || topic == TOPIC_PROGRESS) {
                 AttemptSignal signal = topic == TOPIC_STARTED ? AttemptSignal.STARTED : AttemptSignal.PROGRESS;
-                module.onAttemptSignal(now, e.text("ref"), (int) e.integerOr("n", 0), signal, e.numberOr("amount", 0));
+                loadBalancer.onAttemptSignal(now, e.text("ref"), (int) e.integerOr("n", 0), signal, e.numberOr("amount", 0));
             }
         }
 
-        private String tenant(JsonFields e) {
+        private String decodeTenant(JsonFields e) {
             return e.get("customer") instanceof String s ? s : null;
         }
 
-        private AttemptOutcome outcome(JsonFields e) {
+        private AttemptOutcome decodeOutcome(JsonFields e) {
             long code = e.integer("code");
             if (code < 1 || code > AttemptOutcome.NOT_SENT.ordinal() + 1) {
                 throw new InvalidValueException("code: unknown outcome " + code);
@@ -238,12 +238,12 @@
 
         @Override
         public void send(String id, String worker, long timeout) {
-            action("RELAY", "ref", id, "executor", worker, "limit", timeout > 0 ? timeout / 1e6 : null);
+            writeAction("RELAY", "ref", id, "executor", worker, "limit", timeout > 0 ? timeout / 1e6 : null);
         }
 
         @Override
         public void reject(String id, long retryAfter) {
-            action(
+            writeAction(
                     "OVERLOAD_REPLY",
                     "ref",
                     id,
@@ -253,39 +253,39 @@
 
         @Override
         public void fail(String id) {
-            action("ABORT", "ref", id);
+            writeAction("ABORT", "ref", id);
         }
 
         @Override
         public void cancel(String id, int attempt) {
-            action("DROP_ATTEMPT", "ref", id, "n", (long) attempt);
+            writeAction("DROP_ATTEMPT", "ref", id, "n", (long) attempt);
         }
 
         @Override
         public void probe(String worker) {
-            action("SAMPLE", "executor", worker);
+            writeAction("SAMPLE", "executor", worker);
         }
 
         @Override
         public void closeIdleConnections(String worker) {
-            action("DROP_CONNS", "executor", worker);
+            writeAction("DROP_CONNS", "executor", worker);
         }
 
         @Override
         public void watchEndpointList() {
-            action("WATCH", "on", true);
+            writeAction("WATCH", "on", true);
         }
 
         @Override
         public void schedule(long mark, long delay) {
-            action("TIMER", "mark", mark, "span", delay / 1e6);
+            writeAction("TIMER", "mark", mark, "span", delay / 1e6);
         }
 
-        private void action(String name, Object... fields) {
+        private void writeAction(String name, Object... fields) {
             try {
                 out.writeStartObject();
                 out.writeStringField("m", name);
-                out.writeStringField("i", instance);
+                out.writeStringField("i", instanceId);
                 for (int f = 0; f < fields.length; f += 2) {
                     Object value = fields[f + 1];
                     if (value == null) {
--- a/src/test/java/olivechute/NoDelayTest.java
+++ b/src/test/java/olivechute/NoDelayTest.java
@@ -113,7 +113,7 @@
                 config.known(),
                 config.settings(),
                 config.seed(),
-                EndpointListLease.endless());
+                EndpointListLease.nonExpiring());
         watch.start();
         watch.watch();
         awaitRequests(asked, 1);
--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -155,7 +155,7 @@
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(loop, registry.address(), known, clock, EndpointListLease.endless());
+        watch = new EndpointListWatcher(loop, registry.address(), known, clock, EndpointListLease.nonExpiring());
         watch.start();
         watch.watch();
         if (!known.endpoints().isEmpty()) {
@@ -446,7 +446,7 @@
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(loop, agent.address(), known(), pushed(), EndpointListLease.endless());
+        watch = new EndpointListWatcher(loop, agent.address(), known(), pushed(), EndpointListLease.nonExpiring());
         watch.start();
     }
 
--- a/src/test/java/olivechute/endpointlist/ListPlausibilityCheckTest.java
+++ b/src/test/java/olivechute/endpointlist/ListPlausibilityCheckTest.java
@@ -21,20 +21,20 @@
     }
 
     @Test(dataProvider = "answers")
-    public void aListThatLosesMoreThanHalfIsDoubtful(Set<String> held, Set<String> answer, boolean doubtful) {
-        ListPlausibilityCheck guard = new ListPlausibilityCheck();
-        guard.onFullList(held);
-        assertEquals(guard.isImplausible(answer), doubtful);
+    public void listThatLacksMoreThanHalfOfTheKnownEndpointsIsImplausible(Set<String> known, Set<String> listed, boolean implausible) {
+        ListPlausibilityCheck check = new ListPlausibilityCheck();
+        check.onFullList(known);
+        assertEquals(check.isImplausible(listed), implausible);
     }
 
     @Test
-    public void changesCount() {
-        ListPlausibilityCheck guard = new ListPlausibilityCheck();
-        guard.onFullList(Set.of("a", "b", "c", "d"));
-        guard.onChange("a", false);
-        guard.onChange("b", false);
-        guard.onChange("e", true);
-        assertEquals(guard.isImplausible(Set.of("c", "d")), false);
-        assertEquals(guard.isImplausible(Set.of("a", "b")), true);
+    public void changesUpdateTheKnownEndpoints() {
+        ListPlausibilityCheck check = new ListPlausibilityCheck();
+        check.onFullList(Set.of("a", "b", "c", "d"));
+        check.onChange("a", false);
+        check.onChange("b", false);
+        check.onChange("e", true);
+        assertEquals(check.isImplausible(Set.of("c", "d")), false);
+        assertEquals(check.isImplausible(Set.of("a", "b")), true);
     }
 }
--- a/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
+++ b/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
@@ -16,20 +16,20 @@
 /** The times of calls against the protocol's figures, in virtual time; milliseconds. */
 public class WatchTimeoutsTest {
     private static final long SEED = 20;
-    private static final long ASK_EVERY = 10_000_000;
-    private static final int TOLD = 6000; // after discovery had a change, whatever became of calls
-    private static final int DRAIN_GRACE = 500;
-    private static final int PAUSE = 500; // the module's longest before it asks again after a first failure
-    private static final int TURN = 500; // dial, queue and answer of a call, with room
-    private static final int REFUSED = 2000; // after so long a busy discovery refuses
-    private static final int TURN_IN_CROWD = 3034; // the longest after which a crowded discovery was seen to answer
+    private static final long POLL_INTERVAL_US = 10_000_000;
+    private static final int NOTIFIED_AFTER_MS = 6000; // after discovery had a change, whatever became of calls
+    private static final int DRAIN_GRACE_MS = 500;
+    private static final int MAX_RETRY_PAUSE_MS = 500; // the module's longest before it asks again after a first failure
+    private static final int CALL_TIME_MS = 500; // dial, queue and answer of a call, with room
+    private static final int REJECTED_AFTER_MS = 2000; // after so long a busy discovery refuses
+    private static final int MAX_BUSY_ANSWER_TIME_MS = 3034; // the longest after which a crowded discovery was seen to answer
     private static final int NODES = 100;
     private static final int SEEDS = 20;
-    private static final double PER_SECOND_IN_STEP = 47; // calls that discovery answers
-    private static final double PER_SECOND_LATER = 40;
-    private static final int QUICK =
+    private static final double SYNCHRONIZED_CALLS_PER_SECOND = 47; // calls that discovery answers
+    private static final double LATER_CALLS_PER_SECOND = 40;
+    private static final int UNLOADED_CALLS_PER_SECOND =
             400; // and on a good day: 60 nodes that started together were answered within 0.16 s
-    private static final int LONGEST_ROUND = 3250; // wait and turn of a hundred nodes
+    private static final int MAX_ROUND_MS = 3250; // wait and turn of a hundred nodes
 
     @DataProvider
     public Object[][] chances() {
@@ -37,22 +37,22 @@
     }
 
     /** In microseconds, as all rules. */
-    private static ServiceRules rules(long askEvery, long drainGrace) {
-        return new ServiceRules(0, askEvery, drainGrace, 0.3, 8_900_000, 3, 1_000_000, false);
+    private static ServiceRules rules(long pollIntervalUs, long drainGraceUs) {
+        return new ServiceRules(0, pollIntervalUs, drainGraceUs, 0.3, 8_900_000, 3, 1_000_000, false);
     }
 
-    private static WatchTimeouts asked(long askEvery, DoubleSupplier chance) {
-        return new WatchTimeouts(false, rules(askEvery, 1000 * DRAIN_GRACE), chance);
+    private static WatchTimeouts polled(long pollIntervalUs, DoubleSupplier random) {
+        return new WatchTimeouts(false, rules(pollIntervalUs, 1000 * DRAIN_GRACE_MS), random);
     }
 
-    private static WatchTimeouts asked(double chance) {
-        return asked(ASK_EVERY, () -> chance);
+    private static WatchTimeouts polled(double random) {
+        return polled(POLL_INTERVAL_US, () -> random);
     }
 
     @DataProvider
     public Object[][] everiesAndChances() {
-        long[] everies = {ASK_EVERY, 0, 1, 1_000_000, Long.MAX_VALUE};
-        return Arrays.stream(everies)
+        long[] pollIntervalsUs = {POLL_INTERVAL_US, 0, 1, 1_000_000, Long.MAX_VALUE};
+        return Arrays.stream(pollIntervalsUs)
                 .boxed()
                 .flatMap(e -> Arrays.stream(chances()).map(c -> new Object[] {e, c[0]}))
                 .toArray(Object[][]::new);
@@ -60,15 +60,15 @@
 
     /** The change is made just after the call has begun on a connection that is silent from then on. */
     @Test(dataProvider = "everiesAndChances")
-    public void aSilentWatchIsAskedAgainInTimeEvenIfTheFirstTryIsRefusedLate(long askEvery, double chance) {
-        WatchTimeouts clock = asked(askEvery, () -> chance);
-        Call call = clock.watch();
+    public void silentWatchIsRepeatedInTimeEvenIfTheFirstRetryIsRejectedLate(long pollIntervalUs, double random) {
+        WatchTimeouts timeouts = polled(pollIntervalUs, () -> random);
+        Call call = timeouts.watch();
         assertTrue(call.waitMs() >= 1 && call.waitMs() <= 60_000, call.toString());
         assertTrue(
-                REFUSED < clock.afterFailure().timeoutMs(),
+                REJECTED_AFTER_MS < timeouts.afterFailure().timeoutMs(),
                 "a refusal is waited for, so that the place in the queue is not given up");
-        assertTrue(call.timeoutMs() + REFUSED + PAUSE < TOLD, call.toString());
-        assertTrue(call.timeoutMs() + REFUSED + PAUSE + TURN < TOLD + DRAIN_GRACE, call.toString());
+        assertTrue(call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS < NOTIFIED_AFTER_MS, call.toString());
+        assertTrue(call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS < NOTIFIED_AFTER_MS + DRAIN_GRACE_MS, call.toString());
     }
 
     /**
@@ -76,14 +76,14 @@
      * nothing to say.
      */
     @Test
-    public void aCallThatIsNotAnsweredInTimeIsWaitedForTwiceAsLongTheNextTime() {
-        WatchTimeouts clock = asked(0);
-        Call call = clock.fullList();
-        assertEquals(clock.withBackoff(call, 0), call);
-        assertEquals(clock.withBackoff(call, 1), new Call(call.waitMs(), 2 * call.timeoutMs()));
-        assertEquals(clock.withBackoff(call, 2), new Call(call.waitMs(), 4 * call.timeoutMs()));
-        assertTrue(clock.withBackoff(call, Integer.MAX_VALUE).timeoutMs() <= 12_000);
-        WatchTimeouts agent = new WatchTimeouts(true, rules(ASK_EVERY, 1000 * DRAIN_GRACE), () -> 0);
+    public void timeoutDoublesAfterEachCallThatTimedOut() {
+        WatchTimeouts timeouts = polled(0);
+        Call call = timeouts.fullList();
+        assertEquals(timeouts.withBackoff(call, 0), call);
+        assertEquals(timeouts.withBackoff(call, 1), new Call(call.waitMs(), 2 * call.timeoutMs()));
+        assertEquals(timeouts.withBackoff(call, 2), new Call(call.waitMs(), 4 * call.timeoutMs()));
+        assertTrue(timeouts.withBackoff(call, Integer.MAX_VALUE).timeoutMs() <= 12_000);
+        WatchTimeouts agent = new WatchTimeouts(true, rules(POLL_INTERVAL_US, 1000 * DRAIN_GRACE_MS), () -> 0);
         assertEquals(agent.withBackoff(agent.afterFailure(), 3), agent.afterFailure());
     }
 
@@ -92,21 +92,21 @@
      * time.
      */
     @Test
-    public void aCallIsNotGivenUpBeforeItsTurnInACrowdedDiscovery() {
-        WatchTimeouts clock = asked(0);
+    public void callDoesNotTimeOutBeforeABusyDiscoveryAnswers() {
+        WatchTimeouts timeouts = polled(0);
         assertTrue(
-                clock.afterFailure().timeoutMs() > TURN_IN_CROWD,
-                clock.afterFailure().toString());
+                timeouts.afterFailure().timeoutMs() > MAX_BUSY_ANSWER_TIME_MS,
+                timeouts.afterFailure().toString());
         assertTrue(
-                clock.afterFailure().timeoutMs() + REFUSED + PAUSE < TOLD,
-                clock.afterFailure().toString());
+                timeouts.afterFailure().timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS < NOTIFIED_AFTER_MS,
+                timeouts.afterFailure().toString());
     }
 
     @Test
-    public void aSilentCallForTheWholeListIsAskedAgainInTimeEvenIfTheFirstTryIsRefused() {
-        WatchTimeouts clock = asked(0);
-        assertEquals(clock.fullList().waitMs(), 0);
-        assertTrue(clock.fullList().timeoutMs() + REFUSED + PAUSE + TURN < TOLD);
+    public void silentFullListCallIsRepeatedInTimeEvenIfTheFirstRetryIsRejected() {
+        WatchTimeouts timeouts = polled(0);
+        assertEquals(timeouts.fullList().waitMs(), 0);
+        assertTrue(timeouts.fullList().timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS < NOTIFIED_AFTER_MS);
     }
 
     /** Milliseconds of the settings, and the longest wait that they leave where discovery is asked. */
@@ -118,17 +118,17 @@
     }
 
     @Test(dataProvider = "everies")
-    public void noCallOutlastsTheSettingsAskEvery(int askEvery, int longest) {
-        Call least = asked(1000L * askEvery, () -> 0).watch();
-        Call most = asked(1000L * askEvery, () -> Math.nextDown(1.0)).watch();
-        assertEquals(most.waitMs(), longest);
-        assertEquals(least.waitMs(), longest * 2 / 3, "a fleet is kept out of step by the same part of the wait");
-        assertEquals(most.timeoutMs() - most.waitMs(), least.timeoutMs() - least.waitMs());
-        assertTrue(askEvery == 0 || most.timeoutMs() <= askEvery, most.toString());
+    public void noCallOutlastsThePollInterval(int pollIntervalMs, int maxWaitMs) {
+        Call shortest = polled(1000L * pollIntervalMs, () -> 0).watch();
+        Call longest = polled(1000L * pollIntervalMs, () -> Math.nextDown(1.0)).watch();
+        assertEquals(longest.waitMs(), maxWaitMs);
+        assertEquals(shortest.waitMs(), maxWaitMs * 2 / 3, "a fleet is kept out of step by the same part of the wait");
+        assertEquals(longest.timeoutMs() - longest.waitMs(), shortest.timeoutMs() - shortest.waitMs());
+        assertTrue(pollIntervalMs == 0 || longest.timeoutMs() <= pollIntervalMs, longest.toString());
         for (Object[] grace : graces()) {
-            WatchTimeouts agent = new WatchTimeouts(true, rules(1000L * askEvery, 1000L * (int) grace[0]), () -> 0.5);
+            WatchTimeouts agent = new WatchTimeouts(true, rules(1000L * pollIntervalMs, 1000L * (int) grace[0]), () -> 0.5);
             assertTrue(
-                    askEvery == 0 || (agent.watch().timeoutMs() <= askEvery && agent.agentPauseMs() <= askEvery),
+                    pollIntervalMs == 0 || (agent.watch().timeoutMs() <= pollIntervalMs && agent.agentRetryPauseMs() <= pollIntervalMs),
                     agent.watch().toString());
         }
     }
@@ -138,14 +138,14 @@
      * each other without end.
      */
     @Test
-    public void anAskEveryOfNextToNothingIsNoCallWithoutEnd() {
-        for (long askEvery : new long[] {1, 1000, 40_000, 400_000}) {
-            Call call = asked(askEvery, () -> 0).watch();
+    public void tinyPollIntervalDoesNotCauseABusyLoop() {
+        for (long pollIntervalUs : new long[] {1, 1000, 40_000, 400_000}) {
+            Call call = polled(pollIntervalUs, () -> 0).watch();
             assertTrue(
                     call.waitMs() >= 30 && call.timeoutMs() - call.waitMs() >= 400 && call.timeoutMs() <= 450,
-                    askEvery + ": " + call);
-            Call agent = new WatchTimeouts(true, rules(askEvery, 1000 * DRAIN_GRACE), () -> 0).watch();
-            assertTrue(agent.waitMs() >= 50, askEvery + ": " + agent);
+                    pollIntervalUs + ": " + call);
+            Call agent = new WatchTimeouts(true, rules(pollIntervalUs, 1000 * DRAIN_GRACE_MS), () -> 0).watch();
+            assertTrue(agent.waitMs() >= 50, pollIntervalUs + ": " + agent);
         }
     }
 
@@ -159,93 +159,93 @@
      * grace.
      */
     @Test(dataProvider = "graces")
-    public void anAgentIsNeverLeftUnaskedForLongerThanTheDrainsGrace(int grace) {
-        WatchTimeouts clock = new WatchTimeouts(true, rules(ASK_EVERY, 1000L * grace), () -> 0.5);
-        int silent = clock.watch().timeoutMs() + clock.afterFailure().timeoutMs();
-        assertTrue(clock.watch().waitMs() >= 1, clock.watch().toString());
-        assertTrue(silent < grace, "a silent watch and its second call: " + silent);
-        assertTrue(clock.agentPauseMs() + clock.watch().waitMs() < grace);
-        assertTrue(clock.firstAnswerTimeoutMs() > 0 && clock.firstAnswerTimeoutMs() < 1000);
+    public void agentIsPolledAgainWithinTheDrainGrace(int drainGraceMs) {
+        WatchTimeouts timeouts = new WatchTimeouts(true, rules(POLL_INTERVAL_US, 1000L * drainGraceMs), () -> 0.5);
+        int silentMs = timeouts.watch().timeoutMs() + timeouts.afterFailure().timeoutMs();
+        assertTrue(timeouts.watch().waitMs() >= 1, timeouts.watch().toString());
+        assertTrue(silentMs < drainGraceMs, "a silent watch and its second call: " + silentMs);
+        assertTrue(timeouts.agentRetryPauseMs() + timeouts.watch().waitMs() < drainGraceMs);
+        assertTrue(timeouts.firstAnswerTimeoutMs() > 0 && timeouts.firstAnswerTimeoutMs() < 1000);
     }
 
     // ---- a fleet whose watches all fall silent -------------------------------------------------------------
 
     /** What a discovery does with such a fleet in a minute: calls, refused ones, and nodes that hear too late. */
-    private record Count(int calls, int refused, int late) {}
+    private record FleetCalls(int calls, int rejected, int late) {}
 
-    private record Asking(double at, int node, boolean second) {}
+    private record ScheduledCall(double atMs, int node, boolean afterSilentWatch) {}
 
-    private static PriorityQueue<Asking> askings() {
-        return new PriorityQueue<>(Comparator.comparingDouble(Asking::at).thenComparing(Asking::node));
+    private static PriorityQueue<ScheduledCall> callQueue() {
+        return new PriorityQueue<>(Comparator.comparingDouble(ScheduledCall::atMs).thenComparing(ScheduledCall::node));
     }
 
-    private static WatchTimeouts[] drawn(long seed) {
+    private static WatchTimeouts[] randomizedFleet(long seed) {
         SplittableRandom seeds = new SplittableRandom(seed);
-        WatchTimeouts[] clocks = new WatchTimeouts[NODES];
-        Arrays.setAll(clocks, i -> asked(ASK_EVERY, seeds.split()::nextDouble));
-        return clocks;
+        WatchTimeouts[] timeouts = new WatchTimeouts[NODES];
+        Arrays.setAll(timeouts, i -> polled(POLL_INTERVAL_US, seeds.split()::nextDouble));
+        return timeouts;
     }
 
-    private static WatchTimeouts[] undrawn(double chance) {
-        WatchTimeouts[] clocks = new WatchTimeouts[NODES];
-        Arrays.fill(clocks, asked(chance));
-        return clocks;
+    private static WatchTimeouts[] uniformFleet(double random) {
+        WatchTimeouts[] timeouts = new WatchTimeouts[NODES];
+        Arrays.fill(timeouts, polled(random));
+        return timeouts;
     }
 
     /** When each watch is given up, all asked for at 0 and silent. */
-    private static double[] inStep(WatchTimeouts[] clocks) {
-        return Arrays.stream(clocks).mapToDouble(c -> c.watch().timeoutMs()).toArray();
+    private static double[] synchronizedTimeoutsMs(WatchTimeouts[] timeouts) {
+        return Arrays.stream(timeouts).mapToDouble(c -> c.watch().timeoutMs()).toArray();
     }
 
     /**
      * All nodes ask at 0 and go on so, as there is no news, before a discovery that answers {@value #QUICK} calls a
      * second; at {@code cut} all watches fall silent. When each is given up, from the cut on.
      */
-    private static double[] afterQuiet(WatchTimeouts[] clocks, int cut) {
-        double[] givenUp = new double[clocks.length];
-        double free = 0;
-        PriorityQueue<Asking> queue = askings();
-        for (int i = 0; i < clocks.length; i++) {
-            queue.add(new Asking(0, i, false));
+    private static double[] timeoutsAfterIdlePeriodMs(WatchTimeouts[] timeouts, int silentFromMs) {
+        double[] timedOutAtMs = new double[timeouts.length];
+        double discoveryFreeAtMs = 0;
+        PriorityQueue<ScheduledCall> queue = callQueue();
+        for (int i = 0; i < timeouts.length; i++) {
+            queue.add(new ScheduledCall(0, i, false));
         }
-        while (queue.peek().at < cut) {
-            Asking a = queue.remove();
-            free = Math.max(a.at, free) + 1000.0 / QUICK;
-            Call call = clocks[a.node].watch();
-            givenUp[a.node] = free + call.timeoutMs() - cut;
-            queue.add(new Asking(free + call.waitMs(), a.node, false));
+        while (queue.peek().atMs < silentFromMs) {
+            ScheduledCall scheduled = queue.remove();
+            discoveryFreeAtMs = Math.max(scheduled.atMs, discoveryFreeAtMs) + 1000.0 / UNLOADED_CALLS_PER_SECOND;
+            Call call = timeouts[scheduled.node].watch();
+            timedOutAtMs[scheduled.node] = discoveryFreeAtMs + call.timeoutMs() - silentFromMs;
+            queue.add(new ScheduledCall(discoveryFreeAtMs + call.waitMs(), scheduled.node, false));
         }
-        return givenUp;
+        return timedOutAtMs;
     }
 
     /**
      * A change at 0 that all silent watches miss. Discovery answers {@code perSecond} calls in turn and refuses what
      * has waited for 2 s; an answer with news leads to another call.
      */
-    private static Count minute(WatchTimeouts[] clocks, double[] givenUp, double perSecond, long seed) {
+    private static FleetCalls simulateMinute(WatchTimeouts[] timeouts, double[] timedOutAtMs, double callsPerSecond, long seed) {
         int calls = 0;
-        int refused = 0;
+        int rejected = 0;
         int late = 0;
-        double free = 0;
-        SplittableRandom chance = new SplittableRandom(seed);
-        PriorityQueue<Asking> queue = askings();
-        for (int i = 0; i < clocks.length; i++) {
-            queue.add(new Asking(givenUp[i], i, true));
+        double discoveryFreeAtMs = 0;
+        SplittableRandom random = new SplittableRandom(seed);
+        PriorityQueue<ScheduledCall> queue = callQueue();
+        for (int i = 0; i < timeouts.length; i++) {
+            queue.add(new ScheduledCall(timedOutAtMs[i], i, true));
         }
-        while (queue.peek().at < 60_000) {
-            Asking a = queue.remove();
+        while (queue.peek().atMs < 60_000) {
+            ScheduledCall scheduled = queue.remove();
             calls++;
-            double start = Math.max(a.at, free);
-            if (start > a.at + REFUSED) {
-                refused++;
-                queue.add(new Asking(a.at + REFUSED + PAUSE * (1 + chance.nextDouble()) / 2, a.node, a.second));
+            double startMs = Math.max(scheduled.atMs, discoveryFreeAtMs);
+            if (startMs > scheduled.atMs + REJECTED_AFTER_MS) {
+                rejected++;
+                queue.add(new ScheduledCall(scheduled.atMs + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS * (1 + random.nextDouble()) / 2, scheduled.node, scheduled.afterSilentWatch));
                 continue;
             }
-            free = start + 1000 / perSecond;
-            late += a.second && free > TOLD + DRAIN_GRACE ? 1 : 0;
-            queue.add(new Asking(free + (a.second ? 0 : clocks[a.node].watch().waitMs()), a.node, false));
+            discoveryFreeAtMs = startMs + 1000 / callsPerSecond;
+            late += scheduled.afterSilentWatch && discoveryFreeAtMs > NOTIFIED_AFTER_MS + DRAIN_GRACE_MS ? 1 : 0;
+            queue.add(new ScheduledCall(discoveryFreeAtMs + (scheduled.afterSilentWatch ? 0 : timeouts[scheduled.node].watch().waitMs()), scheduled.node, false));
         }
-        return new Count(calls, refused, late);
+        return new FleetCalls(calls, rejected, late);
     }
 
     /**
@@ -253,22 +253,22 @@
      * it is.
      */
     @Test
-    public void aFleetThatFallsSilentInStepHearsInTimeAndIsNotRefused() {
+    public void synchronizedFleetIsNotifiedInTimeWithoutRejections() {
         System.out.println("seeds " + SEED + " to " + (SEED + SEEDS - 1));
         for (long seed = SEED; seed < SEED + SEEDS; seed++) {
-            WatchTimeouts[] clocks = drawn(seed);
-            Count spread = minute(clocks, inStep(clocks), PER_SECOND_IN_STEP, seed);
-            assertEquals(spread.refused, 0, seed + ": " + spread);
-            assertEquals(spread.late, 0, seed + ": " + spread);
-            assertTrue(spread.calls <= NODES * 60 / 2, seed + ": " + spread);
+            WatchTimeouts[] timeouts = randomizedFleet(seed);
+            FleetCalls randomized = simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, seed);
+            assertEquals(randomized.rejected, 0, seed + ": " + randomized);
+            assertEquals(randomized.late, 0, seed + ": " + randomized);
+            assertTrue(randomized.calls <= NODES * 60 / 2, seed + ": " + randomized);
         }
-        for (Object[] chance : chances()) {
-            WatchTimeouts[] clocks = undrawn((double) chance[0]);
-            Count without = minute(clocks, inStep(clocks), PER_SECOND_IN_STEP, SEED);
-            System.out.println("without chance, " + chance[0] + ": " + without);
+        for (Object[] random : chances()) {
+            WatchTimeouts[] timeouts = uniformFleet((double) random[0]);
+            FleetCalls uniform = simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, SEED);
+            System.out.println("without chance, " + random[0] + ": " + uniform);
             assertTrue(
-                    without.late > 0,
-                    "the model tells a fleet in step from one that is not: " + chance[0] + ", " + without);
+                    uniform.late > 0,
+                    "the model tells a fleet in step from one that is not: " + random[0] + ", " + uniform);
         }
     }
 
@@ -277,28 +277,28 @@
      * ever.
      */
     @Test
-    public void aFleetThatStartedInStepAndFallsSilentLaterHearsInTimeAndIsNotRefused() {
+    public void fleetThatStartedTogetherIsNotifiedInTimeWithoutRejections() {
         System.out.println("seeds " + SEED + " to " + (SEED + SEEDS - 1));
-        int[] refused = new int[chances().length];
+        int[] rejected = new int[chances().length];
         int[] late = new int[chances().length];
         for (int i = 0; i < SEEDS; i++) {
             long seed = SEED + i;
-            int cut = 60_000 + i * LONGEST_ROUND / SEEDS; // anywhere in a round
-            WatchTimeouts[] clocks = drawn(seed);
-            Count spread = minute(clocks, afterQuiet(clocks, cut), PER_SECOND_LATER, seed);
-            assertEquals(spread.refused, 0, seed + ": " + spread);
-            assertEquals(spread.late, 0, seed + ": " + spread);
+            int silentFromMs = 60_000 + i * MAX_ROUND_MS / SEEDS; // anywhere in a round
+            WatchTimeouts[] timeouts = randomizedFleet(seed);
+            FleetCalls randomized = simulateMinute(timeouts, timeoutsAfterIdlePeriodMs(timeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
+            assertEquals(randomized.rejected, 0, seed + ": " + randomized);
+            assertEquals(randomized.late, 0, seed + ": " + randomized);
             for (int c = 0; c < late.length; c++) {
-                WatchTimeouts[] equal = undrawn((double) chances()[c][0]);
-                Count without = minute(equal, afterQuiet(equal, cut), PER_SECOND_LATER, seed);
-                refused[c] += without.refused;
-                late[c] += without.late;
+                WatchTimeouts[] uniformTimeouts = uniformFleet((double) chances()[c][0]);
+                FleetCalls uniform = simulateMinute(uniformTimeouts, timeoutsAfterIdlePeriodMs(uniformTimeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
+                rejected[c] += uniform.rejected;
+                late[c] += uniform.late;
             }
         }
-        System.out.println("without chance, refused " + Arrays.toString(refused) + ", late " + Arrays.toString(late));
+        System.out.println("without chance, refused " + Arrays.toString(rejected) + ", late " + Arrays.toString(late));
         for (int c = 0; c < late.length; c++) {
             assertTrue(
-                    refused[c] > 10 * SEEDS && late[c] > 0,
+                    rejected[c] > 10 * SEEDS && late[c] > 0,
                     "the model tells a fleet in step from one that is not: " + chances()[c][0]);
         }
     }
--- a/src/test/java/olivechute/health/ConnectionHealthTest.java
+++ b/src/test/java/olivechute/health/ConnectionHealthTest.java
@@ -23,7 +23,7 @@
     @BeforeMethod
     public void nineHosts() {
         now = 100 * S;
-        fleet = new ConnectionHealth(HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.endless());
+        fleet = new ConnectionHealth(HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.nonExpiring());
         for (int i = 0; i < 9; i++) {
             fleet.onListed("s" + i, 0);
         }
--- a/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
+++ b/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
@@ -16,71 +16,71 @@
  * file, and its commit says why.
  */
 class DecisionRecordTest {
-    private static final long MS = 1000;
-    private static final long S = 1_000_000;
+    private static final long MILLISECOND = 1000;
+    private static final long SECOND = 1_000_000;
     private static final int SEEDS = 2;
 
     @Test
-    void everyRecordedDayIsDecidedAsBefore() throws IOException {
-        List<String> played = new ArrayList<>();
+    void decisionsMatchTheRecordedDigests() throws IOException {
+        List<String> digests = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
-            for (RecordedDay.Plan plan : plans(seed)) {
-                played.add(RecordedDay.play(plan));
+            for (RecordedRun.Plan plan : plans(seed)) {
+                digests.add(RecordedRun.execute(plan));
             }
         }
         try (InputStream in = DecisionRecordTest.class.getResourceAsStream("/decision-digests.txt")) {
             String recorded = new String(in.readAllBytes(), StandardCharsets.UTF_8).strip();
-            assertEquals(recorded, String.join("\n", played));
+            assertEquals(recorded, String.join("\n", digests));
         }
     }
 
     @Test
-    void theSameSeedGivesTheSameDayAndAnotherSeedAnother() {
-        String first = RecordedDay.play(plans(1).get(0));
-        assertEquals(first, RecordedDay.play(plans(1).get(0)));
-        assertTrue(!first.split(" ")[2].equals(RecordedDay.play(plans(2).get(0)).split(" ")[2]));
+    void sameSeedRepeatsTheRunAndAnotherSeedDoesNot() {
+        String first = RecordedRun.execute(plans(1).get(0));
+        assertEquals(first, RecordedRun.execute(plans(1).get(0)));
+        assertTrue(!first.split(" ")[2].equals(RecordedRun.execute(plans(2).get(0)).split(" ")[2]));
     }
 
-    private static List<RecordedDay.Plan> plans(long seed) {
-        List<RecordedDay.Plan> plans = new ArrayList<>();
-        add(plans, "harbour-stamps", seed, harbourStamps(), 10, 60, false);
-        add(plans, "harbour-stamps-overload", seed, harbourStamps(), 4, 120, false);
-        add(plans, "harbour-stamps-sockets", seed, harbourStamps(), 10, 60, true);
-        add(plans, "quarry-scans", seed, quarryScans(), 10, 60, false);
-        add(plans, "quarry-scans-overload", seed, quarryScans(), 4, 120, false);
-        add(plans, "quarry-scans-sockets", seed, quarryScans(), 10, 60, true);
-        add(plans, "probed", seed, probed(), 12, 50, false);
-        add(plans, "probed-sockets", seed, probed(), 12, 70, true);
-        add(plans, "probed-overload", seed, probed(), 3, 120, false);
-        add(plans, "without-starts", seed, withoutStarts(), 8, 50, false);
-        add(plans, "without-starts-sockets", seed, withoutStarts(), 8, 50, true);
-        add(plans, "one-zone-large-fleet", seed, oneZone(), 60, 80, false);
-        add(plans, "only-draining-binds", seed, onlyDrainingBinds(), 10, 60, false);
-        add(plans, "only-draining-binds-sockets", seed, onlyDrainingBinds(), 10, 60, true);
+    private static List<RecordedRun.Plan> plans(long seed) {
+        List<RecordedRun.Plan> plans = new ArrayList<>();
+        addPlan(plans, "harbour-stamps", seed, harbourStamps(), 10, 60, false);
+        addPlan(plans, "harbour-stamps-overload", seed, harbourStamps(), 4, 120, false);
+        addPlan(plans, "harbour-stamps-sockets", seed, harbourStamps(), 10, 60, true);
+        addPlan(plans, "quarry-scans", seed, quarryScans(), 10, 60, false);
+        addPlan(plans, "quarry-scans-overload", seed, quarryScans(), 4, 120, false);
+        addPlan(plans, "quarry-scans-sockets", seed, quarryScans(), 10, 60, true);
+        addPlan(plans, "probed", seed, probed(), 12, 50, false);
+        addPlan(plans, "probed-sockets", seed, probed(), 12, 70, true);
+        addPlan(plans, "probed-overload", seed, probed(), 3, 120, false);
+        addPlan(plans, "without-starts", seed, withoutStarts(), 8, 50, false);
+        addPlan(plans, "without-starts-sockets", seed, withoutStarts(), 8, 50, true);
+        addPlan(plans, "one-zone-large-fleet", seed, oneZone(), 60, 80, false);
+        addPlan(plans, "only-draining-binds", seed, onlyDrainingBinds(), 10, 60, false);
+        addPlan(plans, "only-draining-binds-sockets", seed, onlyDrainingBinds(), 10, 60, true);
         return plans;
     }
 
-    private static void add(
-            List<RecordedDay.Plan> plans,
+    private static void addPlan(
+            List<RecordedRun.Plan> plans,
             String name,
             long seed,
             LoadBalancerSettings settings,
             int endpoints,
-            double rate,
-            boolean faultsOfSockets) {
-        plans.add(new RecordedDay.Plan(
-                name + "-" + seed, 1000 * seed + plans.size(), settings, endpoints, rate, faultsOfSockets));
+            double requestsPerSecond,
+            boolean socketFaults) {
+        plans.add(new RecordedRun.Plan(
+                name + "-" + seed, 1000 * seed + plans.size(), settings, endpoints, requestsPerSecond, socketFaults));
     }
 
     private static RequestClass requestClass(
             String name,
-            long deadline,
-            long aim,
-            double worth,
-            Idempotency effect,
-            DeduplicationScope group,
-            long window) {
-        return new RequestClass(name, deadline, aim, 2, worth, 0.25 * worth, effect, group, window, null, 0);
+            long deadlineUs,
+            long latencyObjectiveUs,
+            double priorityWeight,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            long deduplicationWindowUs) {
+        return new RequestClass(name, deadlineUs, latencyObjectiveUs, 2, priorityWeight, 0.25 * priorityWeight, idempotency, deduplicationScope, deduplicationWindowUs, null, 0);
     }
 
     private static List<Tenant> tenants() {
@@ -90,15 +90,15 @@
     private static LoadBalancerSettings harbourStamps() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("inspect", 4 * S, 200 * MS, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                        requestClass("inspect", 4 * SECOND, 200 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
                         requestClass(
-                                "stamp", 4 * S, 200 * MS, 6, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0),
-                        requestClass("register", 6 * S, 300 * MS, 4, Idempotency.KEYED, DeduplicationScope.ALL, 4 * S)),
+                                "stamp", 4 * SECOND, 200 * MILLISECOND, 6, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0),
+                        requestClass("register", 6 * SECOND, 300 * MILLISECOND, 4, Idempotency.KEYED, DeduplicationScope.ALL, 4 * SECOND)),
                 tenants(),
                 "z0",
                 6,
-                new ServiceRules(10 * MS, 2 * S, 800 * MS, 0.3, 6 * S, 3.5, 1500 * MS, false),
-                new DispatchLimits(false, true, false, true, 2, 1500 * MS, 8 * S),
+                new ServiceRules(10 * MILLISECOND, 2 * SECOND, 800 * MILLISECOND, 0.3, 6 * SECOND, 3.5, 1500 * MILLISECOND, false),
+                new DispatchLimits(false, true, false, true, 2, 1500 * MILLISECOND, 8 * SECOND),
                 LoadReporting.WITH_RESPONSES,
                 true,
                 true,
@@ -111,15 +111,15 @@
     private static LoadBalancerSettings quarryScans() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("preview", 3 * S, 200 * MS, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
-                        requestClass("index", 3 * S, 200 * MS, 5, Idempotency.KEYED, DeduplicationScope.ALL, 1500 * MS),
+                        requestClass("preview", 3 * SECOND, 200 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                        requestClass("index", 3 * SECOND, 200 * MILLISECOND, 5, Idempotency.KEYED, DeduplicationScope.ALL, 1500 * MILLISECOND),
                         requestClass(
-                                "archive", 9 * S, 300 * MS, 8, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0)),
+                                "archive", 9 * SECOND, 300 * MILLISECOND, 8, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0)),
                 tenants(),
                 "z0",
                 6,
-                new ServiceRules(10 * MS, 0, 1200 * MS, 0.3, 6 * S, 3, 1500 * MS, false),
-                new DispatchLimits(false, true, false, true, 3, 1500 * MS, 20 * S),
+                new ServiceRules(10 * MILLISECOND, 0, 1200 * MILLISECOND, 0.3, 6 * SECOND, 3, 1500 * MILLISECOND, false),
+                new DispatchLimits(false, true, false, true, 3, 1500 * MILLISECOND, 20 * SECOND),
                 LoadReporting.NONE,
                 true,
                 false,
@@ -132,25 +132,25 @@
     private static LoadBalancerSettings probed() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("sign", 5 * S, 300 * MS, 3, Idempotency.KEYED, DeduplicationScope.ZONE, 2 * S),
-                        requestClass("verify", 4 * S, 150 * MS, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                        requestClass("sign", 5 * SECOND, 300 * MILLISECOND, 3, Idempotency.KEYED, DeduplicationScope.ZONE, 2 * SECOND),
+                        requestClass("verify", 4 * SECOND, 150 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
                         new RequestClass(
                                 "large-only",
-                                5 * S,
-                                300 * MS,
+                                5 * SECOND,
+                                300 * MILLISECOND,
                                 2,
                                 2,
                                 0,
                                 Idempotency.KEYED,
                                 DeduplicationScope.CELL,
-                                2 * S,
+                                2 * SECOND,
                                 "large",
                                 1)),
                 tenants(),
                 "z1",
                 4,
-                new ServiceRules(8 * MS, 10 * S, 500 * MS, 0.2, 20 * S, 3, S, false),
-                new DispatchLimits(true, true, true, true, 3, 2 * S, 10 * S),
+                new ServiceRules(8 * MILLISECOND, 10 * SECOND, 500 * MILLISECOND, 0.2, 20 * SECOND, 3, SECOND, false),
+                new DispatchLimits(true, true, true, true, 3, 2 * SECOND, 10 * SECOND),
                 LoadReporting.ON_PROBE,
                 true,
                 true,
@@ -161,64 +161,64 @@
     }
 
     private static LoadBalancerSettings withoutStarts() {
-        LoadBalancerSettings s = probed();
+        LoadBalancerSettings base = probed();
         return new LoadBalancerSettings(
-                s.classes(),
+                base.classes(),
                 List.of(),
                 "z2",
                 2,
-                s.rules(),
-                s.limits(),
+                base.rules(),
+                base.limits(),
                 LoadReporting.WITH_RESPONSES,
                 false,
                 true,
                 1,
-                s.costs(),
-                s.tail(),
+                base.costs(),
+                base.tail(),
                 true);
     }
 
     private static LoadBalancerSettings oneZone() {
-        LoadBalancerSettings s = harbourStamps();
+        LoadBalancerSettings base = harbourStamps();
         return new LoadBalancerSettings(
-                s.classes(),
-                s.tenants(),
+                base.classes(),
+                base.tenants(),
                 "",
                 100,
-                s.rules(),
-                s.limits(),
-                s.loadReporting(),
+                base.rules(),
+                base.limits(),
+                base.loadReporting(),
                 true,
                 false,
-                s.overQuotaWeight(),
-                s.costs(),
-                s.tail(),
+                base.overQuotaWeight(),
+                base.costs(),
+                base.tail(),
                 true);
     }
 
     private static LoadBalancerSettings onlyDrainingBinds() {
-        LoadBalancerSettings s = probed();
-        ServiceRules r = s.rules();
+        LoadBalancerSettings base = probed();
+        ServiceRules rules = base.rules();
         return new LoadBalancerSettings(
-                s.classes(),
-                s.tenants(),
+                base.classes(),
+                base.tenants(),
                 "z0",
                 8,
                 new ServiceRules(
-                        r.answerSlackUs(),
-                        r.listPollIntervalUs(),
-                        r.drainGraceUs(),
-                        r.slowStartCapacity(),
-                        r.slowStartDurationUs(),
-                        r.overloadMultiple(),
-                        r.overloadWindowUs(),
+                        rules.answerSlackUs(),
+                        rules.listPollIntervalUs(),
+                        rules.drainGraceUs(),
+                        rules.slowStartCapacity(),
+                        rules.slowStartDurationUs(),
+                        rules.overloadMultiple(),
+                        rules.overloadWindowUs(),
                         true),
-                s.limits(),
+                base.limits(),
                 LoadReporting.WITH_RESPONSES,
                 true,
                 true,
-                s.overQuotaWeight(),
-                s.costs(),
+                base.overQuotaWeight(),
+                base.costs(),
                 new TailObjective(0.35, 0.01),
                 true);
     }
--- a/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
+++ b/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
-import static olivechute.loadbalancing.Harness.MS;
-import static olivechute.loadbalancing.Harness.S;
-import static olivechute.loadbalancing.Harness.entry;
+import static olivechute.loadbalancing.Harness.MILLISECOND;
+import static olivechute.loadbalancing.Harness.SECOND;
+import static olivechute.loadbalancing.Harness.endpointInfo;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -21,154 +21,154 @@
  */
 class FleetScenariosTest {
     private static final long SEED = 20261201;
-    private static final long STEP = 10 * MS;
-    private static final long RUN = 200 * MS;
-    private static final int SLOTS = 4;
+    private static final long STEP_US = 10 * MILLISECOND;
+    private static final long RUN_TIME_US = 200 * MILLISECOND;
+    private static final int SLOTS_PER_ENDPOINT = 4;
 
-    private record Sent(Harness node, String job, int attempt) {}
+    private record SentAttempt(Harness node, String requestId, int attempt) {}
 
     /**
      * A worker with four slots and a queue; {@code dead} takes no connection, and one that is up again has lost what it
      * had; {@code shut} refuses each at once, as one whose table of connections is full; {@code bad} answers each job
      * as failed.
      */
-    private static final class Model {
-        final Deque<Sent> queue = new ArrayDeque<>();
-        final Map<Sent, Long> running = new LinkedHashMap<>(); // until when
-        final List<Long> got = new ArrayList<>();
-        boolean dead;
-        boolean shut;
-        boolean bad;
+    private static final class SimulatedEndpoint {
+        final Deque<SentAttempt> queue = new ArrayDeque<>();
+        final Map<SentAttempt, Long> runningUntilUs = new LinkedHashMap<>(); // until when
+        final List<Long> arrivalsUs = new ArrayList<>();
+        boolean down;
+        boolean refusesConnections;
+        boolean failsRequests;
     }
 
     private final List<Harness> nodes = new ArrayList<>();
-    private final Map<String, Model> workers = new TreeMap<>();
+    private final Map<String, SimulatedEndpoint> endpoints = new TreeMap<>();
     private final SplittableRandom random = new SplittableRandom(SEED);
-    private final Map<Harness, Double> rates = new LinkedHashMap<>(); // jobs a second
-    private long now;
+    private final Map<Harness, Double> requestsPerSecond = new LinkedHashMap<>(); // jobs a second
+    private long nowUs;
     private LoadBalancerSettings settings;
-    private EndpointInfo[] known;
+    private EndpointInfo[] initialList;
 
-    private void fleet(int size, double rate, int at) {
-        RequestClass c = new RequestClass(
-                "c", 5 * S, 150 * MS, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * S, null, 0);
-        LoadBalancerSettings s = Harness.settings(List.of(c), List.of(), LoadReporting.WITH_RESPONSES, true, false);
-        settings = Harness.unasked(s, size);
-        known = new EndpointInfo[at];
-        for (int w = 0; w < at; w++) {
-            workers.put("w" + w, new Model());
-            known[w] = entry("w" + w, 0, EndpointState.ACTIVE, 0);
+    private void startFleet(int nodeCount, double requestRate, int endpointCount) {
+        RequestClass requestClass = new RequestClass(
+                "c", 5 * SECOND, 150 * MILLISECOND, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * SECOND, null, 0);
+        LoadBalancerSettings base = Harness.settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false);
+        settings = Harness.withoutProbes(base, nodeCount);
+        initialList = new EndpointInfo[endpointCount];
+        for (int w = 0; w < endpointCount; w++) {
+            endpoints.put("w" + w, new SimulatedEndpoint());
+            initialList[w] = endpointInfo("w" + w, 0, EndpointState.ACTIVE, 0);
         }
-        for (int n = 0; n < size; n++) {
-            start(n, rate);
+        for (int n = 0; n < nodeCount; n++) {
+            startNode(n, requestRate);
         }
     }
 
     /** A node that knows nothing but the list begins, beside what was sent before by the one in its place. */
-    private void start(long seed, double rate) {
-        Harness h = new Harness(settings, SEED + seed);
-        h.advance(now);
-        h.list(ListUpdateKind.FULL, known);
-        nodes.add(h);
-        rates.put(h, rate);
+    private void startNode(long seed, double requestRate) {
+        Harness node = new Harness(settings, SEED + seed);
+        node.advance(nowUs);
+        node.updateList(ListUpdateKind.FULL, initialList);
+        nodes.add(node);
+        requestsPerSecond.put(node, requestRate);
     }
 
-    private void list(EndpointInfo... changed) {
-        for (EndpointInfo e : changed) {
-            workers.computeIfAbsent(e.name(), w -> new Model());
+    private void updateList(EndpointInfo... changed) {
+        for (EndpointInfo endpoint : changed) {
+            endpoints.computeIfAbsent(endpoint.name(), w -> new SimulatedEndpoint());
         }
-        nodes.forEach(h -> h.list(ListUpdateKind.DELTA, changed));
+        nodes.forEach(node -> node.updateList(ListUpdateKind.DELTA, changed));
     }
 
-    private void runUntil(long end) {
-        while (now < end) {
-            now += STEP;
-            for (Harness h : nodes) {
-                h.advance(now - h.now);
-                if (random.nextDouble() < rates.get(h) * STEP / 1e6) {
-                    h.request("r" + h.seen.size(), "c", "a", 5 * S);
+    private void runUntil(long endUs) {
+        while (nowUs < endUs) {
+            nowUs += STEP_US;
+            for (Harness node : nodes) {
+                node.advance(nowUs - node.nowUs);
+                if (random.nextDouble() < requestsPerSecond.get(node) * STEP_US / 1e6) {
+                    node.submit("r" + node.requests.size(), "c", "a", 5 * SECOND);
                 }
-                carry(h);
+                deliverAttempts(node);
             }
-            workers.values().forEach(this::work);
+            endpoints.values().forEach(this::processAttempts);
         }
     }
 
     /** Hands what a node has just sent to its workers. */
-    private void carry(Harness h) {
-        for (Harness.Seen s : h.seen.values()) {
-            int n = s.outcomes.size() - 1;
-            if (n < 0 || s.outcomes.get(n) != null) {
+    private void deliverAttempts(Harness node) {
+        for (Harness.TrackedRequest request : node.requests.values()) {
+            int attempt = request.outcomes.size() - 1;
+            if (attempt < 0 || request.outcomes.get(attempt) != null) {
                 continue;
             }
-            Model m = workers.get(s.workers.get(n));
-            Sent sent = new Sent(h, s.request.id(), n);
-            if (m.shut || m.bad) {
-                h.outcome(
-                        s.request.id(),
-                        n,
-                        m.shut ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.ERROR,
+            SimulatedEndpoint endpoint = endpoints.get(request.endpoints.get(attempt));
+            SentAttempt sent = new SentAttempt(node, request.request.id(), attempt);
+            if (endpoint.refusesConnections || endpoint.failsRequests) {
+                node.endAttempt(
+                        request.request.id(),
+                        attempt,
+                        endpoint.refusesConnections ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.ERROR,
                         LoadReport.NONE);
-            } else if (m.dead && !m.running.containsKey(sent) && !m.queue.contains(sent)) {
-                if (now >= s.sentAt.get(n) + 250 * MS) {
-                    h.outcome(s.request.id(), n, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
+            } else if (endpoint.down && !endpoint.runningUntilUs.containsKey(sent) && !endpoint.queue.contains(sent)) {
+                if (nowUs >= request.sentAtUs.get(attempt) + 250 * MILLISECOND) {
+                    node.endAttempt(request.request.id(), attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
                 }
-            } else if (!m.running.containsKey(sent) && !m.queue.contains(sent)) {
-                m.queue.add(sent);
-                m.got.add(now);
+            } else if (!endpoint.runningUntilUs.containsKey(sent) && !endpoint.queue.contains(sent)) {
+                endpoint.queue.add(sent);
+                endpoint.arrivalsUs.add(nowUs);
             }
         }
     }
 
-    private void work(Model m) {
-        if (m.dead) {
+    private void processAttempts(SimulatedEndpoint endpoint) {
+        if (endpoint.down) {
             return;
         }
-        for (Map.Entry<Sent, Long> e : new ArrayList<>(m.running.entrySet())) {
-            if (e.getValue() <= now) {
-                m.running.remove(e.getKey());
-                Harness h = e.getKey().node();
-                if (h.seen.get(e.getKey().job()).outcomes.get(e.getKey().attempt()) == null) {
-                    h.outcome(
-                            e.getKey().job(),
-                            e.getKey().attempt(),
+        for (Map.Entry<SentAttempt, Long> entry : new ArrayList<>(endpoint.runningUntilUs.entrySet())) {
+            if (entry.getValue() <= nowUs) {
+                endpoint.runningUntilUs.remove(entry.getKey());
+                Harness node = entry.getKey().node();
+                if (node.requests.get(entry.getKey().requestId()).outcomes.get(entry.getKey().attempt()) == null) {
+                    node.endAttempt(
+                            entry.getKey().requestId(),
+                            entry.getKey().attempt(),
                             AttemptOutcome.OK,
                             new LoadReport(
-                                    Math.max(0, SLOTS - m.running.size() - m.queue.size()), Double.NaN, 0.5, 10));
+                                    Math.max(0, SLOTS_PER_ENDPOINT - endpoint.runningUntilUs.size() - endpoint.queue.size()), Double.NaN, 0.5, 10));
                 }
             }
         }
-        while (m.running.size() < SLOTS && !m.queue.isEmpty()) {
-            Sent next = m.queue.poll();
-            m.running.put(next, now + RUN);
-            next.node().module.onAttemptSignal(now, next.job(), next.attempt(), AttemptSignal.STARTED, 0);
+        while (endpoint.runningUntilUs.size() < SLOTS_PER_ENDPOINT && !endpoint.queue.isEmpty()) {
+            SentAttempt next = endpoint.queue.poll();
+            endpoint.runningUntilUs.put(next, nowUs + RUN_TIME_US);
+            next.node().loadBalancer.onAttemptSignal(nowUs, next.requestId(), next.attempt(), AttemptSignal.STARTED, 0);
         }
     }
 
-    private int answered(String how) {
+    private int countAnswers(String answer) {
         return (int) nodes.stream()
-                .flatMap(h -> h.seen.values().stream())
-                .filter(s -> how.equals(s.answer))
+                .flatMap(h -> h.requests.values().stream())
+                .filter(s -> answer.equals(s.answer))
                 .count();
     }
 
-    private long ended(AttemptOutcome how) {
+    private long countOutcomes(AttemptOutcome outcome) {
         return nodes.stream()
-                .flatMap(h -> h.seen.values().stream())
+                .flatMap(h -> h.requests.values().stream())
                 .flatMap(s -> s.outcomes.stream())
-                .filter(o -> o == how)
+                .filter(o -> o == outcome)
                 .count();
     }
 
-    private int jobs() {
-        return nodes.stream().mapToInt(h -> h.seen.size()).sum();
+    private int requestCount() {
+        return nodes.stream().mapToInt(h -> h.requests.size()).sum();
     }
 
-    private static int most(List<Long> times, long window) {
+    private static int maxInWindow(List<Long> timesUs, long windowUs) {
         int most = 0;
-        for (long from : times) {
+        for (long from : timesUs) {
             most = Math.max(most, (int)
-                    times.stream().filter(t -> t >= from && t < from + window).count());
+                    timesUs.stream().filter(t -> t >= from && t < from + windowUs).count());
         }
         return most;
     }
@@ -177,56 +177,56 @@
      * join: six in ten replaced within 7 s; none of those that came may stand idle, nor get more at once than it bears.
      */
     @Test
-    void aListReplacedNearlyWholeLeavesNoNewcomerIdleAndPushesNoneOver() {
-        fleet(20, 7, 10); // 70 % of what ten workers bear
-        runUntil(3 * S);
+    void replacedEndpointsAreUsedSoonAndNotOverloaded() {
+        startFleet(20, 7, 10); // 70 % of what ten workers bear
+        runUntil(3 * SECOND);
         for (int i = 0; i < 6; i++) {
-            list(entry("new" + i, 0, EndpointState.ACTIVE, now), entry("w" + i, 0, EndpointState.DRAINING, 0));
-            runUntil(3 * S + (i + 1) * 1100L * MS);
+            updateList(endpointInfo("new" + i, 0, EndpointState.ACTIVE, nowUs), endpointInfo("w" + i, 0, EndpointState.DRAINING, 0));
+            runUntil(3 * SECOND + (i + 1) * 1100L * MILLISECOND);
         }
-        long replaced = now;
-        runUntil(replaced + 3 * S);
+        long replacedAtUs = nowUs;
+        runUntil(replacedAtUs + 3 * SECOND);
         for (int i = 0; i < 6; i++) {
-            List<Long> got = workers.get("new" + i).got;
-            long since = 3 * S + i * 1100L * MS;
-            assertTrue(!got.isEmpty() && got.get(0) < since + 2 * S, "new" + i + " idle, seed " + SEED);
-            List<Long> early = got.stream().filter(t -> t < since + 2 * S).toList();
+            List<Long> arrivalsUs = endpoints.get("new" + i).arrivalsUs;
+            long startedAtUs = 3 * SECOND + i * 1100L * MILLISECOND;
+            assertTrue(!arrivalsUs.isEmpty() && arrivalsUs.get(0) < startedAtUs + 2 * SECOND, "new" + i + " idle, seed " + SEED);
+            List<Long> earlyArrivalsUs = arrivalsUs.stream().filter(t -> t < startedAtUs + 2 * SECOND).toList();
             assertTrue(
-                    most(early, S) * RUN <= 3 * 0.28 * SLOTS * S,
-                    most(early, S) + " at new" + i + " in a second, seed " + SEED);
+                    maxInWindow(earlyArrivalsUs, SECOND) * RUN_TIME_US <= 3 * 0.28 * SLOTS_PER_ENDPOINT * SECOND,
+                    maxInWindow(earlyArrivalsUs, SECOND) + " at new" + i + " in a second, seed " + SEED);
         }
-        runUntil(now + 6 * S);
-        assertTrue(answered("served") > 0.75 * jobs(), answered("served") + " of " + jobs() + ", seed " + SEED);
+        runUntil(nowUs + 6 * SECOND);
+        assertTrue(countAnswers("served") > 0.75 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /** zone: three in ten vanish for 5 s; what all nodes lose by trying them is bounded, and they are used again. */
     @Test
-    void aZoneThatVanishesIsTriedSeldomAndUsedAgain() {
-        fleet(20, 5, 10);
-        runUntil(3 * S);
+    void unreachableZoneIsRarelyRetriedAndUsedAfterRecovery() {
+        startFleet(20, 5, 10);
+        runUntil(3 * SECOND);
         for (int w = 0; w < 3; w++) {
-            workers.get("w" + w).dead = true;
+            endpoints.get("w" + w).down = true;
         }
-        runUntil(8 * S);
-        long failed = ended(AttemptOutcome.CONNECT_FAILED);
+        runUntil(8 * SECOND);
+        long failedConnects = countOutcomes(AttemptOutcome.CONNECT_FAILED);
         // 30 of some 500 jobs; without the rests after a failed dial there are 48.
-        assertTrue(failed <= 40, failed + " failed dials, seed " + SEED);
+        assertTrue(failedConnects <= 40, failedConnects + " failed dials, seed " + SEED);
         for (int w = 0; w < 3; w++) {
-            Model m = workers.get("w" + w);
-            m.dead = false;
-            m.queue.clear();
-            m.running.clear();
-            list(entry("w" + w, 0, EndpointState.ACTIVE, now));
-            m.got.clear();
+            SimulatedEndpoint endpoint = endpoints.get("w" + w);
+            endpoint.down = false;
+            endpoint.queue.clear();
+            endpoint.runningUntilUs.clear();
+            updateList(endpointInfo("w" + w, 0, EndpointState.ACTIVE, nowUs));
+            endpoint.arrivalsUs.clear();
         }
-        long back = now;
-        runUntil(back + 3 * S);
+        long recoveredAtUs = nowUs;
+        runUntil(recoveredAtUs + 3 * SECOND);
         for (int w = 0; w < 3; w++) {
-            List<Long> got = workers.get("w" + w).got;
-            assertTrue(!got.isEmpty(), "w" + w + " idle, seed " + SEED);
+            List<Long> arrivalsUs = endpoints.get("w" + w).arrivalsUs;
+            assertTrue(!arrivalsUs.isEmpty(), "w" + w + " idle, seed " + SEED);
             assertTrue(
-                    most(got, S) * RUN <= 3 * 0.33 * SLOTS * S,
-                    most(got, S) + " at w" + w + " in a second, seed " + SEED);
+                    maxInWindow(arrivalsUs, SECOND) * RUN_TIME_US <= 3 * 0.33 * SLOTS_PER_ENDPOINT * SECOND,
+                    maxInWindow(arrivalsUs, SECOND) + " at w" + w + " in a second, seed " + SEED);
         }
     }
 
@@ -235,60 +235,60 @@
      * too.
      */
     @Test
-    void aNodeWithNextToNoTrafficAndOneWithMuchAreServed() {
-        fleet(10, 5, 10);
-        rates.put(nodes.get(0), 0.1);
-        rates.put(nodes.get(1), 50.0);
-        runUntil(40 * S);
-        List<Harness.Seen> few = nodes.get(0).seen.values().stream()
-                .filter(s -> s.arrived < now - 5 * S)
+    void requestsOfQuietAndBusyNodesAreServed() {
+        startFleet(10, 5, 10);
+        requestsPerSecond.put(nodes.get(0), 0.1);
+        requestsPerSecond.put(nodes.get(1), 50.0);
+        runUntil(40 * SECOND);
+        List<Harness.TrackedRequest> quietNodeRequests = nodes.get(0).requests.values().stream()
+                .filter(s -> s.arrivedAtUs < nowUs - 5 * SECOND)
                 .toList();
-        assertTrue(few.size() >= 2, few.size() + " jobs, seed " + SEED);
-        assertTrue(few.stream().allMatch(s -> "served".equals(s.answer)), "seed " + SEED);
-        long many = nodes.get(1).seen.values().stream()
+        assertTrue(quietNodeRequests.size() >= 2, quietNodeRequests.size() + " jobs, seed " + SEED);
+        assertTrue(quietNodeRequests.stream().allMatch(s -> "served".equals(s.answer)), "seed " + SEED);
+        long busyNodeServed = nodes.get(1).requests.values().stream()
                 .filter(s -> "served".equals(s.answer))
                 .count();
         assertTrue(
-                many > 0.9 * nodes.get(1).seen.size(),
-                many + " of " + nodes.get(1).seen.size() + ", seed " + SEED);
+                busyNodeServed > 0.9 * nodes.get(1).requests.size(),
+                busyNodeServed + " of " + nodes.get(1).requests.size() + ", seed " + SEED);
     }
 
     /** herd: seven in ten nodes start within a second and know nothing; together they must not bury any worker. */
     @Test
-    void nodesThatStartTogetherBuryNoWorker() {
-        fleet(20, 7, 10);
-        runUntil(3 * S);
+    void nodesThatStartTogetherOverloadNoEndpoint() {
+        startFleet(20, 7, 10);
+        runUntil(3 * SECOND);
         for (int n = 0; n < 14; n++) {
-            rates.put(nodes.get(n), 0.0);
+            requestsPerSecond.put(nodes.get(n), 0.0);
         }
         for (int n = 0; n < 14; n++) {
-            start(100 + n, 7);
-            runUntil(now + 70 * MS);
+            startNode(100 + n, 7);
+            runUntil(nowUs + 70 * MILLISECOND);
         }
-        long from = now;
-        int deepest = 0;
-        while (now < from + 3 * S) {
-            runUntil(now + 100 * MS);
-            deepest = Math.max(
-                    deepest,
-                    workers.values().stream()
+        long fromUs = nowUs;
+        int longestQueue = 0;
+        while (nowUs < fromUs + 3 * SECOND) {
+            runUntil(nowUs + 100 * MILLISECOND);
+            longestQueue = Math.max(
+                    longestQueue,
+                    endpoints.values().stream()
                             .mapToInt(m -> m.queue.size())
                             .max()
                             .orElse(0));
         }
-        assertTrue(deepest <= 2 * SLOTS, deepest + " in one queue, seed " + SEED);
-        assertTrue(answered("served") > 0.85 * jobs(), answered("served") + " of " + jobs() + ", seed " + SEED);
+        assertTrue(longestQueue <= 2 * SLOTS_PER_ENDPOINT, longestQueue + " in one queue, seed " + SEED);
+        assertTrue(countAnswers("served") > 0.85 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /** zone: one of ten fails all it gets; a hundred nodes find out one by one, and next to no job is lost for it. */
     @Test
-    void aBadWorkerThatEachNodeSeesSeldomCostsFewJobs() {
-        fleet(100, 1.5, 10);
-        workers.get("w0").bad = true;
-        runUntil(12 * S);
-        assertTrue(ended(AttemptOutcome.ERROR) > 20, ended(AttemptOutcome.ERROR) + " errors, seed " + SEED);
+    void failingEndpointThatEachNodeRarelyUsesCostsFewRequests() {
+        startFleet(100, 1.5, 10);
+        endpoints.get("w0").failsRequests = true;
+        runUntil(12 * SECOND);
+        assertTrue(countOutcomes(AttemptOutcome.ERROR) > 20, countOutcomes(AttemptOutcome.ERROR) + " errors, seed " + SEED);
         // 31 of 1,751 as it is, for want of room; 59 where nothing is repeated.
-        assertTrue(answered("refused") + answered("failed") <= 45, answered("refused") + " refused, seed " + SEED);
+        assertTrue(countAnswers("refused") + countAnswers("failed") <= 45, countAnswers("refused") + " refused, seed " + SEED);
     }
 
     /**
@@ -296,15 +296,15 @@
      * come back seldom.
      */
     @Test
-    void aWorkerThatTakesNoConnectionIsAskedSeldom() {
-        fleet(20, 5, 10);
-        workers.get("w0").shut = true;
-        runUntil(12 * S);
+    void endpointThatRefusesConnectionsIsRarelyRetried() {
+        startFleet(20, 5, 10);
+        endpoints.get("w0").refusesConnections = true;
+        runUntil(12 * SECOND);
         // 9 as it is, 14 without the rests after a failed dial.
         assertTrue(
-                ended(AttemptOutcome.CONNECT_FAILED) <= 12,
-                ended(AttemptOutcome.CONNECT_FAILED) + " failed dials, seed " + SEED);
-        assertTrue(answered("served") > 0.9 * jobs(), answered("served") + " of " + jobs() + ", seed " + SEED);
+                countOutcomes(AttemptOutcome.CONNECT_FAILED) <= 12,
+                countOutcomes(AttemptOutcome.CONNECT_FAILED) + " failed dials, seed " + SEED);
+        assertTrue(countAnswers("served") > 0.9 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /**
@@ -312,33 +312,33 @@
      * once.
      */
     @Test
-    void aHundredCallersComeBackToDiscoverySpread() {
-        List<Long> calls = new ArrayList<>();
-        long slowest = 0;
+    void pollsOfAHundredNodesAreSpreadOnceDiscoveryRecovers() {
+        List<Long> callsUs = new ArrayList<>();
+        long latestUs = 0;
         for (int n = 0; n < 100; n++) {
-            Harness h = new Harness(
+            Harness node = new Harness(
                     Harness.settings(
-                            List.of(Harness.kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                            List.of(Harness.requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                             List.of(),
                             LoadReporting.NONE,
                             false,
                             false),
                     SEED + n);
-            int asked = 0;
-            while (h.now < 10 * S) {
-                if (h.watches > asked) {
-                    asked = h.watches;
-                    if (h.now >= 3 * S) {
+            int watchCalls = 0;
+            while (node.nowUs < 10 * SECOND) {
+                if (node.watchCalls > watchCalls) {
+                    watchCalls = node.watchCalls;
+                    if (node.nowUs >= 3 * SECOND) {
                         break;
                     }
-                    h.list(ListUpdateKind.FAILED);
+                    node.updateList(ListUpdateKind.FAILED);
                 }
-                h.advance(STEP);
+                node.advance(STEP_US);
             }
-            calls.add(h.now);
-            slowest = Math.max(slowest, h.now);
+            callsUs.add(node.nowUs);
+            latestUs = Math.max(latestUs, node.nowUs);
         }
-        assertTrue(most(calls, 100 * MS) <= 20, most(calls, 100 * MS) + " calls in a tenth of a second, seed " + SEED);
-        assertTrue(slowest <= 3 * S + 4 * S, "the last one after " + slowest + " us, seed " + SEED);
+        assertTrue(maxInWindow(callsUs, 100 * MILLISECOND) <= 20, maxInWindow(callsUs, 100 * MILLISECOND) + " calls in a tenth of a second, seed " + SEED);
+        assertTrue(latestUs <= 3 * SECOND + 4 * SECOND, "the last one after " + latestUs + " us, seed " + SEED);
     }
 }
--- a/src/test/java/olivechute/loadbalancing/Harness.java
+++ b/src/test/java/olivechute/loadbalancing/Harness.java
@@ -12,76 +12,76 @@
 
 /** A host that records what the module asks for and checks the rules on every action. */
 final class Harness implements LoadBalancer.Helper {
-    static final long MS = 1000;
-    static final long S = 1_000_000;
+    static final long MILLISECOND = 1000;
+    static final long SECOND = 1_000_000;
 
     /** One request as the host sees it. */
-    static final class Seen {
+    static final class TrackedRequest {
         Request request;
-        RequestClass kind;
-        long arrived;
+        RequestClass requestClass;
+        long arrivedAtUs;
         String answer;
-        long retryAfter;
-        final List<String> workers = new ArrayList<>();
-        final List<Long> sentAt = new ArrayList<>();
+        long retryAfterUs;
+        final List<String> endpoints = new ArrayList<>();
+        final List<Long> sentAtUs = new ArrayList<>();
         final List<AttemptOutcome> outcomes = new ArrayList<>();
 
-        int out() {
+        int attemptsInFlight() {
             return (int) outcomes.stream().filter(o -> o == null).count();
         }
     }
 
     final LoadBalancerSettings settings;
-    final ShareLoadBalancer module;
-    final Map<String, Seen> seen = new LinkedHashMap<>();
-    final Map<String, EndpointInfo> listed = new LinkedHashMap<>();
-    final Map<String, Long> drainedAt = new LinkedHashMap<>();
-    final List<String> log = new ArrayList<>();
+    final ShareLoadBalancer loadBalancer;
+    final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
+    final Map<String, EndpointInfo> listedEndpoints = new LinkedHashMap<>();
+    final Map<String, Long> drainedAtUs = new LinkedHashMap<>();
+    final List<String> actionLog = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    int watches;
-    long listOutOfDateFor;
-    long now;
+    int watchCalls;
+    long listStaleForUs;
+    long nowUs;
 
     Harness(LoadBalancerSettings settings, long seed) {
         this.settings = settings;
-        module = new ShareLoadBalancer(settings, seed, this, new HealthView() {
+        loadBalancer = new ShareLoadBalancer(settings, seed, this, new HealthView() {
             @Override
-            public EndpointHealth endpoint(String worker) {
-                return HealthView.NONE.endpoint(worker);
+            public EndpointHealth endpoint(String endpoint) {
+                return HealthView.NONE.endpoint(endpoint);
             }
 
             @Override
-            public boolean allowsRetry(long at, String tenant, int requestClass, AttemptOutcome last, long left) {
-                return HealthView.NONE.allowsRetry(at, tenant, requestClass, last, left);
+            public boolean allowsRetry(long atUs, String tenant, int classIndex, AttemptOutcome last, long timeLeftUs) {
+                return HealthView.NONE.allowsRetry(atUs, tenant, classIndex, last, timeLeftUs);
             }
 
             @Override
-            public long listStaleForUs(long at) {
-                return listOutOfDateFor;
+            public long listStaleForUs(long atUs) {
+                return listStaleForUs;
             }
         });
-        module.start(now);
+        loadBalancer.start(nowUs);
     }
 
-    static RequestClass kind(String name, Idempotency effect, DeduplicationScope group) {
-        return new RequestClass(name, 5 * S, 300 * MS, 2, 1, 0, effect, group, 2 * S, null, 0);
+    static RequestClass requestClass(String name, Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        return new RequestClass(name, 5 * SECOND, 300 * MILLISECOND, 2, 1, 0, idempotency, deduplicationScope, 2 * SECOND, null, 0);
     }
 
     static LoadBalancerSettings settings(
             List<RequestClass> classes,
             List<Tenant> tenants,
-            LoadReporting reports,
-            boolean tellsStart,
-            boolean parallel) {
+            LoadReporting loadReporting,
+            boolean notifiesStart,
+            boolean hedgingAllowed) {
         return new LoadBalancerSettings(
                 classes,
                 tenants,
                 "z0",
                 2,
-                new ServiceRules(8 * MS, 10 * S, 500 * MS, 0.2, 20 * S, 3, S, false),
-                new DispatchLimits(true, true, parallel, true, 3, 2 * S, 10 * S),
-                reports,
-                tellsStart,
+                new ServiceRules(8 * MILLISECOND, 10 * SECOND, 500 * MILLISECOND, 0.2, 20 * SECOND, 3, SECOND, false),
+                new DispatchLimits(true, true, hedgingAllowed, true, 3, 2 * SECOND, 10 * SECOND),
+                loadReporting,
+                notifiesStart,
                 true,
                 0.1,
                 new CostWeights(0.02, 0.01, 0, 0),
@@ -89,312 +89,312 @@
                 true);
     }
 
-    static LoadBalancerSettings with(LoadBalancerSettings s, boolean onlyDraining, TailObjective tail) {
-        ServiceRules r = s.rules();
+    static LoadBalancerSettings withDrainRuleAndTail(LoadBalancerSettings base, boolean onlyDrainingBinds, TailObjective tail) {
+        ServiceRules rules = base.rules();
         return new LoadBalancerSettings(
-                s.classes(),
-                s.tenants(),
-                s.zone(),
-                s.fleetSize(),
+                base.classes(),
+                base.tenants(),
+                base.zone(),
+                base.fleetSize(),
                 new ServiceRules(
-                        r.answerSlackUs(),
-                        r.listPollIntervalUs(),
-                        r.drainGraceUs(),
-                        r.slowStartCapacity(),
-                        r.slowStartDurationUs(),
-                        r.overloadMultiple(),
-                        r.overloadWindowUs(),
-                        onlyDraining),
-                s.limits(),
-                s.loadReporting(),
-                s.notifiesStart(),
-                s.pollsList(),
-                s.overQuotaWeight(),
-                s.costs(),
+                        rules.answerSlackUs(),
+                        rules.listPollIntervalUs(),
+                        rules.drainGraceUs(),
+                        rules.slowStartCapacity(),
+                        rules.slowStartDurationUs(),
+                        rules.overloadMultiple(),
+                        rules.overloadWindowUs(),
+                        onlyDrainingBinds),
+                base.limits(),
+                base.loadReporting(),
+                base.notifiesStart(),
+                base.pollsList(),
+                base.overQuotaWeight(),
+                base.costs(),
                 tail,
-                s.marksRetries());
+                base.marksRetries());
     }
 
     /** The same under other rules. */
-    static LoadBalancerSettings ruled(LoadBalancerSettings s, ServiceRules rules) {
+    static LoadBalancerSettings withRules(LoadBalancerSettings base, ServiceRules rules) {
         return new LoadBalancerSettings(
-                s.classes(),
-                s.tenants(),
-                s.zone(),
-                s.fleetSize(),
+                base.classes(),
+                base.tenants(),
+                base.zone(),
+                base.fleetSize(),
                 rules,
-                s.limits(),
-                s.loadReporting(),
-                s.notifiesStart(),
-                s.pollsList(),
-                s.overQuotaWeight(),
-                s.costs(),
-                s.tail(),
-                s.marksRetries());
+                base.limits(),
+                base.loadReporting(),
+                base.notifiesStart(),
+                base.pollsList(),
+                base.overQuotaWeight(),
+                base.costs(),
+                base.tail(),
+                base.marksRetries());
     }
 
     /** The same where a node may go without a call for the list for so long. */
-    static LoadBalancerSettings askingEvery(LoadBalancerSettings s, long askEvery) {
-        ServiceRules r = s.rules();
-        return ruled(
-                s,
+    static LoadBalancerSettings withPollInterval(LoadBalancerSettings base, long pollIntervalUs) {
+        ServiceRules rules = base.rules();
+        return withRules(
+                base,
                 new ServiceRules(
-                        r.answerSlackUs(),
-                        askEvery,
-                        r.drainGraceUs(),
-                        r.slowStartCapacity(),
-                        r.slowStartDurationUs(),
-                        r.overloadMultiple(),
-                        r.overloadWindowUs(),
-                        r.keepsUnlistedEndpoints()));
+                        rules.answerSlackUs(),
+                        pollIntervalUs,
+                        rules.drainGraceUs(),
+                        rules.slowStartCapacity(),
+                        rules.slowStartDurationUs(),
+                        rules.overloadMultiple(),
+                        rules.overloadWindowUs(),
+                        rules.keepsUnlistedEndpoints()));
     }
 
     /** The same for a fleet of this size that may not probe. */
-    static LoadBalancerSettings unasked(LoadBalancerSettings s, int nodes) {
-        DispatchLimits l = s.limits();
+    static LoadBalancerSettings withoutProbes(LoadBalancerSettings base, int fleetSize) {
+        DispatchLimits limits = base.limits();
         return new LoadBalancerSettings(
-                s.classes(),
-                s.tenants(),
-                s.zone(),
-                nodes,
-                s.rules(),
+                base.classes(),
+                base.tenants(),
+                base.zone(),
+                fleetSize,
+                base.rules(),
                 new DispatchLimits(
                         false,
-                        l.cancelAllowed(),
-                        l.hedgingAllowed(),
-                        l.retryAfterAllowed(),
-                        l.maxAttempts(),
-                        l.maxRetryAfterUs(),
-                        l.connectionIdleTimeoutUs()),
-                s.loadReporting(),
-                s.notifiesStart(),
-                s.pollsList(),
-                s.overQuotaWeight(),
-                s.costs(),
-                s.tail(),
-                s.marksRetries());
+                        limits.cancelAllowed(),
+                        limits.hedgingAllowed(),
+                        limits.retryAfterAllowed(),
+                        limits.maxAttempts(),
+                        limits.maxRetryAfterUs(),
+                        limits.connectionIdleTimeoutUs()),
+                base.loadReporting(),
+                base.notifiesStart(),
+                base.pollsList(),
+                base.overQuotaWeight(),
+                base.costs(),
+                base.tail(),
+                base.marksRetries());
     }
 
-    static EndpointInfo entry(String worker, int cell, EndpointState state, long startedAt) {
-        return new EndpointInfo(worker, "z" + cell % 2, "k", cell, state, 1, startedAt);
+    static EndpointInfo endpointInfo(String name, int cell, EndpointState state, long startedAtUs) {
+        return new EndpointInfo(name, "z" + cell % 2, "k", cell, state, 1, startedAtUs);
     }
 
-    void list(ListUpdateKind kind, EndpointInfo... entries) {
+    void updateList(ListUpdateKind kind, EndpointInfo... endpoints) {
         if (kind != ListUpdateKind.DELTA && kind != ListUpdateKind.FAILED) {
-            for (String w : listed.keySet()) {
+            for (String name : listedEndpoints.keySet()) {
                 if (!settings.rules().keepsUnlistedEndpoints()) {
-                    drainedAt.putIfAbsent(w, now);
+                    drainedAtUs.putIfAbsent(name, nowUs);
                 }
             }
         }
-        for (EndpointInfo e : entries) {
-            listed.put(e.name(), e);
-            if (e.state() == EndpointState.ACTIVE) {
-                drainedAt.remove(e.name());
-            } else if (e.state() == EndpointState.DRAINING || !settings.rules().keepsUnlistedEndpoints()) {
-                drainedAt.putIfAbsent(e.name(), now);
+        for (EndpointInfo endpoint : endpoints) {
+            listedEndpoints.put(endpoint.name(), endpoint);
+            if (endpoint.state() == EndpointState.ACTIVE) {
+                drainedAtUs.remove(endpoint.name());
+            } else if (endpoint.state() == EndpointState.DRAINING || !settings.rules().keepsUnlistedEndpoints()) {
+                drainedAtUs.putIfAbsent(endpoint.name(), nowUs);
             }
         }
-        module.onListUpdate(now, kind, List.of(entries));
+        loadBalancer.onListUpdate(nowUs, kind, List.of(endpoints));
     }
 
-    void workers(int n) {
-        EndpointInfo[] entries = new EndpointInfo[n];
-        for (int i = 0; i < n; i++) {
-            entries[i] = entry("w" + i, 0, EndpointState.ACTIVE, 0);
+    void listActiveEndpoints(int count) {
+        EndpointInfo[] endpoints = new EndpointInfo[count];
+        for (int i = 0; i < count; i++) {
+            endpoints[i] = endpointInfo("w" + i, 0, EndpointState.ACTIVE, 0);
         }
-        list(ListUpdateKind.FULL, entries);
+        updateList(ListUpdateKind.FULL, endpoints);
     }
 
-    void request(String id, String kind, String tenant, long left) {
-        arrive(id, kind, tenant, left, Double.NaN, false);
+    void submit(String id, String className, String tenant, long timeLeftUs) {
+        submitRequest(id, className, tenant, timeLeftUs, Double.NaN, false);
     }
 
-    void retry(String id, String kind, String tenant, long left) {
-        arrive(id, kind, tenant, left, Double.NaN, true);
+    void submitRetry(String id, String className, String tenant, long timeLeftUs) {
+        submitRequest(id, className, tenant, timeLeftUs, Double.NaN, true);
     }
 
-    void arrive(String id, String kind, String tenant, long left, double memory, boolean repeat) {
-        Seen s = new Seen();
-        s.request = new Request(id, kind, tenant, "k", left, Double.NaN, 1, memory, repeat);
-        s.kind = settings.classes().stream()
-                .filter(c -> c.name().equals(kind))
+    void submitRequest(String id, String className, String tenant, long timeLeftUs, double memory, boolean retry) {
+        TrackedRequest tracked = new TrackedRequest();
+        tracked.request = new Request(id, className, tenant, "k", timeLeftUs, Double.NaN, 1, memory, retry);
+        tracked.requestClass = settings.classes().stream()
+                .filter(candidate -> candidate.name().equals(className))
                 .findFirst()
                 .orElse(null);
-        s.arrived = now;
-        seen.put(id, s);
-        module.onRequest(now, s.request);
+        tracked.arrivedAtUs = nowUs;
+        requests.put(id, tracked);
+        loadBalancer.onRequest(nowUs, tracked.request);
     }
 
-    void started(String id) {
-        module.onAttemptSignal(now, id, seen.get(id).outcomes.size() - 1, AttemptSignal.STARTED, 0);
+    void reportStarted(String id) {
+        loadBalancer.onAttemptSignal(nowUs, id, requests.get(id).outcomes.size() - 1, AttemptSignal.STARTED, 0);
     }
 
-    void outcome(String id, AttemptOutcome outcome) {
-        outcome(id, seen.get(id).outcomes.size() - 1, outcome, LoadReport.NONE);
+    void endAttempt(String id, AttemptOutcome outcome) {
+        endAttempt(id, requests.get(id).outcomes.size() - 1, outcome, LoadReport.NONE);
     }
 
-    void outcome(String id, int n, AttemptOutcome outcome, LoadReport load) {
-        Seen s = seen.get(id);
-        s.outcomes.set(n, outcome);
-        if (outcome == AttemptOutcome.OK && s.answer == null) {
-            s.answer = "served";
+    void endAttempt(String id, int attempt, AttemptOutcome outcome, LoadReport load) {
+        TrackedRequest tracked = requests.get(id);
+        tracked.outcomes.set(attempt, outcome);
+        if (outcome == AttemptOutcome.OK && tracked.answer == null) {
+            tracked.answer = "served";
         }
-        module.onAttemptEnd(now, id, n, outcome, now - s.sentAt.get(n), s.answer != null, load);
+        loadBalancer.onAttemptEnd(nowUs, id, attempt, outcome, nowUs - tracked.sentAtUs.get(attempt), tracked.answer != null, load);
     }
 
     /**
      * A node with one worker, w1, that has learned how long a job of class c takes, and is then told that w0 started.
      */
-    static Harness learned(LoadBalancerSettings settings, long seed, long run) {
-        Harness h = new Harness(settings, seed);
-        h.now = 100 * S;
-        h.list(ListUpdateKind.FULL, entry("w1", 0, EndpointState.ACTIVE, 0));
+    static Harness withLearnedRunTime(LoadBalancerSettings settings, long seed, long runTimeUs) {
+        Harness harness = new Harness(settings, seed);
+        harness.nowUs = 100 * SECOND;
+        harness.updateList(ListUpdateKind.FULL, endpointInfo("w1", 0, EndpointState.ACTIVE, 0));
         for (int i = 0; i < 20; i++) {
-            h.request("l" + i, "c", "a", 5 * S);
-            h.advance(run);
-            h.outcome("l" + i, AttemptOutcome.OK);
+            harness.submit("l" + i, "c", "a", 5 * SECOND);
+            harness.advance(runTimeUs);
+            harness.endAttempt("l" + i, AttemptOutcome.OK);
         }
-        h.list(ListUpdateKind.FULL, entry("w0", 0, EndpointState.ACTIVE, h.now));
-        return h;
+        harness.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, harness.nowUs));
+        return harness;
     }
 
     /** Moves the clock, firing timers on the way, and checks that nothing is overdue. */
-    void advance(long by) {
-        long end = now + by;
+    void advance(long durationUs) {
+        long endUs = nowUs + durationUs;
         for (; ; ) {
-            long[] next = null;
-            for (long[] t : timers) {
-                if (t[0] <= end && (next == null || t[0] < next[0])) {
-                    next = t;
+            long[] nextTimer = null;
+            for (long[] timer : timers) {
+                if (timer[0] <= endUs && (nextTimer == null || timer[0] < nextTimer[0])) {
+                    nextTimer = timer;
                 }
             }
-            Seen due = null; // attempts are cut at the client's deadline
-            for (Seen s : seen.values()) {
-                long until = s.arrived + s.request.timeLeftUs();
-                if (s.out() > 0
-                        && until <= end
-                        && (next == null || until <= next[0])
-                        && (due == null || until < due.arrived + due.request.timeLeftUs())) {
-                    due = s;
+            TrackedRequest overdue = null; // attempts are cut at the client's deadline
+            for (TrackedRequest tracked : requests.values()) {
+                long deadlineUs = tracked.arrivedAtUs + tracked.request.timeLeftUs();
+                if (tracked.attemptsInFlight() > 0
+                        && deadlineUs <= endUs
+                        && (nextTimer == null || deadlineUs <= nextTimer[0])
+                        && (overdue == null || deadlineUs < overdue.arrivedAtUs + overdue.request.timeLeftUs())) {
+                    overdue = tracked;
                 }
             }
-            if (due != null) {
-                now = Math.max(now, due.arrived + due.request.timeLeftUs());
-                outcome(due.request.id(), due.outcomes.lastIndexOf(null), AttemptOutcome.TIMEOUT, LoadReport.NONE);
+            if (overdue != null) {
+                nowUs = Math.max(nowUs, overdue.arrivedAtUs + overdue.request.timeLeftUs());
+                endAttempt(overdue.request.id(), overdue.outcomes.lastIndexOf(null), AttemptOutcome.TIMEOUT, LoadReport.NONE);
                 continue;
             }
-            if (next == null) {
+            if (nextTimer == null) {
                 break;
             }
-            timers.remove(next);
-            now = Math.max(now, next[0]);
-            module.onTimer(now, next[1]);
-            for (Seen s : seen.values()) {
+            timers.remove(nextTimer);
+            nowUs = Math.max(nowUs, nextTimer[0]);
+            loadBalancer.onTimer(nowUs, nextTimer[1]);
+            for (TrackedRequest tracked : requests.values()) {
                 assertTrue(
-                        s.answer != null || s.out() > 0 || now <= s.arrived + s.request.timeLeftUs() + 8 * MS,
-                        "no answer in time for " + s.request.id());
+                        tracked.answer != null || tracked.attemptsInFlight() > 0 || nowUs <= tracked.arrivedAtUs + tracked.request.timeLeftUs() + 8 * MILLISECOND,
+                        "no answer in time for " + tracked.request.id());
             }
         }
-        now = end;
+        nowUs = endUs;
     }
 
-    String answer(String id) {
-        return seen.get(id).answer;
+    String answerOf(String id) {
+        return requests.get(id).answer;
     }
 
-    String workerOf(String id) {
-        List<String> w = seen.get(id).workers;
-        return w.isEmpty() ? null : w.get(w.size() - 1);
+    String lastEndpointOf(String id) {
+        List<String> endpoints = requests.get(id).endpoints;
+        return endpoints.isEmpty() ? null : endpoints.get(endpoints.size() - 1);
     }
 
     @Override
-    public void send(String id, String worker, long timeout) {
-        Seen s = seen.get(id);
-        assertNotNull(s, "unknown request");
-        assertEquals(null, s.answer, "sent after the final answer");
-        assertTrue(listed.containsKey(worker), "never listed");
+    public void send(String id, String endpoint, long timeoutUs) {
+        TrackedRequest tracked = requests.get(id);
+        assertNotNull(tracked, "unknown request");
+        assertEquals(null, tracked.answer, "sent after the final answer");
+        assertTrue(listedEndpoints.containsKey(endpoint), "never listed");
         assertTrue(
-                drainedAt.get(worker) == null || now <= drainedAt.get(worker) + 500 * MS, "sent to a drained worker");
-        assertTrue(s.workers.size() < settings.limits().maxAttempts(), "too many attempts");
+                drainedAtUs.get(endpoint) == null || nowUs <= drainedAtUs.get(endpoint) + 500 * MILLISECOND, "sent to a drained worker");
+        assertTrue(tracked.endpoints.size() < settings.limits().maxAttempts(), "too many attempts");
         if (!settings.limits().hedgingAllowed()) {
-            assertEquals(0, s.out(), "two attempts out");
+            assertEquals(0, tracked.attemptsInFlight(), "two attempts out");
         }
-        for (int i = 0; i < s.outcomes.size(); i++) {
-            AttemptOutcome o = s.outcomes.get(i);
-            boolean mayHaveRun = o == null || !o.neverExecuted();
-            if (mayHaveRun && s.kind.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+        for (int i = 0; i < tracked.outcomes.size(); i++) {
+            AttemptOutcome outcome = tracked.outcomes.get(i);
+            boolean mayHaveRun = outcome == null || !outcome.neverExecuted();
+            if (mayHaveRun && tracked.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
                 throw new AssertionError("unsafe request sent again");
             }
-            if (mayHaveRun && s.kind.idempotency() == Idempotency.KEYED) {
-                EndpointInfo first = listed.get(s.workers.get(i));
-                EndpointInfo next = listed.get(worker);
-                assertTrue(now <= s.sentAt.get(i) + s.kind.deduplicationWindowUs(), "repeat after the window");
+            if (mayHaveRun && tracked.requestClass.idempotency() == Idempotency.KEYED) {
+                EndpointInfo first = listedEndpoints.get(tracked.endpoints.get(i));
+                EndpointInfo next = listedEndpoints.get(endpoint);
+                assertTrue(nowUs <= tracked.sentAtUs.get(i) + tracked.requestClass.deduplicationWindowUs(), "repeat after the window");
                 assertTrue(
-                        s.kind.deduplicationScope() == DeduplicationScope.ALL
+                        tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL
                                 || first.zone().equals(next.zone()),
                         "repeat outside the zone");
                 assertTrue(
-                        s.kind.deduplicationScope() != DeduplicationScope.CELL || first.cell() == next.cell(),
+                        tracked.requestClass.deduplicationScope() != DeduplicationScope.CELL || first.cell() == next.cell(),
                         "repeat outside the cell");
             }
         }
-        s.workers.add(worker);
-        s.sentAt.add(now);
-        s.outcomes.add(null);
-        log.add(now + " send " + id + " " + worker);
+        tracked.endpoints.add(endpoint);
+        tracked.sentAtUs.add(nowUs);
+        tracked.outcomes.add(null);
+        actionLog.add(nowUs + " send " + id + " " + endpoint);
     }
 
     @Override
-    public void reject(String id, long retryAfter) {
-        Seen s = seen.get(id);
-        boolean proven = s.outcomes.stream().allMatch(o -> o != null && o.neverExecuted());
+    public void reject(String id, long retryAfterUs) {
+        TrackedRequest tracked = requests.get(id);
+        boolean neverExecuted = tracked.outcomes.stream().allMatch(outcome -> outcome != null && outcome.neverExecuted());
         assertTrue(
-                s.kind.idempotency() == Idempotency.IDEMPOTENT
-                        || proven
-                        || (s.kind.idempotency() == Idempotency.KEYED
-                                && s.kind.deduplicationScope() == DeduplicationScope.ALL),
+                tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                        || neverExecuted
+                        || (tracked.requestClass.idempotency() == Idempotency.KEYED
+                                && tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL),
                 "refused though it may have run");
-        assertTrue(retryAfter > 0 && retryAfter <= settings.limits().maxRetryAfterUs(), "advice " + retryAfter);
-        s.retryAfter = retryAfter;
-        end(s, "refused");
+        assertTrue(retryAfterUs > 0 && retryAfterUs <= settings.limits().maxRetryAfterUs(), "advice " + retryAfterUs);
+        tracked.retryAfterUs = retryAfterUs;
+        finish(tracked, "refused");
     }
 
     @Override
     public void fail(String id) {
-        end(seen.get(id), "failed");
+        finish(requests.get(id), "failed");
     }
 
-    private void end(Seen s, String answer) {
-        assertEquals(null, s.answer, "two final answers");
-        assertFalse(now > s.arrived + s.request.timeLeftUs() + 8 * MS, "answered late");
-        s.answer = answer;
-        log.add(now + " " + answer + " " + s.request.id());
+    private void finish(TrackedRequest tracked, String answer) {
+        assertEquals(null, tracked.answer, "two final answers");
+        assertFalse(nowUs > tracked.arrivedAtUs + tracked.request.timeLeftUs() + 8 * MILLISECOND, "answered late");
+        tracked.answer = answer;
+        actionLog.add(nowUs + " " + answer + " " + tracked.request.id());
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        log.add(now + " cancel " + id + " " + attempt);
+        actionLog.add(nowUs + " cancel " + id + " " + attempt);
     }
 
     @Override
-    public void probe(String worker) {
-        log.add(now + " probe " + worker);
+    public void probe(String endpoint) {
+        actionLog.add(nowUs + " probe " + endpoint);
     }
 
     @Override
-    public void closeIdleConnections(String worker) {
-        log.add(now + " close " + worker);
+    public void closeIdleConnections(String endpoint) {
+        actionLog.add(nowUs + " close " + endpoint);
     }
 
     @Override
     public void watchEndpointList() {
-        watches++;
-        log.add(now + " watch");
+        watchCalls++;
+        actionLog.add(nowUs + " watch");
     }
 
     @Override
-    public void schedule(long mark, long delay) {
-        timers.add(new long[] {now + delay, mark});
+    public void schedule(long timerId, long delayUs) {
+        timers.add(new long[] {nowUs + delayUs, timerId});
     }
 }
--- a/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
@@ -14,18 +14,18 @@
     private final List<TenantQueue> tenants = new ArrayList<>();
     private final List<Endpoint> endpoints = new ArrayList<>();
 
-    private ShareController shares(int start, double floor, int endpointCount, double... targets) {
-        ShareController shares = new ShareController(start, 0.02, floor);
-        for (int i = 0; i < targets.length; i++) {
-            TenantQueue tenant = new TenantQueue(new Tenant("t" + i, targets[i], 1), i, 0);
+    private ShareController newController(int initialInstances, double leastIntervalWeight, int endpointCount, double... targetShares) {
+        ShareController controller = new ShareController(initialInstances, 0.02, leastIntervalWeight);
+        for (int i = 0; i < targetShares.length; i++) {
+            TenantQueue tenant = new TenantQueue(new Tenant("t" + i, targetShares[i], 1), i, 0);
             tenants.add(tenant);
-            shares.addTenant(tenant);
+            controller.addTenant(tenant);
         }
         for (int i = 0; i < endpointCount; i++) {
             endpoints.add(endpoint("w" + i));
         }
-        shares.setEndpoints(endpoints);
-        return shares;
+        controller.setEndpoints(endpoints);
+        return controller;
     }
 
     private static Endpoint endpoint(String name) {
@@ -33,109 +33,109 @@
         return new Endpoint(info, new EndpointKindStats(), 0, true, 0);
     }
 
-    private void use(double... slotSeconds) {
-        for (int i = 0; i < slotSeconds.length; i++) {
-            tenants.get(i).slotUsage.intervalSlotTimeUs = slotSeconds[i];
+    private void setUsage(double... slotTimes) {
+        for (int i = 0; i < slotTimes.length; i++) {
+            tenants.get(i).slotUsage.intervalSlotTimeUs = slotTimes[i];
         }
     }
 
     @Test
-    void sharesAreARunningMeanAndIdleIntervalsDoNotCount() {
-        ShareController shares = shares(4, 0, 1, 0.5, 0.5);
-        use(3, 1);
-        shares.onInterval();
+    void averageShareIsARunningMeanThatIgnoresIdleIntervals() {
+        ShareController controller = newController(4, 0, 1, 0.5, 0.5);
+        setUsage(3, 1);
+        controller.onInterval();
         assertEquals(0.75, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 1
-        use(0, 0);
-        shares.onInterval();
+        setUsage(0, 0);
+        controller.onInterval();
         assertEquals(0.75, tenants.get(0).slotUsage.averageShare, 1e-12); // idle: k stays 1
-        use(1, 3);
-        shares.onInterval();
+        setUsage(1, 3);
+        controller.onInterval();
         assertEquals(0.5, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 2: 0.25/2 + 0.75/2
-        use(0, 5);
-        shares.onInterval();
+        setUsage(0, 5);
+        controller.onInterval();
         assertEquals(1.0 / 3, tenants.get(0).slotUsage.averageShare, 1e-12); // k = 3: 0/3 + 2/3 * 0.5
     }
 
     @Test
-    void theAverageKeepsMovingWithAFloor() {
-        ShareController shares = shares(4, 0.25, 1, 0.5, 0.5);
+    void leastIntervalWeightKeepsTheAverageMoving() {
+        ShareController controller = newController(4, 0.25, 1, 0.5, 0.5);
         for (int i = 0; i < 50; i++) {
-            use(1, 1);
-            shares.onInterval();
+            setUsage(1, 1);
+            controller.onInterval();
         }
-        use(1, 0);
-        shares.onInterval();
+        setUsage(1, 0);
+        controller.onInterval();
         assertEquals(0.625, tenants.get(0).slotUsage.averageShare, 1e-12); // 1/4 * 1 + 3/4 * 0.5
     }
 
     @Test
-    void tenantsInsideTheBandRest() {
-        ShareController shares = shares(4, 0, 2, 0.5, 0.5);
-        use(0.519, 0.481);
-        shares.onInterval();
+    void tenantsWithinToleranceKeepTheirInstances() {
+        ShareController controller = newController(4, 0, 2, 0.5, 0.5);
+        setUsage(0.519, 0.481);
+        controller.onInterval();
         assertArrayEquals(new int[] {4, 4}, endpoints.get(0).tenantInstances);
-        assertEquals(0, shares.unassignedInstances());
+        assertEquals(0, controller.unassignedInstances());
     }
 
     @Test
-    void deactivationEarnsTheCreditThatActivationSpendsMostHurtFirst() {
-        ShareController shares = shares(3, 0, 2, 0.2, 0.3, 0.5);
-        use(6, 2, 2); // 0.6 / 0.2 / 0.2: t2 is hurt most
-        shares.onInterval();
+    void creditOfDeactivationsGoesToTheTenantFurthestBelowTarget() {
+        ShareController controller = newController(3, 0, 2, 0.2, 0.3, 0.5);
+        setUsage(6, 2, 2); // 0.6 / 0.2 / 0.2: t2 is hurt most
+        controller.onInterval();
         assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(0).tenantInstances);
         assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(1).tenantInstances);
-        assertEquals(0, shares.unassignedInstances());
+        assertEquals(0, controller.unassignedInstances());
     }
 
     @Test
-    void lastInstancesStayAndCreditIsCarriedOver() {
-        ShareController shares = shares(2, 0, 1, 0.1, 0.1, 0.8);
-        use(4, 4, 2); // two tenants above, one hurt
-        shares.onInterval();
+    void lastInstanceIsKeptAndUnspentCreditIsCarriedOver() {
+        ShareController controller = newController(2, 0, 1, 0.1, 0.1, 0.8);
+        setUsage(4, 4, 2); // two tenants above, one hurt
+        controller.onInterval();
         assertArrayEquals(new int[] {1, 1, 3}, endpoints.get(0).tenantInstances);
-        assertEquals(1, shares.unassignedInstances()); // two earned, one spent
-        use(4, 4, 2);
-        shares.onInterval();
+        assertEquals(1, controller.unassignedInstances()); // two earned, one spent
+        setUsage(4, 4, 2);
+        controller.onInterval();
         assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).tenantInstances);
-        assertEquals(0, shares.unassignedInstances());
-        use(4, 4, 2);
-        shares.onInterval();
+        assertEquals(0, controller.unassignedInstances());
+        setUsage(4, 4, 2);
+        controller.onInterval();
         assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).tenantInstances);
-        assertEquals(0, shares.unassignedInstances());
+        assertEquals(0, controller.unassignedInstances());
     }
 
     @Test
-    void countsAndCreditAreConservedOverLongRandomRuns() {
-        ShareController shares = shares(10, 0.05, 7, 0.43, 0.14, 0.14, 0.14, 0.15);
+    void sumOfInstancesAndCreditIsConservedOverRandomIntervals() {
+        ShareController controller = newController(10, 0.05, 7, 0.43, 0.14, 0.14, 0.14, 0.15);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 20_000; i++) {
-            use(
+            setUsage(
                     random.nextDouble() * 4,
                     random.nextDouble(),
                     random.nextDouble(),
                     random.nextDouble(),
                     random.nextInt(3) == 0 ? 0 : 1);
-            shares.onInterval();
-            int sum = shares.unassignedInstances();
+            controller.onInterval();
+            int sum = controller.unassignedInstances();
             for (Endpoint endpoint : endpoints) {
-                for (int c : endpoint.tenantInstances) {
-                    assertTrue(c >= 1);
-                    sum += c;
+                for (int count : endpoint.tenantInstances) {
+                    assertTrue(count >= 1);
+                    sum += count;
                 }
             }
-            assertTrue(shares.unassignedInstances() >= 0);
+            assertTrue(controller.unassignedInstances() >= 0);
             assertEquals(10 * 7 * 5, sum);
         }
     }
 
     @Test
-    void newcomersStartAtTheStartingCount() {
-        ShareController shares = shares(3, 0, 1, 0.2, 0.8);
-        use(8, 2);
-        shares.onInterval();
+    void newEndpointStartsWithTheInitialInstances() {
+        ShareController controller = newController(3, 0, 1, 0.2, 0.8);
+        setUsage(8, 2);
+        controller.onInterval();
         Endpoint added = endpoint("new");
         endpoints.add(added);
-        shares.setEndpoints(endpoints);
+        controller.setEndpoints(endpoints);
         assertArrayEquals(new int[] {3, 3}, added.tenantInstances);
         assertArrayEquals(new int[] {2, 4}, endpoints.get(0).tenantInstances);
     }
