--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -1,10 +1,10 @@
 package olivechute.loadbalancing;
 
-import static olivechute.loadbalancing.Harness.MS;
-import static olivechute.loadbalancing.Harness.S;
-import static olivechute.loadbalancing.Harness.askingEvery;
-import static olivechute.loadbalancing.Harness.entry;
-import static olivechute.loadbalancing.Harness.kind;
+import static olivechute.loadbalancing.Harness.MILLISECOND;
+import static olivechute.loadbalancing.Harness.SECOND;
+import static olivechute.loadbalancing.Harness.withPollInterval;
+import static olivechute.loadbalancing.Harness.endpointInfo;
+import static olivechute.loadbalancing.Harness.requestClass;
 import static olivechute.loadbalancing.Harness.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -25,10 +25,10 @@
 /** The module's decisions, one failure or rule at a time. */
 @SuppressWarnings("ReferenceEquality") // strings made by the test itself
 class ShareLoadBalancerTest {
-    private static final List<Tenant> TWO = List.of(new Tenant("a", 0.5, 100), new Tenant("b", 0.5, 100));
+    private static final List<Tenant> TWO_TENANTS = List.of(new Tenant("a", 0.5, 100), new Tenant("b", 0.5, 100));
 
-    private static Harness plain(Idempotency effect, DeduplicationScope group) {
-        return new Harness(settings(List.of(kind("c", effect, group)), TWO, LoadReporting.NONE, true, false), 1);
+    private static Harness newHarness(Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        return new Harness(settings(List.of(requestClass("c", idempotency, deduplicationScope)), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
     }
 
     @ParameterizedTest
@@ -59,227 +59,227 @@
         "KEYED,ALL,OK,served",
         "NOT_IDEMPOTENT,ALL,OK,served"
     })
-    void eachOutcomeIsAnsweredAsTheEffectAllows(
-            Idempotency effect, DeduplicationScope group, AttemptOutcome outcome, String then) {
-        Harness h = plain(effect, group);
-        h.workers(3);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(20 * MS);
-        h.outcome("r", outcome);
-        h.advance(20 * MS);
-        assertEquals(then.equals("resent") ? 2 : 1, h.seen.get("r").workers.size());
-        assertEquals(then.equals("resent") ? null : then, h.answer("r"));
+    void eachOutcomeIsHandledAsIdempotencyAllows(
+            Idempotency idempotency, DeduplicationScope deduplicationScope, AttemptOutcome outcome, String expected) {
+        Harness h = newHarness(idempotency, deduplicationScope);
+        h.listActiveEndpoints(3);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(20 * MILLISECOND);
+        h.endAttempt("r", outcome);
+        h.advance(20 * MILLISECOND);
+        assertEquals(expected.equals("resent") ? 2 : 1, h.requests.get("r").endpoints.size());
+        assertEquals(expected.equals("resent") ? null : expected, h.answerOf("r"));
     }
 
     @Test
-    void aTimeOutAtTheDeadlineStillGetsItsAnswer() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.request("r", "c", "a", 5 * S);
-        h.started("r");
-        h.advance(5 * S); // the host cuts the attempt there
-        assertEquals("refused", h.answer("r"));
+    void timeoutAtTheDeadlineIsStillAnswered() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.reportStarted("r");
+        h.advance(5 * SECOND); // the host cuts the attempt there
+        assertEquals("refused", h.answerOf("r"));
     }
 
     @Test
-    void anUnsafeRequestThatTimedOutIsFailedNotRefused() {
-        Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(5 * S); // the host cuts the attempt there
-        assertEquals("failed", h.answer("r"));
+    void nonIdempotentRequestThatTimedOutFailsAndIsNotRejected() {
+        Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(5 * SECOND); // the host cuts the attempt there
+        assertEquals("failed", h.answerOf("r"));
     }
 
     @Test
-    void aKeyedRepeatStaysInItsCellAndInItsWindow() {
-        Harness h = plain(Idempotency.KEYED, DeduplicationScope.CELL);
-        h.list(ListUpdateKind.FULL, entry("w0", 0, EndpointState.ACTIVE, 0));
-        h.request("r", "c", "a", 5 * S);
-        h.list(ListUpdateKind.FULL, entry("w0", 0, EndpointState.DRAINING, 0), entry("w2", 2, EndpointState.ACTIVE, 0));
-        h.advance(50 * MS);
-        h.outcome("r", AttemptOutcome.RESET);
-        h.advance(100 * MS);
-        assertEquals(1, h.seen.get("r").workers.size()); // w2 would not know the repeat
-        h.advance(2 * S);
-        assertEquals("failed", h.answer("r")); // it may have run: no refusal
+    void keyedRetryStaysWithinItsCellAndDeduplicationWindow() {
+        Harness h = newHarness(Idempotency.KEYED, DeduplicationScope.CELL);
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0));
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.DRAINING, 0), endpointInfo("w2", 2, EndpointState.ACTIVE, 0));
+        h.advance(50 * MILLISECOND);
+        h.endAttempt("r", AttemptOutcome.RESET);
+        h.advance(100 * MILLISECOND);
+        assertEquals(1, h.requests.get("r").endpoints.size()); // w2 would not know the repeat
+        h.advance(2 * SECOND);
+        assertEquals("failed", h.answerOf("r")); // it may have run: no refusal
     }
 
     /** Incident i6e9c8c: a try that came with under one tick left was never answered. */
     @Test
-    void aTryWithNextToNoTimeLeftIsAnsweredAtOnce() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.request("r", "c", "a", 1 * MS);
-        assertEquals("refused", h.answer("r"));
+    void requestWithAlmostNoTimeLeftIsAnsweredAtOnce() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.submit("r", "c", "a", 1 * MILLISECOND);
+        assertEquals("refused", h.answerOf("r"));
     }
 
     @Test
-    void heldJobsAreRefusedOnceTheyCannotBeInTime() {
-        Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(299 * MS);
-        assertNull(h.answer("r"));
-        h.advance(5 * S);
-        assertEquals("refused", h.answer("r"));
+    void queuedRequestsAreRejectedOnceTheyCannotFinishInTime() {
+        Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(299 * MILLISECOND);
+        assertNull(h.answerOf("r"));
+        h.advance(5 * SECOND);
+        assertEquals("refused", h.answerOf("r"));
     }
 
     @Test
-    void nothingGoesToAWorkerThatDrainsIsGoneOrIsMissingFromAFullList() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.list(
+    void nothingIsSentToADrainingRemovedOrUnlistedEndpoint() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.updateList(
                 ListUpdateKind.RESTORED,
-                entry("w0", 0, EndpointState.ACTIVE, 0),
-                entry("w1", 0, EndpointState.ACTIVE, 0),
-                entry("w2", 0, EndpointState.ACTIVE, 0));
-        h.list(ListUpdateKind.FULL, entry("w0", 0, EndpointState.ACTIVE, 0), entry("w1", 0, EndpointState.ACTIVE, 0));
-        h.list(ListUpdateKind.DELTA, entry("w0", 0, EndpointState.DRAINING, 0));
-        h.advance(600 * MS);
+                endpointInfo("w0", 0, EndpointState.ACTIVE, 0),
+                endpointInfo("w1", 0, EndpointState.ACTIVE, 0),
+                endpointInfo("w2", 0, EndpointState.ACTIVE, 0));
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0), endpointInfo("w1", 0, EndpointState.ACTIVE, 0));
+        h.updateList(ListUpdateKind.DELTA, endpointInfo("w0", 0, EndpointState.DRAINING, 0));
+        h.advance(600 * MILLISECOND);
         for (int i = 0; i < 20; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            assertEquals("w1", h.workerOf("r" + i));
-            h.advance(20 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            assertEquals("w1", h.lastEndpointOf("r" + i));
+            h.advance(20 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
     }
 
     /** The setting's two readings: a list that loses workers, or a zone, proves nothing where only draining binds. */
     @Test
-    void whereOnlyDrainingBindsAWorkerCalledGoneOrMissingIsStillSentTo() {
-        for (boolean onlyDraining : new boolean[] {true, false}) {
+    void removedOrUnlistedEndpointIsStillUsedWhereOnlyDrainingBinds() {
+        for (boolean onlyDrainingBinds : new boolean[] {true, false}) {
             Harness h = new Harness(
-                    Harness.with(
+                    Harness.withDrainRuleAndTail(
                             settings(
-                                    List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                                    TWO,
+                                    List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                                    TWO_TENANTS,
                                     LoadReporting.NONE,
                                     true,
                                     false),
-                            onlyDraining,
+                            onlyDrainingBinds,
                             TailObjective.NONE),
                     1);
-            h.workers(3);
-            h.list(ListUpdateKind.DELTA, entry("w1", 0, EndpointState.DRAINING, 0));
-            h.list(
+            h.listActiveEndpoints(3);
+            h.updateList(ListUpdateKind.DELTA, endpointInfo("w1", 0, EndpointState.DRAINING, 0));
+            h.updateList(
                     ListUpdateKind.DELTA,
-                    entry("w0", 0, EndpointState.REMOVED, 0),
-                    entry("w1", 0, EndpointState.REMOVED, 0));
-            h.list(ListUpdateKind.FULL, entry("w9", 0, EndpointState.DRAINING, 0));
-            h.advance(600 * MS);
+                    endpointInfo("w0", 0, EndpointState.REMOVED, 0),
+                    endpointInfo("w1", 0, EndpointState.REMOVED, 0));
+            h.updateList(ListUpdateKind.FULL, endpointInfo("w9", 0, EndpointState.DRAINING, 0));
+            h.advance(600 * MILLISECOND);
             for (int i = 0; i < 40; i++) {
-                h.request("r" + i, "c", "a", 5 * S);
-                if (h.workerOf("r" + i) != null) {
-                    h.started("r" + i);
-                    h.advance(5 * MS);
-                    h.outcome("r" + i, AttemptOutcome.OK);
+                h.submit("r" + i, "c", "a", 5 * SECOND);
+                if (h.lastEndpointOf("r" + i) != null) {
+                    h.reportStarted("r" + i);
+                    h.advance(5 * MILLISECOND);
+                    h.endAttempt("r" + i, AttemptOutcome.OK);
                 }
             }
-            assertEquals(onlyDraining, h.seen.values().stream().anyMatch(r -> r.workers.contains("w0")));
-            assertEquals(onlyDraining, h.seen.values().stream().anyMatch(r -> r.workers.contains("w2")));
-            assertTrue(h.seen.values().stream().noneMatch(r -> r.workers.contains("w1") || r.workers.contains("w9")));
+            assertEquals(onlyDrainingBinds, h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w0")));
+            assertEquals(onlyDrainingBinds, h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w2")));
+            assertTrue(h.requests.values().stream().noneMatch(request -> request.endpoints.contains("w1") || request.endpoints.contains("w9")));
         }
     }
 
     /** One that is gone indeed is forgotten after some failures, so that it costs no attempts for ever. */
     @Test
-    void aWorkerMissingFromTheListIsForgottenOnceItFails() {
+    void unlistedEndpointIsRemovedOnceItFails() {
         Harness h = new Harness(
-                Harness.with(
+                Harness.withDrainRuleAndTail(
                         settings(
-                                List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                                TWO,
+                                List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                                TWO_TENANTS,
                                 LoadReporting.NONE,
                                 true,
                                 false),
                         true,
                         TailObjective.NONE),
                 1);
-        h.workers(1);
-        h.list(ListUpdateKind.FULL, entry("w9", 0, EndpointState.DRAINING, 0));
+        h.listActiveEndpoints(1);
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w9", 0, EndpointState.DRAINING, 0));
         for (int i = 0; i < 12; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            if (h.workerOf("r" + i) != null) {
-                h.outcome("r" + i, AttemptOutcome.CONNECT_FAILED);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            if (h.lastEndpointOf("r" + i) != null) {
+                h.endAttempt("r" + i, AttemptOutcome.CONNECT_FAILED);
             }
-            h.advance(3 * S);
+            h.advance(3 * SECOND);
         }
-        assertTrue(h.module.endpoints().get("w0") != null, "known until the list speaks again");
-        h.list(ListUpdateKind.FULL, entry("w9", 0, EndpointState.DRAINING, 0));
-        assertTrue(h.module.endpoints().get("w0") == null, "forgotten");
+        assertTrue(h.loadBalancer.endpoints().get("w0") != null, "known until the list speaks again");
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w9", 0, EndpointState.DRAINING, 0));
+        assertTrue(h.loadBalancer.endpoints().get("w0") == null, "forgotten");
     }
 
     private static List<Long> pausesAfterFailures(Harness h) {
-        List<Long> asked = new ArrayList<>();
+        List<Long> pausesUs = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            h.list(ListUpdateKind.FAILED);
-            long from = h.now;
-            int before = h.watches;
-            while (h.watches == before) {
-                h.advance(10 * MS);
+            h.updateList(ListUpdateKind.FAILED);
+            long fromUs = h.nowUs;
+            int watchCallsBefore = h.watchCalls;
+            while (h.watchCalls == watchCallsBefore) {
+                h.advance(10 * MILLISECOND);
             }
-            asked.add(h.now - from);
+            pausesUs.add(h.nowUs - fromUs);
         }
-        return asked;
+        return pausesUs;
     }
 
     @ParameterizedTest
     @CsvSource({"300, 150, 300", "50, 25, 50", "1, 25, 50"})
-    void noPauseAfterAFailedListCallIsLongerThanTheSettingsAskEvery(int askEvery, int least, int most) {
+    void noPauseAfterAFailedListCallExceedsThePollInterval(int pollIntervalMs, int minMs, int maxMs) {
         LoadBalancerSettings settings = settings(
-                List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                TWO,
+                List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                TWO_TENANTS,
                 LoadReporting.NONE,
                 false,
                 false);
-        List<Long> asked = pausesAfterFailures(new Harness(askingEvery(settings, askEvery * MS), 1));
+        List<Long> pausesUs = pausesAfterFailures(new Harness(withPollInterval(settings, pollIntervalMs * MILLISECOND), 1));
         assertTrue(
-                asked.stream().allMatch(wait -> wait >= least * MS && wait <= most * MS + 10 * MS), asked.toString());
+                pausesUs.stream().allMatch(pauseUs -> pauseUs >= minMs * MILLISECOND && pauseUs <= maxMs * MILLISECOND + 10 * MILLISECOND), pausesUs.toString());
     }
 
     @Test
-    void aFailedListCallIsRepeatedWithBackoffAndTheOldListHolds() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        assertEquals(1, h.watches);
-        List<Long> asked = pausesAfterFailures(h);
-        assertTrue(asked.get(0) >= 250 * MS && asked.get(0) <= 510 * MS, asked.toString());
+    void failedListCallIsRetriedWithBackoffAndTheOldListStaysInUse() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        assertEquals(1, h.watchCalls);
+        List<Long> pausesUs = pausesAfterFailures(h);
+        assertTrue(pausesUs.get(0) >= 250 * MILLISECOND && pausesUs.get(0) <= 510 * MILLISECOND, pausesUs.toString());
         // However many failed: 6 s after discovery had a change and could be reached it counts as told.
         assertTrue(
-                asked.stream().skip(1).allMatch(wait -> wait >= 500 * MS - 10 * MS && wait <= S + 10 * MS),
-                asked.toString());
-        h.request("r", "c", "a", 5 * S);
-        assertEquals("w0", h.workerOf("r"));
+                pausesUs.stream().skip(1).allMatch(pauseUs -> pauseUs >= 500 * MILLISECOND - 10 * MILLISECOND && pauseUs <= SECOND + 10 * MILLISECOND),
+                pausesUs.toString());
+        h.submit("r", "c", "a", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("r"));
     }
 
     /** A watch that is started from outside, as by a move, may fail before the module's own is due. */
     @Test
-    void failuresInARowLeadToOneFurtherWatchOnly() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
+    void consecutiveFailuresLeadToOnlyOneFurtherWatch() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 3; i++) {
-            h.list(ListUpdateKind.FAILED);
-            h.advance(10 * MS);
+            h.updateList(ListUpdateKind.FAILED);
+            h.advance(10 * MILLISECOND);
         }
-        h.advance(5 * S);
-        assertEquals(2, h.watches, "the first one, and one after the failures");
+        h.advance(5 * SECOND);
+        assertEquals(2, h.watchCalls, "the first one, and one after the failures");
     }
 
     @Test
-    void aListThatMayBeOutOfDateIsNotSentByAndWhatWaitsGoesOnceItIsRenewed() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.listOutOfDateFor = 1;
-        h.request("kept", "c", "a", 5 * S);
-        h.advance(50 * MS);
-        assertEquals(List.of(), h.seen.get("kept").workers);
-        assertEquals(null, h.seen.get("kept").answer);
-        h.listOutOfDateFor = 0;
-        h.list(ListUpdateKind.DELTA);
-        assertEquals(List.of("w0"), h.seen.get("kept").workers);
-        h.listOutOfDateFor = 1;
-        h.request("refused", "c", "a", 5 * S);
-        h.advance(S);
-        assertEquals(List.of(), h.seen.get("refused").workers);
-        assertEquals("refused", h.seen.get("refused").answer);
+    void staleListIsNotUsedAndQueuedRequestsAreSentOnceItIsRenewed() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.listStaleForUs = 1;
+        h.submit("kept", "c", "a", 5 * SECOND);
+        h.advance(50 * MILLISECOND);
+        assertEquals(List.of(), h.requests.get("kept").endpoints);
+        assertEquals(null, h.requests.get("kept").answer);
+        h.listStaleForUs = 0;
+        h.updateList(ListUpdateKind.DELTA);
+        assertEquals(List.of("w0"), h.requests.get("kept").endpoints);
+        h.listStaleForUs = 1;
+        h.submit("refused", "c", "a", 5 * SECOND);
+        h.advance(SECOND);
+        assertEquals(List.of(), h.requests.get("refused").endpoints);
+        assertEquals("refused", h.requests.get("refused").answer);
     }
 
     /**
@@ -287,305 +287,305 @@
      * to go.
      */
     @Test
-    void whatHadNoAttemptIsRefusedAtOnceWhileTheListIsOutOfDateForLong() {
-        Harness h = plain(Idempotency.KEYED, DeduplicationScope.ALL);
-        h.workers(2);
-        h.request("tried", "c", "a", 5 * S);
-        assertEquals(1, h.seen.get("tried").workers.size());
-        h.listOutOfDateFor = AdmissionControl.STALE_LIST_GRACE_US;
-        h.outcome("tried", AttemptOutcome.CONNECT_FAILED);
-        h.request("waits", "c", "a", 5 * S);
-        h.advance(50 * MS);
-        assertEquals(null, h.seen.get("waits").answer);
-        h.listOutOfDateFor = AdmissionControl.STALE_LIST_GRACE_US + 1;
-        h.request("refused", "c", "a", 5 * S);
-        assertEquals("refused", h.seen.get("refused").answer);
-        assertEquals("refused", h.seen.get("waits").answer);
-        assertEquals(null, h.seen.get("tried").answer);
-        h.listOutOfDateFor = 0;
-        h.list(ListUpdateKind.DELTA);
-        assertEquals(2, h.seen.get("tried").workers.size());
+    void requestsWithoutAttemptsAreRejectedAtOnceWhileTheListIsStaleForLong() {
+        Harness h = newHarness(Idempotency.KEYED, DeduplicationScope.ALL);
+        h.listActiveEndpoints(2);
+        h.submit("tried", "c", "a", 5 * SECOND);
+        assertEquals(1, h.requests.get("tried").endpoints.size());
+        h.listStaleForUs = AdmissionControl.STALE_LIST_GRACE_US;
+        h.endAttempt("tried", AttemptOutcome.CONNECT_FAILED);
+        h.submit("waits", "c", "a", 5 * SECOND);
+        h.advance(50 * MILLISECOND);
+        assertEquals(null, h.requests.get("waits").answer);
+        h.listStaleForUs = AdmissionControl.STALE_LIST_GRACE_US + 1;
+        h.submit("refused", "c", "a", 5 * SECOND);
+        assertEquals("refused", h.requests.get("refused").answer);
+        assertEquals("refused", h.requests.get("waits").answer);
+        assertEquals(null, h.requests.get("tried").answer);
+        h.listStaleForUs = 0;
+        h.updateList(ListUpdateKind.DELTA);
+        assertEquals(2, h.requests.get("tried").endpoints.size());
     }
 
     @Test
-    void theColdBudgetHoldsInEveryWindow() {
-        RequestClass c = kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        Harness h = Harness.learned(settings(List.of(c), TWO, LoadReporting.NONE, false, false), 1, 5 * MS);
-        List<Long> sent = new ArrayList<>();
+    void slowStartAllowanceHoldsInEveryWindow() {
+        RequestClass requestClass = requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        Harness h = Harness.withLearnedRunTime(settings(List.of(requestClass), TWO_TENANTS, LoadReporting.NONE, false, false), 1, 5 * MILLISECOND);
+        List<Long> sentAtUs = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            if (h.workerOf("r" + i) != null) {
-                sent.add(h.now);
-                h.advance(5 * MS);
-                h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            if (h.lastEndpointOf("r" + i) != null) {
+                sentAtUs.add(h.nowUs);
+                h.advance(5 * MILLISECOND);
+                h.endAttempt("r" + i, AttemptOutcome.OK);
             }
-            h.advance(5 * MS);
+            h.advance(5 * MILLISECOND);
         }
-        assertTrue(sent.size() > 3, "a cold worker still gets some work");
+        assertTrue(sentAtUs.size() > 3, "a cold worker still gets some work");
         // One slot known, 0.2 to 0.36 of it, 3 times that for a second, halved for slack and again for two nodes.
-        double mostWork = 3 * 0.36 * S / 2 / 2;
-        for (long from : sent) {
-            long n = sent.stream().filter(t -> t > from && t < from + S).count();
-            assertTrue(n * 5 * MS <= mostWork, n + " sends in a second");
+        double maxRunTimeUs = 3 * 0.36 * SECOND / 2 / 2;
+        for (long fromUs : sentAtUs) {
+            long sends = sentAtUs.stream().filter(t -> t > fromUs && t < fromUs + SECOND).count();
+            assertTrue(sends * 5 * MILLISECOND <= maxRunTimeUs, sends + " sends in a second");
         }
     }
 
     /** A refusal at a site without reports once counted as a report of no room, for the whole fleet. */
     @Test
-    void aRefusalWhereNothingReportsLeavesTheOtherWorkersOpen() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(3);
-        h.request("r", "c", "a", 5 * S);
-        String first = h.workerOf("r");
-        h.advance(5 * MS);
-        h.outcome("r", AttemptOutcome.REJECTED);
-        assertNotEquals(first, h.workerOf("r"));
-        assertEquals(2, h.seen.get("r").workers.size());
+    void rejectionWithoutLoadReportsLeavesOtherEndpointsUsable() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(3);
+        h.submit("r", "c", "a", 5 * SECOND);
+        String first = h.lastEndpointOf("r");
+        h.advance(5 * MILLISECOND);
+        h.endAttempt("r", AttemptOutcome.REJECTED);
+        assertNotEquals(first, h.lastEndpointOf("r"));
+        assertEquals(2, h.requests.get("r").endpoints.size());
     }
 
     /** Incident i6e9c8c: workers that refuse all while reporting room took 40% of the attempts. */
     @Test
-    void aWorkerThatRefusesInARowIsRestedEverLonger() {
+    void ejectionsGrowWithConsecutiveRejections() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.WITH_RESPONSES,
                         true,
                         false),
                 1);
-        h.workers(1);
-        int refused = 0;
+        h.listActiveEndpoints(1);
+        int rejections = 0;
         for (int i = 0; i < 400; i++) {
             String id = "r" + i;
-            h.request(id, "c", "a", 5 * S);
-            if (h.workerOf(id) != null) {
-                refused++;
-                h.outcome(id, AttemptOutcome.REJECTED);
+            h.submit(id, "c", "a", 5 * SECOND);
+            if (h.lastEndpointOf(id) != null) {
+                rejections++;
+                h.endAttempt(id, AttemptOutcome.REJECTED);
             }
-            h.module.onProbeResult(h.now, "w0", true, MS, new LoadReport(4, Double.NaN, 0.1, 10));
-            for (Harness.Seen s : h.seen.values()) {
-                if (s.out() > 0) {
-                    refused++;
-                    h.outcome(s.request.id(), AttemptOutcome.REJECTED);
+            h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(4, Double.NaN, 0.1, 10));
+            for (Harness.TrackedRequest s : h.requests.values()) {
+                if (s.attemptsInFlight() > 0) {
+                    rejections++;
+                    h.endAttempt(s.request.id(), AttemptOutcome.REJECTED);
                 }
             }
-            h.advance(10 * MS);
+            h.advance(10 * MILLISECOND);
         }
-        assertTrue(refused <= 14, refused + " refusals in 4 s");
+        assertTrue(rejections <= 14, rejections + " refusals in 4 s");
     }
 
     /** Incidents ife9dd5, i6e9c8c: probes went to the first workers of the list, the others stayed unheard. */
     @Test
-    void unheardWorkersAreAskedBeforeOneIsUsed() {
+    void endpointsWithoutALoadReportAreProbedBeforeUse() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.ON_PROBE,
                         true,
                         false),
                 1);
-        h.workers(8);
-        h.request("r", "c", "a", 5 * S);
-        assertNull(h.workerOf("r"));
-        List<String> asked = h.log.stream()
+        h.listActiveEndpoints(8);
+        h.submit("r", "c", "a", 5 * SECOND);
+        assertNull(h.lastEndpointOf("r"));
+        List<String> probed = h.actionLog.stream()
                 .filter(l -> l.contains(" probe "))
                 .map(l -> l.split(" ")[2])
                 .toList();
-        assertEquals(1, asked.size()); // one arrival pays for one probe here
-        h.module.onProbeResult(h.now, asked.get(0), true, MS, new LoadReport(2, Double.NaN, 0.5, 10));
-        assertEquals(asked.get(0), h.workerOf("r"));
+        assertEquals(1, probed.size()); // one arrival pays for one probe here
+        h.loadBalancer.onProbeResult(h.nowUs, probed.get(0), true, MILLISECOND, new LoadReport(2, Double.NaN, 0.5, 10));
+        assertEquals(probed.get(0), h.lastEndpointOf("r"));
     }
 
     @Test
-    void aWorkerSilentToItsProbeIsLeftOutForAWhile() {
+    void endpointThatDoesNotAnswerItsProbeIsNotUsed() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.ON_PROBE,
                         true,
                         false),
                 1);
-        h.workers(2);
-        h.request("r", "c", "a", 5 * S);
-        String silent = h.log.get(h.log.size() - 1).split(" ")[2];
-        h.advance(200 * MS);
-        assertNotEquals(null, h.workerOf("r"));
-        assertNotEquals(silent, h.workerOf("r"));
+        h.listActiveEndpoints(2);
+        h.submit("r", "c", "a", 5 * SECOND);
+        String silent = h.actionLog.get(h.actionLog.size() - 1).split(" ")[2];
+        h.advance(200 * MILLISECOND);
+        assertNotEquals(null, h.lastEndpointOf("r"));
+        assertNotEquals(silent, h.lastEndpointOf("r"));
     }
 
     @Test
-    void aQuietNodeUsesFewWorkersAndTheOpenConnectionsAmongThem() {
+    void quietNodeUsesFewEndpoints() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.NONE,
                         false,
                         false),
                 1);
-        EndpointInfo[] entries = new EndpointInfo[60];
+        EndpointInfo[] endpoints = new EndpointInfo[60];
         for (int i = 0; i < 60; i++) {
-            entries[i] = entry("w" + i, 0, EndpointState.ACTIVE, 0);
+            endpoints[i] = endpointInfo("w" + i, 0, EndpointState.ACTIVE, 0);
         }
-        h.list(ListUpdateKind.FULL, entries);
+        h.updateList(ListUpdateKind.FULL, endpoints);
         for (int i = 0; i < 200; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.advance(50 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.advance(50 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
         long used =
-                h.seen.values().stream().map(x -> x.workers.get(0)).distinct().count();
+                h.requests.values().stream().map(request -> request.endpoints.get(0)).distinct().count();
         assertTrue(used <= 10, used + " workers used");
     }
 
     @Test
-    void jobsSpillOverWhereTheirOwnZoneStartsThemLate() {
+    void requestsSpillOverWhenTheirOwnZoneStartsThemLate() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.NONE,
                         true,
                         false),
                 1);
-        h.list(ListUpdateKind.FULL, entry("w0", 0, EndpointState.ACTIVE, 0), entry("w1", 1, EndpointState.ACTIVE, 0));
+        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0), endpointInfo("w1", 1, EndpointState.ACTIVE, 0));
         Map<String, Integer> placed = new LinkedHashMap<>();
         for (int i = 0; i < 40; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.advance(h.workerOf("r" + i).equals("w0") ? 200 * MS : 2 * MS);
-            h.started("r" + i);
-            h.advance(10 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
-            placed.merge(h.workerOf("r" + i), 1, Integer::sum);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.advance(h.lastEndpointOf("r" + i).equals("w0") ? 200 * MILLISECOND : 2 * MILLISECOND);
+            h.reportStarted("r" + i);
+            h.advance(10 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
+            placed.merge(h.lastEndpointOf("r" + i), 1, Integer::sum);
         }
         assertTrue(placed.getOrDefault("w1", 0) > 30, placed.toString());
     }
 
     @Test
-    void anOpenConnectionIsPreferredWhereDialsAreSlow() {
+    void openConnectionIsPreferredWhereConnectsAreSlow() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.NONE,
                         true,
                         false),
                 1);
-        h.workers(6);
+        h.listActiveEndpoints(6);
         Map<String, Integer> placed = new LinkedHashMap<>();
         for (int i = 0; i < 40; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            String w = h.workerOf("r" + i);
-            h.advance(placed.containsKey(w) ? MS : 300 * MS); // the first job to each has to dial
-            h.started("r" + i);
-            h.advance(10 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
-            placed.merge(w, 1, Integer::sum);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            String endpoint = h.lastEndpointOf("r" + i);
+            h.advance(placed.containsKey(endpoint) ? MILLISECOND : 300 * MILLISECOND); // the first job to each has to dial
+            h.reportStarted("r" + i);
+            h.advance(10 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
+            placed.merge(endpoint, 1, Integer::sum);
         }
         assertTrue(Collections.max(placed.values()) > 30, placed.toString());
     }
 
     /** The advice was the longest allowed whatever the load: it told nothing and kept repeats away. */
     @Test
-    void aRefusalTellsWhenRoomIsLikely() {
+    void retryAfterEstimatesWhenCapacityIsLikely() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         List.of(new Tenant("a", 1, 0)),
                         LoadReporting.NONE,
                         true,
                         false),
                 1);
-        h.request("early", "c", "a", 5 * S);
-        h.advance(5 * S);
-        assertEquals(900 * MS, h.seen.get("early").retryAfter); // it waited as long and saw no release
-        h.workers(1);
+        h.submit("early", "c", "a", 5 * SECOND);
+        h.advance(5 * SECOND);
+        assertEquals(900 * MILLISECOND, h.requests.get("early").retryAfterUs); // it waited as long and saw no release
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 40; i++) { // more than can run before they are given up
-            h.request("r" + i, "c", "a", 700 * MS);
+            h.submit("r" + i, "c", "a", 700 * MILLISECOND);
         }
         for (int i = 0; i < 8; i++) {
-            h.advance(100 * MS);
-            h.seen.values().stream().filter(s -> s.out() > 0).findFirst().ifPresent(s -> {
-                h.module.onAttemptSignal(h.now, s.request.id(), 0, AttemptSignal.STARTED, 0);
-                h.outcome(s.request.id(), AttemptOutcome.OK); // one finishes every 100 ms
+            h.advance(100 * MILLISECOND);
+            h.requests.values().stream().filter(s -> s.attemptsInFlight() > 0).findFirst().ifPresent(s -> {
+                h.loadBalancer.onAttemptSignal(h.nowUs, s.request.id(), 0, AttemptSignal.STARTED, 0);
+                h.endAttempt(s.request.id(), AttemptOutcome.OK); // one finishes every 100 ms
             });
         }
-        List<Long> advice = h.seen.values().stream()
-                .filter(s -> s.retryAfter > 0 && s.request.timeLeftUs() < S)
-                .map(s -> s.retryAfter)
+        List<Long> retryAftersUs = h.requests.values().stream()
+                .filter(s -> s.retryAfterUs > 0 && s.request.timeLeftUs() < SECOND)
+                .map(s -> s.retryAfterUs)
                 .toList();
-        assertTrue(advice.size() > 1 && advice.stream().allMatch(a -> a >= 50 * MS && a <= S), advice.toString());
-        assertTrue(Collections.max(advice) > Collections.min(advice), "those behind more wait longer " + advice);
+        assertTrue(retryAftersUs.size() > 1 && retryAftersUs.stream().allMatch(a -> a >= 50 * MILLISECOND && a <= SECOND), retryAftersUs.toString());
+        assertTrue(Collections.max(retryAftersUs) > Collections.min(retryAftersUs), "those behind more wait longer " + retryAftersUs);
     }
 
     @Test
-    void aWorkerThatStartsJobsTooLateIsLeftAloneUntilThatFades() {
+    void endpointThatStartsRequestsTooLateIsAvoidedUntilTheEstimateDecays() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.NONE,
                         true,
                         false),
                 1);
-        h.workers(1);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 3; i++) { // opens the window, 100 ms a job
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            h.advance(100 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            h.advance(100 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        h.request("queued", "c", "a", 5 * S);
-        h.advance(2 * S);
-        h.started("queued");
-        h.outcome("queued", AttemptOutcome.OK);
-        h.request("x", "c", "a", 5 * S); // could wait 350 ms, would wait 2 s
-        h.advance(400 * MS);
-        assertNull(h.workerOf("x"));
-        assertEquals("refused", h.answer("x"));
-        h.advance(8 * S);
-        h.request("y", "c", "a", 5 * S);
-        assertEquals("w0", h.workerOf("y"));
+        h.submit("queued", "c", "a", 5 * SECOND);
+        h.advance(2 * SECOND);
+        h.reportStarted("queued");
+        h.endAttempt("queued", AttemptOutcome.OK);
+        h.submit("x", "c", "a", 5 * SECOND); // could wait 350 ms, would wait 2 s
+        h.advance(400 * MILLISECOND);
+        assertNull(h.lastEndpointOf("x"));
+        assertEquals("refused", h.answerOf("x"));
+        h.advance(8 * SECOND);
+        h.submit("y", "c", "a", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("y"));
     }
 
     @Test
-    void anIdleNodeHardlyWorks() {
+    void idleNodeSetsOneTimerOnly() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.ON_PROBE,
                         true,
                         false),
                 1);
-        h.workers(8);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(S);
-        h.outcome("r", AttemptOutcome.OK);
-        h.advance(S);
+        h.listActiveEndpoints(8);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(SECOND);
+        h.endAttempt("r", AttemptOutcome.OK);
+        h.advance(SECOND);
         assertEquals(1, h.timers.size(), "timers pending");
-        assertTrue(h.log.get(h.log.size() - 1).contains(" send r "), h.log.toString());
+        assertTrue(h.actionLog.get(h.actionLog.size() - 1).contains(" send r "), h.actionLog.toString());
     }
 
     @Test
     void idleConnectionsAreClosedWhereHoldingThemCosts() {
-        LoadBalancerSettings plain = settings(
-                List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                TWO,
+        LoadBalancerSettings base = settings(
+                List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                TWO_TENANTS,
                 LoadReporting.NONE,
                 false,
                 false);
         Harness h = new Harness(
                 new LoadBalancerSettings(
-                        plain.classes(),
-                        plain.tenants(),
+                        base.classes(),
+                        base.tenants(),
                         "z0",
                         2,
-                        plain.rules(),
-                        plain.limits(),
+                        base.rules(),
+                        base.limits(),
                         LoadReporting.NONE,
                         false,
                         true,
@@ -594,238 +594,238 @@
                         TailObjective.NONE,
                         true),
                 1);
-        h.workers(1);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(10 * MS);
-        h.outcome("r", AttemptOutcome.OK);
-        h.advance(2 * S); // 200 jobs a second are told: soon worth it
-        assertEquals(1, h.log.stream().filter(l -> l.endsWith(" close w0")).count());
+        h.listActiveEndpoints(1);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(10 * MILLISECOND);
+        h.endAttempt("r", AttemptOutcome.OK);
+        h.advance(2 * SECOND); // 200 jobs a second are told: soon worth it
+        assertEquals(1, h.actionLog.stream().filter(l -> l.endsWith(" close w0")).count());
     }
 
     @Test
-    void manyNodesTogetherKeepTheColdBudgetAndStillUseIt() {
-        RequestClass c = kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        LoadBalancerSettings plain = settings(List.of(c), TWO, LoadReporting.NONE, false, false);
-        LoadBalancerSettings wide = new LoadBalancerSettings(
-                plain.classes(),
-                plain.tenants(),
+    void manyNodesTogetherKeepWithinTheSlowStartAllowanceAndUseIt() {
+        RequestClass requestClass = requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        LoadBalancerSettings base = settings(List.of(requestClass), TWO_TENANTS, LoadReporting.NONE, false, false);
+        LoadBalancerSettings largeFleet = new LoadBalancerSettings(
+                base.classes(),
+                base.tenants(),
                 "z0",
                 100,
-                plain.rules(),
-                plain.limits(),
+                base.rules(),
+                base.limits(),
                 LoadReporting.NONE,
                 false,
                 true,
                 0.1,
-                plain.costs(),
-                plain.tail(),
+                base.costs(),
+                base.tail(),
                 true);
-        List<Long> sent = new ArrayList<>();
+        List<Long> sentAtUs = new ArrayList<>();
         for (int node = 0; node < 100; node++) {
-            Harness h = Harness.learned(wide, node, 20 * MS);
+            Harness h = Harness.withLearnedRunTime(largeFleet, node, 20 * MILLISECOND);
             for (int i = 0; i < 40; i++) {
-                h.request("r" + i, "c", "a", 5 * S);
-                h.advance(20 * MS);
-                if ("w0".equals(h.workerOf("r" + i))) {
-                    sent.add(h.seen.get("r" + i).sentAt.get(0));
+                h.submit("r" + i, "c", "a", 5 * SECOND);
+                h.advance(20 * MILLISECOND);
+                if ("w0".equals(h.lastEndpointOf("r" + i))) {
+                    sentAtUs.add(h.requests.get("r" + i).sentAtUs.get(0));
                 }
-                if (h.workerOf("r" + i) != null) {
-                    h.outcome("r" + i, AttemptOutcome.OK);
+                if (h.lastEndpointOf("r" + i) != null) {
+                    h.endAttempt("r" + i, AttemptOutcome.OK);
                 }
             }
         }
-        assertTrue(sent.size() > 3, sent.size() + " sends to a cold worker");
-        for (long from : sent) { // 3 times 0.2 of one slot for a second
-            long n = sent.stream().filter(t -> t >= from && t < from + S).count();
-            assertTrue(n * 20 * MS <= 3 * 0.24 * S, n + " sends in a second");
+        assertTrue(sentAtUs.size() > 3, sentAtUs.size() + " sends to a cold worker");
+        for (long fromUs : sentAtUs) { // 3 times 0.2 of one slot for a second
+            long sends = sentAtUs.stream().filter(t -> t >= fromUs && t < fromUs + SECOND).count();
+            assertTrue(sends * 20 * MILLISECOND <= 3 * 0.24 * SECOND, sends + " sends in a second");
         }
     }
 
     /** Hosts that reset kept connections at the next request were rested as if they were down. */
     @Test
-    void oneResetRestsAWorkerShortlyAndTheNextLonger() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.request("r", "c", "a", 5 * S);
-        h.outcome("r", AttemptOutcome.RESET);
-        h.advance(60 * MS);
-        assertEquals(2, h.seen.get("r").workers.size());
-        h.outcome("r", AttemptOutcome.RESET);
-        h.advance(60 * MS);
-        assertEquals(2, h.seen.get("r").workers.size());
+    void firstResetEjectsBrieflyAndTheNextForLonger() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.endAttempt("r", AttemptOutcome.RESET);
+        h.advance(60 * MILLISECOND);
+        assertEquals(2, h.requests.get("r").endpoints.size());
+        h.endAttempt("r", AttemptOutcome.RESET);
+        h.advance(60 * MILLISECOND);
+        assertEquals(2, h.requests.get("r").endpoints.size());
     }
 
     /** A dial that hangs looked like a queue there, and the worker was passed over for seconds after. */
     @Test
-    void aFailedDialLeavesNoWaitAtItsWorker() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
+    void failedConnectDoesNotCountAsQueueingTime() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 10; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            h.advance(100 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            h.advance(100 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        h.request("dial", "c", "a", 5 * S);
-        h.advance(600 * MS);
-        h.outcome("dial", AttemptOutcome.CONNECT_FAILED);
-        h.advance(300 * MS); // its rest is over
-        h.request("x", "c", "a", 5 * S);
-        assertEquals("w0", h.workerOf("x"));
+        h.submit("dial", "c", "a", 5 * SECOND);
+        h.advance(600 * MILLISECOND);
+        h.endAttempt("dial", AttemptOutcome.CONNECT_FAILED);
+        h.advance(300 * MILLISECOND); // its rest is over
+        h.submit("x", "c", "a", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("x"));
     }
 
     /** A job whose start is never told would block its worker until its end. */
     @Test
-    void aJobSilentPastItsAimNoLongerBlocksItsWorker() {
-        Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
+    void requestWithoutStartSignalPastItsObjectiveNoLongerBlocksItsEndpoint() {
+        Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 10; i++) { // opens the window
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            h.advance(100 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            h.advance(100 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        h.request("lost", "c", "a", 5 * S);
-        h.advance(400 * MS);
-        h.request("x", "c", "a", 5 * S);
-        assertNull(h.workerOf("x"));
-        h.advance(3 * S); // given up for lost: it waits for nothing any more
-        h.request("y", "c", "a", 5 * S);
-        assertEquals("w0", h.workerOf("y"));
+        h.submit("lost", "c", "a", 5 * SECOND);
+        h.advance(400 * MILLISECOND);
+        h.submit("x", "c", "a", 5 * SECOND);
+        assertNull(h.lastEndpointOf("x"));
+        h.advance(3 * SECOND); // given up for lost: it waits for nothing any more
+        h.submit("y", "c", "a", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("y"));
     }
 
     /** stadshjulet-app big-1, ife9dd5: a flooding tenant held every slot, the others found none. */
     @Test
-    void aSurplusJobLeavesSlotsFreeForTheOthers() {
+    void requestOverQuotaLeavesFreeSlotsToOtherTenants() {
         List<Tenant> tenants = List.of(new Tenant("a", 0.5, 0.1), new Tenant("b", 0.5, 0.1));
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         tenants,
                         LoadReporting.WITH_RESPONSES,
                         false,
                         false),
                 1);
-        h.workers(1);
-        h.module.onProbeResult(h.now, "w0", true, MS, new LoadReport(20, Double.NaN, 0.9, 10));
+        h.listActiveEndpoints(1);
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(20, Double.NaN, 0.9, 10));
         for (int i = 0; i <= TenantQuota.BURST_REQUESTS; i++) { // all but the last are within the quota
-            h.request("r" + i, "c", "a", 5 * S);
-            assertEquals("w0", h.workerOf("r" + i));
-            h.outcome("r" + i, 0, AttemptOutcome.OK, LoadReport.NONE);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            assertEquals("w0", h.lastEndpointOf("r" + i));
+            h.endAttempt("r" + i, 0, AttemptOutcome.OK, LoadReport.NONE);
         }
-        oneFreeSlot(h);
-        h.request("over", "c", "a", 5 * S);
-        assertNull(h.workerOf("over"));
-        h.advance(600 * MS);
-        oneFreeSlot(h);
-        h.request("under", "c", "b", 5 * S);
-        assertEquals("w0", h.workerOf("under"));
+        reportOneFreeSlot(h);
+        h.submit("over", "c", "a", 5 * SECOND);
+        assertNull(h.lastEndpointOf("over"));
+        h.advance(600 * MILLISECOND);
+        reportOneFreeSlot(h);
+        h.submit("under", "c", "b", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("under"));
     }
 
     /** In-share jobs that came a few at once were taken for surplus and refused, on quiet days too. */
     @Test
-    void aShortBurstOfATenantWithinItsQuotaIsServedByTheLastFreeSlot() {
-        Harness h = new Harness(flooded(TailObjective.NONE), 1);
-        h.workers(1);
-        h.now = 20 * S;
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(4, Double.NaN, 1, 10));
+    void shortBurstWithinQuotaMayUseTheLastFreeSlot() {
+        Harness h = new Harness(settingsWithSmallQuotas(TailObjective.NONE), 1);
+        h.listActiveEndpoints(1);
+        h.nowUs = 20 * SECOND;
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(4, Double.NaN, 1, 10));
         for (int i = 0; i < 10; i++) { // at most 5 a second are this node's part
-            oneFreeSlot(h);
-            h.request("r" + i, "c", "a", 5 * S);
-            assertEquals("w0", h.workerOf("r" + i));
-            h.outcome("r" + i, 0, AttemptOutcome.OK, LoadReport.NONE);
+            reportOneFreeSlot(h);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            assertEquals("w0", h.lastEndpointOf("r" + i));
+            h.endAttempt("r" + i, 0, AttemptOutcome.OK, LoadReport.NONE);
         }
     }
 
-    private static Harness twoNodes() {
+    private static Harness harnessOfTwoNodeFleet() {
         List<Tenant> tenants = List.of(new Tenant("a", 0.3, 60), new Tenant("b", 0.3, 60), new Tenant("d", 0.4, 80));
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         tenants,
                         LoadReporting.WITH_RESPONSES,
                         false,
                         false),
                 1);
-        h.workers(1);
-        h.module.onProbeResult(h.now, "w0", true, MS, new LoadReport(6, Double.NaN, 0.1, 10)); // it has so many
+        h.listActiveEndpoints(1);
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(6, Double.NaN, 0.1, 10)); // it has so many
         return h;
     }
 
     /** Jobs of each tenant at an even pace, one free slot for each; how many were left waiting as surplus. */
-    private static int waiting(Harness h, String part, long time, Map<String, Integer> perSecond) {
-        int waiting = 0;
-        for (int i = 0; i < time / (10 * MS); i++) {
-            for (Map.Entry<String, Integer> e : perSecond.entrySet()) {
-                for (int j = i * e.getValue() / 100; j < (i + 1) * e.getValue() / 100; j++) {
-                    String id = part + e.getKey() + j;
-                    oneFreeSlot(h);
-                    h.request(id, "c", e.getKey(), 5 * S);
-                    if (h.workerOf(id) == null) {
-                        waiting++;
-                        h.module.onClientGone(h.now, id);
-                        h.seen.remove(id);
+    private static int countQueued(Harness h, String idPrefix, long durationUs, Map<String, Integer> requestsPerSecond) {
+        int queued = 0;
+        for (int i = 0; i < durationUs / (10 * MILLISECOND); i++) {
+            for (Map.Entry<String, Integer> tenantRate : requestsPerSecond.entrySet()) {
+                for (int j = i * tenantRate.getValue() / 100; j < (i + 1) * tenantRate.getValue() / 100; j++) {
+                    String id = idPrefix + tenantRate.getKey() + j;
+                    reportOneFreeSlot(h);
+                    h.submit(id, "c", tenantRate.getKey(), 5 * SECOND);
+                    if (h.lastEndpointOf(id) == null) {
+                        queued++;
+                        h.loadBalancer.onClientGone(h.nowUs, id);
+                        h.requests.remove(id);
                     } else {
-                        h.outcome(id, 0, AttemptOutcome.OK, LoadReport.NONE);
+                        h.endAttempt(id, 0, AttemptOutcome.OK, LoadReport.NONE);
                     }
                 }
             }
-            h.advance(10 * MS);
+            h.advance(10 * MILLISECOND);
         }
-        return waiting;
+        return queued;
     }
 
     /** The incident r6ab6c9: as the other node restarted, all that came here was taken for floods and left waiting. */
     @Test
-    void aNodeThatTakesOverAnothersTrafficDoesNotTakeItForFloods() {
-        Harness h = twoNodes();
-        waiting(h, "before", 15 * S, Map.of("a", 30, "b", 30, "d", 40));
-        waiting(h, "at", 2 * S, Map.of("a", 60, "b", 60, "d", 80));
-        int after = waiting(h, "after", 3 * S, Map.of("a", 60, "b", 60, "d", 80));
-        assertTrue(after < 150, after + " of 600 left waiting");
+    void takenOverTrafficOfAnotherNodeIsNotTreatedAsOverQuota() {
+        Harness h = harnessOfTwoNodeFleet();
+        countQueued(h, "before", 15 * SECOND, Map.of("a", 30, "b", 30, "d", 40));
+        countQueued(h, "at", 2 * SECOND, Map.of("a", 60, "b", 60, "d", 80));
+        int queuedAfter = countQueued(h, "after", 3 * SECOND, Map.of("a", 60, "b", 60, "d", 80));
+        assertTrue(queuedAfter < 150, queuedAfter + " of 600 left waiting");
     }
 
     @Test
-    void aFloodOfOneTenantIsStillAFlood() {
-        Harness h = twoNodes();
-        waiting(h, "before", 15 * S, Map.of("a", 30, "b", 30, "d", 40));
-        waiting(h, "at", 2 * S, Map.of("a", 200, "b", 30, "d", 40));
-        int after = waiting(h, "after", 3 * S, Map.of("a", 200, "b", 30, "d", 40));
-        assertTrue(after > 350, after + " of 510 over the quota left waiting");
+    void floodOfOneTenantIsStillOverQuota() {
+        Harness h = harnessOfTwoNodeFleet();
+        countQueued(h, "before", 15 * SECOND, Map.of("a", 30, "b", 30, "d", 40));
+        countQueued(h, "at", 2 * SECOND, Map.of("a", 200, "b", 30, "d", 40));
+        int queuedAfter = countQueued(h, "after", 3 * SECOND, Map.of("a", 200, "b", 30, "d", 40));
+        assertTrue(queuedAfter > 350, queuedAfter + " of 510 over the quota left waiting");
     }
 
     /**
      * The same incident: a node late by itself saw every worker start late, sent nothing more, and so never saw better.
      */
     @Test
-    void whereAllStartLateAndNothingMoreIsToldTheyGetJobsAgain() {
+    void endpointsThatAllStartedLateAreUsedAgainWithoutNewSignals() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.WITH_RESPONSES,
                         true,
                         false),
                 1);
-        h.workers(3);
+        h.listActiveEndpoints(3);
         for (int i = 0; i < 3; i++) {
-            h.request("late" + i, "c", "a", 5 * S);
+            h.submit("late" + i, "c", "a", 5 * SECOND);
         }
-        h.advance(900 * MS);
+        h.advance(900 * MILLISECOND);
         for (int i = 0; i < 3; i++) {
-            h.started("late" + i);
-            h.outcome("late" + i, 0, AttemptOutcome.OK, new LoadReport(3, Double.NaN, 0.1, 10));
+            h.reportStarted("late" + i);
+            h.endAttempt("late" + i, 0, AttemptOutcome.OK, new LoadReport(3, Double.NaN, 0.1, 10));
         }
         int sent = 0;
         for (int i = 0; i < 20; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.advance(20 * MS);
-            if (h.workerOf("r" + i) != null) {
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.advance(20 * MILLISECOND);
+            if (h.lastEndpointOf("r" + i) != null) {
                 sent++;
-                h.started("r" + i);
-                h.outcome("r" + i, 0, AttemptOutcome.OK, new LoadReport(3, Double.NaN, 0.1, 10));
+                h.reportStarted("r" + i);
+                h.endAttempt("r" + i, 0, AttemptOutcome.OK, new LoadReport(3, Double.NaN, 0.1, 10));
             }
-            h.advance(80 * MS);
+            h.advance(80 * MILLISECOND);
         }
         assertTrue(sent >= 5, sent + " of 20 sent");
     }
@@ -833,13 +833,13 @@
     /** What was no sign of load leaves the job time for another place, and its worker free. */
     @ParameterizedTest
     @CsvSource({"ACCEPT_TIMEOUT", "STALE_CONNECTION", "SUPPRESSED"})
-    void aConnectionThatFellSilentOrStaleOrWasHeldBackIsNoFaultOfItsWorker(AttemptOutcome outcome) {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(700 * MS); // past its latest start
-        h.outcome("r", outcome);
-        assertEquals(2, h.seen.get("r").workers.size());
+    void connectionFaultsDoNotCountAgainstTheEndpoint(AttemptOutcome outcome) {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(700 * MILLISECOND); // past its latest start
+        h.endAttempt("r", outcome);
+        assertEquals(2, h.requests.get("r").endpoints.size());
     }
 
     /**
@@ -847,107 +847,107 @@
      * seconds.
      */
     @Test
-    void aWorkerThatJustStartedIsNotTakenToBeAsFullAsTheOthers() {
-        RequestClass c = new RequestClass(
-                "c", 5 * S, 50 * MS, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * S, null, 0);
+    void newEndpointIsNotAssumedToBeAsBusyAsTheOthers() {
+        RequestClass requestClass = new RequestClass(
+                "c", 5 * SECOND, 50 * MILLISECOND, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * SECOND, null, 0);
         Harness h = new Harness(
-                Harness.unasked(settings(List.of(c), List.of(), LoadReporting.WITH_RESPONSES, true, false), 1), 1);
-        h.workers(6);
+                Harness.withoutProbes(settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false), 1), 1);
+        h.listActiveEndpoints(6);
         for (int i = 0; i < 6; i++) {
-            full(h, "w" + i);
+            reportNoFreeSlots(h, "w" + i);
         }
-        h.advance(150 * MS);
-        h.request("r0", "c", "a", 5 * S);
-        assertEquals(null, h.workerOf("r0"));
-        h.list(ListUpdateKind.DELTA, entry("new", 0, EndpointState.ACTIVE, h.now));
-        assertEquals("new", h.workerOf("r0"));
-        h.request("r1", "c", "a", 5 * S);
-        assertEquals(null, h.workerOf("r1"), "a second one, before anything is heard of the first");
+        h.advance(150 * MILLISECOND);
+        h.submit("r0", "c", "a", 5 * SECOND);
+        assertEquals(null, h.lastEndpointOf("r0"));
+        h.updateList(ListUpdateKind.DELTA, endpointInfo("new", 0, EndpointState.ACTIVE, h.nowUs));
+        assertEquals("new", h.lastEndpointOf("r0"));
+        h.submit("r1", "c", "a", 5 * SECOND);
+        assertEquals(null, h.lastEndpointOf("r1"), "a second one, before anything is heard of the first");
     }
 
     /** It reports time and again that it has no slot free. */
-    private static void full(Harness h, String worker) {
+    private static void reportNoFreeSlots(Harness h, String endpoint) {
         for (int n = 0; n < 30; n++) {
-            h.module.onProbeResult(h.now, worker, true, MS, new LoadReport(0, Double.NaN, 0.9, 10));
+            h.loadBalancer.onProbeResult(h.nowUs, endpoint, true, MILLISECOND, new LoadReport(0, Double.NaN, 0.9, 10));
         }
     }
 
     /** zone+vast: a job may run on at a worker that could not be told; another attempt of it would be a second copy. */
     @Test
-    void aJobThatMayRunOnUntoldIsRefusedAtOnce() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(2);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(100 * MS);
-        h.outcome("r", AttemptOutcome.CANCEL_UNCONFIRMED);
-        assertEquals(1, h.seen.get("r").workers.size());
-        assertEquals("refused", h.seen.get("r").answer);
+    void requestWhoseCancelIsUnconfirmedIsRejectedAtOnce() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(2);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(100 * MILLISECOND);
+        h.endAttempt("r", AttemptOutcome.CANCEL_UNCONFIRMED);
+        assertEquals(1, h.requests.get("r").endpoints.size());
+        assertEquals("refused", h.requests.get("r").answer);
     }
 
     /** silent+leave: slow kinds stood idle with four to seven free slots while jobs were refused. */
     @ParameterizedTest
     @CsvSource({"100,w2", "5,"})
-    void aWorkerThatIsSlowByItsKindGetsWhatTheOthersHaveNoRoomFor(int finished, String gets) {
+    void consistentlySlowEndpointIsUsedWhenTheOthersAreFull(int finishedRequests, String expectedEndpoint) {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.WITH_RESPONSES,
                         false,
                         false),
                 1);
-        h.workers(3);
+        h.listActiveEndpoints(3);
         for (int i = 0; i < 3; i++) {
-            LatencyStats latency = h.module.endpoints().get("w" + i).latencyStats;
+            LatencyStats latency = h.loadBalancer.endpoints().get("w" + i).latencyStats;
             latency.recentRelativeRunTime = i == 2 ? 3 : 1;
             latency.longTermRelativeRunTime = latency.recentRelativeRunTime;
-            latency.sampleCount = finished;
+            latency.sampleCount = finishedRequests;
             for (int n = 0; n < 20; n++) {
-                h.module.onProbeResult(h.now, "w" + i, true, MS, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
+                h.loadBalancer.onProbeResult(h.nowUs, "w" + i, true, MILLISECOND, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
             }
         }
-        h.advance(150 * MS); // it is looked at
-        h.request("r", "c", "a", 5 * S);
-        assertEquals(gets, h.workerOf("r"));
+        h.advance(150 * MILLISECOND); // it is looked at
+        h.submit("r", "c", "a", 5 * SECOND);
+        assertEquals(expectedEndpoint, h.lastEndpointOf("r"));
     }
 
     /** Jobs went to a slow worker as often as to a fast one that was free as well, and ended late. */
     @Test
-    void ofTwoFreeWorkersTheOneThatRunsJobsFasterIsTaken() {
+    void fasterOfTwoFreeEndpointsIsChosen() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         List.of(),
                         LoadReporting.WITH_RESPONSES,
                         false,
                         false),
                 1);
-        h.workers(2);
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(4, Double.NaN, 0.1, 10));
-        h.module.onProbeResult(h.now, "w1", true, 1, new LoadReport(4, Double.NaN, 0.1, 10));
-        int slow = 0;
+        h.listActiveEndpoints(2);
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(4, Double.NaN, 0.1, 10));
+        h.loadBalancer.onProbeResult(h.nowUs, "w1", true, 1, new LoadReport(4, Double.NaN, 0.1, 10));
+        int sentToSlow = 0;
         for (int i = 0; i < 80; i++) {
-            h.request("r" + i, "c", null, 5 * S);
-            boolean late = h.workerOf("r" + i).equals("w1");
-            slow += late && i >= 40 ? 1 : 0;
-            h.advance(late ? 400 * MS : 200 * MS);
-            h.outcome("r" + i, 0, AttemptOutcome.OK, new LoadReport(4, Double.NaN, 0.1, 10));
+            h.submit("r" + i, "c", null, 5 * SECOND);
+            boolean toSlow = h.lastEndpointOf("r" + i).equals("w1");
+            sentToSlow += toSlow && i >= 40 ? 1 : 0;
+            h.advance(toSlow ? 400 * MILLISECOND : 200 * MILLISECOND);
+            h.endAttempt("r" + i, 0, AttemptOutcome.OK, new LoadReport(4, Double.NaN, 0.1, 10));
         }
-        assertEquals(0, slow);
+        assertEquals(0, sentToSlow);
     }
 
     /** It says so until that is usual too. */
-    private static void oneFreeSlot(Harness h) {
+    private static void reportOneFreeSlot(Harness h) {
         for (int i = 0; i < 20; i++) {
-            h.module.onProbeResult(h.now, "w0", true, MS, new LoadReport(1, Double.NaN, 0.9, 10));
+            h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(1, Double.NaN, 0.9, 10));
         }
     }
 
-    private static LoadBalancerSettings flooded(TailObjective tail) {
+    private static LoadBalancerSettings settingsWithSmallQuotas(TailObjective tail) {
         List<Tenant> tenants = List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 10));
-        return Harness.with(
+        return Harness.withDrainRuleAndTail(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         tenants,
                         LoadReporting.WITH_RESPONSES,
                         true,
@@ -958,142 +958,142 @@
 
     /** i3de4ba: clients tried ten times each, and the repeats of refused jobs ate the quota of their tenant. */
     @Test
-    void aRefusedJobGivesItsPlaceInTheQuotaBackAndRepeatsAreNoArrivals() {
-        Harness h = new Harness(flooded(new TailObjective(0.3, 0.01)), 1);
-        h.workers(1);
-        h.now = 20 * S; // no room: the only worker has just said so
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
-        h.request("first", "c", "a", 5 * S);
-        h.advance(200 * MS);
+    void rejectedRequestReturnsItsQuotaAndRetriesDoNotCountAsArrivals() {
+        Harness h = new Harness(settingsWithSmallQuotas(new TailObjective(0.3, 0.01)), 1);
+        h.listActiveEndpoints(1);
+        h.nowUs = 20 * SECOND; // no room: the only worker has just said so
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
+        h.submit("first", "c", "a", 5 * SECOND);
+        h.advance(200 * MILLISECOND);
         for (int i = 0; i < 30; i++) { // all these in the quota, none of them served
-            h.retry("r" + i, "c", "a", 4_800 * MS);
-            assertEquals("refused", h.answer("r" + i));
+            h.submitRetry("r" + i, "c", "a", 4_800 * MILLISECOND);
+            assertEquals("refused", h.answerOf("r" + i));
         }
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(1, Double.NaN, 0, 10));
-        h.request("next", "c", "a", 5 * S); // still in the quota: one free slot is enough
-        assertEquals("w0", h.workerOf("next"));
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(1, Double.NaN, 0, 10));
+        h.submit("next", "c", "a", 5 * SECOND); // still in the quota: one free slot is enough
+        assertEquals("w0", h.lastEndpointOf("next"));
     }
 
     /** i6d7315: every refusal, and each repeat after it, came after the aim and was a miss. */
     @Test
-    void whereTheTailIsWeighedJobsAreAnsweredWithinHalfTheirAimAndSurplusAtOnce() {
+    void tailObjectiveRejectsWithinHalfTheLatencyObjectiveAndOverQuotaAtOnce() {
         for (TailObjective tail : new TailObjective[] {TailObjective.NONE, new TailObjective(0.3, 0.01)}) {
-            Harness h = new Harness(flooded(tail), 1);
+            Harness h = new Harness(settingsWithSmallQuotas(tail), 1);
             for (int i = 0; i < 12; i++) { // nobody to send to
-                h.request("r" + i, "c", "a", 5 * S);
+                h.submit("r" + i, "c", "a", 5 * SECOND);
             }
-            assertNull(h.answer("r0"));
-            assertEquals(tail == TailObjective.NONE ? null : "refused", h.answer("r11"));
-            h.advance(190 * MS);
-            assertEquals(tail == TailObjective.NONE ? null : "refused", h.answer("r0"));
+            assertNull(h.answerOf("r0"));
+            assertEquals(tail == TailObjective.NONE ? null : "refused", h.answerOf("r11"));
+            h.advance(190 * MILLISECOND);
+            assertEquals(tail == TailObjective.NONE ? null : "refused", h.answerOf("r0"));
         }
     }
 
     /** A fresh tanger day: first tries with little time left were taken for late repeats and refused unseen. */
     @Test
-    void aFirstTryWithLittleTimeLeftIsServedWhereRepeatsAreMarked() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(2);
-        h.request("usual", "c", "a", 5 * S);
-        h.started("usual");
-        h.outcome("usual", AttemptOutcome.OK);
-        h.request("short", "c", "a", 100 * MS);
-        assertTrue(h.workerOf("short") != null);
-        h.outcome("short", AttemptOutcome.OK);
-        h.retry("late", "c", "a", 100 * MS);
-        assertEquals("refused", h.answer("late"));
+    void firstTryWithLittleTimeLeftIsServedWhereRetriesAreMarked() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(2);
+        h.submit("usual", "c", "a", 5 * SECOND);
+        h.reportStarted("usual");
+        h.endAttempt("usual", AttemptOutcome.OK);
+        h.submit("short", "c", "a", 100 * MILLISECOND);
+        assertTrue(h.lastEndpointOf("short") != null);
+        h.endAttempt("short", AttemptOutcome.OK);
+        h.submitRetry("late", "c", "a", 100 * MILLISECOND);
+        assertEquals("refused", h.answerOf("late"));
     }
 
     /** casa-main quiet: jobs far shorter than the age of a report were held for reports of no room long past. */
     @Test
-    void anOldReportOfNoRoomFadesToTheUsualWhereJobsAreShort() {
-        for (long run : new long[] {20 * MS, 4 * S}) {
+    void oldReportOfNoFreeSlotsDecaysToTheBaselineForShortRequests() {
+        for (long runTimeUs : new long[] {20 * MILLISECOND, 4 * SECOND}) {
             Harness h = new Harness(
                     settings(
-                            List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                            TWO,
+                            List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                            TWO_TENANTS,
                             LoadReporting.WITH_RESPONSES,
                             true,
                             false),
                     1);
-            h.workers(1);
+            h.listActiveEndpoints(1);
             for (int i = 0; i < 200; i++) { // learns what a job takes and what is usual
-                h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
-                h.request("l" + i, "c", "a", 5 * S);
-                h.started("l" + i);
-                h.advance(run);
-                h.outcome("l" + i, AttemptOutcome.OK);
+                h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
+                h.submit("l" + i, "c", "a", 5 * SECOND);
+                h.reportStarted("l" + i);
+                h.advance(runTimeUs);
+                h.endAttempt("l" + i, AttemptOutcome.OK);
             }
-            h.advance(600 * MS); // own jobs no longer explain what is in use
-            h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
-            h.request("r", "c", "a", 5 * S);
-            assertEquals(run < 100 * MS ? "w0" : null, h.workerOf("r"));
+            h.advance(600 * MILLISECOND); // own jobs no longer explain what is in use
+            h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
+            h.submit("r", "c", "a", 5 * SECOND);
+            assertEquals(runTimeUs < 100 * MILLISECOND ? "w0" : null, h.lastEndpointOf("r"));
         }
     }
 
     /** casa-main: in its first half second a node asked, and answered every job before the probes were back. */
     @Test
-    void askingFitsIntoTheTimeAJobIsHeld() {
-        Harness h = new Harness(flooded(new TailObjective(0.3, 0.01)), 1);
-        h.workers(6);
-        h.request("r", "c", "a", 5 * S);
-        h.advance(148 * MS); // held 150 ms at most
-        assertTrue(h.workerOf("r") != null);
+    void probingFitsIntoTheQueueingTime() {
+        Harness h = new Harness(settingsWithSmallQuotas(new TailObjective(0.3, 0.01)), 1);
+        h.listActiveEndpoints(6);
+        h.submit("r", "c", "a", 5 * SECOND);
+        h.advance(148 * MILLISECOND); // held 150 ms at most
+        assertTrue(h.lastEndpointOf("r") != null);
     }
 
     /** i8c875b: every worker failed a third of its jobs, and three errors in a row put most of them to rest. */
     @Test
-    void errorsRestAWorkerOnlyWhereItsPeersHaveFewer() {
-        for (boolean all : new boolean[] {true, false}) {
-            Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-            h.workers(4);
-            int[] last = new int[4];
+    void errorsEjectAnEndpointOnlyIfItsPeersHaveFewer() {
+        for (boolean allFail : new boolean[] {true, false}) {
+            Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+            h.listActiveEndpoints(4);
+            int[] sentTo = new int[4];
             for (int i = 0; i < 2000; i++) {
-                h.request("r" + i, "c", "a", 5 * S);
-                String w = h.workerOf("r" + i);
-                if (w != null) {
-                    int n = w.charAt(1) - '0';
-                    last[n] += i >= 1000 ? 1 : 0;
-                    h.started("r" + i);
-                    h.advance(5 * MS);
+                h.submit("r" + i, "c", "a", 5 * SECOND);
+                String endpoint = h.lastEndpointOf("r" + i);
+                if (endpoint != null) {
+                    int index = endpoint.charAt(1) - '0';
+                    sentTo[index] += i >= 1000 ? 1 : 0;
+                    h.reportStarted("r" + i);
+                    h.advance(5 * MILLISECOND);
                     // the bad fail most of their jobs, several in a row
-                    h.outcome("r" + i, (all || n == 0) && i % 7 != 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+                    h.endAttempt("r" + i, (allFail || index == 0) && i % 7 != 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
                 }
-                h.advance(5 * MS);
+                h.advance(5 * MILLISECOND);
             }
-            int sum = last[0] + last[1] + last[2] + last[3];
+            int sum = sentTo[0] + sentTo[1] + sentTo[2] + sentTo[3];
             assertTrue(sum > 950, sum + " of the last 1000 found a worker");
-            assertTrue(all ? last[0] > 100 : last[0] < 100, "the bad one got " + last[0]);
+            assertTrue(allFail ? sentTo[0] > 100 : sentTo[0] < 100, "the bad one got " + sentTo[0]);
         }
     }
 
     /** tanger-contrats big-2: workers that left one class unanswered were blocked for all of them, over and over. */
     @Test
-    void aClassNotAnsweredAtAWorkerIsBarredThereAndTheOthersGoOn() {
+    void unansweredClassIsExcludedAtItsEndpointAndOthersAreNot() {
         List<RequestClass> classes = List.of(
-                kind("bad", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
-                kind("good", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
-        Harness h = new Harness(settings(classes, TWO, LoadReporting.WITH_RESPONSES, true, false), 1);
-        h.workers(1);
+                requestClass("bad", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                requestClass("good", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
+        Harness h = new Harness(settings(classes, TWO_TENANTS, LoadReporting.WITH_RESPONSES, true, false), 1);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 2; i++) {
-            h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
-            h.request("b" + i, "bad", "a", 5 * S);
-            assertEquals("w0", h.workerOf("b" + i), "one alone may be a lost message");
-            h.advance(5 * S); // never told to have started
-            assertEquals("failed", h.answer("b" + i));
-            h.advance(i == 0 ? 8 * S : 0); // the wait that the first one showed fades
+            h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
+            h.submit("b" + i, "bad", "a", 5 * SECOND);
+            assertEquals("w0", h.lastEndpointOf("b" + i), "one alone may be a lost message");
+            h.advance(5 * SECOND); // never told to have started
+            assertEquals("failed", h.answerOf("b" + i));
+            h.advance(i == 0 ? 8 * SECOND : 0); // the wait that the first one showed fades
         }
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
-        h.request("barred", "bad", "a", 5 * S);
-        h.request("good", "good", "b", 5 * S);
-        assertNull(h.workerOf("barred"));
-        assertEquals("w0", h.workerOf("good"));
-        h.started("good");
-        h.outcome("good", AttemptOutcome.OK);
-        h.advance(9 * S); // not for ever
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
-        h.request("again", "bad", "a", 5 * S);
-        assertEquals("w0", h.workerOf("again"));
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
+        h.submit("barred", "bad", "a", 5 * SECOND);
+        h.submit("good", "good", "b", 5 * SECOND);
+        assertNull(h.lastEndpointOf("barred"));
+        assertEquals("w0", h.lastEndpointOf("good"));
+        h.reportStarted("good");
+        h.endAttempt("good", AttemptOutcome.OK);
+        h.advance(9 * SECOND); // not for ever
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
+        h.submit("again", "bad", "a", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("again"));
     }
 
     /**
@@ -1103,79 +1103,79 @@
      */
     @ParameterizedTest
     @CsvSource({"1, sent", "2, sent", "10, held"})
-    void fewReportsOfNoRoomDoNotSpeakForTheWorkersNotHeard(int heard, String then) {
+    void fewReportsOfNoFreeSlotsDoNotStandForEndpointsWithoutReports(int reporting, String expected) {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.WITH_RESPONSES,
                         true,
                         false),
                 1);
-        h.workers(20);
-        for (int i = 0; i < heard; i++) {
-            h.module.onProbeResult(h.now, "w" + i, true, 1, new LoadReport(0, Double.NaN, 1, 10));
+        h.listActiveEndpoints(20);
+        for (int i = 0; i < reporting; i++) {
+            h.loadBalancer.onProbeResult(h.nowUs, "w" + i, true, 1, new LoadReport(0, Double.NaN, 1, 10));
         }
-        h.advance(200 * MS); // a round of judging
-        h.request("next", "c", "a", 5 * S);
-        h.advance(60 * MS); // rounds of asking, unanswered
-        assertEquals(then, h.workerOf("next") == null ? "held" : "sent");
+        h.advance(200 * MILLISECOND); // a round of judging
+        h.submit("next", "c", "a", 5 * SECOND);
+        h.advance(60 * MILLISECOND); // rounds of asking, unanswered
+        assertEquals(expected, h.lastEndpointOf("next") == null ? "held" : "sent");
     }
 
     /** A report of no room may be untrue: what the worker does decides, unless the whole fleet is busy. */
     @Test
-    void aWorkerThatReportsNoRoomIsTriedWhereTheFleetHasRoom() {
-        for (boolean busy : new boolean[] {false, true}) {
+    void endpointThatReportsNoFreeSlotsIsTriedIfTheFleetHasCapacity() {
+        for (boolean fleetBusy : new boolean[] {false, true}) {
             Harness h = new Harness(
                     settings(
-                            List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                            TWO,
+                            List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                            TWO_TENANTS,
                             LoadReporting.WITH_RESPONSES,
                             true,
                             false),
                     1);
-            h.workers(4);
-            int there = 0;
+            h.listActiveEndpoints(4);
+            int sentToFull = 0;
             for (int i = 0; i < 400; i++) {
                 for (int k = 0; k < 4; k++) {
-                    h.module.onProbeResult(
-                            h.now, "w" + k, true, 1, new LoadReport(k == 0 || busy ? 0 : 4, Double.NaN, 1, 10));
+                    h.loadBalancer.onProbeResult(
+                            h.nowUs, "w" + k, true, 1, new LoadReport(k == 0 || fleetBusy ? 0 : 4, Double.NaN, 1, 10));
                 }
-                h.request("r" + i, "c", "a", 5 * S);
-                if (h.workerOf("r" + i) != null) {
-                    there += h.workerOf("r" + i).equals("w0") ? 1 : 0;
-                    h.started("r" + i);
-                    h.advance(40 * MS);
-                    h.outcome("r" + i, AttemptOutcome.OK);
+                h.submit("r" + i, "c", "a", 5 * SECOND);
+                if (h.lastEndpointOf("r" + i) != null) {
+                    sentToFull += h.lastEndpointOf("r" + i).equals("w0") ? 1 : 0;
+                    h.reportStarted("r" + i);
+                    h.advance(40 * MILLISECOND);
+                    h.endAttempt("r" + i, AttemptOutcome.OK);
                 }
-                h.advance(10 * MS);
+                h.advance(10 * MILLISECOND);
             }
-            assertTrue(busy ? there == 0 : there > 2, there + " of 400 to the one that reports no room");
+            assertTrue(fleetBusy ? sentToFull == 0 : sentToFull > 2, sentToFull + " of 400 to the one that reports no room");
         }
     }
 
     /** A worker that died and came back within the list's delay got its full load while cold. */
     @Test
-    void aWorkerThatBrokeOffAndTookNoConnectionIsColdWhenItIsBack() {
+    void endpointThatResetAndRefusedConnectionsIsInSlowStartWhenItReturns() {
         for (boolean died : new boolean[] {true, false}) {
             Harness h = new Harness(
                     settings(
-                            List.of(kind("c", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)),
-                            TWO,
+                            List.of(requestClass("c", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL)),
+                            TWO_TENANTS,
                             LoadReporting.NONE,
                             true,
                             false),
                     1);
-            h.now = 100 * S;
-            h.workers(1);
-            h.request("a", "c", "a", 5 * S);
-            h.started("a");
-            h.outcome("a", died ? AttemptOutcome.RESET : AttemptOutcome.OK);
-            h.advance(S);
-            h.request("b", "c", "a", 5 * S);
-            h.outcome("b", AttemptOutcome.CONNECT_FAILED);
-            h.advance(S);
-            assertEquals(died, h.module.endpoints().get("w0").slowStartCapacity(h.now, h.settings.rules()) < 1);
+            h.nowUs = 100 * SECOND;
+            h.listActiveEndpoints(1);
+            h.submit("a", "c", "a", 5 * SECOND);
+            h.reportStarted("a");
+            h.endAttempt("a", died ? AttemptOutcome.RESET : AttemptOutcome.OK);
+            h.advance(SECOND);
+            h.submit("b", "c", "a", 5 * SECOND);
+            h.endAttempt("b", AttemptOutcome.CONNECT_FAILED);
+            h.advance(SECOND);
+            assertEquals(died, h.loadBalancer.endpoints().get("w0").slowStartCapacity(h.nowUs, h.settings.rules()) < 1);
         }
     }
 
@@ -1184,219 +1184,219 @@
     void memoryCountsAsWellAsSlots() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.WITH_RESPONSES,
                         true,
                         false),
                 1);
-        h.workers(1);
-        h.module.onProbeResult(h.now, "w0", true, 1, new LoadReport(4, 1, 0.5, 10));
-        h.arrive("big", "c", "a", 5 * S, 1.5, false);
-        assertNull(h.workerOf("big"));
-        h.arrive("fits", "c", "a", 5 * S, 0.8, false);
-        assertEquals("w0", h.workerOf("fits"));
+        h.listActiveEndpoints(1);
+        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(4, 1, 0.5, 10));
+        h.submitRequest("big", "c", "a", 5 * SECOND, 1.5, false);
+        assertNull(h.lastEndpointOf("big"));
+        h.submitRequest("fits", "c", "a", 5 * SECOND, 0.8, false);
+        assertEquals("w0", h.lastEndpointOf("fits"));
     }
 
     /** The one case in which the answer waits: an attempt is out and its class forbids another. */
     @Test
-    void whatIsGivenUpOnIsAnsweredAtOnce() {
+    void abandonedRequestIsAnsweredAtOnce() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {
             AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMEOUT, AttemptOutcome.NOT_SENT
         }) {
-            Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-            h.workers(2);
-            h.request("r", "c", "a", 5 * S);
-            h.started("r");
-            h.advance(200 * MS);
-            assertNull(h.answer("r"), "its attempt is out");
-            h.outcome("r", outcome);
-            assertEquals(outcome.neverExecuted() ? "refused" : "failed", h.answer("r"));
+            Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+            h.listActiveEndpoints(2);
+            h.submit("r", "c", "a", 5 * SECOND);
+            h.reportStarted("r");
+            h.advance(200 * MILLISECOND);
+            assertNull(h.answerOf("r"), "its attempt is out");
+            h.endAttempt("r", outcome);
+            assertEquals(outcome.neverExecuted() ? "refused" : "failed", h.answerOf("r"));
         }
     }
 
     @Test
-    void oneJobIsOnItsWayAtATimeWhereStartsAreTold() {
-        Harness h = plain(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
+    void oneUnstartedRequestAtATimeWhereStartsAreSignalled() {
+        Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
         for (int i = 0; i < 40; i++) { // opens the window wide
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            h.advance(10 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            h.advance(10 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        h.request("x", "c", "a", 5 * S);
-        h.request("y", "c", "a", 5 * S);
-        h.advance(50 * MS);
-        assertEquals("w0", h.workerOf("x"));
-        assertNull(h.workerOf("y"));
-        h.started("x");
-        assertEquals("w0", h.workerOf("y"));
+        h.submit("x", "c", "a", 5 * SECOND);
+        h.submit("y", "c", "a", 5 * SECOND);
+        h.advance(50 * MILLISECOND);
+        assertEquals("w0", h.lastEndpointOf("x"));
+        assertNull(h.lastEndpointOf("y"));
+        h.reportStarted("x");
+        assertEquals("w0", h.lastEndpointOf("y"));
     }
 
     @Test
-    void placementFollowsCounts() {
+    void placementFollowsInstanceCounts() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
-                        TWO,
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        TWO_TENANTS,
                         LoadReporting.NONE,
                         false,
                         false),
                 3);
-        h.workers(3);
-        h.module.endpoints().get("w1").tenantInstances[0] = 30; // 10 : 30 : 10
+        h.listActiveEndpoints(3);
+        h.loadBalancer.endpoints().get("w1").tenantInstances[0] = 30; // 10 : 30 : 10
         Map<String, Integer> placed = new LinkedHashMap<>();
         for (int i = 0; i < 5000; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            placed.merge(h.workerOf("r" + i), 1, Integer::sum);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            placed.merge(h.lastEndpointOf("r" + i), 1, Integer::sum);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
         assertEquals(3000, placed.get("w1"), 150);
         assertEquals(1000, placed.get("w0"), 120);
     }
 
     @Test
-    void releaseTurnsFollowTotalCountsAndSkipEmptyQueues() {
-        List<Tenant> three = List.of(new Tenant("a", 0.4, 1), new Tenant("b", 0.3, 1), new Tenant("idle", 0.3, 1));
+    void dequeueOrderFollowsInstanceCountsAndSkipsEmptyQueues() {
+        List<Tenant> tenants = List.of(new Tenant("a", 0.4, 1), new Tenant("b", 0.3, 1), new Tenant("idle", 0.3, 1));
         RequestClass slow = new RequestClass(
-                "c", 60 * S, 50 * S, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
-        Harness h = new Harness(settings(List.of(slow), three, LoadReporting.NONE, true, false), 3);
-        h.workers(1);
-        int[] counts = h.module.endpoints().get("w0").tenantInstances;
+                "c", 60 * SECOND, 50 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
+        Harness h = new Harness(settings(List.of(slow), tenants, LoadReporting.NONE, true, false), 3);
+        h.listActiveEndpoints(1);
+        int[] counts = h.loadBalancer.endpoints().get("w0").tenantInstances;
         counts[0] = 15;
         counts[1] = 5;
         for (int i = 0; i < 100; i++) {
-            h.request("a" + i, "c", "a", 60 * S);
-            h.request("b" + i, "c", "b", 60 * S);
+            h.submit("a" + i, "c", "a", 60 * SECOND);
+            h.submit("b" + i, "c", "b", 60 * SECOND);
         }
         int fromA = 0;
         for (int i = 0; i < 80; i++) {
-            String last = h.log.stream()
-                    .filter(l -> l.contains(" send "))
+            String last = h.actionLog.stream()
+                    .filter(line -> line.contains(" send "))
                     .reduce((x, y) -> y)
                     .orElseThrow();
             String id = last.split(" ")[2];
             fromA += id.startsWith("a") ? 1 : 0;
-            h.started(id);
-            h.outcome(id, AttemptOutcome.OK);
+            h.reportStarted(id);
+            h.endAttempt(id, AttemptOutcome.OK);
         }
         assertEquals(60, fromA, 3);
     }
 
     @Test
     void shortClassesGoFirstWithinATenant() {
-        RequestClass shortOne = new RequestClass(
-                "short", 4 * S, 3 * S, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
-        RequestClass longOne = new RequestClass(
-                "long", 40 * S, 30 * S, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
-        Harness h = new Harness(settings(List.of(longOne, shortOne), TWO, LoadReporting.NONE, true, false), 1);
-        h.workers(1);
-        h.request("x", "long", "a", 40 * S);
-        h.advance(100 * MS);
-        h.request("l", "long", "a", 40 * S);
-        h.request("s", "short", "a", 4 * S);
-        h.advance(100 * MS);
-        h.started("x");
-        h.outcome("x", AttemptOutcome.OK);
-        assertEquals("w0", h.workerOf("s"));
-        assertNull(h.workerOf("l"));
+        RequestClass shortClass = new RequestClass(
+                "short", 4 * SECOND, 3 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
+        RequestClass longClass = new RequestClass(
+                "long", 40 * SECOND, 30 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
+        Harness h = new Harness(settings(List.of(longClass, shortClass), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
+        h.listActiveEndpoints(1);
+        h.submit("x", "long", "a", 40 * SECOND);
+        h.advance(100 * MILLISECOND);
+        h.submit("l", "long", "a", 40 * SECOND);
+        h.submit("s", "short", "a", 4 * SECOND);
+        h.advance(100 * MILLISECOND);
+        h.reportStarted("x");
+        h.endAttempt("x", AttemptOutcome.OK);
+        assertEquals("w0", h.lastEndpointOf("s"));
+        assertNull(h.lastEndpointOf("l"));
     }
 
     @Test
-    void theNewestGoesFirstOnceTheOldestHasUsedHalfItsWait() {
-        RequestClass c = new RequestClass(
-                "c", 4 * S, 1 * S, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
-        Harness h = new Harness(settings(List.of(c), TWO, LoadReporting.NONE, true, false), 1);
-        h.workers(1);
-        h.request("x", "c", "a", 4 * S);
-        h.request("old", "c", "a", 4 * S);
-        h.advance(600 * MS);
-        h.request("new", "c", "a", 4 * S);
-        h.started("x");
-        h.outcome("x", AttemptOutcome.OK);
-        assertEquals("w0", h.workerOf("new"));
-        assertNull(h.workerOf("old"));
+    void newestRequestGoesFirstOnceTheOldestHasWaitedHalfItsTime() {
+        RequestClass requestClass = new RequestClass(
+                "c", 4 * SECOND, 1 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
+        Harness h = new Harness(settings(List.of(requestClass), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
+        h.listActiveEndpoints(1);
+        h.submit("x", "c", "a", 4 * SECOND);
+        h.submit("old", "c", "a", 4 * SECOND);
+        h.advance(600 * MILLISECOND);
+        h.submit("new", "c", "a", 4 * SECOND);
+        h.reportStarted("x");
+        h.endAttempt("x", AttemptOutcome.OK);
+        assertEquals("w0", h.lastEndpointOf("new"));
+        assertNull(h.lastEndpointOf("old"));
     }
 
     @Test
-    void aWorkerFarSlowerThanItsPeersIsLeftAloneButNeverMostOfThem() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(4);
+    void endpointFarSlowerThanItsPeersIsAvoidedButNotIfAllAreSlow() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(4);
         int toSlow = 0;
         for (int i = 0; i < 200; i++) {
-            h.request("r" + i, "c", "a", 5 * S);
-            h.started("r" + i);
-            boolean slow = h.workerOf("r" + i).equals("w0");
+            h.submit("r" + i, "c", "a", 5 * SECOND);
+            h.reportStarted("r" + i);
+            boolean slow = h.lastEndpointOf("r" + i).equals("w0");
             toSlow += slow && i >= 100 ? 1 : 0;
-            h.advance(slow ? 1000 * MS : 100 * MS);
-            h.outcome("r" + i, AttemptOutcome.OK);
+            h.advance(slow ? 1000 * MILLISECOND : 100 * MILLISECOND);
+            h.endAttempt("r" + i, AttemptOutcome.OK);
         }
         assertTrue(toSlow < 12, toSlow + " of 100 to the slow worker");
         for (int i = 0; i < 40; i++) { // all slow together: it is not the workers
-            h.request("s" + i, "c", "a", 5 * S);
-            assertNotEquals(null, h.workerOf("s" + i));
-            h.started("s" + i);
-            h.advance(1000 * MS);
-            h.outcome("s" + i, AttemptOutcome.OK);
+            h.submit("s" + i, "c", "a", 5 * SECOND);
+            assertNotEquals(null, h.lastEndpointOf("s" + i));
+            h.reportStarted("s" + i);
+            h.advance(1000 * MILLISECOND);
+            h.endAttempt("s" + i, AttemptOutcome.OK);
         }
     }
 
     @Test
-    void absurdReportsNeitherCrashNorStarve() {
+    void invalidLoadReportsNeitherCrashNorStarve() {
         Harness h = new Harness(
                 settings(
-                        List.of(kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         List.of(),
                         LoadReporting.WITH_RESPONSES,
                         false,
                         true),
                 1);
-        h.workers(2);
-        double[] lies = {Double.NaN, -5, 1e300, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY};
+        h.listActiveEndpoints(2);
+        double[] invalidValues = {Double.NaN, -5, 1e300, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY};
         for (int i = 0; i < 50; i++) {
-            h.request("r" + i, "c", i % 3 == 0 ? null : "nobody", 5 * S);
-            h.advance(250 * MS); // asks first, and nobody answers
-            assertNotEquals(null, h.workerOf("r" + i), "request " + i);
-            h.outcome("r" + i, 0, AttemptOutcome.OK, new LoadReport(lies[i % 5], Double.NaN, Double.NaN, -1));
+            h.submit("r" + i, "c", i % 3 == 0 ? null : "nobody", 5 * SECOND);
+            h.advance(250 * MILLISECOND); // asks first, and nobody answers
+            assertNotEquals(null, h.lastEndpointOf("r" + i), "request " + i);
+            h.endAttempt("r" + i, 0, AttemptOutcome.OK, new LoadReport(invalidValues[i % 5], Double.NaN, Double.NaN, -1));
         }
     }
 
     @Test
-    void unknownTenantsClassesAndLateEventsDoNoHarm() {
-        Harness h = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        h.workers(1);
-        h.request("u", "c", "stranger", 5 * S);
-        assertEquals("w0", h.workerOf("u"));
-        h.started("u");
-        h.outcome("u", AttemptOutcome.OK);
-        h.module.onAttemptEnd(h.now, "u", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
-        h.module.onAttemptEnd(h.now, "never", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
-        h.module.onAttemptSignal(h.now, "u", 7, AttemptSignal.STARTED, 0);
-        h.module.onClientGone(h.now, "u");
-        h.module.onProbeResult(h.now, "nobody", true, 1, LoadReport.NONE);
-        h.module.onTimer(h.now, 999);
-        h.request("odd", "no such class", "a", 5 * S);
-        assertEquals("failed", h.answer("odd"));
+    void unknownTenantsAndClassesAndLateEventsAreTolerated() {
+        Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        h.listActiveEndpoints(1);
+        h.submit("u", "c", "stranger", 5 * SECOND);
+        assertEquals("w0", h.lastEndpointOf("u"));
+        h.reportStarted("u");
+        h.endAttempt("u", AttemptOutcome.OK);
+        h.loadBalancer.onAttemptEnd(h.nowUs, "u", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+        h.loadBalancer.onAttemptEnd(h.nowUs, "never", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+        h.loadBalancer.onAttemptSignal(h.nowUs, "u", 7, AttemptSignal.STARTED, 0);
+        h.loadBalancer.onClientGone(h.nowUs, "u");
+        h.loadBalancer.onProbeResult(h.nowUs, "nobody", true, 1, LoadReport.NONE);
+        h.loadBalancer.onTimer(h.nowUs, 999);
+        h.submit("odd", "no such class", "a", 5 * SECOND);
+        assertEquals("failed", h.answerOf("odd"));
     }
 
     @Test
-    void contradictorySettingsAreNamed() {
+    void contradictorySettingsAreRejectedByName() {
         assertTrue(assertThrows(
-                        IllegalArgumentException.class, () -> settings(List.of(), TWO, LoadReporting.NONE, true, false))
+                        IllegalArgumentException.class, () -> settings(List.of(), TWO_TENANTS, LoadReporting.NONE, true, false))
                 .getMessage()
                 .startsWith("classes"));
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
                         () -> settings(
-                                List.of(kind("c", null, DeduplicationScope.ALL)), TWO, LoadReporting.NONE, true, false))
+                                List.of(requestClass("c", null, DeduplicationScope.ALL)), TWO_TENANTS, LoadReporting.NONE, true, false))
                 .getMessage()
                 .startsWith("classes.idempotency of c"));
         assertThrows(IllegalArgumentException.class, () -> new ShareLoadBalancer(null, 1, null));
     }
 
     @Test
-    void randomEventsNeverBreakARuleAndRepeatExactly() {
+    void randomEventsBreakNoRuleAndAreDeterministic() {
         for (int seed = 0; seed < 40; seed++) {
             List<String> first = randomRun(seed, null);
             assertEquals(first, randomRun(seed, null), "seed " + seed);
@@ -1404,27 +1404,27 @@
     }
 
     @Test
-    void twoInstancesInOneProcessActAsWhenAlone() {
-        List<String> alone = randomRun(3, null);
-        Harness other = plain(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        other.workers(2);
-        assertEquals(alone, randomRun(3, other));
+    void instancesInOneProcessAreIndependent() {
+        List<String> expected = randomRun(3, null);
+        Harness other = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+        other.listActiveEndpoints(2);
+        assertEquals(expected, randomRun(3, other));
     }
 
-    private static List<String> randomRun(int seed, Harness beside) {
+    private static List<String> randomRun(int seed, Harness otherInstance) {
         SplittableRandom random = new SplittableRandom(seed);
-        boolean parallel = random.nextBoolean();
+        boolean hedgingAllowed = random.nextBoolean();
         List<RequestClass> classes = List.of(
-                kind("safe", Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
-                kind("unsafe", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
-                kind("all", Idempotency.KEYED, DeduplicationScope.ALL),
-                kind("zone", Idempotency.KEYED, DeduplicationScope.ZONE),
-                kind("cell", Idempotency.KEYED, DeduplicationScope.CELL));
-        LoadBalancerSettings plain =
-                settings(classes, TWO, LoadReporting.values()[random.nextInt(3)], random.nextBoolean(), parallel);
+                requestClass("safe", Idempotency.IDEMPOTENT, DeduplicationScope.ALL),
+                requestClass("unsafe", Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL),
+                requestClass("all", Idempotency.KEYED, DeduplicationScope.ALL),
+                requestClass("zone", Idempotency.KEYED, DeduplicationScope.ZONE),
+                requestClass("cell", Idempotency.KEYED, DeduplicationScope.CELL));
+        LoadBalancerSettings base =
+                settings(classes, TWO_TENANTS, LoadReporting.values()[random.nextInt(3)], random.nextBoolean(), hedgingAllowed);
         Harness h = new Harness(
-                Harness.with(
-                        plain,
+                Harness.withDrainRuleAndTail(
+                        base,
                         random.nextBoolean(),
                         random.nextBoolean() ? TailObjective.NONE : new TailObjective(0.3, 0.01)),
                 seed);
@@ -1432,58 +1432,58 @@
         for (int i = 0; i < 1000; i++) {
             switch (random.nextInt(6)) {
                 case 0, 1 ->
-                    h.request(
+                    h.submit(
                             "r" + i,
                             classes.get(random.nextInt(5)).name(),
                             random.nextBoolean() ? "a" : "b",
-                            random.nextInt(8) == 0 ? random.nextLong(20 * MS) : random.nextLong(5 * S) + 1);
+                            random.nextInt(8) == 0 ? random.nextLong(20 * MILLISECOND) : random.nextLong(5 * SECOND) + 1);
                 case 2 -> {
-                    EndpointInfo[] some = new EndpointInfo[random.nextInt(6)];
-                    for (int k = 0; k < some.length; k++) {
-                        int w = k + random.nextInt(3);
-                        some[k] = entry(
-                                "w" + w,
-                                w % 3,
+                    EndpointInfo[] endpoints = new EndpointInfo[random.nextInt(6)];
+                    for (int k = 0; k < endpoints.length; k++) {
+                        int number = k + random.nextInt(3);
+                        endpoints[k] = endpointInfo(
+                                "w" + number,
+                                number % 3,
                                 EndpointState.values()[random.nextInt(20) / 8],
-                                random.nextInt(3) == 0 ? h.now : 0);
+                                random.nextInt(3) == 0 ? h.nowUs : 0);
                     }
                     if (random.nextInt(4) == 0) {
-                        h.list(ListUpdateKind.values()[random.nextInt(3)], distinct(some));
+                        h.updateList(ListUpdateKind.values()[random.nextInt(3)], distinct(endpoints));
                     }
                 }
-                default -> h.advance(random.nextLong(40 * MS));
+                default -> h.advance(random.nextLong(40 * MILLISECOND));
             }
-            for (Harness.Seen s : h.seen.values()) {
-                for (int n = 0; n < s.outcomes.size(); n++) {
-                    if (s.outcomes.get(n) == null) {
+            for (Harness.TrackedRequest request : h.requests.values()) {
+                for (int attempt = 0; attempt < request.outcomes.size(); attempt++) {
+                    if (request.outcomes.get(attempt) == null) {
                         if (random.nextInt(12) == 0) {
-                            h.outcome(
-                                    s.request.id(),
-                                    n,
+                            h.endAttempt(
+                                    request.request.id(),
+                                    attempt,
                                     outcomes[random.nextInt(8)],
                                     new LoadReport(random.nextInt(6), Double.NaN, 0.5, 10));
                         } else if (random.nextInt(3) == 0) {
-                            h.module.onAttemptSignal(h.now, s.request.id(), n, AttemptSignal.STARTED, 0);
+                            h.loadBalancer.onAttemptSignal(h.nowUs, request.request.id(), attempt, AttemptSignal.STARTED, 0);
                         }
                     }
                 }
             }
-            if (beside != null) {
-                beside.request("b" + i, "c", "a", 5 * S);
+            if (otherInstance != null) {
+                otherInstance.submit("b" + i, "c", "a", 5 * SECOND);
             }
         }
-        h.advance(6 * S);
-        for (Harness.Seen s : h.seen.values()) {
-            assertTrue(s.answer != null, "unanswered " + s.request.id());
+        h.advance(6 * SECOND);
+        for (Harness.TrackedRequest request : h.requests.values()) {
+            assertTrue(request.answer != null, "unanswered " + request.request.id());
         }
-        return h.log;
+        return h.actionLog;
     }
 
-    private static EndpointInfo[] distinct(EndpointInfo[] entries) {
-        Map<String, EndpointInfo> by = new LinkedHashMap<>();
-        for (EndpointInfo e : entries) {
-            by.putIfAbsent(e.name(), e);
+    private static EndpointInfo[] distinct(EndpointInfo[] endpoints) {
+        Map<String, EndpointInfo> byName = new LinkedHashMap<>();
+        for (EndpointInfo endpoint : endpoints) {
+            byName.putIfAbsent(endpoint.name(), endpoint);
         }
-        return by.values().toArray(new EndpointInfo[0]);
+        return byName.values().toArray(new EndpointInfo[0]);
     }
 }
--- a/src/test/java/olivechute/loadbalancing/SlowStartTest.java
+++ b/src/test/java/olivechute/loadbalancing/SlowStartTest.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
-import static olivechute.loadbalancing.Harness.MS;
-import static olivechute.loadbalancing.Harness.S;
-import static olivechute.loadbalancing.Harness.entry;
+import static olivechute.loadbalancing.Harness.MILLISECOND;
+import static olivechute.loadbalancing.Harness.SECOND;
+import static olivechute.loadbalancing.Harness.endpointInfo;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -24,388 +24,388 @@
  */
 class SlowStartTest {
     private static final long SEED = 20261202;
-    private static final long STEP = 10 * MS;
-    private static final long LAG = 500 * MS; // of reports
-    private static final long TOLD = 4 * S;
-    private static final int[] SIZES = {3, 30, 100};
+    private static final long STEP_US = 10 * MILLISECOND;
+    private static final long REPORT_LAG_US = 500 * MILLISECOND; // of reports
+    private static final long LISTED_AT_US = 4 * SECOND;
+    private static final int[] FLEET_SIZES = {3, 30, 100};
 
     /** What a fleet is told, and the worker's size. */
-    private record Site(
+    private record Scenario(
             String name,
             int nodes,
-            int old,
-            int newcomers,
+            int warmEndpoints,
+            int newEndpoints,
             int slots,
-            double startCapacity,
-            long rampTime,
-            double fallMultiple,
-            long overloadFor,
-            List<Long> means,
-            double load,
-            LoadReporting reports) {}
+            double slowStartCapacity,
+            long slowStartDurationUs,
+            double overloadMultiple,
+            long overloadWindowUs,
+            List<Long> meanRunTimesUs,
+            double utilization,
+            LoadReporting loadReporting) {}
 
-    private record Sent(Node node, String job, int attempt, int kind) {}
+    private record SentAttempt(Node node, String requestId, int attempt, int classIndex) {}
 
-    private record Bore(long at, double work) {}
+    private record Arrival(long atUs, double runTimeUs) {}
 
     /** One node and its part of all traffic, in jobs for each microsecond and class. */
     private static final class Node {
         final Harness harness;
-        final double[] rates;
-        int jobs;
+        final double[] requestsPerUs;
+        int requestCount;
 
         Node(Harness harness, double[] rates) {
             this.harness = harness;
-            this.rates = rates;
+            this.requestsPerUs = rates;
         }
     }
 
     /**
      * A worker: what waits, what runs and until when, what free slots it reports, what came in while it was watched.
      */
-    private static final class Model {
-        final Deque<Sent> queue = new ArrayDeque<>();
-        final Map<Sent, Long> running = new LinkedHashMap<>();
-        final Deque<Integer> free = new ArrayDeque<>();
-        final List<Bore> bore = new ArrayList<>();
-        long startedAt;
-        boolean dead;
-        boolean full;
-        boolean boasts; // reports all of its slots as free, whatever it runs
-    }
-
-    private Site site;
+    private static final class SimulatedEndpoint {
+        final Deque<SentAttempt> queue = new ArrayDeque<>();
+        final Map<SentAttempt, Long> runningUntilUs = new LinkedHashMap<>();
+        final Deque<Integer> freeSlotReports = new ArrayDeque<>();
+        final List<Arrival> arrivals = new ArrayList<>();
+        long startedAtUs;
+        boolean down;
+        boolean saturated;
+        boolean reportsAllSlotsFree; // reports all of its slots as free, whatever it runs
+    }
+
+    private Scenario scenario;
     private LoadBalancerSettings settings;
     private SplittableRandom random;
-    private long now;
-    private double tide; // of the usual traffic, at present
+    private long nowUs;
+    private double trafficMultiple; // of the usual traffic, at present
     private final List<Node> nodes = new ArrayList<>();
-    private final Map<String, Model> workers = new TreeMap<>();
-    private final Map<Sent, Integer> known = new HashMap<>();
+    private final Map<String, SimulatedEndpoint> endpoints = new TreeMap<>();
+    private final Map<SentAttempt, Integer> deliveredAttempts = new HashMap<>();
 
-    private void open(Site s, long seed) {
-        site = s;
+    private void setUp(Scenario newScenario, long seed) {
+        scenario = newScenario;
         random = new SplittableRandom(seed);
-        now = 0;
-        tide = 1;
+        nowUs = 0;
+        trafficMultiple = 1;
         nodes.clear();
-        workers.clear();
-        known.clear();
+        endpoints.clear();
+        deliveredAttempts.clear();
         List<RequestClass> classes = new ArrayList<>();
-        for (int c = 0; c < s.means().size(); c++) {
+        for (int c = 0; c < newScenario.meanRunTimesUs().size(); c++) {
             classes.add(new RequestClass(
                     "c" + c,
-                    5 * S,
-                    Math.min(S, 150 * MS + s.means().get(c)),
+                    5 * SECOND,
+                    Math.min(SECOND, 150 * MILLISECOND + newScenario.meanRunTimesUs().get(c)),
                     2,
                     1,
                     0,
                     Idempotency.IDEMPOTENT,
                     DeduplicationScope.ALL,
-                    2 * S,
+                    2 * SECOND,
                     null,
                     0));
         }
         LoadBalancerSettings base =
-                Harness.unasked(Harness.settings(classes, List.of(), s.reports(), true, false), s.nodes());
-        ServiceRules r = base.rules();
-        settings = Harness.ruled(
+                Harness.withoutProbes(Harness.settings(classes, List.of(), newScenario.loadReporting(), true, false), newScenario.nodes());
+        ServiceRules rules = base.rules();
+        settings = Harness.withRules(
                 base,
                 new ServiceRules(
-                        r.answerSlackUs(),
-                        r.listPollIntervalUs(),
-                        r.drainGraceUs(),
-                        s.startCapacity(),
-                        s.rampTime(),
-                        s.fallMultiple(),
-                        s.overloadFor(),
-                        r.keepsUnlistedEndpoints()));
-        EndpointInfo[] entries = new EndpointInfo[s.old()];
-        for (int w = 0; w < s.old(); w++) {
-            workers.put("w" + w, new Model());
-            entries[w] = entry("w" + w, 0, EndpointState.ACTIVE, 0);
+                        rules.answerSlackUs(),
+                        rules.listPollIntervalUs(),
+                        rules.drainGraceUs(),
+                        newScenario.slowStartCapacity(),
+                        newScenario.slowStartDurationUs(),
+                        newScenario.overloadMultiple(),
+                        newScenario.overloadWindowUs(),
+                        rules.keepsUnlistedEndpoints()));
+        EndpointInfo[] warmList = new EndpointInfo[newScenario.warmEndpoints()];
+        for (int w = 0; w < newScenario.warmEndpoints(); w++) {
+            endpoints.put("w" + w, new SimulatedEndpoint());
+            warmList[w] = endpointInfo("w" + w, 0, EndpointState.ACTIVE, 0);
         }
         // A tenth of the nodes has five parts of the traffic, a third next to none, the others one. Each class takes as
         // much time as any.
-        double[] parts = new double[s.nodes()];
+        double[] trafficParts = new double[newScenario.nodes()];
         double sum = 0;
-        for (int n = 0; n < parts.length; n++) {
-            parts[n] = n % 10 == 0 ? 5 : n % 3 == 1 ? 0.05 : 1;
-            sum += parts[n];
-        }
-        for (int n = 0; n < parts.length; n++) {
-            double[] rates = new double[s.means().size()];
-            for (int c = 0; c < rates.length; c++) {
-                rates[c] = s.load()
-                        * s.old()
-                        * s.slots()
-                        * parts[n]
+        for (int n = 0; n < trafficParts.length; n++) {
+            trafficParts[n] = n % 10 == 0 ? 5 : n % 3 == 1 ? 0.05 : 1;
+            sum += trafficParts[n];
+        }
+        for (int n = 0; n < trafficParts.length; n++) {
+            double[] requestsPerUs = new double[newScenario.meanRunTimesUs().size()];
+            for (int c = 0; c < requestsPerUs.length; c++) {
+                requestsPerUs[c] = newScenario.utilization()
+                        * newScenario.warmEndpoints()
+                        * newScenario.slots()
+                        * trafficParts[n]
                         / sum
-                        / rates.length
-                        / s.means().get(c);
+                        / requestsPerUs.length
+                        / newScenario.meanRunTimesUs().get(c);
             }
-            Harness h = new Harness(settings, seed + n);
-            h.list(ListUpdateKind.FULL, entries);
-            nodes.add(new Node(h, rates));
+            Harness harness = new Harness(settings, seed + n);
+            harness.updateList(ListUpdateKind.FULL, warmList);
+            nodes.add(new Node(harness, requestsPerUs));
         }
     }
 
-    private double meanWork() {
-        double calls = 0;
-        for (long mean : site.means()) {
-            calls += 1.0 / mean;
+    private double meanRunTimeUs() {
+        double callsPerUs = 0;
+        for (long meanRunTimeUs : scenario.meanRunTimesUs()) {
+            callsPerUs += 1.0 / meanRunTimeUs;
         }
-        return site.means().size() / calls;
+        return scenario.meanRunTimesUs().size() / callsPerUs;
     }
 
     /** Newcomers start, and all nodes are told at once. */
-    private void join() {
-        EndpointInfo[] entries = new EndpointInfo[site.newcomers()];
-        for (int w = 0; w < entries.length; w++) {
-            entries[w] = entry("new" + w, 0, EndpointState.ACTIVE, now);
-            Model m = new Model();
-            m.startedAt = now;
-            workers.put("new" + w, m);
+    private void addNewEndpoints() {
+        EndpointInfo[] newList = new EndpointInfo[scenario.newEndpoints()];
+        for (int w = 0; w < newList.length; w++) {
+            newList[w] = endpointInfo("new" + w, 0, EndpointState.ACTIVE, nowUs);
+            SimulatedEndpoint endpoint = new SimulatedEndpoint();
+            endpoint.startedAtUs = nowUs;
+            endpoints.put("new" + w, endpoint);
         }
-        nodes.forEach(n -> n.harness.list(ListUpdateKind.DELTA, entries));
+        nodes.forEach(node -> node.harness.updateList(ListUpdateKind.DELTA, newList));
     }
 
-    private double warmth(Model m, long at) {
-        return m.startedAt == 0 || at - m.startedAt >= site.rampTime()
+    private double capacityPart(SimulatedEndpoint endpoint, long atUs) {
+        return endpoint.startedAtUs == 0 || atUs - endpoint.startedAtUs >= scenario.slowStartDurationUs()
                 ? 1
-                : site.startCapacity() + (1 - site.startCapacity()) * Math.max(0, at - m.startedAt) / site.rampTime();
+                : scenario.slowStartCapacity() + (1 - scenario.slowStartCapacity()) * Math.max(0, atUs - endpoint.startedAtUs) / scenario.slowStartDurationUs();
     }
 
-    private void runUntil(long end) {
-        while (now < end) {
-            now += STEP;
-            for (Node n : nodes) {
-                n.harness.advance(now - n.harness.now);
-                for (int c = 0; c < n.rates.length; c++) {
-                    for (double due = tide * n.rates[c] * STEP; due > 0 && random.nextDouble() < due; due--) {
-                        n.harness.request("r" + n.jobs++, "c" + c, "a", 5 * S);
+    private void runUntil(long endUs) {
+        while (nowUs < endUs) {
+            nowUs += STEP_US;
+            for (Node node : nodes) {
+                node.harness.advance(nowUs - node.harness.nowUs);
+                for (int c = 0; c < node.requestsPerUs.length; c++) {
+                    for (double expected = trafficMultiple * node.requestsPerUs[c] * STEP_US; expected > 0 && random.nextDouble() < expected; expected--) {
+                        node.harness.submit("r" + node.requestCount++, "c" + c, "a", 5 * SECOND);
                     }
                 }
-                carry(n);
+                deliverAttempts(node);
             }
-            workers.values().forEach(this::work);
+            endpoints.values().forEach(this::processAttempts);
         }
     }
 
     /** Hands what a node has just sent to its workers, and forgets what is over. */
-    private void carry(Node node) {
-        Harness h = node.harness;
-        for (Harness.Seen s : new ArrayList<>(h.seen.values())) {
-            int n = s.outcomes.size() - 1;
-            if (n >= 0 && s.outcomes.get(n) == null) {
-                arrive(node, s, n);
+    private void deliverAttempts(Node node) {
+        Harness harness = node.harness;
+        for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
+            int attempt = request.outcomes.size() - 1;
+            if (attempt >= 0 && request.outcomes.get(attempt) == null) {
+                deliver(node, request, attempt);
             }
         }
-        for (Iterator<Harness.Seen> it = h.seen.values().iterator(); it.hasNext(); ) {
-            Harness.Seen s = it.next();
-            if (s.answer != null && s.out() == 0) {
-                it.remove();
+        for (Iterator<Harness.TrackedRequest> iterator = harness.requests.values().iterator(); iterator.hasNext(); ) {
+            Harness.TrackedRequest request = iterator.next();
+            if (request.answer != null && request.attemptsInFlight() == 0) {
+                iterator.remove();
             }
         }
     }
 
-    private void arrive(Node node, Harness.Seen s, int n) {
-        Model m = workers.get(s.workers.get(n));
-        int kind = Integer.parseInt(s.kind.name().substring(1));
-        Sent sent = new Sent(node, s.request.id(), n, kind);
-        if (m.dead) {
-            m.bore.add(new Bore(now, site.means().get(kind)));
-            node.harness.outcome(s.request.id(), n, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
-        } else if (!known.containsKey(sent)) {
-            known.put(sent, n);
-            m.queue.add(sent);
-            m.bore.add(new Bore(s.sentAt.get(n), site.means().get(kind)));
+    private void deliver(Node node, Harness.TrackedRequest request, int attempt) {
+        SimulatedEndpoint endpoint = endpoints.get(request.endpoints.get(attempt));
+        int classIndex = Integer.parseInt(request.requestClass.name().substring(1));
+        SentAttempt sent = new SentAttempt(node, request.request.id(), attempt, classIndex);
+        if (endpoint.down) {
+            endpoint.arrivals.add(new Arrival(nowUs, scenario.meanRunTimesUs().get(classIndex)));
+            node.harness.endAttempt(request.request.id(), attempt, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
+        } else if (!deliveredAttempts.containsKey(sent)) {
+            deliveredAttempts.put(sent, attempt);
+            endpoint.queue.add(sent);
+            endpoint.arrivals.add(new Arrival(request.sentAtUs.get(attempt), scenario.meanRunTimesUs().get(classIndex)));
         }
     }
 
-    private void work(Model m) {
-        if (m.dead) {
+    private void processAttempts(SimulatedEndpoint endpoint) {
+        if (endpoint.down) {
             return;
         }
-        for (Map.Entry<Sent, Long> e : new ArrayList<>(m.running.entrySet())) {
-            if (e.getValue() <= now) {
-                m.running.remove(e.getKey());
-                known.remove(e.getKey());
-                Harness h = e.getKey().node().harness;
-                Harness.Seen s = h.seen.get(e.getKey().job());
-                if (s != null && s.outcomes.get(e.getKey().attempt()) == null) {
-                    h.outcome(
-                            e.getKey().job(),
-                            e.getKey().attempt(),
+        for (Map.Entry<SentAttempt, Long> entry : new ArrayList<>(endpoint.runningUntilUs.entrySet())) {
+            if (entry.getValue() <= nowUs) {
+                endpoint.runningUntilUs.remove(entry.getKey());
+                deliveredAttempts.remove(entry.getKey());
+                Harness harness = entry.getKey().node().harness;
+                Harness.TrackedRequest request = harness.requests.get(entry.getKey().requestId());
+                if (request != null && request.outcomes.get(entry.getKey().attempt()) == null) {
+                    harness.endAttempt(
+                            entry.getKey().requestId(),
+                            entry.getKey().attempt(),
                             AttemptOutcome.OK,
-                            site.reports() == LoadReporting.NONE
+                            scenario.loadReporting() == LoadReporting.NONE
                                     ? LoadReport.NONE
-                                    : new LoadReport(m.free.peekFirst(), Double.NaN, 0.5, 10));
+                                    : new LoadReport(endpoint.freeSlotReports.peekFirst(), Double.NaN, 0.5, 10));
                 }
             }
         }
-        int able = m.full ? 1 : (int) Math.max(1, Math.floor(warmth(m, now) * site.slots()));
-        while (m.running.size() < able && !m.queue.isEmpty()) {
-            Sent next = m.queue.poll();
-            Harness.Seen s = next.node().harness.seen.get(next.job());
-            if (s != null && s.outcomes.get(next.attempt()) == null) {
-                m.running.put(next, now + (long) (site.means().get(next.kind()) * (0.5 + random.nextDouble())));
-                next.node().harness.module.onAttemptSignal(now, next.job(), next.attempt(), AttemptSignal.STARTED, 0);
+        int availableSlots = endpoint.saturated ? 1 : (int) Math.max(1, Math.floor(capacityPart(endpoint, nowUs) * scenario.slots()));
+        while (endpoint.runningUntilUs.size() < availableSlots && !endpoint.queue.isEmpty()) {
+            SentAttempt next = endpoint.queue.poll();
+            Harness.TrackedRequest request = next.node().harness.requests.get(next.requestId());
+            if (request != null && request.outcomes.get(next.attempt()) == null) {
+                endpoint.runningUntilUs.put(next, nowUs + (long) (scenario.meanRunTimesUs().get(next.classIndex()) * (0.5 + random.nextDouble())));
+                next.node().harness.loadBalancer.onAttemptSignal(nowUs, next.requestId(), next.attempt(), AttemptSignal.STARTED, 0);
             }
         }
-        m.free.addLast(
-                m.full ? 0 : m.boasts ? site.slots() : Math.max(0, site.slots() - m.running.size() - m.queue.size()));
-        if (m.free.size() > LAG / STEP) {
-            m.free.removeFirst();
+        endpoint.freeSlotReports.addLast(
+                endpoint.saturated ? 0 : endpoint.reportsAllSlotsFree ? scenario.slots() : Math.max(0, scenario.slots() - endpoint.runningUntilUs.size() - endpoint.queue.size()));
+        if (endpoint.freeSlotReports.size() > REPORT_LAG_US / STEP_US) {
+            endpoint.freeSlotReports.removeFirst();
         }
     }
 
     /** The most that any stretch held, against what it may hold. */
-    private double most(Model m) {
-        double mean = meanWork();
-        double most = 0;
+    private double maxWindowLoad(SimulatedEndpoint endpoint) {
+        double meanRunTimeUs = meanRunTimeUs();
+        double max = 0;
         int last = 0;
-        double sum = 0;
-        for (int first = 0; first < m.bore.size() && m.bore.get(first).at() < m.startedAt + site.rampTime(); first++) {
-            long from = m.bore.get(first).at();
-            for (; last < m.bore.size() && m.bore.get(last).at() < from + site.overloadFor(); last++) {
-                sum += m.bore.get(last).work();
+        double sumUs = 0;
+        for (int first = 0; first < endpoint.arrivals.size() && endpoint.arrivals.get(first).atUs() < endpoint.startedAtUs + scenario.slowStartDurationUs(); first++) {
+            long fromUs = endpoint.arrivals.get(first).atUs();
+            for (; last < endpoint.arrivals.size() && endpoint.arrivals.get(last).atUs() < fromUs + scenario.overloadWindowUs(); last++) {
+                sumUs += endpoint.arrivals.get(last).runTimeUs();
             }
-            double bears = site.fallMultiple() * warmth(m, from) * site.slots() * site.overloadFor() / mean;
-            most = Math.max(most, sum / mean / (bears + 2 * Math.sqrt(bears) + 2));
-            sum -= m.bore.get(first).work();
+            double allowedCalls = scenario.overloadMultiple() * capacityPart(endpoint, fromUs) * scenario.slots() * scenario.overloadWindowUs() / meanRunTimeUs;
+            max = Math.max(max, sumUs / meanRunTimeUs / (allowedCalls + 2 * Math.sqrt(allowedCalls) + 2));
+            sumUs -= endpoint.arrivals.get(first).runTimeUs();
         }
-        return most;
+        return max;
     }
 
     /**
      * What newcomers got since they came, as a part of what they can do in that time, and of what they bear where that
      * is less.
      */
-    private double used() {
-        double got = 0;
-        double able = 0;
-        for (Model m : workers.values()) {
-            if (m.startedAt > 0) {
-                got += m.bore.stream().mapToDouble(Bore::work).sum();
-                for (long t = m.startedAt; t < now; t += STEP) {
-                    able += STEP * warmth(m, t) * site.slots() * Math.min(1, site.fallMultiple());
+    private double usedCapacity() {
+        double receivedUs = 0;
+        double availableUs = 0;
+        for (SimulatedEndpoint endpoint : endpoints.values()) {
+            if (endpoint.startedAtUs > 0) {
+                receivedUs += endpoint.arrivals.stream().mapToDouble(Arrival::runTimeUs).sum();
+                for (long atUs = endpoint.startedAtUs; atUs < nowUs; atUs += STEP_US) {
+                    availableUs += STEP_US * capacityPart(endpoint, atUs) * scenario.slots() * Math.min(1, scenario.overloadMultiple());
                 }
             }
         }
-        return got / able;
+        return receivedUs / availableUs;
     }
 
-    private void holds(String what, double least) {
-        double worst = 0;
-        for (Model m : workers.values()) {
-            worst = Math.max(worst, m.startedAt > 0 ? most(m) : 0);
+    private void assertLoadAndUse(String pattern, double minUsed) {
+        double maxLoad = 0;
+        for (SimulatedEndpoint endpoint : endpoints.values()) {
+            maxLoad = Math.max(maxLoad, endpoint.startedAtUs > 0 ? maxWindowLoad(endpoint) : 0);
         }
-        String told = String.format(
+        String summary = String.format(
                 "seed %d, %s, %s: the fullest stretch held %.2f of what it may, newcomers got %.3f of what they can do, "
                         + "%.3f is least",
-                SEED, what, site, worst, used(), least);
-        System.out.println(told);
-        assertTrue(worst <= 1 && used() >= least, told);
+                SEED, pattern, scenario, maxLoad, usedCapacity(), minUsed);
+        System.out.println(summary);
+        assertTrue(maxLoad <= 1 && usedCapacity() >= minUsed, summary);
     }
 
-    private void plain(Site s, long seed, double least) {
-        open(s, seed);
-        runUntil(TOLD);
-        join();
-        runUntil(TOLD + s.rampTime() / 2);
-        holds("plain", least);
+    private void runSteady(Scenario newScenario, long seed, double minUsed) {
+        setUp(newScenario, seed);
+        runUntil(LISTED_AT_US);
+        addNewEndpoints();
+        runUntil(LISTED_AT_US + newScenario.slowStartDurationUs() / 2);
+        assertLoadAndUse("plain", minUsed);
     }
 
     /**
      * Six in ten of the others report no room, and half of these take no connection: nodes look far beyond their usual
      * workers.
      */
-    private void deep(Site s, long seed, double least) {
-        open(s, seed);
-        runUntil(TOLD);
-        for (int w = 0; w < s.old() * 6 / 10; w++) {
-            workers.get("w" + w).dead = w % 2 == 0;
-            workers.get("w" + w).full = true;
+    private void runSaturated(Scenario newScenario, long seed, double minUsed) {
+        setUp(newScenario, seed);
+        runUntil(LISTED_AT_US);
+        for (int w = 0; w < newScenario.warmEndpoints() * 6 / 10; w++) {
+            endpoints.get("w" + w).down = w % 2 == 0;
+            endpoints.get("w" + w).saturated = true;
         }
-        runUntil(TOLD + S);
-        join();
-        runUntil(TOLD + S + s.rampTime() / 2);
-        holds("deep", least);
+        runUntil(LISTED_AT_US + SECOND);
+        addNewEndpoints();
+        runUntil(LISTED_AT_US + SECOND + newScenario.slowStartDurationUs() / 2);
+        assertLoadAndUse("deep", minUsed);
     }
 
     /** Traffic comes to all nodes at once, around the end of each stretch that began when they were told. */
-    private void waves(Site s, long seed, double least) {
-        open(s, seed);
-        runUntil(TOLD);
-        join();
-        long stretch = s.overloadFor();
-        for (long t = TOLD; t < TOLD + s.rampTime() / 2; t += 2 * stretch) {
-            tide = 0;
-            runUntil(t + stretch * 8 / 10);
-            tide = 3;
-            runUntil(t + stretch * 12 / 10);
-            tide = 0.3;
-            runUntil(t + 2 * stretch);
+    private void runWaves(Scenario newScenario, long seed, double minUsed) {
+        setUp(newScenario, seed);
+        runUntil(LISTED_AT_US);
+        addNewEndpoints();
+        long windowUs = newScenario.overloadWindowUs();
+        for (long windowStartUs = LISTED_AT_US; windowStartUs < LISTED_AT_US + newScenario.slowStartDurationUs() / 2; windowStartUs += 2 * windowUs) {
+            trafficMultiple = 0;
+            runUntil(windowStartUs + windowUs * 8 / 10);
+            trafficMultiple = 3;
+            runUntil(windowStartUs + windowUs * 12 / 10);
+            trafficMultiple = 0.3;
+            runUntil(windowStartUs + 2 * windowUs);
         }
-        holds("waves", least);
+        assertLoadAndUse("waves", minUsed);
     }
 
-    private void eachWay(Site s) {
-        eachWay(s, 0.1, 0.1, 0.1);
+    private void runAllPatterns(Scenario newScenario) {
+        runAllPatterns(newScenario, 0.1, 0.1, 0.1);
     }
 
-    private void eachWay(Site s, double plain, double deep, double waves) {
-        plain(s, SEED, plain);
-        deep(s, SEED, deep);
-        waves(s, SEED, waves);
+    private void runAllPatterns(Scenario newScenario, double minUsedSteady, double minUsedSaturated, double minUsedWaves) {
+        runSteady(newScenario, SEED, minUsedSteady);
+        runSaturated(newScenario, SEED, minUsedSaturated);
+        runWaves(newScenario, SEED, minUsedWaves);
     }
 
-    private static Site mixed(int nodes) {
-        return new Site(
+    private static Scenario mixed(int nodes) {
+        return new Scenario(
                 "mixed",
                 nodes,
                 10,
                 4,
                 8,
                 0.3,
-                8 * S,
+                8 * SECOND,
                 1.5,
-                S,
-                List.of(30 * MS, 600 * MS),
+                SECOND,
+                List.of(30 * MILLISECOND, 600 * MILLISECOND),
                 0.9,
                 LoadReporting.WITH_RESPONSES);
     }
 
     @Test
-    void usualSettings() {
-        for (int n : SIZES) {
-            eachWay(new Site(
-                    "usual", n, 10, 4, 8, 0.3, 8 * S, 3, S, List.of(100 * MS), 0.9, LoadReporting.WITH_RESPONSES));
+    void typicalSettings() {
+        for (int fleetSize : FLEET_SIZES) {
+            runAllPatterns(new Scenario(
+                    "usual", fleetSize, 10, 4, 8, 0.3, 8 * SECOND, 3, SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES));
         }
     }
 
     @Test
-    void littleIsBorneByManyNewcomersBeyondTheUsualReach() {
-        for (int n : SIZES) {
-            Site s = new Site(
-                    "wide", n, 60, 10, 4, 0.1, 8 * S, 1.2, S, List.of(100 * MS), 0.5, LoadReporting.WITH_RESPONSES);
-            deep(s, SEED, 0.1);
+    void manyNewEndpointsOfLowCapacityAmongManyOthers() {
+        for (int fleetSize : FLEET_SIZES) {
+            Scenario wide = new Scenario(
+                    "wide", fleetSize, 60, 10, 4, 0.1, 8 * SECOND, 1.2, SECOND, List.of(100 * MILLISECOND), 0.5, LoadReporting.WITH_RESPONSES);
+            runSaturated(wide, SEED, 0.1);
         }
     }
 
     @Test
-    void aStretchThatIsLongAgainstTheRamp() {
-        for (int n : SIZES) {
-            eachWay(new Site(
-                    "long", n, 10, 4, 8, 0.1, 8 * S, 1.2, 4 * S, List.of(100 * MS), 0.9, LoadReporting.WITH_RESPONSES));
+    void overloadWindowThatIsLongAgainstSlowStart() {
+        for (int fleetSize : FLEET_SIZES) {
+            runAllPatterns(new Scenario(
+                    "long", fleetSize, 10, 4, 8, 0.1, 8 * SECOND, 1.2, 4 * SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES));
         }
     }
 
     @Test
-    void classesOfUnequalWorkShareWhatIsBorne() {
-        eachWay(mixed(3));
-        eachWay(mixed(30)); // 100 are held to more, below
+    void classesOfUnequalRunTimeShareTheAllowance() {
+        runAllPatterns(mixed(3));
+        runAllPatterns(mixed(30)); // 100 are held to more, below
     }
 
     /**
@@ -413,8 +413,8 @@
      * alone, the newcomers got 0.198, 0.252 and 0.128 of what they can do here.
      */
     @Test
-    void busyNodesHaveMoreOfWhatIsBorneThanQuietOnes() {
-        eachWay(mixed(100), 0.24, 0.31, 0.18);
+    void busyNodesGetMoreOfTheAllowanceThanQuietOnes() {
+        runAllPatterns(mixed(100), 0.24, 0.31, 0.18);
     }
 
     /**
@@ -422,25 +422,25 @@
      * equal one of N.
      */
     @Test
-    void reportsThatTellOfNoWorkDoNotMakeTheSumTooLarge() {
-        for (int n : SIZES) {
-            Site s = new Site(
-                    "boasting", n, 10, 2, 8, 0.1, 16 * S, 1, S, List.of(100 * MS), 0.9, LoadReporting.WITH_RESPONSES);
-            open(s, SEED);
-            workers.values().forEach(m -> m.boasts = true);
-            runUntil(TOLD);
-            tide = 3;
-            join();
-            runUntil(TOLD + s.rampTime() / 2);
-            holds("boasting", 0.1);
+    void reportsOfNoLoadDoNotCauseOverload() {
+        for (int fleetSize : FLEET_SIZES) {
+            Scenario falseReports = new Scenario(
+                    "boasting", fleetSize, 10, 2, 8, 0.1, 16 * SECOND, 1, SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES);
+            setUp(falseReports, SEED);
+            endpoints.values().forEach(endpoint -> endpoint.reportsAllSlotsFree = true);
+            runUntil(LISTED_AT_US);
+            trafficMultiple = 3;
+            addNewEndpoints();
+            runUntil(LISTED_AT_US + falseReports.slowStartDurationUs() / 2);
+            assertLoadAndUse("boasting", 0.1);
         }
     }
 
     @Test
-    void nothingIsReported() {
-        for (int n : SIZES) {
-            deep(
-                    new Site("unheard", n, 20, 4, 4, 0.3, 8 * S, 2, S, List.of(150 * MS), 0.7, LoadReporting.NONE),
+    void noLoadReports() {
+        for (int fleetSize : FLEET_SIZES) {
+            runSaturated(
+                    new Scenario("unheard", fleetSize, 20, 4, 4, 0.3, 8 * SECOND, 2, SECOND, List.of(150 * MILLISECOND), 0.7, LoadReporting.NONE),
                     SEED,
                     0.1);
         }
@@ -451,99 +451,99 @@
      * each of them has out at the other workers tells what all have there.
      */
     @Test
-    void newcomersGetTheirPartWhereNothingIsReported() {
-        eachWay(unreported(30), 0.4, 0.6, 0.36);
-        eachWay(unreported(100), 0.25, 0.4, 0.22);
+    void newEndpointsGetTheirPartWithoutLoadReports() {
+        runAllPatterns(unreported(30), 0.4, 0.6, 0.36);
+        runAllPatterns(unreported(100), 0.25, 0.4, 0.22);
     }
 
-    private static Site unreported(int nodes) {
-        return new Site("unreported", nodes, 30, 10, 4, 0.3, 8 * S, 3, S, List.of(200 * MS), 0.7, LoadReporting.NONE);
+    private static Scenario unreported(int nodes) {
+        return new Scenario("unreported", nodes, 30, 10, 4, 0.3, 8 * SECOND, 3, SECOND, List.of(200 * MILLISECOND), 0.7, LoadReporting.NONE);
     }
 
     /**
      * Little is borne, nodes have run for long enough to know the slots, and a tenth of them has half of the traffic.
      */
     @Test
-    void unequalTrafficWithoutReportsDoesNotMakeTheSumTooLarge() {
-        for (int n : SIZES) {
-            Site s = new Site(
+    void unequalTrafficWithoutLoadReportsDoesNotCauseOverload() {
+        for (int fleetSize : FLEET_SIZES) {
+            Scenario unequal = new Scenario(
                     "unequal, unreported",
-                    n,
+                    fleetSize,
                     10,
                     4,
                     8,
                     0.1,
-                    8 * S,
+                    8 * SECOND,
                     1.2,
-                    4 * S,
-                    List.of(100 * MS),
+                    4 * SECOND,
+                    List.of(100 * MILLISECOND),
                     0.9,
                     LoadReporting.NONE);
-            eachWay(s);
-            open(s, SEED);
-            runUntil(10 * TOLD);
-            tide = 2;
-            join();
-            runUntil(10 * TOLD + s.rampTime() / 2);
-            holds("long up", 0.1);
+            runAllPatterns(unequal);
+            setUp(unequal, SEED);
+            runUntil(10 * LISTED_AT_US);
+            trafficMultiple = 2;
+            addNewEndpoints();
+            runUntil(10 * LISTED_AT_US + unequal.slowStartDurationUs() / 2);
+            assertLoadAndUse("long up", 0.1);
         }
     }
 
     @Test
-    void generatedSettings() {
-        SplittableRandom draw = new SplittableRandom(SEED);
+    void randomSettings() {
+        SplittableRandom settingsRandom = new SplittableRandom(SEED);
         for (int i = 0; i < 12; i++) {
-            List<Long> means = new ArrayList<>();
-            for (int c = 1 + draw.nextInt(3); c > 0; c--) {
-                means.add((long) (20 * MS * Math.pow(20, draw.nextDouble())));
+            List<Long> meanRunTimesUs = new ArrayList<>();
+            for (int c = 1 + settingsRandom.nextInt(3); c > 0; c--) {
+                meanRunTimesUs.add((long) (20 * MILLISECOND * Math.pow(20, settingsRandom.nextDouble())));
             }
-            Site s = new Site(
+            Scenario generated = new Scenario(
                     "generated " + i,
-                    SIZES[i % 3],
-                    6 + draw.nextInt(20),
-                    1 + draw.nextInt(6),
-                    2 + draw.nextInt(10),
-                    0.1 + 0.4 * draw.nextDouble(),
-                    4 * S + draw.nextInt(8_000_000),
-                    1 + 3 * draw.nextDouble(),
-                    S / 2 + draw.nextInt(2_000_000),
-                    means,
-                    0.5 + 0.4 * draw.nextDouble(),
+                    FLEET_SIZES[i % 3],
+                    6 + settingsRandom.nextInt(20),
+                    1 + settingsRandom.nextInt(6),
+                    2 + settingsRandom.nextInt(10),
+                    0.1 + 0.4 * settingsRandom.nextDouble(),
+                    4 * SECOND + settingsRandom.nextInt(8_000_000),
+                    1 + 3 * settingsRandom.nextDouble(),
+                    SECOND / 2 + settingsRandom.nextInt(2_000_000),
+                    meanRunTimesUs,
+                    0.5 + 0.4 * settingsRandom.nextDouble(),
                     LoadReporting.WITH_RESPONSES);
-            deep(s, SEED + i, 0.1);
+            runSaturated(generated, SEED + i, 0.1);
         }
     }
 
     /** Down for long, which the list never tells: cold from when it is back, whatever is thought of when it fell. */
     @Test
-    void aWorkerThatWasDownForLongIsColdWhenItIsBack() {
-        for (int n : SIZES) {
-            open(
-                    new Site(
+    void endpointThatWasDownForLongIsInSlowStartWhenItReturns() {
+        for (int fleetSize : FLEET_SIZES) {
+            setUp(
+                    new Scenario(
                             "back",
-                            n,
+                            fleetSize,
                             10,
                             0,
                             8,
                             0.1,
-                            12 * S,
+                            12 * SECOND,
                             1.2,
-                            S,
-                            List.of(100 * MS),
+                            SECOND,
+                            List.of(100 * MILLISECOND),
                             0.9,
                             LoadReporting.WITH_RESPONSES),
                     SEED);
-            runUntil(TOLD);
-            Model m = workers.get("w0");
-            m.dead = true;
-            fall(m);
-            runUntil(TOLD + 6 * S);
-            m.dead = false;
-            m.bore.clear();
-            m.free.clear();
-            m.startedAt = now;
-            runUntil(now + 8 * S);
-            holds("back", 0.1);
+            runUntil(LISTED_AT_US);
+            SimulatedEndpoint endpoint = endpoints.get("w0");
+            endpoint.down = true;
+            resetAttempts(endpoint);
+            runUntil(LISTED_AT_US + 6 * SECOND);
+            endpoint.down = false;
+            endpoint.arrivals.clear();
+            endpoint.freeSlotReports.clear();
+            endpoint.startedAtUs = nowUs;
+            runUntil(nowUs + 8 * SECOND);
+            assertLoadAndUse("back", 0.1);
         }
     }
 
@@ -552,58 +552,58 @@
      * started.
      */
     @Test
-    void aWorkerSeenDownIsAsColdAsCanBeWhenItsRestEnds() {
-        Harness h = new Harness(
-                Harness.unasked(
+    void endpointSeenDownBeginsSlowStartWhenItsEjectionEnds() {
+        Harness harness = new Harness(
+                Harness.withoutProbes(
                         Harness.settings(
-                                List.of(Harness.kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                                List.of(Harness.requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                                 List.of(),
                                 LoadReporting.NONE,
                                 true,
                                 false),
                         1),
                 SEED);
-        h.now = 100 * S;
-        h.workers(1);
+        harness.nowUs = 100 * SECOND;
+        harness.listActiveEndpoints(1);
         for (int i = 0; i < 20; i++) { // learns what a job takes: 20 ms
-            h.request("l" + i, "c", "a", 60 * S);
-            h.started("l" + i);
-            h.advance(20 * MS);
-            h.outcome("l" + i, AttemptOutcome.OK);
-        }
-        h.request("a", "c", "a", 60 * S);
-        h.started("a");
-        h.outcome("a", AttemptOutcome.RESET);
-        Endpoint endpoint = h.module.endpoints().get("w0");
+            harness.submit("l" + i, "c", "a", 60 * SECOND);
+            harness.reportStarted("l" + i);
+            harness.advance(20 * MILLISECOND);
+            harness.endAttempt("l" + i, AttemptOutcome.OK);
+        }
+        harness.submit("a", "c", "a", 60 * SECOND);
+        harness.reportStarted("a");
+        harness.endAttempt("a", AttemptOutcome.RESET);
+        Endpoint endpoint = harness.loadBalancer.endpoints().get("w0");
         OutlierState ejection = endpoint.outlierState;
         for (int i = 0; i < 8; i++) {
-            h.advance(Math.max(0, ejection.ejectedUntilUs - h.now) + S); // and a stretch, as each try counts
-            h.request("b" + i, "c", "a", 60 * S);
-            for (Harness.Seen s : new ArrayList<>(h.seen.values())) {
-                if (s.out() > 0) {
-                    h.outcome(s.request.id(), AttemptOutcome.CONNECT_FAILED);
+            harness.advance(Math.max(0, ejection.ejectedUntilUs - harness.nowUs) + SECOND); // and a stretch, as each try counts
+            harness.submit("b" + i, "c", "a", 60 * SECOND);
+            for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
+                if (request.attemptsInFlight() > 0) {
+                    harness.endAttempt(request.request.id(), AttemptOutcome.CONNECT_FAILED);
                 }
             }
-            assertTrue(ejection.ejectedUntilUs > h.now, "no rest at " + i + ", seed " + SEED);
+            assertTrue(ejection.ejectedUntilUs > harness.nowUs, "no rest at " + i + ", seed " + SEED);
             assertTrue(
-                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, h.settings.rules())
-                            == h.settings.rules().slowStartCapacity(),
-                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, h.settings.rules()) + " after a rest of "
-                            + (ejection.ejectedUntilUs - h.now) + " us, seed " + SEED);
+                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, harness.settings.rules())
+                            == harness.settings.rules().slowStartCapacity(),
+                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, harness.settings.rules()) + " after a rest of "
+                            + (ejection.ejectedUntilUs - harness.nowUs) + " us, seed " + SEED);
         }
     }
 
     /** All that it had breaks off. */
-    private void fall(Model m) {
-        List<Sent> had = new ArrayList<>(m.running.keySet());
-        had.addAll(m.queue);
-        m.running.clear();
-        m.queue.clear();
-        for (Sent s : had) {
-            known.remove(s);
-            Harness.Seen seen = s.node().harness.seen.get(s.job());
-            if (seen != null && seen.outcomes.get(s.attempt()) == null) {
-                s.node().harness.outcome(s.job(), s.attempt(), AttemptOutcome.RESET, LoadReport.NONE);
+    private void resetAttempts(SimulatedEndpoint endpoint) {
+        List<SentAttempt> lost = new ArrayList<>(endpoint.runningUntilUs.keySet());
+        lost.addAll(endpoint.queue);
+        endpoint.runningUntilUs.clear();
+        endpoint.queue.clear();
+        for (SentAttempt attempt : lost) {
+            deliveredAttempts.remove(attempt);
+            Harness.TrackedRequest request = attempt.node().harness.requests.get(attempt.requestId());
+            if (request != null && request.outcomes.get(attempt.attempt()) == null) {
+                attempt.node().harness.endAttempt(attempt.requestId(), attempt.attempt(), AttemptOutcome.RESET, LoadReport.NONE);
             }
         }
     }
@@ -613,8 +613,8 @@
      * fleets.
      */
     @Test
-    void theSumAndItsSpreadAreAsTheDesignSays() {
-        sums(0);
+    void sumOfFirstSendsAndItsDeviationAreAsDesigned() {
+        checkSums(0);
     }
 
     /**
@@ -622,61 +622,61 @@
      * ends beyond.
      */
     @Test
-    void theSumIsNoLargerInAStretchThatTouchesTwo() {
-        sums(S * 8 / 10);
+    void sumOfSendsIsNoLargerInAWindowThatOverlapsTwo() {
+        checkSums(SECOND * 8 / 10);
     }
 
-    private static void sums(long quiet) {
+    private static void checkSums(long delayUs) {
         int fleets = 40;
         List<Integer> sums = new ArrayList<>();
-        LoadBalancerSettings plain = Harness.unasked(
+        LoadBalancerSettings fleetSettings = Harness.withoutProbes(
                 Harness.settings(
-                        List.of(Harness.kind("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
+                        List.of(Harness.requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL)),
                         List.of(),
                         LoadReporting.NONE,
                         false,
                         false),
                 100);
-        for (int f = 0; f < fleets; f++) {
+        for (int fleet = 0; fleet < fleets; fleet++) {
             int sum = 0;
-            for (int n = 0; n < 100; n++) {
-                sum += sent(plain, SEED + 1000L * f + n, quiet);
+            for (int node = 0; node < 100; node++) {
+                sum += countSendsToNewEndpoint(fleetSettings, SEED + 1000L * fleet + node, delayUs);
             }
             sums.add(sum);
         }
         // One slot, a fifth of it at first and all in 20 s, three times that for a second: 30 calls of 20 ms at first.
-        double bears = 3 * (0.2 + 0.8 * quiet / (20 * S)) * S / (20 * MS);
-        double all = Math.pow(Math.sqrt(1 + bears) - 1, 2);
+        double allowedCalls = 3 * (0.2 + 0.8 * delayUs / (20 * SECOND)) * SECOND / (20 * MILLISECOND);
+        double expectedMean = Math.pow(Math.sqrt(1 + allowedCalls) - 1, 2);
         double mean = sums.stream().mapToInt(x -> x).average().orElse(0);
-        double spread = Math.sqrt(
+        double deviation = Math.sqrt(
                 sums.stream().mapToDouble(x -> (x - mean) * (x - mean)).sum() / (fleets - 1));
-        String told = String.format(
+        String summary = String.format(
                 "seed %d, quiet for %d us: mean %.1f of %.1f, spread %.1f, of %s",
-                SEED, quiet, mean, all, spread, sums);
-        System.out.println(told);
-        assertTrue(mean <= all + 3 * Math.sqrt(all / fleets) && mean >= all * 0.6, told);
-        assertTrue(spread <= 1.3 * Math.sqrt(all), told);
-        assertTrue(sums.stream().allMatch(x -> x <= bears + 2 * Math.sqrt(bears) + 2), told);
+                SEED, delayUs, mean, expectedMean, deviation, sums);
+        System.out.println(summary);
+        assertTrue(mean <= expectedMean + 3 * Math.sqrt(expectedMean / fleets) && mean >= expectedMean * 0.6, summary);
+        assertTrue(deviation <= 1.3 * Math.sqrt(expectedMean), summary);
+        assertTrue(sums.stream().allMatch(x -> x <= allowedCalls + 2 * Math.sqrt(allowedCalls) + 2), summary);
     }
 
     /** What a node sends the newcomer in the stretch that begins so long after it was told. */
-    private static int sent(LoadBalancerSettings settings, long seed, long quiet) {
-        Harness h = Harness.learned(settings, seed, 20 * MS);
-        long told = h.now;
-        int sent = 0;
-        while (h.now < told + quiet + S - STEP) {
-            if (h.now == told || h.now >= told + quiet) {
-                h.request("r" + h.now, "c", "a", 5 * S);
+    private static int countSendsToNewEndpoint(LoadBalancerSettings settings, long seed, long delayUs) {
+        Harness harness = Harness.withLearnedRunTime(settings, seed, 20 * MILLISECOND);
+        long listedAtUs = harness.nowUs;
+        int count = 0;
+        while (harness.nowUs < listedAtUs + delayUs + SECOND - STEP_US) {
+            if (harness.nowUs == listedAtUs || harness.nowUs >= listedAtUs + delayUs) {
+                harness.submit("r" + harness.nowUs, "c", "a", 5 * SECOND);
             }
-            h.advance(STEP);
-            for (Harness.Seen s : new ArrayList<>(h.seen.values())) {
-                if (s.out() > 0) {
-                    sent += "w0".equals(s.workers.get(0)) && s.sentAt.get(0) >= told + quiet ? 1 : 0;
-                    h.outcome(s.request.id(), AttemptOutcome.OK);
+            harness.advance(STEP_US);
+            for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
+                if (request.attemptsInFlight() > 0) {
+                    count += "w0".equals(request.endpoints.get(0)) && request.sentAtUs.get(0) >= listedAtUs + delayUs ? 1 : 0;
+                    harness.endAttempt(request.request.id(), AttemptOutcome.OK);
                 }
             }
-            h.seen.values().removeIf(s -> s.answer != null && s.out() == 0);
+            harness.requests.values().removeIf(request -> request.answer != null && request.attemptsInFlight() == 0);
         }
-        return sent;
+        return count;
     }
 }
--- a/src/test/java/olivechute/proxy/RequestMetricsTest.java
+++ b/src/test/java/olivechute/proxy/RequestMetricsTest.java
@@ -146,7 +146,7 @@
         told = new ArrayList<>();
         client = new AnswerLog();
         dispatcher = new RequestDispatcher(
-                loop, SETTINGS, 1, this, () -> {}, 10, 50, new Told(), EndpointListLease.endless());
+                loop, SETTINGS, 1, this, () -> {}, 10, 50, new Told(), EndpointListLease.nonExpiring());
         List<ResolvedEndpoint> hosts = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             hosts.add(new ResolvedEndpoint(
--- a/src/test/java/olivechute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/olivechute/simulator/SimulatorAdapterTest.java
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void theTranscriptGetsTheseReplies() throws IOException {
+    void transcriptProducesTheRecordedReplies() throws IOException {
         assertEquals(resource("/transcript.out"), run(resource("/transcript.in")));
         assertEquals(0, status);
     }
 
     @Test
-    void badLinesGetOnePlainMessageWithTheirNumber() {
+    void invalidLineIsReportedWithItsNumber() {
         assertEquals("{\"output\":[]}\n", run("{\"at_time\":1,\"inbox\":[]}\nnot json\n"));
         assertEquals(1, status);
         assertTrue(errors.startsWith("line 2: "), errors);
@@ -53,38 +53,38 @@
     }
 
     @Test
-    void theFurtherSettingsAreReadAndBadOnesNamed() throws IOException {
-        String plain = resource("/transcript.in").lines().limit(2).reduce("", (x, y) -> x + y + "\n");
-        String listed = plain.replace(
+    void optionalSettingsAreReadAndInvalidOnesAreNamed() throws IOException {
+        String prefix = resource("/transcript.in").lines().limit(2).reduce("", (x, y) -> x + y + "\n");
+        String withOptionalSettings = prefix.replace(
                         "\"future_key\"",
                         "\"result_mix\":{\"whole\":0.5,\"tail_part\":0.35,\"tail_miss\":0.01},\"future_key\"")
                 .replace("\"rules\":{", "\"rules\":{\"only_draining_binds\":true,");
-        String later =
+        String laterEvents =
                 "{\"at_time\":101,\"inbox\":[{\"m\":\"POOL\",\"ref\":0,\"elements\":[]},{\"m\":\"DIRECTORY_UPDATE\","
                         + "\"i\":\"node-0\",\"scope\":\"replace\",\"stamp\":2,\"ref\":0}]}\n{\"at_time\":101.5,\"inbox\":[{\"m\":\"ARRIVAL\","
                         + "\"i\":\"node-0\",\"ref\":\"00000000000000a1\",\"lane\":\"job\",\"customer\":\"a\",\"left\":5.0,\"slots\":1}]}\n";
-        assertTrue(!run(plain + later).contains("RELAY"), "gone binds");
-        assertTrue(run(listed + later).contains("RELAY"), "only draining binds");
-        run(listed.replace("\"tail_miss\":0.01", "\"tail_miss\":1.5"));
+        assertTrue(!run(prefix + laterEvents).contains("RELAY"), "gone binds");
+        assertTrue(run(withOptionalSettings + laterEvents).contains("RELAY"), "only draining binds");
+        run(withOptionalSettings.replace("\"tail_miss\":0.01", "\"tail_miss\":1.5"));
         assertEquals("line 2: result_mix.tail_miss: must be from 0 to 1.0", errors.strip());
-        run(listed.replace("\"tail_part\":0.35", "\"tail_part\":\"much\""));
+        run(withOptionalSettings.replace("\"tail_part\":0.35", "\"tail_part\":\"much\""));
         assertEquals("line 2: result_mix.tail_part: must be a number", errors.strip());
-        run(listed.replace("\"only_draining_binds\":true", "\"only_draining_binds\":1"));
+        run(withOptionalSettings.replace("\"only_draining_binds\":true", "\"only_draining_binds\":1"));
         assertEquals("line 2: rules.only_draining_binds: must be true or false", errors.strip());
     }
 
     @Test
-    void aListNumberNeverDefinedIsNamed() throws IOException {
-        String first = resource("/transcript.in").lines().limit(2).reduce("", (x, y) -> x + y + "\n");
+    void undefinedEndpointListIsNamed() throws IOException {
+        String prefix = resource("/transcript.in").lines().limit(2).reduce("", (x, y) -> x + y + "\n");
         run(
-                first
+                prefix
                         + "{\"at_time\":101,\"inbox\":[{\"m\":\"DIRECTORY_UPDATE\",\"i\":\"node-0\",\"scope\":\"update\",\"ref\":9}]}\n");
         assertEquals("line 3: POOL 9 was never defined", errors.strip());
         assertEquals(1, status);
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsACrash() {
+    void exceptionInTheLoadBalancerIsReportedAsACrash() {
         String out = run("{\"at_time\":1,\"inbox\":[{\"m\":\"PROVISION\",\"i\":\"node-0\",\"init_seed\":1,"
                 + "\"profile_data\":{\"profiles\":[]}}]}\n");
         assertTrue(out.contains("\"m\":\"CRASH\"") && out.contains("classes: missing or contradictory"), out);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void eventsOfInstancesThatAreUnknownOrHaltedAreIgnored() {
+    void eventsOfUnknownOrHaltedInstancesAreIgnored() {
         assertEquals(
                 "{\"output\":[]}\n",
                 run("{\"at_time\":1,\"inbox\":[{\"m\":\"WAKEUP\",\"i\":\"node-9\",\"mark\":1},"
