--- a/src/test/java/olivechute/health/ConnectionHealthTest.java
+++ b/src/test/java/olivechute/health/ConnectionHealthTest.java
@@ -17,234 +17,234 @@
     private static final long MS = 1000;
     private static final long S = 1_000_000;
 
-    private ConnectionHealth fleet;
-    private long now;
+    private ConnectionHealth health;
+    private long nowUs;
 
     @BeforeMethod
-    public void nineHosts() {
-        now = 100 * S;
-        fleet = new ConnectionHealth(HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.nonExpiring());
+    public void listNineEndpoints() {
+        nowUs = 100 * S;
+        health = new ConnectionHealth(HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.nonExpiring());
         for (int i = 0; i < 9; i++) {
-            fleet.onListed("s" + i, 0);
+            health.onListed("s" + i, 0);
         }
     }
 
-    private void sent(String host, int kind) {
-        fleet.onSend(now, host, kind, "t", true);
+    private void send(String endpoint, int classIndex) {
+        health.onSend(nowUs, endpoint, classIndex, "t", true);
     }
 
-    private void accepted(String host, int kind) {
-        sent(host, kind);
-        fleet.onAccepted(host, kind, 30 * MS);
-        fleet.onEnd(now, host, kind, AttemptOutcome.OK, 100 * MS);
+    private void acceptAndServe(String endpoint, int classIndex) {
+        send(endpoint, classIndex);
+        health.onAccepted(endpoint, classIndex, 30 * MS);
+        health.onEnd(nowUs, endpoint, classIndex, AttemptOutcome.OK, 100 * MS);
     }
 
-    private void ends(String host, int kind, AttemptOutcome outcome) {
-        sent(host, kind);
-        fleet.onEnd(now, host, kind, outcome, -1);
+    private void endUnaccepted(String endpoint, int classIndex, AttemptOutcome outcome) {
+        send(endpoint, classIndex);
+        health.onEnd(nowUs, endpoint, classIndex, outcome, -1);
     }
 
-    private boolean takes(String host, int kind) {
-        return fleet.endpoint(host).admits(now, kind);
+    private boolean admits(String endpoint, int classIndex) {
+        return health.endpoint(endpoint).admits(nowUs, classIndex);
     }
 
-    private String told(String host) {
-        List<String> text = new ArrayList<>();
-        fleet.describe(now, (name, what) -> text.add(name + ": " + what));
-        return text.stream().filter(t -> t.startsWith(host + ":")).findFirst().orElseThrow();
+    private String describe(String endpoint) {
+        List<String> lines = new ArrayList<>();
+        health.describeForLog(nowUs, (name, description) -> lines.add(name + ": " + description));
+        return lines.stream().filter(t -> t.startsWith(endpoint + ":")).findFirst().orElseThrow();
     }
 
     @Test
-    public void aClassThatAHostLeavesUnacceptedStaysAwayFromItForLongerEachTime() {
-        accepted("s0", 0);
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        assertFalse(takes("s0", 1));
-        assertTrue(takes("s0", 0), "the other class goes on there");
-        now += 1 * S + 1;
-        assertTrue(takes("s0", 1));
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        now += 3 * S;
-        assertFalse(takes("s0", 1));
-        now += 1 * S + 1;
-        assertTrue(takes("s0", 1));
-        accepted("s0", 0);
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        now += 15 * S;
-        assertFalse(takes("s0", 1), told("s0"));
-        assertTrue(told("s0").contains("class 1 ejected for 1000 ms"), told("s0"));
+    public void unacceptedClassIsEjectedForLongerEachTime() {
+        acceptAndServe("s0", 0);
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        assertFalse(admits("s0", 1));
+        assertTrue(admits("s0", 0), "the other class goes on there");
+        nowUs += 1 * S + 1;
+        assertTrue(admits("s0", 1));
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        nowUs += 3 * S;
+        assertFalse(admits("s0", 1));
+        nowUs += 1 * S + 1;
+        assertTrue(admits("s0", 1));
+        acceptAndServe("s0", 0);
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        nowUs += 15 * S;
+        assertFalse(admits("s0", 1), describe("s0"));
+        assertTrue(describe("s0").contains("class 1 ejected for 1000 ms"), describe("s0"));
     }
 
     /** zone+vast: a host that is silent and cannot be dialled is gone for all classes, and one such end says it. */
     @Test
-    public void aHostThatCannotBeToldOfAWithdrawalIsLeftAloneWithAllClasses() {
-        accepted("s0", 0);
-        ends("s0", 0, AttemptOutcome.CANCEL_UNCONFIRMED);
-        assertFalse(takes("s0", 0));
-        assertFalse(takes("s0", 1));
-        assertTrue(told("s0").contains("silent and not to be connected to"), told("s0"));
-        now += 1 * S;
-        assertTrue(takes("s0", 1));
+    public void unconfirmedCancellationEjectsTheEndpointForAllClasses() {
+        acceptAndServe("s0", 0);
+        endUnaccepted("s0", 0, AttemptOutcome.CANCEL_UNCONFIRMED);
+        assertFalse(admits("s0", 0));
+        assertFalse(admits("s0", 1));
+        assertTrue(describe("s0").contains("silent and not to be connected to"), describe("s0"));
+        nowUs += 1 * S;
+        assertTrue(admits("s0", 1));
     }
 
     @Test
-    public void aDoubtedClassIsTriedByOneOrdinaryRequestAtATime() {
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        now += 2 * S;
-        assertTrue(takes("s0", 1));
-        sent("s0", 1);
-        assertFalse(takes("s0", 1), "one is on its way");
-        fleet.onAccepted("s0", 1, 30 * MS);
-        assertTrue(takes("s0", 1));
-        sent("s0", 1);
-        assertTrue(takes("s0", 1), "trusted again");
+    public void classOnProbationIsTriedByOneRequestAtATime() {
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        nowUs += 2 * S;
+        assertTrue(admits("s0", 1));
+        send("s0", 1);
+        assertFalse(admits("s0", 1), "one is on its way");
+        health.onAccepted("s0", 1, 30 * MS);
+        assertTrue(admits("s0", 1));
+        send("s0", 1);
+        assertTrue(admits("s0", 1), "trusted again");
     }
 
     @Test
-    public void aSilentConnectionNowAndThenIsNoReasonToLeaveAHostForLong() {
+    public void occasionalAcceptTimeoutsDoNotProlongTheEjection() {
         for (int i = 0; i < 5; i++) {
-            ends("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
-            now += 2 * S;
-            assertTrue(takes("s0", 0));
-            accepted("s0", 0);
-            accepted("s0", 0);
+            endUnaccepted("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
+            nowUs += 2 * S;
+            assertTrue(admits("s0", 0));
+            acceptAndServe("s0", 0);
+            acceptAndServe("s0", 0);
         }
     }
 
     @Test
-    public void oneThatAcceptsNothingIsLeftAloneWithAllAndComesBackSlowly() {
-        ends("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        ends("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
-        assertFalse(takes("s0", 0));
-        assertFalse(takes("s0", 1));
-        assertTrue(told("s0").contains("3 accept timeouts in a row"), told("s0"));
-        now += 5 * S;
-        assertEquals(fleet.endpoint("s0").concurrencyLimit(), 1);
-        accepted("s0", 0);
-        assertEquals(fleet.endpoint("s0").concurrencyLimit(), 2);
+    public void endpointThatAcceptsNothingIsEjectedAndReturnsWithAConcurrencyLimitOfOne() {
+        endUnaccepted("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        endUnaccepted("s0", 0, AttemptOutcome.ACCEPT_TIMEOUT);
+        assertFalse(admits("s0", 0));
+        assertFalse(admits("s0", 1));
+        assertTrue(describe("s0").contains("3 accept timeouts in a row"), describe("s0"));
+        nowUs += 5 * S;
+        assertEquals(health.endpoint("s0").concurrencyLimit(), 1);
+        acceptAndServe("s0", 0);
+        assertEquals(health.endpoint("s0").concurrencyLimit(), 2);
     }
 
     @Test
-    public void whatBrokeWithAKeptConnectionIsNotHeldAgainstItsHost() {
+    public void staleConnectionsDoNotCountAgainstTheEndpoint() {
         for (int i = 0; i < 50; i++) {
-            ends("s0", 0, AttemptOutcome.STALE_CONNECTION);
-            assertTrue(takes("s0", 0));
+            endUnaccepted("s0", 0, AttemptOutcome.STALE_CONNECTION);
+            assertTrue(admits("s0", 0));
         }
-        assertTrue(told("s0").contains("in use"), told("s0"));
+        assertTrue(describe("s0").contains("in use"), describe("s0"));
     }
 
     @Test
-    public void newConnectionsThatBreakOrCannotBeMadeInARowAre() {
+    public void consecutiveResetsOrConnectFailuresEjectTheEndpoint() {
         for (AttemptOutcome outcome : List.of(AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED)) {
-            String host = outcome == AttemptOutcome.RESET ? "s1" : "s2";
-            ends(host, 0, outcome);
-            ends(host, 0, outcome);
-            assertTrue(takes(host, 0));
-            ends(host, 0, outcome);
-            assertFalse(takes(host, 0));
+            String endpoint = outcome == AttemptOutcome.RESET ? "s1" : "s2";
+            endUnaccepted(endpoint, 0, outcome);
+            endUnaccepted(endpoint, 0, outcome);
+            assertTrue(admits(endpoint, 0));
+            endUnaccepted(endpoint, 0, outcome);
+            assertFalse(admits(endpoint, 0));
         }
     }
 
     @Test
-    public void aFlappingHostIsLeftAloneForNoLongerThanFourSecondsAndAQuarter() {
-        long longest = 0;
+    public void flappingEndpointIsEjectedForFourSecondsAndAQuarterAtMost() {
+        long longestUs = 0;
         for (int i = 0; i < 40; i++) {
             for (int j = 0; j < 3; j++) {
-                ends("s0", 0, AttemptOutcome.CONNECT_FAILED);
+                endUnaccepted("s0", 0, AttemptOutcome.CONNECT_FAILED);
             }
-            long from = now;
-            while (!takes("s0", 0)) {
-                now += 10 * MS;
+            long ejectedAtUs = nowUs;
+            while (!admits("s0", 0)) {
+                nowUs += 10 * MS;
             }
-            longest = Math.max(longest, now - from);
-            now += 2 * S;
+            longestUs = Math.max(longestUs, nowUs - ejectedAtUs);
+            nowUs += 2 * S;
         }
-        assertTrue(longest > 3 * S && longest <= 5 * S, longest + " us");
+        assertTrue(longestUs > 3 * S && longestUs <= 5 * S, longestUs + " us");
     }
 
     @Test
-    public void aProcessThatStartedAnewHasNothingHeldAgainstIt() {
+    public void restartedProcessStartsWithoutEjections() {
         for (int i = 0; i < 3; i++) {
-            ends("s0", 0, AttemptOutcome.CONNECT_FAILED);
+            endUnaccepted("s0", 0, AttemptOutcome.CONNECT_FAILED);
         }
-        ends("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
-        fleet.onListed("s0", 5 * S);
-        assertTrue(takes("s0", 0) && takes("s0", 1));
+        endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
+        health.onListed("s0", 5 * S);
+        assertTrue(admits("s0", 0) && admits("s0", 1));
     }
 
     @Test
-    public void errorsOfAllHostsAlikeAreNobodysButOnesOwnAre() {
+    public void onlyErrorsAboveTheMedianEjectAnEndpoint() {
         for (int i = 0; i < 40; i++) {
             for (int h = 0; h < 9; h++) {
-                ends("s" + h, 0, AttemptOutcome.ERROR);
+                endUnaccepted("s" + h, 0, AttemptOutcome.ERROR);
             }
         }
         for (int h = 0; h < 9; h++) {
-            assertTrue(takes("s" + h, 0), "all fail alike: " + told("s" + h));
+            assertTrue(admits("s" + h, 0), "all fail alike: " + describe("s" + h));
         }
-        nineHosts();
+        listNineEndpoints();
         for (int i = 0; i < 40; i++) {
             for (int h = 0; h < 8; h++) {
-                accepted("s" + h, 0);
+                acceptAndServe("s" + h, 0);
             }
         }
         for (int i = 0; i < 10; i++) {
-            ends("s8", 0, AttemptOutcome.ERROR);
+            endUnaccepted("s8", 0, AttemptOutcome.ERROR);
         }
-        assertFalse(takes("s8", 0), told("s8"));
+        assertFalse(admits("s8", 0), describe("s8"));
     }
 
     @Test
-    public void allThatFailAtOnceLeaveMostOfTheFleetInUse() {
+    public void simultaneousFailuresEjectAThirdOfTheEndpointsAtMost() {
         for (int i = 0; i < 3; i++) {
             for (int h = 0; h < 9; h++) {
-                ends("s" + h, 0, AttemptOutcome.CONNECT_FAILED);
+                endUnaccepted("s" + h, 0, AttemptOutcome.CONNECT_FAILED);
             }
         }
-        long alone = java.util.stream.IntStream.range(0, 9)
-                .filter(h -> !takes("s" + h, 0))
+        long ejectedCount = java.util.stream.IntStream.range(0, 9)
+                .filter(h -> !admits("s" + h, 0))
                 .count();
-        assertEquals(alone, 3);
+        assertEquals(ejectedCount, 3);
         for (int h = 0; h < 9; h++) { // back, cold, all together
-            fleet.onListed("s" + h, now);
-            assertTrue(takes("s" + h, 0));
+            health.onListed("s" + h, nowUs);
+            assertTrue(admits("s" + h, 0));
         }
     }
 
     /** Whatever happens, in whatever order: never more alone than the settings say, and none for good. */
     @Test
-    public void neverMoreAreLeftAloneThanTheSettingsSay() {
+    public void ejectionsNeverExceedTheSettings() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            nineHosts();
+            listNineEndpoints();
             for (int i = 0; i < 600; i++) {
-                now += random.nextLong(60 * MS);
-                String host = "s" + random.nextInt(9);
-                int kind = random.nextInt(2);
+                nowUs += random.nextLong(60 * MS);
+                String endpoint = "s" + random.nextInt(9);
+                int classIndex = random.nextInt(2);
                 AttemptOutcome outcome = AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)];
-                sent(host, kind);
+                send(endpoint, classIndex);
                 if (random.nextInt(4) == 0) {
-                    fleet.onAccepted(host, kind, random.nextLong(200 * MS));
-                    fleet.onEnd(now, host, kind, outcome, 50 * MS);
+                    health.onAccepted(endpoint, classIndex, random.nextLong(200 * MS));
+                    health.onEnd(nowUs, endpoint, classIndex, outcome, 50 * MS);
                 } else {
-                    fleet.onEnd(now, host, kind, outcome, -1);
+                    health.onEnd(nowUs, endpoint, classIndex, outcome, -1);
                 }
                 for (int k = 0; k < 2; k++) {
-                    int resting = 0;
+                    int ejectedForClass = 0;
                     for (int h = 0; h < 9; h++) {
-                        resting += ((EndpointConnectionHealth) fleet.endpoint("s" + h)).ejected(now, k) ? 1 : 0;
+                        ejectedForClass += ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, k) ? 1 : 0;
                     }
-                    assertTrue(resting <= 3 + 4, "seed " + seed + " step " + i + ": " + resting + " alone");
+                    assertTrue(ejectedForClass <= 3 + 4, "seed " + seed + " step " + i + ": " + ejectedForClass + " alone");
                 }
-                int whole = 0;
+                int ejectedForAllClasses = 0;
                 for (int h = 0; h < 9; h++) {
-                    whole += ((EndpointConnectionHealth) fleet.endpoint("s" + h)).ejected(now, -1) ? 1 : 0;
+                    ejectedForAllClasses += ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, -1) ? 1 : 0;
                 }
-                assertTrue(whole <= 3, "seed " + seed + " step " + i + ": " + whole + " alone with all");
+                assertTrue(ejectedForAllClasses <= 3, "seed " + seed + " step " + i + ": " + ejectedForAllClasses + " alone with all");
             }
-            now += 30 * S;
+            nowUs += 30 * S;
             for (int h = 0; h < 9; h++) {
-                assertTrue(takes("s" + h, 0) && takes("s" + h, 1), "seed " + seed + ": " + told("s" + h));
+                assertTrue(admits("s" + h, 0) && admits("s" + h, 1), "seed " + seed + ": " + describe("s" + h));
             }
         }
     }
--- a/src/test/java/olivechute/loadbalancing/RecordedRun.java
+++ b/src/test/java/olivechute/loadbalancing/RecordedRun.java
@@ -209,7 +209,7 @@
         if (random.nextInt(50) == 0) {
             runAt(nowUs + random.nextLong(request.timeLeftUs()), () -> {
                 clientRequest.disconnected = true;
-                loadBalancer.onClientGone(nowUs, request.id());
+                loadBalancer.onClientDisconnected(nowUs, request.id());
                 clientRequest.attempts.forEach(attempt -> attempt.end(AttemptOutcome.CANCELLED, LoadReport.NONE));
             });
         }
--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -763,7 +763,7 @@
                     h.submit(id, "c", tenantRate.getKey(), 5 * SECOND);
                     if (h.lastEndpointOf(id) == null) {
                         queued++;
-                        h.loadBalancer.onClientGone(h.nowUs, id);
+                        h.loadBalancer.onClientDisconnected(h.nowUs, id);
                         h.requests.remove(id);
                     } else {
                         h.endAttempt(id, 0, AttemptOutcome.OK, LoadReport.NONE);
@@ -1373,7 +1373,7 @@
         h.loadBalancer.onAttemptEnd(h.nowUs, "u", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         h.loadBalancer.onAttemptEnd(h.nowUs, "never", 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         h.loadBalancer.onAttemptSignal(h.nowUs, "u", 7, AttemptSignal.STARTED, 0);
-        h.loadBalancer.onClientGone(h.nowUs, "u");
+        h.loadBalancer.onClientDisconnected(h.nowUs, "u");
         h.loadBalancer.onProbeResult(h.nowUs, "nobody", true, 1, LoadReport.NONE);
         h.loadBalancer.onTimer(h.nowUs, 999);
         h.submit("odd", "no such class", "a", 5 * SECOND);
--- a/src/test/java/olivechute/metrics/MetricsSenderTest.java
+++ b/src/test/java/olivechute/metrics/MetricsSenderTest.java
@@ -234,7 +234,7 @@
                     new SplittableRandom(SEED));
             CountDownLatch ran = new CountDownLatch(1000);
             reporting.start();
-            loop.every(1000, ran::countDown);
+            loop.runPeriodically(1000, ran::countDown);
             loop.start(event -> {});
             for (int i = 0; i < 500; i++) {
                 loop.post(new ProxyEvent.Task(ran::countDown));
--- a/src/test/java/olivechute/metrics/RequestCountersTest.java
+++ b/src/test/java/olivechute/metrics/RequestCountersTest.java
@@ -19,8 +19,8 @@
         times(3, () -> counts.onServed(1, true));
         times(4, () -> counts.onRejected(1));
         times(5, () -> counts.onFailed(1));
-        times(6, () -> counts.onClientGone(1));
-        times(7, counts::onRuleBroken);
+        times(6, () -> counts.onClientDisconnected(1));
+        times(7, counts::onRuleViolated);
         times(8, () -> counts.onFirstSend(60));
         counts.onReceived(0);
         NodeFigures message = counts.snapshot(5_000_999).message(ORIGIN);
--- a/src/test/java/olivechute/proxy/AnswerLog.java
+++ b/src/test/java/olivechute/proxy/AnswerLog.java
@@ -6,7 +6,7 @@
 /** A client's side that writes down how its stream was answered, each after a prefix, and may be said to have left. */
 public final class AnswerLog implements ClientStream {
     public final List<String> answers;
-    public volatile boolean present = true;
+    public volatile boolean clientPresent = true;
     private final String prefix;
 
     /** With a list of its own. */
@@ -41,6 +41,6 @@
 
     @Override
     public boolean isPresent() {
-        return present;
+        return clientPresent;
     }
 }
--- a/src/test/java/olivechute/proxy/EventLoopTest.java
+++ b/src/test/java/olivechute/proxy/EventLoopTest.java
@@ -17,34 +17,34 @@
      * good.
      */
     @Test(timeOut = 20_000)
-    public void aPosterStoppedHalfwayHoldsNobodyUp() throws Exception {
+    public void posterStoppedMidOfferDoesNotBlockOtherPosters() throws Exception {
         EventLoop loop = new EventLoop();
         List<String> handled = new CopyOnWriteArrayList<>();
         loop.start(event -> {});
-        long place = (long) producerIndex(loop).get(loop.queue);
-        producerIndex(loop).set(loop.queue, place + 1);
+        long claimedIndex = (long) producerIndex(loop).get(loop.queue);
+        producerIndex(loop).set(loop.queue, claimedIndex + 1);
         loop.post(new ProxyEvent.Task(() -> handled.add("behind it")));
         assertEquals(handled, List.of(), "nothing overtakes");
-        slots(loop).set((int) place, new ProxyEvent.Task(() -> handled.add("the stopped one's")));
-        CountDownLatch last = new CountDownLatch(1);
+        slots(loop).set((int) claimedIndex, new ProxyEvent.Task(() -> handled.add("the stopped one's")));
+        CountDownLatch lastHandled = new CountDownLatch(1);
         loop.post(new ProxyEvent.Task(() -> {
             handled.add("after both");
-            last.countDown();
+            lastHandled.countDown();
         }));
-        last.await();
+        lastHandled.await();
         assertEquals(handled, List.of("the stopped one's", "behind it", "after both"));
     }
 
     @Test(timeOut = 20_000)
-    public void anErrorInOneEventIsNoEndOfTheProcess() throws Exception {
+    public void errorInOneEventDoesNotStopTheLoop() throws Exception {
         EventLoop loop = new EventLoop();
         loop.start(event -> {
             throw new StackOverflowError("of one event");
         });
-        loop.post(new ProxyEvent.ListFailed());
-        CountDownLatch next = new CountDownLatch(1);
-        loop.post(new ProxyEvent.Task(next::countDown));
-        next.await();
+        loop.post(new ProxyEvent.ListWatchFailed());
+        CountDownLatch nextEventHandled = new CountDownLatch(1);
+        loop.post(new ProxyEvent.Task(nextEventHandled::countDown));
+        nextEventHandled.await();
     }
 
     private static Field producerIndex(EventLoop loop) throws NoSuchFieldException {
--- a/src/test/java/olivechute/proxy/RequestDispatcherTest.java
+++ b/src/test/java/olivechute/proxy/RequestDispatcherTest.java
@@ -22,44 +22,44 @@
 
 /** What the dispatcher bounds itself, on a loop that never starts. */
 public class RequestDispatcherTest extends StubUpstreamTransport {
-    private static final int BODY = 64 * 1024;
+    private static final int BODY_BYTES = 64 * 1024;
     private static final long S = 1_000_000;
 
     private final List<String> answers = new ArrayList<>();
     private final EventLoop loop = new EventLoop();
 
     @BeforeMethod
-    public void forget() {
+    public void clearAnswers() {
         answers.clear();
     }
 
-    private void open(RequestDispatcher dispatcher, String id) {
+    private void openRequest(RequestDispatcher dispatcher, String id) {
         Request request = new Request(id, "verify", null, "k", 5 * S, Double.NaN, 1, Double.NaN, false);
         dispatcher.accept(new ProxyEvent.RequestArrived(
                 request,
-                new Payload("/verify", null, new byte[BODY], 0, BODY),
+                new Payload("/verify", null, new byte[BODY_BYTES], 0, BODY_BYTES),
                 new AnswerLog(id + " ", answers),
                 loop.now()));
     }
 
     @Test
-    public void bodiesAreBoundedInSumAndGiveTheirRoomBack() {
+    public void totalBodyBytesAreBoundedAndReleased() {
         LoadBalancerSettings settings = settings();
         RequestDispatcher dispatcher =
-                new RequestDispatcher(loop, settings, 1, this, () -> {}, 100, 2 * BODY + BODY / 2);
+                new RequestDispatcher(loop, settings, 1, this, () -> {}, 100, 2 * BODY_BYTES + BODY_BYTES / 2);
         dispatcher.start(new EndpointListUpdate(
                 1,
                 true,
                 List.of(new ResolvedEndpoint(
                         new EndpointInfo("s1", "z", null, 0, EndpointState.ACTIVE, 1, 0), "127.0.0.1:1"))));
-        open(dispatcher, "a");
-        open(dispatcher, "b");
-        open(dispatcher, "c");
+        openRequest(dispatcher, "a");
+        openRequest(dispatcher, "b");
+        openRequest(dispatcher, "c");
         assertEquals(answers, List.of("c refused"));
         dispatcher.accept(new ProxyEvent.JobStatusReceived(
                 "a", "s1", ProxyEvent.JobStatus.DONE, 1, new byte[0], LoadReport.NONE));
-        open(dispatcher, "d");
-        open(dispatcher, "e");
+        openRequest(dispatcher, "d");
+        openRequest(dispatcher, "e");
         assertEquals(answers, List.of("c refused", "a served", "e refused"));
     }
 
@@ -83,8 +83,8 @@
     }
 
     @Test
-    public void aRequestTakenBeforeADrainIsAnsweredByItsEnd() throws Exception {
-        RequestDispatcher dispatcher = new RequestDispatcher(loop, settings(), 1, this, () -> {}, 100, 2 * BODY);
+    public void requestOpenedBeforeADrainIsAnsweredByTheDrainsEnd() throws Exception {
+        RequestDispatcher dispatcher = new RequestDispatcher(loop, settings(), 1, this, () -> {}, 100, 2 * BODY_BYTES);
         loop.start(dispatcher);
         loop.post(new ProxyEvent.Task(() -> {
             dispatcher.start(new EndpointListUpdate(
@@ -92,13 +92,13 @@
                     true,
                     List.of(new ResolvedEndpoint(
                             new EndpointInfo("s1", "z", null, 0, EndpointState.ACTIVE, 1, 0), "127.0.0.1:1"))));
-            open(dispatcher, "a");
+            openRequest(dispatcher, "a");
             dispatcher.answerAllBy(loop.now() + S / 10);
         }));
         Thread.sleep(500);
-        CountDownLatch seen = new CountDownLatch(1);
-        loop.post(new ProxyEvent.Task(seen::countDown));
-        seen.await();
+        CountDownLatch eventHandled = new CountDownLatch(1);
+        loop.post(new ProxyEvent.Task(eventHandled::countDown));
+        eventHandled.await();
         assertEquals(answers, List.of("a failed"));
     }
 }
--- a/src/test/java/olivechute/proxy/RequestMetricsTest.java
+++ b/src/test/java/olivechute/proxy/RequestMetricsTest.java
@@ -37,12 +37,12 @@
     private static final LoadBalancerSettings SETTINGS = settings(false);
 
     private final EventLoop loop = new EventLoop();
-    private List<String> told;
+    private List<String> recordedEvents;
     private AnswerLog client = new AnswerLog();
-    private UpstreamRequest sent;
+    private UpstreamRequest lastAttempt;
     private RequestDispatcher dispatcher;
 
-    private static LoadBalancerSettings settings(boolean marksRepeats) {
+    private static LoadBalancerSettings settings(boolean marksRetries) {
         return new LoadBalancerSettings(
                 List.of(VERIFY, SIGN, PAY, ZONED),
                 List.of(),
@@ -56,72 +56,72 @@
                 0,
                 new CostWeights(0, 0, 0, 0),
                 TailObjective.NONE,
-                marksRepeats);
+                marksRetries);
     }
 
-    private final class Told implements RequestMetrics {
+    private final class RecordingMetrics implements RequestMetrics {
         @Override
         public void onReceived(int requestClass) {
-            told.add("taken " + requestClass);
+            recordedEvents.add("taken " + requestClass);
         }
 
         @Override
         public void onServed(int requestClass, boolean late) {
-            told.add((late ? "late " : "served ") + requestClass);
+            recordedEvents.add((late ? "late " : "served ") + requestClass);
         }
 
         @Override
         public void onRejected(int requestClass) {
-            told.add("refused " + requestClass);
+            recordedEvents.add("refused " + requestClass);
         }
 
         @Override
         public void onFailed(int requestClass) {
-            told.add("failed " + requestClass);
+            recordedEvents.add("failed " + requestClass);
         }
 
         @Override
-        public void onClientGone(int requestClass) {
-            told.add("gone " + requestClass);
+        public void onClientDisconnected(int requestClass) {
+            recordedEvents.add("gone " + requestClass);
         }
 
         @Override
-        public void onFirstSend(long delay) {
-            told.add("sent after " + delay / (100 * MS) * 100 + " ms");
+        public void onFirstSend(long delayUs) {
+            recordedEvents.add("sent after " + delayUs / (100 * MS) * 100 + " ms");
         }
 
         @Override
-        public void onRuleBroken() {
-            told.add("broken");
+        public void onRuleViolated() {
+            recordedEvents.add("broken");
         }
     }
 
-    private void open(String id, String kind, long age, int body) {
-        Request request = new Request(id, kind, null, "k", 5 * S, Double.NaN, 1, Double.NaN, false);
+    private void openRequest(String id, String requestClass, long ageUs, int bodyBytes) {
+        Request request = new Request(id, requestClass, null, "k", 5 * S, Double.NaN, 1, Double.NaN, false);
         dispatcher.accept(new ProxyEvent.RequestArrived(
-                request, new Payload("/" + kind, null, new byte[body], 0, body), client, loop.now() - age));
+                request, new Payload("/" + requestClass, null, new byte[bodyBytes], 0, bodyBytes), client, loop.now() - ageUs));
     }
 
-    private void news(ProxyEvent.JobStatus state) {
+    private void reportStatus(ProxyEvent.JobStatus status) {
         dispatcher.accept(
-                new ProxyEvent.JobStatusReceived("a", sent.endpoint(), state, 1, new byte[0], LoadReport.NONE));
+                new ProxyEvent.JobStatusReceived("a", lastAttempt.endpoint(), status, 1, new byte[0], LoadReport.NONE));
     }
 
-    private void play(String step) {
+    private void runStep(String step) {
         String[] words = step.split(" ");
         switch (words[0]) {
-            case "open" -> open("a", words[1], words.length > 2 ? Long.parseLong(words[2]) * MS : 0, 1);
-            case "another" -> open("b", words[1], 0, 50);
-            case "leave" -> dispatcher.accept(new ProxyEvent.ClientGone("a", client));
+            case "open" -> openRequest("a", words[1], words.length > 2 ? Long.parseLong(words[2]) * MS : 0, 1);
+            case "another" -> openRequest("b", words[1], 0, 50);
+            case "leave" -> dispatcher.accept(new ProxyEvent.ClientDisconnected("a", client));
             case "end" ->
                 dispatcher.accept(new ProxyEvent.AttemptEnded(
-                        "a", sent.attempt(), AttemptOutcome.valueOf(words[1]), LoadReport.NONE));
-            default -> news(ProxyEvent.JobStatus.valueOf(words[0]));
+                        "a", lastAttempt.attemptNumber(), AttemptOutcome.valueOf(words[1]), LoadReport.NONE));
+            default -> reportStatus(ProxyEvent.JobStatus.valueOf(words[0]));
         }
     }
 
     @DataProvider
-    public Object[][] lives() {
+    public Object[][] requestLifecycles() {
         return new Object[][] {
             // steps, what the tally hears, the client's answers
             {"open verify, DONE", "taken 0, sent after 0 ms, served 0", "served"},
@@ -142,68 +142,68 @@
     }
 
     @Test(dataProvider = "lives")
-    public void aLifeCountsOnce(String steps, String wanted, String answered) {
-        told = new ArrayList<>();
+    public void eachRequestIsCountedOnce(String steps, String expectedEvents, String expectedAnswers) {
+        recordedEvents = new ArrayList<>();
         client = new AnswerLog();
         dispatcher = new RequestDispatcher(
-                loop, SETTINGS, 1, this, () -> {}, 10, 50, new Told(), EndpointListLease.nonExpiring());
-        List<ResolvedEndpoint> hosts = new ArrayList<>();
+                loop, SETTINGS, 1, this, () -> {}, 10, 50, new RecordingMetrics(), EndpointListLease.nonExpiring());
+        List<ResolvedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            hosts.add(new ResolvedEndpoint(
+            endpoints.add(new ResolvedEndpoint(
                     new EndpointInfo("s" + i, "z", null, 0, EndpointState.ACTIVE, 1, 0), "127.0.0.1:1"));
         }
-        dispatcher.start(new EndpointListUpdate(1, true, hosts));
+        dispatcher.start(new EndpointListUpdate(1, true, endpoints));
         for (String step : steps.split(", ")) {
-            play(step);
+            runStep(step);
         }
-        assertEquals(String.join(", ", told), wanted);
-        assertEquals(String.join(", ", client.answers), answered);
+        assertEquals(String.join(", ", recordedEvents), expectedEvents);
+        assertEquals(String.join(", ", client.answers), expectedAnswers);
     }
 
     @DataProvider
-    public Object[][] waits() {
-        double none = Double.NaN;
+    public Object[][] objectiveCases() {
+        double noEstimate = Double.NaN;
         return new Object[][] {
             // class, told work, waited, ran (negative: no start was told), left, marked repeat: late?
-            {VERIFY, none, 200 * MS, -1L, 5 * S, false, false},
-            {VERIFY, none, 201 * MS, -1L, 5 * S, false, true},
+            {VERIFY, noEstimate, 200 * MS, -1L, 5 * S, false, false},
+            {VERIFY, noEstimate, 201 * MS, -1L, 5 * S, false, true},
             {VERIFY, 100.0 * MS, 400 * MS, -1L, 5 * S, false, false},
             {VERIFY, 100.0 * MS, 401 * MS, -1L, 5 * S, false, true},
             {VERIFY, 100.0 * MS, 600 * MS, 200 * MS, 5 * S, false, false},
-            {VERIFY, none, 601 * MS, 200 * MS, 5 * S, false, true},
-            {VERIFY, none, 5 * S, 4 * S, 5 * S, false, false},
-            {VERIFY, none, 5 * S + 1, 4 * S, 5 * S, false, true},
+            {VERIFY, noEstimate, 601 * MS, 200 * MS, 5 * S, false, true},
+            {VERIFY, noEstimate, 5 * S, 4 * S, 5 * S, false, false},
+            {VERIFY, noEstimate, 5 * S + 1, 4 * S, 5 * S, false, true},
             {SIGN, 100.0 * MS, 201 * MS, 100 * MS, 5 * S, false, true},
-            {SIGN, none, 100 * MS, -1L, 5 * S - 100 * MS, true, false},
-            {SIGN, none, 101 * MS, -1L, 5 * S - 100 * MS, true, true},
-            {SIGN, none, 200 * MS, -1L, 4 * S, false, false},
+            {SIGN, noEstimate, 100 * MS, -1L, 5 * S - 100 * MS, true, false},
+            {SIGN, noEstimate, 101 * MS, -1L, 5 * S - 100 * MS, true, true},
+            {SIGN, noEstimate, 200 * MS, -1L, 4 * S, false, false},
         };
     }
 
     @Test(dataProvider = "waits")
-    public void lateIsAfterTheAimAndItsStretch(
-            RequestClass kind, double work, long waited, long ran, long left, boolean repeat, boolean late) {
-        Request request = new Request("a", kind.name(), null, "k", left, work, 1, Double.NaN, repeat);
-        long taken = 77 * S;
-        ProxyEvent.RequestArrived opened = new ProxyEvent.RequestArrived(request, null, client, taken);
+    public void answerIsLateAfterTheObjectiveAndItsStretch(
+            RequestClass requestClass, double estimatedWorkUs, long answeredAfterUs, long runTimeUs, long timeLeftUs, boolean markedRetry, boolean late) {
+        Request request = new Request("a", requestClass.name(), null, "k", timeLeftUs, estimatedWorkUs, 1, Double.NaN, markedRetry);
+        long receivedAtUs = 77 * S;
+        ProxyEvent.RequestArrived arrival = new ProxyEvent.RequestArrived(request, null, client, receivedAtUs);
         assertEquals(
-                RequestRules.missedObjective(
-                        settings(true), kind, opened, ran < 0 ? -1 : taken + waited - ran, taken + waited),
+                RequestRules.missesLatencyObjective(
+                        settings(true), requestClass, arrival, runTimeUs < 0 ? -1 : receivedAtUs + answeredAfterUs - runTimeUs, receivedAtUs + answeredAfterUs),
                 late);
     }
 
     /** Without marks a repeat cannot be told from a client that waits less. */
     @Test
-    public void repeatsWithoutMarksCountFromTheirTaking() {
+    public void unmarkedRetriesCountFromTheirArrival() {
         Request request = new Request("a", "sign", null, "k", S, Double.NaN, 1, Double.NaN, true);
         assertEquals(
-                RequestRules.missedObjective(
+                RequestRules.missesLatencyObjective(
                         SETTINGS, SIGN, new ProxyEvent.RequestArrived(request, null, client, 0), -1, 200 * MS),
                 false);
     }
 
     @DataProvider
-    public Object[][] rules() {
+    public Object[][] retryRuleCases() {
         return new Object[][] {
             // class, since when one may have run (negative: none), may be repeated, may be refused
             {VERIFY, -1L, true, true},
@@ -219,15 +219,15 @@
     }
 
     @Test(dataProvider = "rules")
-    public void whatMayHaveRunBindsAsItsClassSays(RequestClass kind, long ago, boolean repeat, boolean refuse) {
-        long now = 77 * S;
-        long since = ago < 0 ? RequestRules.NEVER : now - ago;
-        assertEquals(RequestRules.mayRetry(kind, since, now), repeat);
-        assertEquals(RequestRules.mayReject(kind, since), refuse);
+    public void retryAndRejectionFollowTheClassOncePossiblyExecuted(RequestClass requestClass, long executedBeforeUs, boolean mayRetry, boolean mayReject) {
+        long nowUs = 77 * S;
+        long possiblyExecutedSinceUs = executedBeforeUs < 0 ? RequestRules.NEVER : nowUs - executedBeforeUs;
+        assertEquals(RequestRules.mayRetry(requestClass, possiblyExecutedSinceUs, nowUs), mayRetry);
+        assertEquals(RequestRules.mayReject(requestClass, possiblyExecutedSinceUs), mayReject);
     }
 
     @Override
-    public void send(UpstreamRequest request) {
-        sent = request;
+    public void send(UpstreamRequest attempt) {
+        lastAttempt = attempt;
     }
 }
--- a/src/test/java/olivechute/proxy/StubUpstreamTransport.java
+++ b/src/test/java/olivechute/proxy/StubUpstreamTransport.java
@@ -6,47 +6,47 @@
  */
 abstract class StubUpstreamTransport implements UpstreamTransport {
     @Override
-    public void onListUpdate(EndpointListUpdate list) {
+    public void onListUpdate(EndpointListUpdate update) {
         // there is nothing to reach
     }
 
     @Override
-    public boolean acceptsRequests(String host) {
+    public boolean acceptsRequests(String endpoint) {
         return true;
     }
 
     @Override
-    public void send(UpstreamRequest request) {
+    public void send(UpstreamRequest attempt) {
         // the test tells what becomes of it
     }
 
     @Override
-    public boolean hasBegun(UpstreamRequest request) {
+    public boolean hasWrittenBytes(UpstreamRequest attempt) {
         return true;
     }
 
     @Override
-    public void suppress(UpstreamRequest request) {
+    public void suppressIfUnwritten(UpstreamRequest attempt) {
         // nothing is under way
     }
 
     @Override
-    public boolean cancelWithoutEnd(UpstreamRequest request, boolean accepted) {
+    public boolean cancelWithoutReport(UpstreamRequest attempt, boolean accepted) {
         return false;
     }
 
     @Override
-    public long handshakeTimeUs(UpstreamRequest request) {
+    public long handshakeAllowanceUs(UpstreamRequest attempt) {
         return 0;
     }
 
     @Override
-    public void cancelAndReportEnd(UpstreamRequest request, boolean accepted) {
+    public void cancelAndReportEnd(UpstreamRequest attempt, boolean accepted) {
         // nothing is under way
     }
 
     @Override
-    public void closeIdleConnections(String host) {
+    public void closeIdleConnections(String endpoint) {
         // there are no connections
     }
 }
