--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -111,14 +111,14 @@
             socket.getOutputStream().write(request);
             InputStream in = socket.getInputStream();
             byte[] buffer = new byte[8192];
-            while (!parser.complete()) {
+            while (!parser.isComplete()) {
                 long remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000;
                 if (remainingMs <= 0) {
                     throw new SocketTimeoutException("no whole answer in time");
                 }
                 socket.setSoTimeout((int) remainingMs);
                 int count = TimedReads.read(in, buffer, 0, buffer.length);
-                if (count < 0 && !parser.end()) {
+                if (count < 0 && !parser.onEndOfInput()) {
                     throw new IOException("connection ended");
                 }
                 responseBegun |= count > 0;
--- a/src/main/java/olivechute/downstream/CodecWarmup.java
+++ b/src/main/java/olivechute/downstream/CodecWarmup.java
@@ -19,70 +19,70 @@
  * has no time for that afterwards.
  */
 public final class CodecWarmup {
-    private static final byte[] RESULT = "rehearsed".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] BODY = "rehearsed".getBytes(StandardCharsets.UTF_8);
 
     private final LoadBalancerSettings settings;
-    private final RequestDecoder streams;
-    private final JobStatusDecoder news;
+    private final RequestDecoder requestDecoder;
+    private final JobStatusDecoder jobStatus;
     private final RequestParser parser = new RequestParser();
 
     /** Makes one for a node of these settings. */
-    public CodecWarmup(LoadBalancerSettings settings, LoadReportFields report) {
+    public CodecWarmup(LoadBalancerSettings settings, LoadReportFields loadReportFields) {
         this.settings = settings;
-        this.streams = new RequestDecoder(settings);
-        this.news = new JobStatusDecoder(report);
+        this.requestDecoder = new RequestDecoder(settings);
+        this.jobStatus = new JobStatusDecoder(loadReportFields);
     }
 
     /**
      * Hands in one job of the n-th class in turn; {@code taker} gets its event, {@code answered} the answer's bytes.
      */
-    public void job(int n, long now, Consumer<ProxyEvent> taker, Consumer<byte[]> answered) {
-        var kind = settings.classes().get(n % settings.classes().size());
+    public void request(int index, long nowUs, Consumer<ProxyEvent> eventSink, Consumer<byte[]> responseSink) {
+        var requestClass = settings.classes().get(index % settings.classes().size());
         String tenant = settings.tenants().isEmpty()
                 ? ""
-                : settings.tenants().get(n % settings.tenants().size()).name();
-        HttpRequest message = parsed(MessageWriter.request(
+                : settings.tenants().get(index % settings.tenants().size()).name();
+        HttpRequest message = parse(MessageWriter.request(
                 "POST",
-                "/" + kind.name() + "?user=" + n,
+                "/" + requestClass.name() + "?user=" + index,
                 "node",
-                RESULT,
+                BODY,
                 "X-Txn",
-                id(n),
+                requestId(index),
                 "X-Org",
                 tenant,
                 "X-Remaining",
-                kind.deadlineUs() / 1000 + "m",
+                requestClass.deadlineUs() / 1000 + "m",
                 "Idempotency-Key",
-                id(n)));
+                requestId(index)));
         try {
-            taker.accept(DownstreamServer.opened(message, streams.decode(message), new Answer(answered), now));
+            eventSink.accept(DownstreamServer.requestArrived(message, requestDecoder.decode(message), new ResponseEncoder(responseSink), nowUs));
         } catch (LocalReply e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Tells of that job what a host tells. */
-    public void news(int n, String host, String state, Consumer<ProxyEvent> taker) {
-        String text = String.format(
+    public void jobStatus(int index, String endpoint, String state, Consumer<ProxyEvent> eventSink) {
+        String json = String.format(
                 Locale.ROOT,
                 "{\"id\":\"%s\",\"from\":\"%s\",\"state\":\"%s\",\"result\":\"%s\"}",
-                id(n),
-                host,
+                requestId(index),
+                endpoint,
                 state,
-                id(n));
+                requestId(index));
         HttpRequest message =
-                parsed(MessageWriter.request("POST", "/_jobs/news", "node", text.getBytes(StandardCharsets.UTF_8)));
+                parse(MessageWriter.request("POST", "/_jobs/news", "node", json.getBytes(StandardCharsets.UTF_8)));
         try {
-            taker.accept(news.decode(message.content()));
+            eventSink.accept(jobStatus.decode(message.content()));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private HttpRequest parsed(byte[] message) {
+    private HttpRequest parse(byte[] bytes) {
         try {
-            for (int at = 0; at < message.length; ) {
-                at += parser.feed(message, at, message.length - at);
+            for (int offset = 0; offset < bytes.length; ) {
+                offset += parser.feed(bytes, offset, bytes.length - offset);
             }
             return parser.take();
         } catch (HttpException e) {
@@ -90,29 +90,29 @@
         }
     }
 
-    private static String id(int n) {
-        return String.format(Locale.ROOT, "%032x", n);
+    private static String requestId(int index) {
+        return String.format(Locale.ROOT, "%032x", index);
     }
 
-    private record Answer(Consumer<byte[]> answered) implements ClientStream {
+    private record ResponseEncoder(Consumer<byte[]> responseSink) implements ClientStream {
         @Override
         public void sendResult(byte[] result) {
-            answered.accept(MessageWriter.responseHead(200, result.length, true).array());
+            responseSink.accept(MessageWriter.responseHead(200, result.length, true).array());
         }
 
         @Override
-        public void sendRejection(long retryAfter) {
-            answered.accept(HttpClientStream.refusal(retryAfter, true));
+        public void sendRejection(long retryAfterUs) {
+            responseSink.accept(HttpClientStream.rejection(retryAfterUs, true));
         }
 
         @Override
         public void sendFailure() {
-            answered.accept(DownstreamServer.text(502, "not served", true));
+            responseSink.accept(DownstreamServer.textResponse(502, "not served", true));
         }
 
         @Override
         public void sendDuplicateId() {
-            answered.accept(DownstreamServer.text(409, "duplicate", false));
+            responseSink.accept(DownstreamServer.textResponse(409, "duplicate", false));
         }
 
         @Override
--- a/src/main/java/olivechute/downstream/ConnectionLimit.java
+++ b/src/main/java/olivechute/downstream/ConnectionLimit.java
@@ -11,45 +11,45 @@
  */
 final class ConnectionLimit {
     /** Threads that stay free. */
-    static final int RESERVE = 16;
+    static final int RESERVED_THREADS = 16;
     /** Connections from one proof to the next. */
-    static final int STEP = 16;
+    static final int CONNECTIONS_PER_CHECK = 16;
     /** Threads that a proof starts. */
-    static final int PROOF = STEP + RESERVE;
+    static final int CHECK_THREADS = CONNECTIONS_PER_CHECK + RESERVED_THREADS;
     /** Fewer are taken without proof: so few threads every system grants. */
-    static final int UNPROVEN = 64;
+    static final int UNCHECKED_CONNECTIONS = 64;
     /** For how long a refusal counts: what else took threads may have ended. */
-    static final long HELD = 30_000_000;
+    static final long REDUCTION_US = 30_000_000;
 
-    private final int most;
-    private int bound; // guarded by this, as the rest
-    private int proven = UNPROVEN;
-    private long refusedAt;
+    private final int maxConnections;
+    private int limit; // guarded by this, as the rest
+    private int checkedConnections = UNCHECKED_CONNECTIONS;
+    private long reducedAtUs;
 
-    ConnectionLimit(int most) {
-        this.most = most;
-        this.bound = most;
+    ConnectionLimit(int maxConnections) {
+        this.maxConnections = maxConnections;
+        this.limit = maxConnections;
     }
 
     /** How many may be open now. */
-    synchronized int at(long now) {
-        if (bound < most && now - refusedAt >= HELD) {
-            bound = most;
+    synchronized int limitAt(long nowUs) {
+        if (limit < maxConnections && nowUs - reducedAtUs >= REDUCTION_US) {
+            limit = maxConnections;
         }
-        return bound;
+        return limit;
     }
 
     /** True if there are more than the last proof was for: another is due, and is taken for granted until it fails. */
-    synchronized boolean proofDue(int connections) {
-        boolean due = connections > proven;
-        proven = due ? connections + STEP : proven;
+    synchronized boolean beginCheckIfDue(int connections) {
+        boolean due = connections > checkedConnections;
+        checkedConnections = due ? connections + CONNECTIONS_PER_CHECK : checkedConnections;
         return due;
     }
 
     /** The system refused a thread while there were so many connections. */
-    synchronized void refused(int connections, long now) {
-        bound = Math.min(most, Math.max(1, Math.max(connections / 2, connections - PROOF)));
-        refusedAt = now;
-        proven = bound;
+    synchronized void onThreadUnavailable(int connections, long nowUs) {
+        limit = Math.min(maxConnections, Math.max(1, Math.max(connections / 2, connections - CHECK_THREADS)));
+        reducedAtUs = nowUs;
+        checkedConnections = limit;
     }
 }
--- a/src/main/java/olivechute/downstream/ConnectionReader.java
+++ b/src/main/java/olivechute/downstream/ConnectionReader.java
@@ -16,36 +16,36 @@
  * knows that nothing is in hand. Guards the connection's state by the connection.
  */
 final class ConnectionReader implements Runnable {
-    private static final int DISCARD_BYTES = 64 * 1024 * 1024; // of what nobody wants behind a request
-    private static final int PART_BYTES = 8 * 1024;
+    private static final int MAX_DISCARD_BYTES = 64 * 1024 * 1024; // of what nobody wants behind a request
+    private static final int DISCARD_BUFFER_BYTES = 8 * 1024;
     /**
      * A peer with requests that wait their turn is looked at so often, well within the 0.1 s after which one that left
      * has left.
      */
-    static final long LOOK_US = 20_000;
+    static final long PEER_CHECK_INTERVAL_US = 20_000;
 
     private final DownstreamConnection connection;
-    private final Connection link;
-    private final PeerIdentity.Door door;
+    private final Connection transport;
+    private final PeerIdentity.Authenticator authenticator;
     private final RequestParser parser = new RequestParser();
 
-    ConnectionReader(DownstreamConnection connection, Connection link, PeerIdentity.Door door) {
+    ConnectionReader(DownstreamConnection connection, Connection transport, PeerIdentity.Authenticator authenticator) {
         this.connection = connection;
-        this.link = link;
-        this.door = door;
+        this.transport = transport;
+        this.authenticator = authenticator;
     }
 
     /** Reads until the connection ends. */
     @Override
     public void run() {
         try {
-            link.ready();
-            connection.visitor(door.visitor(link));
-            for (int n = link.read(parser.room()); n >= 0; n = link.read(parser.room())) {
-                parser.filled(n);
-                if (!take()) {
-                    discard();
-                    onDiscarded();
+            transport.initialize();
+            connection.peerIdentity(authenticator.authenticate(transport));
+            for (int read = transport.read(parser.inputBuffer()); read >= 0; read = transport.read(parser.inputBuffer())) {
+                parser.onBytesRead(read);
+                if (!processInput()) {
+                    discardInput();
+                    onInputDiscarded();
                     return;
                 }
             }
@@ -56,7 +56,7 @@
             Logger.debug(e.getMessage());
             connection.close(CloseReason.READ_FAILED);
         } catch (HttpException e) {
-            reject(e);
+            rejectMalformed(e);
             connection.close(CloseReason.AFTER_LAST_ANSWER);
         } catch (RuntimeException | Error e) {
             connection.close(CloseReason.READER_FAILED);
@@ -65,24 +65,24 @@
     }
 
     /** The client has ended it, unless this node ended the input: then its last answer has some time to arrive. */
-    private void onDiscarded() {
-        if (!connection.isAskedToEnd()) {
+    private void onInputDiscarded() {
+        if (!connection.isEndRequested()) {
             connection.close(CloseReason.AFTER_LAST_ANSWER);
         }
     }
 
     /** Nothing more will be read: the client has ended its connection, or this node asked for the end. */
     private void onInputEnd() {
-        CloseReason asked;
+        CloseReason endReason;
         synchronized (connection) {
-            asked = connection.state.endReason();
+            endReason = connection.state.endReason();
         }
-        if (asked == null) {
+        if (endReason == null) {
             connection.close(CloseReason.ENDED_BY_CLIENT);
             return;
         }
         try {
-            endAsAsked(asked);
+            endAsRequested(endReason);
         } catch (IOException | InterruptedException e) {
             Logger.debug(e.getMessage());
             connection.close(CloseReason.WRITE_FAILED);
@@ -90,24 +90,24 @@
     }
 
     /** Ends it once what its reader had in hand as it was asked to is answered. */
-    private void endAsAsked(CloseReason asked) throws IOException, InterruptedException {
-        boolean unfinishedMessage;
-        boolean first;
+    private void endAsRequested(CloseReason endReason) throws IOException, InterruptedException {
+        boolean incompleteMessage;
+        boolean finishedHere;
         synchronized (connection) {
-            while (connection.state.isTaken()) {
+            while (connection.state.isAwaitingResponse()) {
                 connection.wait();
             }
-            unfinishedMessage = connection.state.isInMessage();
-            first = connection.finishing();
+            incompleteMessage = connection.state.isReceiving();
+            finishedHere = connection.beginFinish();
         }
-        if (first) {
-            if (unfinishedMessage) {
-                link.write(ByteBuffer.wrap(HttpClientStream.refusal(0, false)));
+        if (finishedHere) {
+            if (incompleteMessage) {
+                transport.write(ByteBuffer.wrap(HttpClientStream.rejection(0, false)));
             }
-            link.finish();
+            transport.shutdownOutput();
         }
-        if (asked == CloseReason.ROOM_NEEDED || !connection.used()) {
-            connection.close(asked);
+        if (endReason == CloseReason.ROOM_NEEDED || !connection.used()) {
+            connection.close(endReason);
         }
     }
 
@@ -115,65 +115,65 @@
      * Reads on in what came; what comes before the answer to an earlier request waits here. False if nothing more is to
      * be taken.
      */
-    private boolean take() throws HttpException, IOException, InterruptedException {
-        long seen = connection.front.loop.now();
+    private boolean processInput() throws HttpException, IOException, InterruptedException {
+        long lastPeerCheckUs = connection.server.loop.now();
         do {
-            seen = turn(seen);
-            if (seen < 0) {
+            lastPeerCheckUs = awaitTurn(lastPeerCheckUs);
+            if (lastPeerCheckUs < 0) {
                 return false;
             }
-            boolean whole = parser.whole();
-            if (parser.awaitsGoOn()) {
-                link.write(ByteBuffer.wrap(MessageWriter.response(100, null, true)));
+            boolean complete = parser.parse();
+            if (parser.shouldSendContinue()) {
+                transport.write(ByteBuffer.wrap(MessageWriter.response(100, null, true)));
             }
-            if (whole && !takeMessage()) {
+            if (complete && !processMessage()) {
                 return false;
             }
-            if (!whole) {
-                onPartOfMessage();
+            if (!complete) {
+                onPartialMessage();
             }
-        } while (parser.more());
+        } while (parser.hasUnparsedBytes());
         return true;
     }
 
-    private void onPartOfMessage() {
+    private void onPartialMessage() {
         synchronized (connection) {
-            if (!parser.midway()) {
+            if (!parser.isInMessage()) {
                 connection.state.onNoMessage();
             }
-            if (connection.state.isInMessage()) {
-                connection.spare(
-                        Kind.MIDWAY,
-                        connection.state.messageSinceUs()); // from its beginning on, however many pieces it comes in
-            } else if (connection.state.isBetween()) {
-                connection.spareBetween();
+            if (connection.state.isReceiving()) {
+                connection.markIdle(
+                        Kind.RECEIVING,
+                        connection.state.messageStartUs()); // from its beginning on, however many pieces it comes in
+            } else if (connection.state.isBetweenMessages()) {
+                connection.markIdleBetweenRequests();
             }
         }
     }
 
     /** Has a whole message answered, at once or later; false if nothing may be taken after it. */
-    private boolean takeMessage() throws IOException {
+    private boolean processMessage() throws IOException {
         synchronized (connection) {
-            if (!connection.state.take(connection.front.loop.now())) {
+            if (!connection.state.acceptMessage(connection.server.loop.now())) {
                 return false;
             }
-            connection.notSpare();
+            connection.markBusy();
         }
-        connection.front.stays(connection);
-        DownstreamServer.Reply reply = connection.front.route(parser.take(), connection);
-        if (reply == null) {
-            parser.reuse(false); // its body is the stream's now
+        connection.server.markRetained(connection);
+        DownstreamServer.ImmediateResponse response = connection.server.route(parser.take(), connection);
+        if (response == null) {
+            parser.releaseMessage(false); // its body is the stream's now
             return true;
         }
-        parser.reuse(true);
-        link.write(ByteBuffer.wrap(reply.bytes()));
-        if (!reply.keep() || connection.lastAnswerDue) {
-            finish();
+        parser.releaseMessage(true);
+        transport.write(ByteBuffer.wrap(response.bytes()));
+        if (!response.keepAlive() || connection.nextResponseIsLast) {
+            finishOutput();
             return false;
         }
         synchronized (connection) {
-            connection.state.onAnswered(connection.front.loop.now());
-            connection.spareBetween();
+            connection.state.onResponseSent(connection.server.loop.now());
+            connection.markIdleBetweenRequests();
         }
         return true;
     }
@@ -183,83 +183,83 @@
      * that has left must not have its next request taken. {@code seen} is when it was looked for last; returns when
      * that was, negative if nothing is to be taken.
      */
-    private long turn(long seen) throws IOException, InterruptedException {
-        long last = seen;
-        for (long now = seen; ; now = connection.front.loop.now()) {
+    private long awaitTurn(long previousPeerCheckUs) throws IOException, InterruptedException {
+        long lastPeerCheckUs = previousPeerCheckUs;
+        for (long nowUs = previousPeerCheckUs; ; nowUs = connection.server.loop.now()) {
             synchronized (connection) {
-                boolean busy = connection.state.isTaken();
-                connection.pipelined |= busy;
+                boolean awaitingResponse = connection.state.isAwaitingResponse();
+                connection.pipelined |= awaitingResponse;
                 if (!connection.state.isOpen()) {
                     return -1;
                 }
-                if (now - last < LOOK_US) {
-                    if (!busy) {
-                        connection.state.onMessageBytes(now);
-                        return last;
+                if (nowUs - lastPeerCheckUs < PEER_CHECK_INTERVAL_US) {
+                    if (!awaitingResponse) {
+                        connection.state.onMessageBytes(nowUs);
+                        return lastPeerCheckUs;
                     }
-                    connection.wait(Math.max(1, (last + LOOK_US - now) / 1000));
+                    connection.wait(Math.max(1, (lastPeerCheckUs + PEER_CHECK_INTERVAL_US - nowUs) / 1000));
                     continue;
                 }
             }
-            if (!look()) {
+            if (!readAhead()) {
                 return -1;
             }
-            last = connection.front.loop.now();
+            lastPeerCheckUs = connection.server.loop.now();
         }
     }
 
     /** Reads what has come meanwhile; false if that is more than is kept. */
-    private boolean look() throws IOException {
-        int n;
+    private boolean readAhead() throws IOException {
+        int read;
         do {
-            if (parser.ahead() >= RequestParser.MOST_AHEAD) {
-                flooded();
+            if (parser.unparsedBytes() >= RequestParser.MAX_READ_AHEAD_BYTES) {
+                onReadAheadExceeded();
                 return false;
             }
-            n = link.readNow(parser.room());
-            if (n < 0) {
-                if (connection.isAskedToEnd()) {
+            read = transport.readAvailable(parser.inputBuffer());
+            if (read < 0) {
+                if (connection.isEndRequested()) {
                     return true;
                 }
                 throw new EOFException("left behind a request");
             }
-            parser.filled(n);
-        } while (n > 0);
+            parser.onBytesRead(read);
+        } while (read > 0);
         return true;
     }
 
     /** The answer under way is the last; where it is out already, that was. */
-    private void flooded() throws IOException {
+    private void onReadAheadExceeded() throws IOException {
         synchronized (connection) {
-            connection.lastAnswerDue = true;
-            if (connection.state.isTaken() || !connection.finishing()) {
+            connection.nextResponseIsLast = true;
+            if (connection.state.isAwaitingResponse() || !connection.beginFinish()) {
                 return;
             }
         }
-        link.finish();
+        transport.shutdownOutput();
     }
 
     /** Throws away what still comes, to the end of the connection; who sends too much of it is hung up on. */
-    private void discard() throws IOException {
-        ByteBuffer part = ByteBuffer.allocate(PART_BYTES);
-        int n = 0;
-        for (int seen = 0; n >= 0 && seen < DISCARD_BYTES; seen += n) {
-            n = link.read(part.clear());
+    private void discardInput() throws IOException {
+        ByteBuffer buffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
+        int read = 0;
+        for (int discarded = 0; read >= 0 && discarded < MAX_DISCARD_BYTES; discarded += read) {
+            read = transport.read(buffer.clear());
         }
     }
 
     /** Answers what is no HTTP, unless its message was given up meanwhile. */
-    private void reject(HttpException broken) {
+    private void rejectMalformed(HttpException protocolError) {
         try {
-            boolean first;
+            boolean finishedHere;
             synchronized (connection) {
-                first = connection.finishing();
+                finishedHere = connection.beginFinish();
             }
-            if (first) {
-                link.write(ByteBuffer.wrap(DownstreamServer.text(broken.status, broken.getMessage(), false)));
-                link.finish();
+            if (finishedHere) {
+                transport.write(ByteBuffer.wrap(DownstreamServer.textResponse(protocolError.status, protocolError.getMessage(), false)));
+                transport.shutdownOutput();
             }
-            discard();
+            discardInput();
         } catch (IOException e) {
             Logger.debug(e.getMessage());
         }
@@ -269,10 +269,10 @@
      * After the last answer: from here on nothing is taken. What still comes is read on for a while, as closing on it
      * would cut the answer off.
      */
-    private void finish() throws IOException {
+    private void finishOutput() throws IOException {
         synchronized (connection) {
-            connection.finishing();
+            connection.beginFinish();
         }
-        link.finish();
+        transport.shutdownOutput();
     }
 }
--- a/src/main/java/olivechute/downstream/ConnectionState.java
+++ b/src/main/java/olivechute/downstream/ConnectionState.java
@@ -7,36 +7,36 @@
  */
 final class ConnectionState {
     /** A message is left so long before its connection may be closed to make room. */
-    static final long SETTLED_US = 100_000;
+    static final long SETTLE_TIME_US = 100_000;
     /** A message that takes longer is given up, and so is the wait for a connection's first: both hold a thread. */
-    static final long STALLED_US = 2_000_000;
+    static final long MESSAGE_TIMEOUT_US = 2_000_000;
     /** How long an answer may need to arrive. */
-    static final long ANSWER_TRANSIT_US = 100_000;
+    static final long RESPONSE_TRANSIT_US = 100_000;
     /** How long a finished connection is read on. */
     static final long LINGER_US = 1_500_000;
 
     private enum Phase {
         /** Between messages. */
-        BETWEEN,
+        BETWEEN_MESSAGES,
         /** A message has begun and is not whole. */
-        MESSAGE,
+        RECEIVING,
         /** A message was taken and its answer is not out. */
-        TAKEN,
+        AWAITING_RESPONSE,
         /** Its last answer is out; whatever still comes is thrown away. */
         FINISHED,
         CLOSED
     }
 
     private final long acceptedAtUs;
-    private Phase phase = Phase.BETWEEN;
+    private Phase phase = Phase.BETWEEN_MESSAGES;
     private boolean used;
-    private long messageSinceUs;
-    private long sinceUs;
+    private long messageStartUs;
+    private long lastChangeUs;
     private CloseReason endReason;
 
     ConnectionState(long nowUs) {
         this.acceptedAtUs = nowUs;
-        this.sinceUs = nowUs;
+        this.lastChangeUs = nowUs;
     }
 
     /** When it was accepted. */
@@ -45,13 +45,13 @@
     }
 
     /** When the message under way began. */
-    long messageSinceUs() {
-        return messageSinceUs;
+    long messageStartUs() {
+        return messageStartUs;
     }
 
     /** When it changed last. */
-    long sinceUs() {
-        return sinceUs;
+    long lastChangeUs() {
+        return lastChangeUs;
     }
 
     /** Whether a message has begun on it. */
@@ -59,16 +59,16 @@
         return used;
     }
 
-    boolean isBetween() {
-        return phase == Phase.BETWEEN;
+    boolean isBetweenMessages() {
+        return phase == Phase.BETWEEN_MESSAGES;
     }
 
-    boolean isInMessage() {
-        return phase == Phase.MESSAGE;
+    boolean isReceiving() {
+        return phase == Phase.RECEIVING;
     }
 
-    boolean isTaken() {
-        return phase == Phase.TAKEN;
+    boolean isAwaitingResponse() {
+        return phase == Phase.AWAITING_RESPONSE;
     }
 
     boolean isFinished() {
@@ -91,36 +91,36 @@
 
     /** Bytes of a message have come while none was taken. */
     void onMessageBytes(long nowUs) {
-        if (phase == Phase.BETWEEN) {
-            phase = Phase.MESSAGE;
-            messageSinceUs = nowUs;
+        if (phase == Phase.BETWEEN_MESSAGES) {
+            phase = Phase.RECEIVING;
+            messageStartUs = nowUs;
             used = true;
         }
-        sinceUs = nowUs;
+        lastChangeUs = nowUs;
     }
 
     /** What came was no beginning of a message. */
     void onNoMessage() {
-        if (phase == Phase.MESSAGE) {
-            phase = Phase.BETWEEN;
+        if (phase == Phase.RECEIVING) {
+            phase = Phase.BETWEEN_MESSAGES;
         }
     }
 
     /** The message is whole: false if nothing may be taken any more. */
-    boolean take(long nowUs) {
+    boolean acceptMessage(long nowUs) {
         if (!isOpen()) {
             return false;
         }
-        phase = Phase.TAKEN;
-        sinceUs = nowUs;
+        phase = Phase.AWAITING_RESPONSE;
+        lastChangeUs = nowUs;
         return true;
     }
 
     /** The answer to what was taken is out, and the connection goes on. */
-    void onAnswered(long nowUs) {
-        if (phase == Phase.TAKEN) {
-            phase = Phase.BETWEEN;
-            sinceUs = nowUs;
+    void onResponseSent(long nowUs) {
+        if (phase == Phase.AWAITING_RESPONSE) {
+            phase = Phase.BETWEEN_MESSAGES;
+            lastChangeUs = nowUs;
         }
     }
 
@@ -130,7 +130,7 @@
             return false;
         }
         phase = Phase.FINISHED;
-        sinceUs = nowUs;
+        lastChangeUs = nowUs;
         return true;
     }
 
@@ -145,9 +145,9 @@
      * Asks its reader to end it, as only the reader knows that it has nothing in hand. True if that is to be done now:
      * it is between messages and, unless room is needed, its last answer has arrived.
      */
-    boolean askToEnd(CloseReason reason, long nowUs) {
-        boolean arrived = !used || reason == CloseReason.ROOM_NEEDED || nowUs - sinceUs >= ANSWER_TRANSIT_US;
-        if (phase != Phase.BETWEEN || endReason != null || !arrived) {
+    boolean requestEnd(CloseReason reason, long nowUs) {
+        boolean responseArrived = !used || reason == CloseReason.ROOM_NEEDED || nowUs - lastChangeUs >= RESPONSE_TRANSIT_US;
+        if (phase != Phase.BETWEEN_MESSAGES || endReason != null || !responseArrived) {
             return false;
         }
         endReason = reason;
@@ -155,27 +155,27 @@
     }
 
     /** Gives up a message that has been under way for longer than this; true if there was one. */
-    boolean giveUpMessage(long longestUs, long nowUs) {
-        return phase == Phase.MESSAGE && nowUs - messageSinceUs > longestUs && finish(nowUs);
+    boolean abandonMessage(long maxDurationUs, long nowUs) {
+        return phase == Phase.RECEIVING && nowUs - messageStartUs > maxDurationUs && finish(nowUs);
     }
 
     /** Whether a message has been under way for too long. */
-    boolean isStalled(long nowUs) {
-        return phase == Phase.MESSAGE && nowUs - messageSinceUs > STALLED_US;
+    boolean isMessageOverdue(long nowUs) {
+        return phase == Phase.RECEIVING && nowUs - messageStartUs > MESSAGE_TIMEOUT_US;
     }
 
     /** Whether no message came for too long since it was accepted. */
     boolean isUnused(long nowUs) {
-        return !used && phase == Phase.BETWEEN && nowUs - acceptedAtUs > STALLED_US;
+        return !used && phase == Phase.BETWEEN_MESSAGES && nowUs - acceptedAtUs > MESSAGE_TIMEOUT_US;
     }
 
     /** Whether nothing more is to be expected of it. */
-    boolean isOver(long nowUs) {
-        return phase == Phase.FINISHED && nowUs - sinceUs > LINGER_US;
+    boolean isLingerOver(long nowUs) {
+        return phase == Phase.FINISHED && nowUs - lastChangeUs > LINGER_US;
     }
 
     /** Whether it has ended, and what went out on it had since that moment to arrive. */
-    boolean finishedBefore(long momentUs) {
-        return phase == Phase.CLOSED || (phase == Phase.FINISHED && sinceUs <= momentUs);
+    boolean isFinishedSince(long latestUs) {
+        return phase == Phase.CLOSED || (phase == Phase.FINISHED && lastChangeUs <= latestUs);
     }
 }
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -16,61 +16,61 @@
  */
 final class DownstreamConnection {
     /** What surely fits in the send buffer, whether its peer reads or not. */
-    private static final int SURE = Connection.SEND_BUFFER / 2;
+    private static final int NONBLOCKING_WRITE_BYTES = Connection.SEND_BUFFER / 2;
 
-    private static final long NEVER = Long.MAX_VALUE;
+    private static final long NOT_WRITING = Long.MAX_VALUE;
     /** A peer that reads nothing for so long holds up a writer, and is given up. */
-    private static final long WRITE_LIMIT_US = 500_000;
+    private static final long WRITE_TIMEOUT_US = 500_000;
 
-    final DownstreamServer front;
-    private final Connection link;
+    final DownstreamServer server;
+    private final Connection transport;
     private final ConnectionReader reader;
-    private PeerIdentity visitor; // its own thread's
-    private final IdleConnections.Place<DownstreamConnection> place = new IdleConnections.Place<>(this);
+    private PeerIdentity peerIdentity; // its own thread's
+    private final IdleConnections.Entry<DownstreamConnection> idleEntry = new IdleConnections.Entry<>(this);
     final ConnectionState state; // guarded by this, as the rest
     private HttpClientStream stream;
-    private HttpClientStream answering; // whose answer is being written, null while none is
-    private Runnable refusedWrite; // of an answer, while no thread is granted for it
-    private boolean news; // it brought news
+    private HttpClientStream respondingStream; // whose answer is being written, null while none is
+    private Runnable pendingWrite; // of an answer, while no thread is granted for it
+    private boolean sendsJobStatus; // it brought news
     boolean pipelined; // it sent a request before it had the answer to the one before
-    volatile boolean lastAnswerDue; // the next answer is the last
-    private long answered; // bytes of answers so far
-    private long waits = NEVER; // since when an answer is being written that may wait for its peer
-
-    DownstreamConnection(DownstreamServer front, Connection link, PeerIdentity.Door door) {
-        this.front = front;
-        this.link = link;
-        this.reader = new ConnectionReader(this, link, door);
-        this.state = new ConnectionState(front.loop.now());
-        front.spares.put(place, Kind.UNUSED, state.acceptedAtUs());
+    volatile boolean nextResponseIsLast; // the next answer is the last
+    private long responseBytes; // bytes of answers so far
+    private long blockingWriteSinceUs = NOT_WRITING; // since when an answer is being written that may wait for its peer
+
+    DownstreamConnection(DownstreamServer server, Connection transport, PeerIdentity.Authenticator authenticator) {
+        this.server = server;
+        this.transport = transport;
+        this.reader = new ConnectionReader(this, transport, authenticator);
+        this.state = new ConnectionState(server.loop.now());
+        server.idleConnections.put(idleEntry, Kind.UNUSED, state.acceptedAtUs());
     }
 
     /** Says what it is worth, now that it carries nothing. Guarded by this. */
-    void spare(Kind kind, long from) {
+    void markIdle(Kind kind, long sinceUs) {
         if (!state.isClosed()) {
-            front.spares.put(place, kind, from);
+            server.idleConnections.put(idleEntry, kind, sinceUs);
         }
     }
 
-    void spareBetween() {
-        spare(news ? Kind.NEWS : Kind.BETWEEN, state.sinceUs());
+    void markIdleBetweenRequests() {
+        markIdle(sendsJobStatus ? Kind.JOB_STATUS_SENDER : Kind.BETWEEN_REQUESTS, state.lastChangeUs());
     }
 
     void start() {
         try {
-            front.threads.run(reader);
+            server.connectionThreads.run(reader);
         } catch (OutOfMemoryError e) { // no thread to be had
             close(CloseReason.NO_THREAD);
             throw e;
         }
     }
 
-    boolean keeps() {
-        return front.keeps() && !lastAnswerDue;
+    boolean allowsKeepAlive() {
+        return server.allowsKeepAlive() && !nextResponseIsLast;
     }
 
-    synchronized long since() {
-        return state.sinceUs();
+    synchronized long lastChangeUs() {
+        return state.lastChangeUs();
     }
 
     /** True once a message has begun on it. */
@@ -79,142 +79,142 @@
     }
 
     /** It carries something: it goes for nobody. */
-    void notSpare() {
-        front.spares.remove(place);
+    void markBusy() {
+        server.idleConnections.remove(idleEntry);
     }
 
     /** Who is on it, as its reader found; for the reader's thread. */
-    void visitor(PeerIdentity found) {
-        visitor = found;
+    void peerIdentity(PeerIdentity identity) {
+        peerIdentity = identity;
     }
 
     /** Who is on it; for its reader's thread. */
-    PeerIdentity visitor() {
-        return visitor;
+    PeerIdentity peerIdentity() {
+        return peerIdentity;
     }
 
     /** False once nothing new may be taken from who is on it. */
-    boolean holds() {
-        return link.holds();
+    boolean isPeerIdentityValid() {
+        return transport.isPeerIdentityValid();
     }
 
-    synchronized boolean isAskedToEnd() {
+    synchronized boolean isEndRequested() {
         return state.endReason() != null;
     }
 
     /** False if it was finished or closed before. Guarded by this. */
-    boolean finishing() {
-        boolean first = state.finish(front.loop.now());
-        if (first) {
+    boolean beginFinish() {
+        boolean finishedHere = state.finish(server.loop.now());
+        if (finishedHere) {
             if (state.endReason() != CloseReason.ROOM_NEEDED) { // else it has gone to make room already
-                spare(Kind.REJECTED, state.sinceUs());
+                markIdle(Kind.FINISHED, state.lastChangeUs());
             }
             notifyAll();
         }
-        return first;
+        return finishedHere;
     }
 
     /** This connection brought news; called by its own thread. */
-    synchronized void broughtNews() {
-        news = true;
+    synchronized void onJobStatusReceived() {
+        sendsJobStatus = true;
     }
 
     /** A stream is open on this connection; called by its own thread. False if the connection has ended. */
-    synchronized boolean opened(HttpClientStream opened) {
-        stream = state.isClosed() ? null : opened;
+    synchronized boolean openStream(HttpClientStream newStream) {
+        stream = state.isClosed() ? null : newStream;
         return stream != null;
     }
 
     void post(ProxyEvent event) {
-        front.loop.post(event);
+        server.loop.post(event);
     }
 
     /**
      * Writes the answer to this stream once the turn is over, unless the client has gone. On the event loop. Where the
      * answer might wait for a client that does not read, a writer does it.
      */
-    void reply(ByteBuffer head, ByteBuffer body, boolean keep) {
-        boolean surely;
-        boolean mayWait;
+    void sendResponse(ByteBuffer head, ByteBuffer body, boolean keepAlive) {
+        boolean writeOnEventLoop;
+        boolean mayBlock;
         synchronized (this) {
             if (state.isClosed()) {
                 return;
             }
-            answering = stream;
+            respondingStream = stream;
             stream = null;
-            answered += head.remaining() + body.remaining();
+            responseBytes += head.remaining() + body.remaining();
             // A client that sends its next request when it has the answer to the last reads; one that does not wait may
             // not.
-            mayWait = answered > SURE;
-            surely = !mayWait || (!pipelined && !front.loop.onLoopThread());
+            mayBlock = responseBytes > NONBLOCKING_WRITE_BYTES;
+            writeOnEventLoop = !mayBlock || (!pipelined && !server.loop.onLoopThread());
         }
-        Runnable write = () -> write(head, body, keep, mayWait);
-        if (surely) {
-            front.loop.defer(write);
+        Runnable write = () -> write(head, body, keepAlive, mayBlock);
+        if (writeOnEventLoop) {
+            server.loop.defer(write);
         } else {
-            offer(write);
+            offerWrite(write);
         }
     }
 
     /** Has a writer write an answer; where none is granted, the next sweep tries again. */
-    private void offer(Runnable write) {
-        if (front.writers.offer(write)) {
+    private void offerWrite(Runnable write) {
+        if (server.writers.offer(write)) {
             return;
         }
-        HttpClientStream lost = null;
+        HttpClientStream abandonedStream = null;
         synchronized (this) {
             if (state.isClosed()) {
-                lost = answering;
+                abandonedStream = respondingStream;
             } else {
-                refusedWrite = write;
+                pendingWrite = write;
             }
         }
-        if (lost != null) {
-            lost.out();
+        if (abandonedStream != null) {
+            abandonedStream.onResponseDone();
         }
     }
 
-    private void offerAgain() {
+    private void retryPendingWrite() {
         Runnable write;
         synchronized (this) {
-            write = refusedWrite;
-            refusedWrite = null;
+            write = pendingWrite;
+            pendingWrite = null;
         }
         if (write != null) {
-            offer(write);
+            offerWrite(write);
         }
     }
 
-    private void write(ByteBuffer head, ByteBuffer body, boolean keep, boolean mayWait) {
-        HttpClientStream owed = answering; // until this ends, nobody else sets it
+    private void write(ByteBuffer head, ByteBuffer body, boolean keepAlive, boolean mayBlock) {
+        HttpClientStream writtenStream = respondingStream; // until this ends, nobody else sets it
         try {
-            if (mayWait) {
+            if (mayBlock) {
                 synchronized (this) {
-                    waits = front.loop.now(); // not before: what this node is late with is not its peer's fault
+                    blockingWriteSinceUs = server.loop.now(); // not before: what this node is late with is not its peer's fault
                 }
             }
-            link.write(head, body);
-            boolean goesOn;
+            transport.write(head, body);
+            boolean keepOpen;
             synchronized (this) {
-                goesOn = keep && !lastAnswerDue;
-                answering = null;
-                waits = NEVER;
-                if (goesOn) {
-                    state.onAnswered(front.loop.now());
-                    spareBetween();
+                keepOpen = keepAlive && !nextResponseIsLast;
+                respondingStream = null;
+                blockingWriteSinceUs = NOT_WRITING;
+                if (keepOpen) {
+                    state.onResponseSent(server.loop.now());
+                    markIdleBetweenRequests();
                     notifyAll();
                 } else {
-                    finishing(); // in one step: what waits behind it must not be taken
+                    beginFinish(); // in one step: what waits behind it must not be taken
                 }
             }
-            if (!goesOn) {
-                link.finish();
+            if (!keepOpen) {
+                transport.shutdownOutput();
             }
         } catch (IOException e) {
-            Logger.debug("answer to request {} not written: {}", owed.id, e.getMessage());
+            Logger.debug("answer to request {} not written: {}", writtenStream.requestId, e.getMessage());
             close(CloseReason.WRITE_FAILED);
         } finally {
-            owed.out();
+            writtenStream.onResponseDone();
         }
     }
 
@@ -224,33 +224,33 @@
      */
     boolean endIfIdle(CloseReason reason) {
         synchronized (this) {
-            if (link.unread() || !state.askToEnd(reason, front.loop.now())) {
+            if (transport.hasUnreadInput() || !state.requestEnd(reason, server.loop.now())) {
                 return false;
             }
-            lastAnswerDue = true;
-            front.spares.remove(place); // it goes already
+            nextResponseIsLast = true;
+            server.idleConnections.remove(idleEntry); // it goes already
         }
-        link.endInput();
+        transport.shutdownInput();
         return true;
     }
 
     /** Has its reader end it, whatever comes on it; a message that is not whole is refused. */
     void end() {
-        if (!giveUpMessage(0)) {
+        if (!abandonMessage(0)) {
             endIfIdle(CloseReason.DRAINING);
         }
     }
 
     /** True once nothing more will be taken from it, and what is out had since that moment to arrive. */
-    synchronized boolean finishedBefore(long moment) {
-        return state.finishedBefore(moment);
+    synchronized boolean isFinishedSince(long latestUs) {
+        return state.isFinishedSince(latestUs);
     }
 
     /**
      * Makes room: closes it if its last answer is out, gives up a message that is stuck, has its reader end it between
      * messages. False if it carries what is owed an answer, a message that has just begun, or bytes not read yet.
      */
-    boolean closeIfSpare() {
+    boolean closeToMakeRoom() {
         boolean finished;
         synchronized (this) {
             finished = state.isFinished();
@@ -259,7 +259,7 @@
             close(CloseReason.ROOM_NEEDED);
             return true;
         }
-        if (surelyWrites() && giveUpMessage(ConnectionState.SETTLED_US)) {
+        if (canWriteWithoutBlocking() && abandonMessage(ConnectionState.SETTLE_TIME_US)) {
             close(CloseReason.ROOM_NEEDED);
             return true;
         }
@@ -267,25 +267,25 @@
     }
 
     /** Whether a short answer waits for nobody. */
-    private synchronized boolean surelyWrites() {
-        return answered <= SURE;
+    private synchronized boolean canWriteWithoutBlocking() {
+        return responseBytes <= NONBLOCKING_WRITE_BYTES;
     }
 
     /**
      * Answers a message that has been under way for longer than this, as its client may have sent the rest of it by
      * now; false if there is none.
      */
-    private boolean giveUpMessage(long longestUs) {
+    private boolean abandonMessage(long maxDurationUs) {
         synchronized (this) {
-            if (link.unread() || !state.giveUpMessage(longestUs, front.loop.now())) {
+            if (transport.hasUnreadInput() || !state.abandonMessage(maxDurationUs, server.loop.now())) {
                 return false;
             }
-            spare(Kind.REJECTED, state.sinceUs());
+            markIdle(Kind.FINISHED, state.lastChangeUs());
             notifyAll();
         }
         try {
-            link.write(ByteBuffer.wrap(HttpClientStream.refusal(0, false)));
-            link.finish();
+            transport.write(ByteBuffer.wrap(HttpClientStream.rejection(0, false)));
+            transport.shutdownOutput();
         } catch (IOException e) {
             close(CloseReason.WRITE_FAILED);
         }
@@ -296,70 +296,70 @@
      * Ends it if a message, a write that may wait for its peer, or what follows its last answer takes too long; an
      * answer that no writer was granted for is tried again first.
      */
-    void endIfStalled(long now) {
-        offerAgain();
-        boolean over;
+    void endIfStalled(long nowUs) {
+        retryPendingWrite();
+        boolean lingerOver;
         boolean peerReadsNothing;
-        boolean stalled;
+        boolean messageOverdue;
         boolean unused;
         synchronized (this) {
-            over = state.isOver(now);
-            peerReadsNothing = waits < now - WRITE_LIMIT_US;
-            stalled = state.isStalled(now);
-            unused = state.isUnused(now);
+            lingerOver = state.isLingerOver(nowUs);
+            peerReadsNothing = blockingWriteSinceUs < nowUs - WRITE_TIMEOUT_US;
+            messageOverdue = state.isMessageOverdue(nowUs);
+            unused = state.isUnused(nowUs);
         }
-        if (over) {
+        if (lingerOver) {
             close(CloseReason.AFTER_LAST_ANSWER);
         } else if (peerReadsNothing) {
             close(CloseReason.PEER_READS_NOTHING);
-        } else if (stalled) {
-            front.writers.offer(() -> giveUpMessage(ConnectionState.STALLED_US)); // else with the next sweep
+        } else if (messageOverdue) {
+            server.writers.offer(() -> abandonMessage(ConnectionState.MESSAGE_TIMEOUT_US)); // else with the next sweep
         } else if (unused) {
             endIfIdle(CloseReason.UNUSED);
         }
     }
 
     void close(CloseReason reason) {
-        HttpClientStream gone;
-        HttpClientStream unwritten;
+        HttpClientStream unansweredStream;
+        HttpClientStream unwrittenStream;
         synchronized (this) {
             if (!state.close()) {
                 return;
             }
-            unwritten = refusedWrite == null ? null : answering;
-            refusedWrite = null;
-            gone = stream;
+            unwrittenStream = pendingWrite == null ? null : respondingStream;
+            pendingWrite = null;
+            unansweredStream = stream;
             stream = null;
-            if (gone != null) {
-                gone.left();
+            if (unansweredStream != null) {
+                unansweredStream.markClientDisconnected();
             }
             notifyAll();
         }
-        log(reason, gone);
+        logClose(reason, unansweredStream);
         release();
-        if (gone != null) {
-            gone.gone();
+        if (unansweredStream != null) {
+            unansweredStream.clientDisconnected();
         }
-        if (unwritten != null) {
-            unwritten.out();
+        if (unwrittenStream != null) {
+            unwrittenStream.onResponseDone();
         }
     }
 
-    private void log(CloseReason reason, HttpClientStream unanswered) {
-        if (unanswered != null && !reason.isByClient()) {
+    private void logClose(CloseReason reason, HttpClientStream unansweredStream) {
+        if (unansweredStream != null && !reason.isByClient()) {
             RequestLogFields.logClosedUnderRequest(
-                    unanswered.id, reason.name(), front.loop.now() - state.acceptedAtUs());
+                    unansweredStream.requestId, reason.name(), server.loop.now() - state.acceptedAtUs());
         } else if (Logger.isDebugEnabled()) {
-            String request = unanswered == null ? "no request" : unanswered.id;
+            String request = unansweredStream == null ? "no request" : unansweredStream.requestId;
             Logger.debug("downstream connection closed: {}, open: {}", reason, request);
         }
     }
 
     private void release() {
-        front.spares.remove(place);
-        front.ended(this);
+        server.idleConnections.remove(idleEntry);
+        server.onConnectionClosed(this);
         try {
-            link.close();
+            transport.close();
         } catch (IOException e) {
             Logger.debug(e.getMessage());
         }
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -29,75 +29,75 @@
 
 /** The platform's protocol on the downstream side: clients' jobs, news of jobs, and whether this node is ready. */
 public final class DownstreamServer {
-    private static final int BACKLOG = 1024;
-    private static final long IDLE = 120_000_000;
-    private static final long FRESH = 500_000;
-    private static final int SHED_TRIES = 16;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long IDLE_TIMEOUT_US = 120_000_000;
+    private static final long NEW_CONNECTION_GRACE_US = 500_000;
+    private static final int MAX_SHED_TRIES = 16;
     private static final long BIND_RETRY_NANOS = 3_000_000_000L;
 
     final EventLoop loop;
     final WriterThreads writers;
-    final ConnectionThreads threads;
-    private final ConnectionLimit bound;
-    private final JobStatusDecoder news;
-    private final RequestDecoder streams;
-    private final List<ServerSocketChannel> servers = new ArrayList<>();
+    final ConnectionThreads connectionThreads;
+    private final ConnectionLimit connectionLimit;
+    private final JobStatusDecoder jobStatusDecoder;
+    private final RequestDecoder requestDecoder;
+    private final List<ServerSocketChannel> listeners = new ArrayList<>();
     private final List<Thread> acceptors = new ArrayList<>();
-    final IdleConnections<DownstreamConnection> spares = new IdleConnections<>(ConnectionState.SETTLED_US);
+    final IdleConnections<DownstreamConnection> idleConnections = new IdleConnections<>(ConnectionState.SETTLE_TIME_US);
     private final Set<DownstreamConnection> connections = ConcurrentHashMap.newKeySet();
     /** Those of them that were asked to end to make room, and will in a moment. */
-    private final Set<DownstreamConnection> leaving = ConcurrentHashMap.newKeySet();
+    private final Set<DownstreamConnection> endingToMakeRoom = ConcurrentHashMap.newKeySet();
     /** Connections that were not asked to end; counted apart, as the sets change one after the other. */
-    private final AtomicInteger staying = new AtomicInteger();
+    private final AtomicInteger retainedCount = new AtomicInteger();
 
     private final AtomicInteger open = new AtomicInteger();
     private volatile boolean ready;
     private volatile boolean draining;
-    private volatile long lastTaken;
+    private volatile long lastRequestAtUs;
 
     /** {@code threads} run its connections, and {@code most} bounds these. */
     public DownstreamServer(
             EventLoop loop,
             WriterThreads writers,
-            ConnectionThreads threads,
+            ConnectionThreads connectionThreads,
             LoadBalancerSettings settings,
-            LoadReportFields report,
-            int most) {
+            LoadReportFields loadReportFields,
+            int maxConnections) {
         this.loop = loop;
         this.writers = writers;
-        this.threads = threads;
-        this.bound = new ConnectionLimit(most);
-        this.news = new JobStatusDecoder(report);
-        this.streams = new RequestDecoder(settings);
+        this.connectionThreads = connectionThreads;
+        this.connectionLimit = new ConnectionLimit(maxConnections);
+        this.jobStatusDecoder = new JobStatusDecoder(loadReportFields);
+        this.requestDecoder = new RequestDecoder(settings);
     }
 
     /** Listens on this address, behind this door; returns where, as the port may have been left open. */
-    public InetSocketAddress listen(InetSocketAddress address, PeerIdentity.Door door) throws IOException {
-        ServerSocketChannel server = bind(address);
-        servers.add(server);
-        acceptors.add(Threads.start("accept", () -> accept(server, door)));
-        return (InetSocketAddress) server.socket().getLocalSocketAddress();
+    public InetSocketAddress listen(InetSocketAddress address, PeerIdentity.Authenticator authenticator) throws IOException {
+        ServerSocketChannel listener = bind(address);
+        listeners.add(listener);
+        acceptors.add(Threads.start("accept", () -> accept(listener, authenticator)));
+        return (InetSocketAddress) listener.socket().getLocalSocketAddress();
     }
 
     /** The address may still be an earlier process's, and the system may be short of sockets, both for a moment. */
     private static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
-        long end = System.nanoTime() + BIND_RETRY_NANOS;
+        long deadlineNanos = System.nanoTime() + BIND_RETRY_NANOS;
         for (; ; ) {
             try {
-                ServerSocketChannel server = ServerSocketChannel.open();
+                ServerSocketChannel listener = ServerSocketChannel.open();
                 try {
-                    return server.bind(address, BACKLOG);
+                    return listener.bind(address, ACCEPT_BACKLOG);
                 } catch (IOException e) {
-                    server.close();
+                    listener.close();
                     throw e;
                 }
             } catch (IOException e) {
-                if (System.nanoTime() - end >= 0) {
+                if (System.nanoTime() - deadlineNanos >= 0) {
                     throw e;
                 }
                 Logger.warn("listen on {}: {}, tried again", address, e.getMessage());
             }
-            pause();
+            pauseBeforeRetry();
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** The node will end: no longer ready, but it goes on serving on the connections that clients have. */
-    public void leave() {
+    public void markNotReady() {
         ready = false;
     }
 
@@ -119,76 +119,76 @@
     }
 
     /** Takes nothing more, once all that has been read is answered; what is unread is its client's to send again. */
-    public void endAll() {
+    public void endConnections() {
         loop.post(new ProxyEvent.Task(() -> connections.forEach(DownstreamConnection::end)));
     }
 
     /** True if no connection is left that something may still be taken from. */
-    public boolean atRest() {
-        return atRestSince(Long.MAX_VALUE);
+    public boolean isQuiescent() {
+        return isQuiescentSince(Long.MAX_VALUE);
     }
 
     /** True if besides that what went out on the last of them had since that moment to arrive. */
-    public boolean atRestSince(long moment) {
-        return unanswered() == 0 && connections.stream().allMatch(c -> c.finishedBefore(moment));
+    public boolean isQuiescentSince(long latestUs) {
+        return unansweredRequests() == 0 && connections.stream().allMatch(connection -> connection.isFinishedSince(latestUs));
     }
 
     /** Lets no more connections in; returns once those that were let in are known, or after so many milliseconds. */
-    public void close(long millis) throws InterruptedException {
-        for (ServerSocketChannel server : servers) {
+    public void close(long timeoutMillis) throws InterruptedException {
+        for (ServerSocketChannel listener : listeners) {
             try {
-                server.close();
+                listener.close();
             } catch (IOException e) {
                 Logger.debug(e.getMessage());
             }
         }
         for (Thread acceptor : acceptors) {
-            acceptor.join(millis);
+            acceptor.join(timeoutMillis);
         }
     }
 
     /** When the last job came, on the loop's clock. */
-    public long lastTaken() {
-        return lastTaken;
+    public long lastRequestAtUs() {
+        return lastRequestAtUs;
     }
 
     /** Streams that are owed an answer. */
-    public int unanswered() {
+    public int unansweredRequests() {
         return open.get();
     }
 
-    private void accept(ServerSocketChannel server, PeerIdentity.Door door) {
-        while (server.isOpen()) {
+    private void accept(ServerSocketChannel listener, PeerIdentity.Authenticator authenticator) {
+        while (listener.isOpen()) {
             SocketChannel accepted = null;
             try {
-                accepted = server.accept();
-                while (staying.get() >= bound.at(loop.now()) && !shed()) {
+                accepted = listener.accept();
+                while (retainedCount.get() >= connectionLimit.limitAt(loop.now()) && !shedConnection()) {
                     Thread.sleep(10); // all carry streams or answers, and streams are bounded to half of them
                 }
-                DownstreamConnection connection = new DownstreamConnection(this, door.link(accepted), door);
+                DownstreamConnection connection = new DownstreamConnection(this, authenticator.createTransport(accepted), authenticator);
                 connections.add(connection);
-                staying.incrementAndGet();
+                retainedCount.incrementAndGet();
                 connection.start();
-                if (bound.proofDue(staying.get()) && !threads.canStart(ConnectionLimit.PROOF)) {
-                    fewThreads("tried");
+                if (connectionLimit.beginCheckIfDue(retainedCount.get()) && !connectionThreads.canStart(ConnectionLimit.CHECK_THREADS)) {
+                    onThreadShortage("tried");
                 }
             } catch (ClosedChannelException e) {
-                hangUp(accepted);
+                closeQuietly(accepted);
             } catch (InterruptedException e) {
-                hangUp(accepted);
+                closeQuietly(accepted);
                 return;
             } catch (OutOfMemoryError e) {
-                hangUp(accepted);
-                fewThreads(e.getMessage());
-                pause();
+                closeQuietly(accepted);
+                onThreadShortage(e.getMessage());
+                pauseBeforeRetry();
             } catch (IOException | RuntimeException | Error e) {
                 // Whatever it is, the node goes on listening.
                 Logger.warn("accept: {}", e.toString());
-                hangUp(accepted);
-                if (AcceptFailures.isShortage(e)) {
-                    shed();
+                closeQuietly(accepted);
+                if (AcceptFailures.isResourceExhaustion(e)) {
+                    shedConnection();
                 }
-                pause();
+                pauseBeforeRetry();
             }
         }
     }
@@ -197,19 +197,19 @@
      * The system refused a thread, or the heap is full, as {@code reason} tells: fewer connections are kept, so that
      * signals, writes and requests get theirs.
      */
-    private void fewThreads(String reason) {
-        int before = staying.get();
-        bound.refused(before, loop.now());
-        threads.keepBriefly();
-        int kept = bound.at(loop.now());
+    private void onThreadShortage(String reason) {
+        int connectionsBefore = retainedCount.get();
+        connectionLimit.onThreadUnavailable(connectionsBefore, loop.now());
+        connectionThreads.shortenKeepAlive();
+        int newLimit = connectionLimit.limitAt(loop.now());
         Logger.warn(
-                "accept: the system grants no more threads at {} connections ({}), {} are kept", before, reason, kept);
-        for (int i = before; i > kept && shed(); i--) {
+                "accept: the system grants no more threads at {} connections ({}), {} are kept", connectionsBefore, reason, newLimit);
+        for (int i = connectionsBefore; i > newLimit && shedConnection(); i--) {
             // one goes with each turn
         }
     }
 
-    private static void hangUp(SocketChannel accepted) {
+    private static void closeQuietly(SocketChannel accepted) {
         try {
             if (accepted != null) {
                 accepted.close();
@@ -219,7 +219,7 @@
         }
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
             Thread.sleep(20);
         } catch (InterruptedException e) {
@@ -228,89 +228,89 @@
     }
 
     /** Closes the connection that is worth least; false if none of the first few may go. */
-    private boolean shed() {
-        for (int i = 0; i < SHED_TRIES; i++) {
-            IdleConnections.Place<DownstreamConnection> least = spares.least(loop.now());
-            if (least == null) {
+    private boolean shedConnection() {
+        for (int i = 0; i < MAX_SHED_TRIES; i++) {
+            IdleConnections.Entry<DownstreamConnection> candidate = idleConnections.nextToClose(loop.now());
+            if (candidate == null) {
                 return false;
             }
-            leaves(least.connection);
-            if (least.connection.closeIfSpare()) {
+            markEnding(candidate.connection);
+            if (candidate.connection.closeToMakeRoom()) {
                 return true;
             }
-            stays(least.connection);
-            spares.spare(least, loop.now());
+            markRetained(candidate.connection);
+            idleConnections.requeue(candidate, loop.now());
         }
         return false;
     }
 
     /** Closes what stands idle or stalls; to be called now and then on the loop. */
     public void sweep() {
-        long now = loop.now();
-        for (DownstreamConnection c : connections) {
-            if (now - c.since() > IDLE) {
-                c.endIfIdle(CloseReason.IDLE);
-            } else if (!c.holds()) {
-                c.endIfIdle(CloseReason.IDENTITY_EXPIRED);
-            } else if (draining && (c.used() || now - c.since() > FRESH)) {
+        long nowUs = loop.now();
+        for (DownstreamConnection connection : connections) {
+            if (nowUs - connection.lastChangeUs() > IDLE_TIMEOUT_US) {
+                connection.endIfIdle(CloseReason.IDLE);
+            } else if (!connection.isPeerIdentityValid()) {
+                connection.endIfIdle(CloseReason.IDENTITY_EXPIRED);
+            } else if (draining && (connection.used() || nowUs - connection.lastChangeUs() > NEW_CONNECTION_GRACE_US)) {
                 // One that is new may be about to send its first request.
-                c.endIfIdle(CloseReason.DRAINING);
+                connection.endIfIdle(CloseReason.DRAINING);
             }
-            c.endIfStalled(now);
+            connection.endIfStalled(nowUs);
         }
     }
 
     /** A message was taken from it: it stays for the time being. */
-    void stays(DownstreamConnection connection) {
-        if (leaving.remove(connection)) {
-            staying.incrementAndGet();
+    void markRetained(DownstreamConnection connection) {
+        if (endingToMakeRoom.remove(connection)) {
+            retainedCount.incrementAndGet();
         }
     }
 
-    private void leaves(DownstreamConnection connection) {
-        if (leaving.add(connection)) {
-            staying.decrementAndGet();
+    private void markEnding(DownstreamConnection connection) {
+        if (endingToMakeRoom.add(connection)) {
+            retainedCount.decrementAndGet();
         }
     }
 
-    void ended(DownstreamConnection connection) {
+    void onConnectionClosed(DownstreamConnection connection) {
         connections.remove(connection);
-        if (!leaving.remove(connection)) {
-            staying.decrementAndGet();
+        if (!endingToMakeRoom.remove(connection)) {
+            retainedCount.decrementAndGet();
         }
     }
 
     /** An answer to write at once, and whether the connection goes on after it. */
-    record Reply(byte[] bytes, boolean keep) {}
+    record ImmediateResponse(byte[] bytes, boolean keepAlive) {}
 
-    private static final Reply TAKEN = new Reply(MessageWriter.response(204, null, true), true);
+    private static final ImmediateResponse JOB_STATUS_ACCEPTED = new ImmediateResponse(MessageWriter.response(204, null, true), true);
 
-    boolean keeps() {
+    boolean allowsKeepAlive() {
         return !draining;
     }
 
     /** Opens the stream that a message asks for, or gives the reply to write at once. */
-    Reply route(HttpRequest message, DownstreamConnection connection) throws Ended {
-        boolean keep = message.keepAlive() && keeps();
+    ImmediateResponse route(HttpRequest message, DownstreamConnection connection) throws IdentityExpiredException {
+        boolean keepAlive = message.keepAlive() && allowsKeepAlive();
         try {
             return switch (message.path()) {
                 case "/health/ready" -> {
-                    LocalReply.require(message, "GET");
-                    yield new Reply(MessageWriter.response(ready ? 200 : 503, new byte[0], keep), keep);
+                    LocalReply.requireMethod(message, "GET");
+                    yield new ImmediateResponse(MessageWriter.response(ready ? 200 : 503, new byte[0], keepAlive), keepAlive);
                 }
                 case "/_jobs/news" -> {
-                    LocalReply.require(message, "POST");
-                    yield told(news.decode(message.content()), connection, keep);
+                    LocalReply.requireMethod(message, "POST");
+                    yield receiveJobStatus(jobStatusDecoder.decode(message.content()), connection, keepAlive);
                 }
                 default -> open(message, connection);
             };
         } catch (LocalReply e) {
             // A client that asks for what there is not keeps no connection: by the hundred they would fill the bound.
-            return new Reply(text(e.status, e.getMessage(), false, "Allow", e.allow), false);
-        } catch (Ended e) {
+            return new ImmediateResponse(textResponse(e.status, e.getMessage(), false, "Allow", e.allowedMethod), false);
+        } catch (IdentityExpiredException e) {
             throw e;
         } catch (InvalidValueException | IOException e) {
-            return new Reply(text(400, "news: not understood", false), false);
+            return new ImmediateResponse(textResponse(400, "news: not understood", false), false);
         }
     }
 
@@ -318,48 +318,48 @@
      * Takes news from who may bring them. On a connection whose identity has run out they get no answer, so that their
      * sender comes again with its new one; from anybody else they get one that says no.
      */
-    private Reply told(ProxyEvent.JobStatusReceived told, DownstreamConnection connection, boolean keep)
-            throws LocalReply, Ended {
-        if (!connection.holds()) {
-            throw new Ended();
+    private ImmediateResponse receiveJobStatus(ProxyEvent.JobStatusReceived jobStatus, DownstreamConnection connection, boolean keepAlive)
+            throws LocalReply, IdentityExpiredException {
+        if (!connection.isPeerIdentityValid()) {
+            throw new IdentityExpiredException();
         }
-        if (!connection.visitor().mayTellOf(told.endpoint())) {
+        if (!connection.peerIdentity().mayReportJobStatus(jobStatus.endpoint())) {
             throw new LocalReply(403, "news: not of a host that this identity may be");
         }
-        loop.post(told);
-        connection.broughtNews();
-        return keep ? TAKEN : new Reply(MessageWriter.response(204, null, false), false);
+        loop.post(jobStatus);
+        connection.onJobStatusReceived();
+        return keepAlive ? JOB_STATUS_ACCEPTED : new ImmediateResponse(MessageWriter.response(204, null, false), false);
     }
 
     /** A message that is owed nothing came on a connection that is over. */
-    static final class Ended extends IOException {
+    static final class IdentityExpiredException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        Ended() {
+        IdentityExpiredException() {
             super("its identity holds no more");
         }
     }
 
-    private Reply open(HttpRequest message, DownstreamConnection connection) throws LocalReply {
-        Request request = streams.decode(message);
-        PeerIdentity.Refusal refusal = connection.visitor().mayHandIn(message, request.tenant());
-        if (refusal != null) {
-            throw new LocalReply(refusal.status(), refusal.text());
+    private ImmediateResponse open(HttpRequest message, DownstreamConnection connection) throws LocalReply {
+        Request request = requestDecoder.decode(message);
+        PeerIdentity.Rejection rejection = connection.peerIdentity().checkRequest(message, request.tenant());
+        if (rejection != null) {
+            throw new LocalReply(rejection.status(), rejection.text());
         }
         open.incrementAndGet();
-        lastTaken = loop.now();
+        lastRequestAtUs = loop.now();
         HttpClientStream stream = new HttpClientStream(connection, request.id(), message.keepAlive(), open);
-        if (!connection.opened(stream)) {
+        if (!connection.openStream(stream)) {
             open.decrementAndGet();
             return null;
         }
-        loop.post(opened(message, request, stream, lastTaken));
+        loop.post(requestArrived(message, request, stream, lastRequestAtUs));
         return null;
     }
 
     /** The event of a job that a message hands in, whose last byte had come at that moment. */
-    static ProxyEvent.RequestArrived opened(
-            HttpRequest message, Request request, ClientStream downstream, long takenAt) {
+    static ProxyEvent.RequestArrived requestArrived(
+            HttpRequest message, Request request, ClientStream downstream, long receivedAtUs) {
         Body body = message.content();
         return new ProxyEvent.RequestArrived(
                 request,
@@ -367,13 +367,13 @@
                         message.target(),
                         message.headers().get("Idempotency-Key"),
                         body.bytes(),
-                        body.from(),
+                        body.offset(),
                         body.length()),
                 downstream,
-                takenAt);
+                receivedAtUs);
     }
 
-    static byte[] text(int status, String text, boolean keep, String... fields) {
-        return MessageWriter.response(status, (text + "\n").getBytes(StandardCharsets.UTF_8), keep, fields);
+    static byte[] textResponse(int status, String text, boolean keepAlive, String... fields) {
+        return MessageWriter.response(status, (text + "\n").getBytes(StandardCharsets.UTF_8), keepAlive, fields);
     }
 }
--- a/src/main/java/olivechute/downstream/HttpClientStream.java
+++ b/src/main/java/olivechute/downstream/HttpClientStream.java
@@ -9,80 +9,80 @@
 
 /** The client's side of one stream, as HTTP. */
 final class HttpClientStream implements ClientStream {
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+    private static final ByteBuffer EMPTY_BODY = ByteBuffer.allocate(0);
 
     private final DownstreamConnection connection;
-    final String id;
+    final String requestId;
     private final boolean keepAlive; // as the client wants it
-    private final AtomicInteger open;
-    private volatile boolean gone;
+    private final AtomicInteger openStreams;
+    private volatile boolean clientDisconnected;
 
-    HttpClientStream(DownstreamConnection connection, String id, boolean keepAlive, AtomicInteger open) {
+    HttpClientStream(DownstreamConnection connection, String requestId, boolean keepAlive, AtomicInteger openStreams) {
         this.connection = connection;
-        this.id = id;
+        this.requestId = requestId;
         this.keepAlive = keepAlive;
-        this.open = open;
+        this.openStreams = openStreams;
     }
 
     /** The client went away before the answer: nothing may go out for it from now on. */
-    void left() {
-        gone = true;
+    void markClientDisconnected() {
+        clientDisconnected = true;
     }
 
     /** Tells of a client that has left. */
-    void gone() {
-        open.decrementAndGet();
-        connection.post(new ProxyEvent.ClientDisconnected(id, this));
+    void clientDisconnected() {
+        openStreams.decrementAndGet();
+        connection.post(new ProxyEvent.ClientDisconnected(requestId, this));
     }
 
     @Override
     public boolean isPresent() {
-        return !gone;
+        return !clientDisconnected;
     }
 
-    private boolean keep() {
-        return keepAlive && connection.keeps();
+    private boolean allowsKeepAlive() {
+        return keepAlive && connection.allowsKeepAlive();
     }
 
-    private void reply(byte[] bytes, boolean keep) {
-        reply(ByteBuffer.wrap(bytes), NOTHING, keep);
+    private void send(byte[] bytes, boolean keepOpen) {
+        send(ByteBuffer.wrap(bytes), EMPTY_BODY, keepOpen);
     }
 
     /** A refusal's bytes; advice in microseconds, none where it is 0. */
-    static byte[] refusal(long retryAfter, boolean keep) {
-        String advice = retryAfter > 0 ? String.format(Locale.ROOT, "%.3f", retryAfter / 1e6) : null;
-        return DownstreamServer.text(503, "no room", keep, "Retry-After", advice);
+    static byte[] rejection(long retryAfterUs, boolean keepOpen) {
+        String retryAfterSeconds = retryAfterUs > 0 ? String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6) : null;
+        return DownstreamServer.textResponse(503, "no room", keepOpen, "Retry-After", retryAfterSeconds);
     }
 
-    private void reply(ByteBuffer head, ByteBuffer body, boolean keep) {
-        connection.reply(head, body, keep);
+    private void send(ByteBuffer head, ByteBuffer body, boolean keepOpen) {
+        connection.sendResponse(head, body, keepOpen);
     }
 
     /** The answer is out, or cannot be: nothing is owed any more. */
-    void out() {
-        open.decrementAndGet();
+    void onResponseDone() {
+        openStreams.decrementAndGet();
     }
 
     @Override
     public void sendResult(byte[] result) {
-        boolean keep = keep();
-        reply(MessageWriter.responseHead(200, result.length, keep), ByteBuffer.wrap(result), keep);
+        boolean keepOpen = allowsKeepAlive();
+        send(MessageWriter.responseHead(200, result.length, keepOpen), ByteBuffer.wrap(result), keepOpen);
     }
 
     @Override
-    public void sendRejection(long retryAfter) {
-        boolean keep = keep();
-        reply(refusal(retryAfter, keep), keep);
+    public void sendRejection(long retryAfterUs) {
+        boolean keepOpen = allowsKeepAlive();
+        send(rejection(retryAfterUs, keepOpen), keepOpen);
     }
 
     @Override
     public void sendFailure() {
-        boolean keep = keep();
-        reply(DownstreamServer.text(502, "not served", keep), keep);
+        boolean keepOpen = allowsKeepAlive();
+        send(DownstreamServer.textResponse(502, "not served", keepOpen), keepOpen);
     }
 
     @Override
     public void sendDuplicateId() {
-        reply(DownstreamServer.text(409, "a live request has this X-Txn, or one had it lately", false), false);
+        send(DownstreamServer.textResponse(409, "a live request has this X-Txn, or one had it lately", false), false);
     }
 }
--- a/src/main/java/olivechute/downstream/IdleConnections.java
+++ b/src/main/java/olivechute/downstream/IdleConnections.java
@@ -9,87 +9,87 @@
     /** Why a connection carries nothing. */
     enum Kind {
         /** Its last answer is out. */
-        REJECTED,
+        FINISHED,
         /** It never said anything. */
         UNUSED,
         /** A message began on it and does not end. */
-        MIDWAY,
+        RECEIVING,
         /** It is between requests. */
-        BETWEEN,
+        BETWEEN_REQUESTS,
         /** It brought news: an upstream host's. */
-        NEWS
+        JOB_STATUS_SENDER
     }
 
     /** One connection's place; it is of a kind, or of none while it carries something. */
-    static final class Place<C> {
+    static final class Entry<C> {
         final C connection;
         private Kind kind;
-        private long since;
-        private Place<C> before;
-        private Place<C> after;
+        private long sinceUs;
+        private Entry<C> previous;
+        private Entry<C> next;
 
-        Place(C connection) {
+        Entry(C connection) {
             this.connection = connection;
         }
     }
 
-    private final long settled;
-    private final Place<C>[] first = places();
-    private final Place<C>[] last = places();
+    private final long settleTimeUs;
+    private final Entry<C>[] oldest = newEntryArray();
+    private final Entry<C>[] newest = newEntryArray();
 
     /** {@code settled}: microseconds for which one that is new or in a message may be about to open a stream. */
-    IdleConnections(long settled) {
-        this.settled = settled;
+    IdleConnections(long settleTimeUs) {
+        this.settleTimeUs = settleTimeUs;
     }
 
     @SuppressWarnings("unchecked")
-    private static <C> Place<C>[] places() {
-        return new Place[Kind.values().length];
+    private static <C> Entry<C>[] newEntryArray() {
+        return new Entry[Kind.values().length];
     }
 
     /** It is of this kind from that moment on, and the last of it; told again of the same, it keeps its place. */
-    synchronized void put(Place<C> place, Kind kind, long now) {
-        if (place.kind == kind && place.since == now) {
+    synchronized void put(Entry<C> entry, Kind kind, long sinceUs) {
+        if (entry.kind == kind && entry.sinceUs == sinceUs) {
             return;
         }
-        remove(place);
-        int k = kind.ordinal();
-        place.kind = kind;
-        place.since = now;
-        place.before = last[k];
-        if (last[k] == null) {
-            first[k] = place;
+        remove(entry);
+        int ordinal = kind.ordinal();
+        entry.kind = kind;
+        entry.sinceUs = sinceUs;
+        entry.previous = newest[ordinal];
+        if (newest[ordinal] == null) {
+            oldest[ordinal] = entry;
         } else {
-            last[k].after = place;
+            newest[ordinal].next = entry;
         }
-        last[k] = place;
+        newest[ordinal] = entry;
     }
 
     /** It carries something, or has ended. */
-    synchronized void remove(Place<C> place) {
-        if (place.kind == null) {
+    synchronized void remove(Entry<C> entry) {
+        if (entry.kind == null) {
             return;
         }
-        int k = place.kind.ordinal();
-        if (place.before == null) {
-            first[k] = place.after;
+        int ordinal = entry.kind.ordinal();
+        if (entry.previous == null) {
+            oldest[ordinal] = entry.next;
         } else {
-            place.before.after = place.after;
+            entry.previous.next = entry.next;
         }
-        if (place.after == null) {
-            last[k] = place.before;
+        if (entry.next == null) {
+            newest[ordinal] = entry.previous;
         } else {
-            place.after.before = place.before;
+            entry.next.previous = entry.previous;
         }
-        place.kind = null;
-        place.before = null;
-        place.after = null;
+        entry.kind = null;
+        entry.previous = null;
+        entry.next = null;
     }
 
     /** It cannot go at this moment, whatever it seemed: others of its kind come first. */
-    synchronized void spare(Place<C> place, long now) {
-        if (place.kind != null) {
-            put(place, place.kind, now);
+    synchronized void requeue(Entry<C> entry, long nowUs) {
+        if (entry.kind != null) {
+            put(entry, entry.kind, nowUs);
         }
     }
 
@@ -98,21 +98,21 @@
      * those stuck in a message, those between requests, those that came just now, upstream hosts'; of these the one
      * that has been so for longest.
      */
-    synchronized Place<C> least(long now) {
-        Place<C> unused = first[Kind.UNUSED.ordinal()];
-        Place<C> midway = first[Kind.MIDWAY.ordinal()];
-        if (first[Kind.REJECTED.ordinal()] != null) {
-            return first[Kind.REJECTED.ordinal()];
+    synchronized Entry<C> nextToClose(long nowUs) {
+        Entry<C> unused = oldest[Kind.UNUSED.ordinal()];
+        Entry<C> receiving = oldest[Kind.RECEIVING.ordinal()];
+        if (oldest[Kind.FINISHED.ordinal()] != null) {
+            return oldest[Kind.FINISHED.ordinal()];
         }
-        if (unused != null && now - unused.since >= settled) {
+        if (unused != null && nowUs - unused.sinceUs >= settleTimeUs) {
             return unused;
         }
-        if (midway != null && now - midway.since >= settled) {
-            return midway;
+        if (receiving != null && nowUs - receiving.sinceUs >= settleTimeUs) {
+            return receiving;
         }
-        if (first[Kind.BETWEEN.ordinal()] != null) {
-            return first[Kind.BETWEEN.ordinal()];
+        if (oldest[Kind.BETWEEN_REQUESTS.ordinal()] != null) {
+            return oldest[Kind.BETWEEN_REQUESTS.ordinal()];
         }
-        return unused != null ? unused : first[Kind.NEWS.ordinal()];
+        return unused != null ? unused : oldest[Kind.JOB_STATUS_SENDER.ordinal()];
     }
 }
--- a/src/main/java/olivechute/downstream/JobStatusDecoder.java
+++ b/src/main/java/olivechute/downstream/JobStatusDecoder.java
@@ -14,12 +14,12 @@
 
 /** Decodes what upstream hosts tell of their jobs, as it is read. Of a field that comes twice the last counts. */
 final class JobStatusDecoder {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_RESULT = new byte[0];
 
-    private final LoadReportFields report;
+    private final LoadReportFields loadReportFields;
 
-    JobStatusDecoder(LoadReportFields report) {
-        this.report = report;
+    JobStatusDecoder(LoadReportFields loadReportFields) {
+        this.loadReportFields = loadReportFields;
     }
 
     /**
@@ -28,94 +28,94 @@
      */
     JobStatusReceived decode(Body body) throws IOException {
         String id = null;
-        String from = null;
-        String told = null;
-        double share = 0;
-        byte[] result = NOTHING;
-        LoadReport load = LoadReport.NONE;
-        try (JsonParser p = JsonFields.reader(body.bytes(), body.from(), body.length())) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
+        String endpoint = null;
+        String stateText = null;
+        double progress = 0;
+        byte[] result = EMPTY_RESULT;
+        LoadReport loadReport = LoadReport.NONE;
+        try (JsonParser parser = JsonFields.reader(body.bytes(), body.offset(), body.length())) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidValueException("news: must be an object");
             }
-            for (String field = p.nextFieldName(); field != null; field = p.nextFieldName()) {
-                p.nextToken();
+            for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+                parser.nextToken();
                 switch (field) {
-                    case "id" -> id = text(p, field);
-                    case "from" -> from = text(p, field);
-                    case "state" -> told = text(p, field);
+                    case "id" -> id = readText(parser, field);
+                    case "from" -> endpoint = readText(parser, field);
+                    case "state" -> stateText = readText(parser, field);
                     case "share" ->
-                        share = p.hasToken(JsonToken.VALUE_NULL) ? 0 : Math.max(0, Math.min(1, number(p, field)));
+                        progress = parser.hasToken(JsonToken.VALUE_NULL) ? 0 : Math.max(0, Math.min(1, readNumber(parser, field)));
                     case "result" -> {
-                        String text = text(p, field);
-                        result = text == null ? NOTHING : text.getBytes(StandardCharsets.UTF_8);
+                        String text = readText(parser, field);
+                        result = text == null ? EMPTY_RESULT : text.getBytes(StandardCharsets.UTF_8);
                     }
-                    case "load" -> load = load(p);
-                    default -> p.skipChildren();
+                    case "load" -> loadReport = readLoadReport(parser);
+                    default -> parser.skipChildren();
                 }
             }
-            if (!p.hasToken(JsonToken.END_OBJECT) || p.nextToken() != null) {
+            if (!parser.hasToken(JsonToken.END_OBJECT) || parser.nextToken() != null) {
                 throw new InvalidValueException("news: more than one value");
             }
         }
-        need(id, "id");
-        need(from, "from");
-        need(told, "state");
-        JobStatus state = state(told);
-        return new JobStatusReceived(id, from, state, share, state == JobStatus.DONE ? result : null, load);
+        requireField(id, "id");
+        requireField(endpoint, "from");
+        requireField(stateText, "state");
+        JobStatus state = parseState(stateText);
+        return new JobStatusReceived(id, endpoint, state, progress, state == JobStatus.DONE ? result : null, loadReport);
     }
 
-    private static JobStatus state(String told) {
-        return switch (told) {
+    private static JobStatus parseState(String stateText) {
+        return switch (stateText) {
             case "started" -> JobStatus.STARTED;
             case "running" -> JobStatus.RUNNING;
             case "done" -> JobStatus.DONE;
             case "failed" -> JobStatus.FAILED;
             case "returned" -> JobStatus.RETURNED;
             case "lost" -> JobStatus.LOST;
-            default -> throw new InvalidValueException("news.state: unknown word " + told);
+            default -> throw new InvalidValueException("news.state: unknown word " + stateText);
         };
     }
 
-    private static void need(String text, String field) {
-        if (text == null) {
+    private static void requireField(String value, String field) {
+        if (value == null) {
             throw new InvalidValueException("news." + field + ": missing, must be text");
         }
     }
 
-    private static String text(JsonParser p, String field) throws IOException {
-        if (p.hasToken(JsonToken.VALUE_NULL)) {
+    private static String readText(JsonParser parser, String field) throws IOException {
+        if (parser.hasToken(JsonToken.VALUE_NULL)) {
             return null;
         }
-        if (!p.hasToken(JsonToken.VALUE_STRING)) {
+        if (!parser.hasToken(JsonToken.VALUE_STRING)) {
             throw new InvalidValueException("news." + field + ": must be text");
         }
-        return p.getText();
+        return parser.getText();
     }
 
-    private static double number(JsonParser p, String field) throws IOException {
-        if (!p.currentToken().isNumeric()) {
+    private static double readNumber(JsonParser parser, String field) throws IOException {
+        if (!parser.currentToken().isNumeric()) {
             throw new InvalidValueException("news." + field + ": must be a number");
         }
-        return p.getDoubleValue();
+        return parser.getDoubleValue();
     }
 
     /** Values that the settings give no meaning, or that are no numbers, tell nothing. */
-    private LoadReport load(JsonParser p) throws IOException {
-        if (p.hasToken(JsonToken.VALUE_NULL)) {
+    private LoadReport readLoadReport(JsonParser parser) throws IOException {
+        if (parser.hasToken(JsonToken.VALUE_NULL)) {
             return LoadReport.NONE;
         }
-        if (!p.hasToken(JsonToken.START_OBJECT)) {
+        if (!parser.hasToken(JsonToken.START_OBJECT)) {
             throw new InvalidValueException("news.load: must be an object");
         }
-        LoadReport load = LoadReport.NONE;
-        for (String field = p.nextFieldName(); field != null; field = p.nextFieldName()) {
-            p.nextToken();
-            if (p.currentToken().isNumeric()) {
-                load = report.with(load, field, p.getDoubleValue());
+        LoadReport loadReport = LoadReport.NONE;
+        for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
+            parser.nextToken();
+            if (parser.currentToken().isNumeric()) {
+                loadReport = loadReportFields.with(loadReport, field, parser.getDoubleValue());
             } else {
-                p.skipChildren();
+                parser.skipChildren();
             }
         }
-        return load;
+        return loadReport;
     }
 }
--- a/src/main/java/olivechute/downstream/LocalReply.java
+++ b/src/main/java/olivechute/downstream/LocalReply.java
@@ -7,21 +7,21 @@
     private static final long serialVersionUID = 1L;
 
     final int status;
-    final String allow; // the method that would do, null where that is not the fault
+    final String allowedMethod; // the method that would do, null where that is not the fault
 
     LocalReply(int status, String text) {
         super(text, null, false, false);
         this.status = status;
-        this.allow = null;
+        this.allowedMethod = null;
     }
 
-    private LocalReply(String allow) {
-        super(allow + " only", null, false, false);
+    private LocalReply(String allowedMethod) {
+        super(allowedMethod + " only", null, false, false);
         this.status = 405;
-        this.allow = allow;
+        this.allowedMethod = allowedMethod;
     }
 
-    static void require(HttpRequest message, String method) throws LocalReply {
+    static void requireMethod(HttpRequest message, String method) throws LocalReply {
         if (!message.method().equals(method)) {
             throw new LocalReply(method);
         }
--- a/src/main/java/olivechute/http/Body.java
+++ b/src/main/java/olivechute/http/Body.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** The body of a message: a part of an array that nothing writes to any more once the message is whole. */
-public record Body(byte[] bytes, int from, int length) {
+public record Body(byte[] bytes, int offset, int length) {
     /** No body. */
     public static final Body NONE = new Body(new byte[0], 0, 0);
 
@@ -14,6 +14,6 @@
 
     /** A copy in an array of its own. */
     public byte[] toArray() {
-        return Arrays.copyOfRange(bytes, from, from + length);
+        return Arrays.copyOfRange(bytes, offset, offset + length);
     }
 }
--- a/src/main/java/olivechute/http/Headers.java
+++ b/src/main/java/olivechute/http/Headers.java
@@ -8,13 +8,13 @@
  * it is asked for. Names are compared without regard to case. Valid as long as its message is.
  */
 public final class Headers {
-    private static final int FIGURES = 4; // where a field's name begins and ends, and its value
-    private static final int MOST_DIGITS = 18;
+    private static final int POSITIONS_PER_FIELD = 4; // where a field's name begins and ends, and its value
+    private static final int MAX_DIGITS = 18;
     private static final int INITIAL_FIELDS = 16;
-    private static final int[] NO_PLACES = new int[0]; // until the first field: many a connection carries no message
+    private static final int[] NO_POSITIONS = new int[0]; // until the first field: many a connection carries no message
 
     private byte[] bytes;
-    private int[] places = NO_PLACES;
+    private int[] positions = NO_POSITIONS;
     private int count;
 
     void clear() {
@@ -22,85 +22,85 @@
     }
 
     /** The bytes that the places are in; set anew when they move, each place staying the same. */
-    void in(byte[] head) {
-        bytes = head;
+    void setBuffer(byte[] buffer) {
+        bytes = buffer;
     }
 
     int count() {
         return count;
     }
 
-    void add(int name, int nameEnd, int value, int valueEnd) {
-        if (count * FIGURES == places.length) {
-            places = Arrays.copyOf(places, Math.max(INITIAL_FIELDS * FIGURES, 2 * places.length));
+    void add(int nameStart, int nameEnd, int valueStart, int valueEnd) {
+        if (count * POSITIONS_PER_FIELD == positions.length) {
+            positions = Arrays.copyOf(positions, Math.max(INITIAL_FIELDS * POSITIONS_PER_FIELD, 2 * positions.length));
         }
-        int at = count++ * FIGURES;
-        places[at] = name;
-        places[at + 1] = nameEnd;
-        places[at + 2] = value;
-        places[at + 3] = valueEnd;
+        int index = count++ * POSITIONS_PER_FIELD;
+        positions[index] = nameStart;
+        positions[index + 1] = nameEnd;
+        positions[index + 2] = valueStart;
+        positions[index + 3] = valueEnd;
     }
 
     /** The place of the first field of that name from the {@code from}th on, negative without one. */
-    private int find(String name, int from) {
+    private int find(String name, int firstIndex) {
         int length = name.length();
-        for (int i = from; i < count; i++) {
-            int at = places[i * FIGURES];
-            if (places[i * FIGURES + 1] - at == length && equal(name, at, length)) {
+        for (int i = firstIndex; i < count; i++) {
+            int nameStart = positions[i * POSITIONS_PER_FIELD];
+            if (positions[i * POSITIONS_PER_FIELD + 1] - nameStart == length && equalsIgnoreCase(name, nameStart, length)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private boolean equal(String text, int at, int length) {
+    private boolean equalsIgnoreCase(String text, int offset, int length) {
         for (int i = 0; i < length; i++) {
-            if (lower(bytes[at + i]) != lower((byte) text.charAt(i))) {
+            if (toLowerCase(bytes[offset + i]) != toLowerCase((byte) text.charAt(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    private static int lower(byte b) {
+    private static int toLowerCase(byte b) {
         return b >= 'A' && b <= 'Z' ? b + ('a' - 'A') : b;
     }
 
-    private String value(int i) {
-        int at = places[i * FIGURES + 2];
-        return new String(bytes, at, places[i * FIGURES + 3] - at, StandardCharsets.ISO_8859_1);
+    private String valueAt(int index) {
+        int start = positions[index * POSITIONS_PER_FIELD + 2];
+        return new String(bytes, start, positions[index * POSITIONS_PER_FIELD + 3] - start, StandardCharsets.ISO_8859_1);
     }
 
     /** The first value of that name, null without one. */
     public String get(String name) {
         int i = find(name, 0);
-        return i < 0 ? null : value(i);
+        return i < 0 ? null : valueAt(i);
     }
 
     /** True if there are several fields of that name. */
-    public boolean several(String name) {
+    public boolean hasSeveral(String name) {
         int i = find(name, 0);
         return i >= 0 && find(name, i + 1) >= 0;
     }
 
     /** True if the first value of that name is this word, whatever the case. */
-    boolean is(String name, String word) {
+    boolean firstValueEquals(String name, String word) {
         int i = find(name, 0);
-        int at = i < 0 ? 0 : places[i * FIGURES + 2];
-        return i >= 0 && places[i * FIGURES + 3] - at == word.length() && equal(word, at, word.length());
+        int start = i < 0 ? 0 : positions[i * POSITIONS_PER_FIELD + 2];
+        return i >= 0 && positions[i * POSITIONS_PER_FIELD + 3] - start == word.length() && equalsIgnoreCase(word, start, word.length());
     }
 
     /** The whole number that all fields of that name hold, negative without one. */
-    long number(String name) throws HttpException {
+    long parseNumber(String name) throws HttpException {
         long number = -1;
         for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
-            int at = places[i * FIGURES + 2];
-            int end = places[i * FIGURES + 3];
+            int start = positions[i * POSITIONS_PER_FIELD + 2];
+            int end = positions[i * POSITIONS_PER_FIELD + 3];
             long value = 0;
-            for (int d = at; d < end && value >= 0; d++) {
-                value = bytes[d] >= '0' && bytes[d] <= '9' ? 10 * value + bytes[d] - '0' : -1;
+            for (int digit = start; digit < end && value >= 0; digit++) {
+                value = bytes[digit] >= '0' && bytes[digit] <= '9' ? 10 * value + bytes[digit] - '0' : -1;
             }
-            if (at == end || end - at > MOST_DIGITS || value < 0 || (number >= 0 && number != value)) {
+            if (start == end || end - start > MAX_DIGITS || value < 0 || (number >= 0 && number != value)) {
                 throw new HttpException(400, "bad or conflicting lengths");
             }
             number = value;
@@ -109,37 +109,37 @@
     }
 
     /** True if there is a field of that name. */
-    public boolean holds(String name) {
+    public boolean contains(String name) {
         return find(name, 0) >= 0;
     }
 
     /** True if a list-valued field of that name holds the token. */
-    boolean has(String name, String token) {
+    boolean containsToken(String name, String token) {
         for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
-            int end = places[i * FIGURES + 3];
-            for (int at = places[i * FIGURES + 2]; at <= end; ) {
-                int comma = at;
+            int end = positions[i * POSITIONS_PER_FIELD + 3];
+            for (int start = positions[i * POSITIONS_PER_FIELD + 2]; start <= end; ) {
+                int comma = start;
                 while (comma < end && bytes[comma] != ',') {
                     comma++;
                 }
-                int from = at;
-                int to = comma;
-                while (from < to && blank(bytes[from])) {
-                    from++;
+                int tokenStart = start;
+                int tokenEnd = comma;
+                while (tokenStart < tokenEnd && isBlank(bytes[tokenStart])) {
+                    tokenStart++;
                 }
-                while (to > from && blank(bytes[to - 1])) {
-                    to--;
+                while (tokenEnd > tokenStart && isBlank(bytes[tokenEnd - 1])) {
+                    tokenEnd--;
                 }
-                if (to - from == token.length() && equal(token, from, to - from)) {
+                if (tokenEnd - tokenStart == token.length() && equalsIgnoreCase(token, tokenStart, tokenEnd - tokenStart)) {
                     return true;
                 }
-                at = comma + 1;
+                start = comma + 1;
             }
         }
         return false;
     }
 
-    static boolean blank(byte b) {
+    static boolean isBlank(byte b) {
         return b == ' ' || b == '\t';
     }
 }
--- a/src/main/java/olivechute/http/HttpRequest.java
+++ b/src/main/java/olivechute/http/HttpRequest.java
@@ -9,15 +9,15 @@
     }
 
     /** The value of a query parameter as it was sent, null without one. */
-    public String parameter(String name) {
-        int at = target.indexOf('?') + 1;
-        while (at > 0) {
-            int end = target.indexOf('&', at);
-            int to = end < 0 ? target.length() : end;
-            if (to - at > name.length() && target.startsWith(name, at) && target.charAt(at + name.length()) == '=') {
-                return target.substring(at + name.length() + 1, to);
+    public String queryParameter(String name) {
+        int start = target.indexOf('?') + 1;
+        while (start > 0) {
+            int separator = target.indexOf('&', start);
+            int end = separator < 0 ? target.length() : separator;
+            if (end - start > name.length() && target.startsWith(name, start) && target.charAt(start + name.length()) == '=') {
+                return target.substring(start + name.length() + 1, end);
             }
-            at = end + 1;
+            start = separator + 1;
         }
         return null;
     }
--- a/src/main/java/olivechute/http/MessageWriter.java
+++ b/src/main/java/olivechute/http/MessageWriter.java
@@ -6,7 +6,7 @@
 
 /** Messages as bytes. */
 public final class MessageWriter {
-    private static final Map<Integer, String> REASONS = Map.ofEntries(
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
             Map.entry(100, "Continue"),
             Map.entry(200, "OK"),
             Map.entry(204, "No Content"),
@@ -27,109 +27,109 @@
 
     /** A response; {@code fields} are names and values in turn, a null value leaves its field out. */
     public static byte[] response(int status, byte[] body, boolean keepAlive, String... fields) {
-        Text head = new Text(96 + (body == null ? 0 : body.length))
-                .add("HTTP/1.1 ")
-                .add(status)
-                .add(" ")
-                .add(REASONS.getOrDefault(status, "Status"));
+        ByteBuilder head = new ByteBuilder(96 + (body == null ? 0 : body.length))
+                .append("HTTP/1.1 ")
+                .append(status)
+                .append(" ")
+                .append(REASON_PHRASES.getOrDefault(status, "Status"));
         if (!keepAlive) {
-            head.add("\r\nConnection: close");
+            head.append("\r\nConnection: close");
         }
-        return message(head, status == 204 || status < 200 ? null : body, fields);
+        return finish(head, status == 204 || status < 200 ? null : body, fields);
     }
 
     /** A request; fields as in a response. */
     public static byte[] request(String method, String target, String host, byte[] body, String... fields) {
-        return message(
-                new Text(192)
-                        .add(method)
-                        .add(" ")
-                        .add(target)
-                        .add(" HTTP/1.1\r\nHost: ")
-                        .add(host),
+        return finish(
+                new ByteBuilder(192)
+                        .append(method)
+                        .append(" ")
+                        .append(target)
+                        .append(" HTTP/1.1\r\nHost: ")
+                        .append(host),
                 body,
                 fields);
     }
 
-    private static byte[] message(Text head, byte[] body, String... fields) {
+    private static byte[] finish(ByteBuilder head, byte[] body, String... fields) {
         for (int i = 0; i < fields.length; i += 2) {
             if (fields[i + 1] != null) {
-                head.add("\r\n").add(fields[i]).add(": ").add(fields[i + 1]);
+                head.append("\r\n").append(fields[i]).append(": ").append(fields[i + 1]);
             }
         }
         if (body != null) {
-            head.add("\r\nContent-Length: ").add(body.length);
+            head.append("\r\nContent-Length: ").append(body.length);
         }
-        head.add("\r\n\r\n");
-        return body == null ? head.whole() : head.add(body).whole();
+        head.append("\r\n\r\n");
+        return body == null ? head.toByteArray() : head.append(body).toByteArray();
     }
 
     /** The head of a response whose body follows apart. */
-    public static ByteBuffer responseHead(int status, int length, boolean keepAlive) {
-        Text head = new Text(96).add("HTTP/1.1 ").add(status).add(" ").add(REASONS.getOrDefault(status, "Status"));
+    public static ByteBuffer responseHead(int status, int contentLength, boolean keepAlive) {
+        ByteBuilder head = new ByteBuilder(96).append("HTTP/1.1 ").append(status).append(" ").append(REASON_PHRASES.getOrDefault(status, "Status"));
         if (!keepAlive) {
-            head.add("\r\nConnection: close");
+            head.append("\r\nConnection: close");
         }
-        return head.add("\r\nContent-Length: ").add(length).add("\r\n\r\n").buffer();
+        return head.append("\r\nContent-Length: ").append(contentLength).append("\r\n\r\n").toByteBuffer();
     }
 
     /**
      * The head of a job for an upstream host, its body following apart; {@code left} is microseconds, {@code key} may
      * be null.
      */
-    public static ByteBuffer jobHead(String target, String host, String id, long left, String key, int length) {
-        Text head = new Text(192 + target.length() + (key == null ? 0 : key.length()))
-                .add("POST ")
-                .add(target)
-                .add(" HTTP/1.1\r\nHost: ")
-                .add(host)
-                .add("\r\nX-Txn: ")
-                .add(id)
-                .add("\r\nX-Remaining: ")
-                .add(left)
-                .add("u");
-        if (key != null) {
-            head.add("\r\nIdempotency-Key: ").add(key);
+    public static ByteBuffer upstreamRequestHead(String target, String host, String requestId, long remainingUs, String idempotencyKey, int contentLength) {
+        ByteBuilder head = new ByteBuilder(192 + target.length() + (idempotencyKey == null ? 0 : idempotencyKey.length()))
+                .append("POST ")
+                .append(target)
+                .append(" HTTP/1.1\r\nHost: ")
+                .append(host)
+                .append("\r\nX-Txn: ")
+                .append(requestId)
+                .append("\r\nX-Remaining: ")
+                .append(remainingUs)
+                .append("u");
+        if (idempotencyKey != null) {
+            head.append("\r\nIdempotency-Key: ").append(idempotencyKey);
         }
-        return head.add("\r\nContent-Length: ").add(length).add("\r\n\r\n").buffer();
+        return head.append("\r\nContent-Length: ").append(contentLength).append("\r\n\r\n").toByteBuffer();
     }
 
     /** Latin text as bytes, put together without a text in between. */
-    private static final class Text {
+    private static final class ByteBuilder {
         private byte[] bytes;
         private int size;
 
-        Text(int room) {
-            bytes = new byte[room];
+        ByteBuilder(int capacity) {
+            bytes = new byte[capacity];
         }
 
-        private void need(int more) {
-            if (size + more > bytes.length) {
-                bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + more));
+        private void ensureCapacity(int additional) {
+            if (size + additional > bytes.length) {
+                bytes = Arrays.copyOf(bytes, Math.max(2 * bytes.length, size + additional));
             }
         }
 
         @SuppressWarnings("deprecation") // the one call that copies a text's bytes into place
-        Text add(String text) {
-            need(text.length());
+        ByteBuilder append(String text) {
+            ensureCapacity(text.length());
             text.getBytes(0, text.length(), bytes, size);
             size += text.length();
             return this;
         }
 
-        Text add(byte[] more) {
-            need(more.length);
-            System.arraycopy(more, 0, bytes, size, more.length);
-            size += more.length;
+        ByteBuilder append(byte[] additional) {
+            ensureCapacity(additional.length);
+            System.arraycopy(additional, 0, bytes, size, additional.length);
+            size += additional.length;
             return this;
         }
 
-        Text add(long number) {
+        ByteBuilder append(long number) {
             int digits = 1;
             for (long rest = number / 10; rest > 0; rest /= 10) {
                 digits++;
             }
-            need(digits);
+            ensureCapacity(digits);
             size += digits;
             long rest = number;
             for (int i = 1; i <= digits; i++) {
@@ -139,11 +139,11 @@
             return this;
         }
 
-        byte[] whole() {
+        byte[] toByteArray() {
             return bytes.length == size ? bytes : Arrays.copyOf(bytes, size);
         }
 
-        ByteBuffer buffer() {
+        ByteBuffer toByteBuffer() {
             return ByteBuffer.wrap(bytes, 0, size);
         }
     }
--- a/src/main/java/olivechute/http/RequestParser.java
+++ b/src/main/java/olivechute/http/RequestParser.java
@@ -6,39 +6,39 @@
     private String target;
 
     @Override
-    void start(byte[] in, int from, int end) throws HttpException {
-        int name = from;
-        while (name < end && token(in[name])) {
-            name++;
+    void parseStartLine(byte[] bytes, int from, int end) throws HttpException {
+        int methodEnd = from;
+        while (methodEnd < end && isTokenChar(bytes[methodEnd])) {
+            methodEnd++;
         }
-        int path = name + 1;
-        int last = path;
-        while (last < end && in[last] > ' ' && in[last] < 127) {
-            last++;
+        int targetStart = methodEnd + 1;
+        int targetEnd = targetStart;
+        while (targetEnd < end && bytes[targetEnd] > ' ' && bytes[targetEnd] < 127) {
+            targetEnd++;
         }
-        if (name == from || name >= end || in[name] != ' ' || last >= end || in[last] != ' ' || in[path] != '/') {
+        if (methodEnd == from || methodEnd >= end || bytes[methodEnd] != ' ' || targetEnd >= end || bytes[targetEnd] != ' ' || bytes[targetStart] != '/') {
             throw new HttpException(400, "bad request line");
         }
-        version(in, last + 1, end);
+        parseVersion(bytes, targetEnd + 1, end);
         method =
-                name - from == 4 && in[from] == 'P' && in[from + 1] == 'O' && in[from + 2] == 'S' && in[from + 3] == 'T'
+                methodEnd - from == 4 && bytes[from] == 'P' && bytes[from + 1] == 'O' && bytes[from + 2] == 'S' && bytes[from + 3] == 'T'
                         ? "POST"
-                        : text(in, from, name);
-        target = text(in, path, last);
+                        : decodeLatin1(bytes, from, methodEnd);
+        target = decodeLatin1(bytes, targetStart, targetEnd);
     }
 
     @Override
-    boolean bodyless() {
+    boolean hasNoBody() {
         return false;
     }
 
     @Override
-    boolean untilClose() {
+    boolean mayBeCloseDelimited() {
         return false;
     }
 
     @Override
-    HttpRequest message(Headers fields, Body content, boolean keepAlive) {
+    HttpRequest createMessage(Headers fields, Body content, boolean keepAlive) {
         // The answer to a HEAD must have no body; one that has ends with its connection, so it misleads nobody.
         return new HttpRequest(method, target, fields, content, keepAlive && !method.equals("HEAD"));
     }
--- a/src/main/java/olivechute/http/ResponseParser.java
+++ b/src/main/java/olivechute/http/ResponseParser.java
@@ -2,7 +2,7 @@
 
 /** Responses out of bytes; interim ones (1xx) are handed out like the others. */
 public final class ResponseParser extends MessageParser<HttpResponse> {
-    private static final int CODE = 9; // where it stands in a status line
+    private static final int STATUS_OFFSET = 9; // where it stands in a status line
 
     private int status;
 
@@ -10,39 +10,39 @@
     public ResponseParser() {}
 
     /** For answers with a body of at most so many bytes. */
-    public ResponseParser(int maxBody) {
-        super(maxBody);
+    public ResponseParser(int maxBodyBytes) {
+        super(maxBodyBytes);
     }
 
     @Override
-    void start(byte[] in, int from, int end) throws HttpException {
-        int code = from + CODE;
-        boolean form = end - from >= CODE + 3
-                && in[code - 1] == ' '
-                && in[code] >= '1'
-                && in[code] <= '5'
-                && digit(in[code + 1])
-                && digit(in[code + 2])
-                && (code + 3 == end || in[code + 3] == ' ');
-        if (!form) {
+    void parseStartLine(byte[] bytes, int from, int end) throws HttpException {
+        int statusStart = from + STATUS_OFFSET;
+        boolean wellFormed = end - from >= STATUS_OFFSET + 3
+                && bytes[statusStart - 1] == ' '
+                && bytes[statusStart] >= '1'
+                && bytes[statusStart] <= '5'
+                && isDigit(bytes[statusStart + 1])
+                && isDigit(bytes[statusStart + 2])
+                && (statusStart + 3 == end || bytes[statusStart + 3] == ' ');
+        if (!wellFormed) {
             throw new HttpException(400, "bad status line");
         }
-        version(in, from, code - 1);
-        status = (in[code] - '0') * 100 + (in[code + 1] - '0') * 10 + in[code + 2] - '0';
+        parseVersion(bytes, from, statusStart - 1);
+        status = (bytes[statusStart] - '0') * 100 + (bytes[statusStart + 1] - '0') * 10 + bytes[statusStart + 2] - '0';
     }
 
     @Override
-    boolean bodyless() {
+    boolean hasNoBody() {
         return status < 200 || status == 204 || status == 304;
     }
 
     @Override
-    boolean untilClose() {
+    boolean mayBeCloseDelimited() {
         return true;
     }
 
     @Override
-    HttpResponse message(Headers fields, Body content, boolean keepAlive) {
+    HttpResponse createMessage(Headers fields, Body content, boolean keepAlive) {
         return new HttpResponse(status, fields, content, keepAlive);
     }
 }
--- a/src/main/java/olivechute/metrics/MetricsSender.java
+++ b/src/main/java/olivechute/metrics/MetricsSender.java
@@ -79,11 +79,11 @@
                     await();
                 } else if (connected() && sent(unsent = newer(unsent))) {
                     unsent = null;
-                    backoff.worked();
+                    backoff.reset();
                 } else if (last) {
                     return;
                 } else {
-                    pause(backoff.failed());
+                    pause(backoff.nextDelayMillis());
                 }
             }
         } catch (IOException e) {
--- a/src/main/java/olivechute/net/Backoff.java
+++ b/src/main/java/olivechute/net/Backoff.java
@@ -7,28 +7,28 @@
  * fifth by chance.
  */
 public final class Backoff {
-    private final long least;
-    private final long most;
+    private final long minMillis;
+    private final long maxMillis;
     private final RandomGenerator random;
-    private long next;
+    private long nextMillis;
 
     /** In milliseconds. */
-    public Backoff(long least, long most, RandomGenerator random) {
-        this.least = least;
-        this.most = most;
+    public Backoff(long minMillis, long maxMillis, RandomGenerator random) {
+        this.minMillis = minMillis;
+        this.maxMillis = maxMillis;
         this.random = random;
-        this.next = least;
+        this.nextMillis = minMillis;
     }
 
     /** It failed once more: wait so many milliseconds. */
-    public long failed() {
-        long wait = (long) (next * (0.8 + 0.4 * random.nextDouble()));
-        next = Math.min(most, 2 * next);
-        return wait;
+    public long nextDelayMillis() {
+        long delayMillis = (long) (nextMillis * (0.8 + 0.4 * random.nextDouble()));
+        nextMillis = Math.min(maxMillis, 2 * nextMillis);
+        return delayMillis;
     }
 
     /** It answered. */
-    public void worked() {
-        next = least;
+    public void reset() {
+        nextMillis = minMillis;
     }
 }
--- a/src/main/java/olivechute/net/Connection.java
+++ b/src/main/java/olivechute/net/Connection.java
@@ -20,7 +20,7 @@
     public static final int SEND_BUFFER = 128 * 1024;
 
     private final SocketChannel channel;
-    private InputStream in; // kept, as the socket makes a new one each time that it is asked
+    private InputStream inputStream; // kept, as the socket makes a new one each time that it is asked
 
     /** Takes an accepted connection, or one to be dialled. */
     public Connection(SocketChannel channel) {
@@ -28,43 +28,43 @@
     }
 
     /** Dials; fails after so long. */
-    public void connect(InetSocketAddress address, int millis) throws IOException {
-        channel.socket().connect(address, millis);
+    public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
+        channel.socket().connect(address, timeoutMillis);
     }
 
     /** Sets it up for messages, each sent at once. */
-    public void ready() throws IOException {
+    public void initialize() throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER);
     }
 
     /** Reads what is there, waiting for some; negative at the end. */
-    public int read(ByteBuffer into) throws IOException {
-        return channel.read(into);
+    public int read(ByteBuffer buffer) throws IOException {
+        return channel.read(buffer);
     }
 
     /**
      * Reads what is there; 0 if there is nothing, negative at the end. The buffer must have an array, from its start
      * on.
      */
-    public int readNow(ByteBuffer into) throws IOException {
+    public int readAvailable(ByteBuffer buffer) throws IOException {
         try {
             socket().setSoTimeout(1);
-            int n = TimedReads.read(in(), into.array(), into.position(), into.remaining());
-            into.position(into.position() + Math.max(0, n));
-            return n;
-        } catch (SocketTimeoutException nothing) {
+            int read = TimedReads.read(inputStream(), buffer.array(), buffer.position(), buffer.remaining());
+            buffer.position(buffer.position() + Math.max(0, read));
+            return read;
+        } catch (SocketTimeoutException noData) {
             return 0;
         }
     }
 
-    private InputStream in() throws IOException {
-        InputStream from = in;
-        if (from == null) {
-            from = socket().getInputStream();
-            in = from;
+    private InputStream inputStream() throws IOException {
+        InputStream stream = inputStream;
+        if (stream == null) {
+            stream = socket().getInputStream();
+            inputStream = stream;
         }
-        return from;
+        return stream;
     }
 
     /** Writes all of it. */
@@ -87,26 +87,26 @@
     }
 
     /** True if bytes have come that were not read yet. */
-    public boolean unread() {
+    public boolean hasUnreadInput() {
         try {
-            return in().available() > 0;
+            return inputStream().available() > 0;
         } catch (IOException e) {
             return false;
         }
     }
 
     /** False once who is on the other side is no longer to be spoken with, but for what is under way. */
-    public boolean holds() {
+    public boolean isPeerIdentityValid() {
         return true;
     }
 
     /** Says that nothing more will be written; may wait for a peer that does not read. */
-    public void finish() throws IOException {
+    public void shutdownOutput() throws IOException {
         socket().shutdownOutput();
     }
 
     /** Reads no more: whoever reads has what came before, then the end. What comes from now on stays unread. */
-    public void endInput() {
+    public void shutdownInput() {
         try {
             channel.shutdownInput();
         } catch (IOException e) {
--- a/src/main/java/olivechute/net/ConnectionThreads.java
+++ b/src/main/java/olivechute/net/ConnectionThreads.java
@@ -12,28 +12,28 @@
  * dear.
  */
 public final class ConnectionThreads {
-    private static final long KEPT_MILLIS = 1000;
-    private static final long KEPT_WHEN_SHORT_MILLIS = 20;
+    private static final long KEEP_ALIVE_MILLIS = 1000;
+    private static final long SHORTAGE_KEEP_ALIVE_MILLIS = 20;
 
-    private final ThreadFactory threads;
+    private final ThreadFactory threadFactory;
     private final ThreadPoolExecutor pool;
 
     /** {@code threads} makes them; one that it makes may throw an {@link OutOfMemoryError} when it is started. */
-    public ConnectionThreads(ThreadFactory threads) {
-        this.threads = threads;
+    public ConnectionThreads(ThreadFactory threadFactory) {
+        this.threadFactory = threadFactory;
         pool = new ThreadPoolExecutor(
-                0, Integer.MAX_VALUE, KEPT_MILLIS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), threads);
+                0, Integer.MAX_VALUE, KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), threadFactory);
     }
 
     /** Whether the system grants so many threads more, all at once: they are started, and end. */
-    public boolean canStart(int more) {
+    public boolean canStart(int count) {
         CountDownLatch end = new CountDownLatch(1);
         try {
-            for (int i = 0; i < more; i++) {
-                threads.newThread(() -> awaitEnd(end)).start();
+            for (int i = 0; i < count; i++) {
+                threadFactory.newThread(() -> awaitEnd(end)).start();
             }
             return true;
-        } catch (OutOfMemoryError refused) {
+        } catch (OutOfMemoryError noThread) {
             return false;
         } finally {
             end.countDown();
@@ -52,8 +52,8 @@
      * The system refused threads: those that are free end soon from now on, and at once if they have been free for that
      * long.
      */
-    public void keepBriefly() {
-        pool.setKeepAliveTime(KEPT_WHEN_SHORT_MILLIS, TimeUnit.MILLISECONDS);
+    public void shortenKeepAlive() {
+        pool.setKeepAliveTime(SHORTAGE_KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Runs a task on a thread that is free, or on a new one; an {@link OutOfMemoryError} if there is none. */
--- a/src/main/java/olivechute/net/Threads.java
+++ b/src/main/java/olivechute/net/Threads.java
@@ -2,30 +2,30 @@
 
 /** Platform threads with small stacks: one for each connection must fit the node's memory. */
 public final class Threads {
-    private static final long STACK = 192 * 1024;
-    private static final ConnectionThreads CONNECTIONS = new ConnectionThreads(task -> thread("connection", task));
+    private static final long STACK_BYTES = 192 * 1024;
+    private static final ConnectionThreads CONNECTION_THREADS = new ConnectionThreads(task -> newThread("connection", task));
 
     private Threads() {}
 
     /** A thread of its own, for what lasts as long as the node. */
     public static Thread start(String name, Runnable task) {
-        Thread thread = thread(name, task);
+        Thread thread = newThread(name, task);
         thread.start();
         return thread;
     }
 
     /** Those that all connections of this process share. */
-    public static ConnectionThreads connections() {
-        return CONNECTIONS;
+    public static ConnectionThreads connectionThreads() {
+        return CONNECTION_THREADS;
     }
 
     /** Runs a connection's task on one of them; an {@link OutOfMemoryError} if there is none. */
-    public static void connection(Runnable task) {
-        CONNECTIONS.run(task);
+    public static void runConnection(Runnable task) {
+        CONNECTION_THREADS.run(task);
     }
 
-    private static Thread thread(String name, Runnable task) {
-        Thread thread = new Thread(null, task, name, STACK);
+    private static Thread newThread(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
--- a/src/main/java/olivechute/net/TimedReads.java
+++ b/src/main/java/olivechute/net/TimedReads.java
@@ -9,16 +9,16 @@
  */
 public final class TimedReads {
     /** What a stream returns at its end. */
-    public static final int END = -1;
+    public static final int END_OF_STREAM = -1;
 
     private TimedReads() {}
 
     /** How many bytes were read, at least one; {@link #END} at the end. A read that is interrupted begins anew. */
-    public static int read(InputStream in, byte[] into, int from, int length) throws IOException {
-        int n;
+    public static int read(InputStream in, byte[] buffer, int offset, int length) throws IOException {
+        int read;
         do {
-            n = in.read(into, from, length);
-        } while (n < END);
-        return n;
+            read = in.read(buffer, offset, length);
+        } while (read < END_OF_STREAM);
+        return read;
     }
 }
--- a/src/main/java/olivechute/net/WriterThreads.java
+++ b/src/main/java/olivechute/net/WriterThreads.java
@@ -12,20 +12,20 @@
  * may do so have writers of their own.
  */
 public final class WriterThreads {
-    private static final int THREADS = 3;
+    private static final int MAX_THREADS = 3;
 
     private final Queue<Runnable> queue;
-    private final ConnectionThreads threads;
-    private final AtomicInteger running = new AtomicInteger();
+    private final ConnectionThreads connectionThreads;
+    private final AtomicInteger runningThreads = new AtomicInteger();
 
     /** Writes for so many connections, on threads that all connections of this process share. */
-    public WriterThreads(int connections) {
-        this(connections, Threads.connections());
+    public WriterThreads(int maxConnections) {
+        this(maxConnections, Threads.connectionThreads());
     }
 
-    public WriterThreads(int connections, ConnectionThreads threads) {
-        this.queue = new ArrayBlockingQueue<>(connections);
-        this.threads = threads;
+    public WriterThreads(int maxConnections, ConnectionThreads connectionThreads) {
+        this.queue = new ArrayBlockingQueue<>(maxConnections);
+        this.connectionThreads = connectionThreads;
     }
 
     /** Queues a write; false if the queue is full, or there is no thread to be had for it. */
@@ -33,20 +33,20 @@
         if (!queue.offer(write)) {
             return false;
         }
-        if (!enter()) {
+        if (!claimThread()) {
             return true;
         }
         try {
-            threads.run(this::run);
+            connectionThreads.run(this::run);
             return true;
         } catch (OutOfMemoryError noThread) {
-            return running.decrementAndGet() > 0 || !queue.remove(write);
+            return runningThreads.decrementAndGet() > 0 || !queue.remove(write);
         }
     }
 
     /** One more thread writes, unless enough do. */
-    private boolean enter() {
-        return running.getAndUpdate(n -> Math.min(THREADS, n + 1)) < THREADS;
+    private boolean claimThread() {
+        return runningThreads.getAndUpdate(n -> Math.min(MAX_THREADS, n + 1)) < MAX_THREADS;
     }
 
     private void run() {
@@ -58,7 +58,7 @@
                     Logger.error(e, "write failed");
                 }
             }
-            running.decrementAndGet();
-        } while (!queue.isEmpty() && enter()); // one that came as the last was done
+            runningThreads.decrementAndGet();
+        } while (!queue.isEmpty() && claimThread()); // one that came as the last was done
     }
 }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -94,7 +94,7 @@
         server = new DownstreamServer(
                 loop,
                 new WriterThreads(2 * downstream),
-                Threads.connections(),
+                Threads.connectionThreads(),
                 config.settings(),
                 config.report(),
                 downstream);
@@ -123,7 +123,7 @@
      * that.
      */
     private ConnectionPools pools(NodeConfig config, int connections) throws IOException {
-        Connector connector = security != null && config.identity().upstream() ? security.dialler() : Connector.PLAIN;
+        Connector connector = security != null && config.identity().upstream() ? security.dialler() : Connector.PLAINTEXT;
         return new ConnectionPools(
                 loop,
                 new WriterThreads(2 * connections),
@@ -160,7 +160,7 @@
      * come through.
      */
     private static int connections(NodeConfig config) {
-        int may = Math.max(NodeConfig.LEAST_CONNECTIONS, FileDescriptors.most() - NodeConfig.RESERVED);
+        int may = Math.max(NodeConfig.LEAST_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED);
         if (may < config.connections()) {
             Logger.warn("limits.sockets: the system lets this process hold fewer, {} connections are kept", may);
         }
@@ -169,7 +169,7 @@
 
     private InetSocketAddress listen(NodeConfig config) throws IOException {
         if (security == null) {
-            return server.listen(config.listen(), PeerIdentity.Door.OPEN);
+            return server.listen(config.listen(), PeerIdentity.Authenticator.PLAINTEXT);
         }
         security.start();
         InetSocketAddress listen = config.identity().downstream().listen();
@@ -196,7 +196,7 @@
         int streams = maxOpenRequests(config.openStreams(), downstream);
         loop.post(new ProxyEvent.Task(() -> {
             watch.moveTo(config.discovery());
-            pools.dialTimeout(config.dialTimeout());
+            pools.setConnectTimeout(config.dialTimeout());
             dispatcher.limitOpenRequests(streams);
         }));
         Logger.info("configuration read again");
@@ -225,7 +225,7 @@
 
     /** Streams that are owed an answer. */
     public int unanswered() {
-        return server.unanswered();
+        return server.unansweredRequests();
     }
 
     /**
@@ -245,19 +245,19 @@
                 .orElse(0);
         long end = loop.now() - sinceSignalUs + Math.min(longest, MAX_DRAIN_DEADLINE_US) + DRAIN_EXTRA_US;
         loop.post(new ProxyEvent.Task(() -> dispatcher.answerAllBy(end)));
-        server.leave();
+        server.markNotReady();
         Thread.sleep(Math.max(0, Math.min(SERVE_AFTER_SIGTERM_MS, longest / 1000) - sinceSignalUs / 1000));
         server.drain();
         // News of what is owed comes on new connections: as long as anything is, it listens.
-        while (server.unanswered() > 0
+        while (server.unansweredRequests() > 0
                 || (loop.now() < end
-                        && (!server.atRest() || loop.now() - server.lastTaken() < QUIET_BEFORE_CLOSE_US))) {
+                        && (!server.isQuiescent() || loop.now() - server.lastRequestAtUs() < QUIET_BEFORE_CLOSE_US))) {
             Thread.sleep(POLL_MS);
         }
         server.close(POLL_MS);
-        server.endAll();
-        while (server.unanswered() > 0
-                || (loop.now() < end + EXIT_TIME_US && !server.atRestSince(loop.now() - LAST_ANSWER_TIME_US))) {
+        server.endConnections();
+        while (server.unansweredRequests() > 0
+                || (loop.now() < end + EXIT_TIME_US && !server.isQuiescentSince(loop.now() - LAST_ANSWER_TIME_US))) {
             Thread.sleep(POLL_MS);
         }
         if (reporting != null) {
--- a/src/main/java/olivechute/node/Warmup.java
+++ b/src/main/java/olivechute/node/Warmup.java
@@ -56,14 +56,14 @@
         long end = loop.now() + longest;
         boolean last = false;
         for (int n = 0; n < JOBS && !last; n++) {
-            rehearsal.job(n, loop.now(), dispatcher, bytes -> answers++);
+            rehearsal.request(n, loop.now(), dispatcher, bytes -> answers++);
             last = n == JOBS - 1 || loop.now() >= end;
             while (sent.size() > (last ? 0 : AT_ONCE)) {
                 UpstreamRequest request = sent.poll();
                 int job = Integer.parseInt(request.requestId(), 16);
-                rehearsal.news(job, request.endpoint(), "started", dispatcher);
-                rehearsal.news(job, request.endpoint(), "running", dispatcher);
-                rehearsal.news(job, request.endpoint(), "done", dispatcher);
+                rehearsal.jobStatus(job, request.endpoint(), "started", dispatcher);
+                rehearsal.jobStatus(job, request.endpoint(), "running", dispatcher);
+                rehearsal.jobStatus(job, request.endpoint(), "done", dispatcher);
             }
         }
         return answers;
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -90,17 +90,17 @@
     }
 
     /** At the platform's address. */
-    public PeerIdentity.Door platformDoor() {
+    public PeerIdentity.Authenticator platformDoor() {
         return settings.downstream().mode() == Mode.ONLY
                 ? door()
-                : settings.rules().plain() ? new PlainDoor() : PeerIdentity.Door.OPEN;
+                : settings.rules().plain() ? new PlainDoor() : PeerIdentity.Authenticator.PLAINTEXT;
     }
 
     /** At an address where TLS is spoken. */
-    public PeerIdentity.Door door() {
-        return new PeerIdentity.Door() {
+    public PeerIdentity.Authenticator door() {
+        return new PeerIdentity.Authenticator() {
             @Override
-            public Connection link(SocketChannel accepted) {
+            public Connection createTransport(SocketChannel accepted) {
                 try {
                     return TlsConnection.accepted(accepted, identities, accepting, (int)
                             settings.tls().downstreamHandshake().toMillis());
@@ -110,7 +110,7 @@
             }
 
             @Override
-            public PeerIdentity visitor(Connection link) throws IOException {
+            public PeerIdentity authenticate(Connection link) throws IOException {
                 X509Svid peer = ((TlsConnection) link).peer();
                 Rules now = rules;
                 if (!now.clients().client(peer.id()) && !now.hosts().host(peer.id()) && !proxy(now, peer.id())) {
@@ -133,7 +133,7 @@
         }
 
         @Override
-        public void ready() throws IOException {
+        public void initialize() throws IOException {
             RejectionLog.log(socket().getRemoteSocketAddress(), reason.getMessage());
             throw reason;
         }
@@ -154,35 +154,35 @@
         }
 
         @Override
-        public Refusal mayHandIn(HttpRequest message, String tenant) {
-            if (!link.holds()) {
+        public Rejection checkRequest(HttpRequest message, String tenant) {
+            if (!link.isPeerIdentityValid()) {
                 return link.ownLapsed()
-                        ? new Refusal(503, "this node has no identity that holds")
-                        : new Refusal(403, "the identity of this connection holds no more");
+                        ? new Rejection(503, "this node has no identity that holds")
+                        : new Rejection(403, "the identity of this connection holds no more");
             }
             return proxy(rules, id) ? byToken(message, tenant) : byIdentity(id, tenant);
         }
 
         @Override
-        public boolean mayTellOf(String host) {
+        public boolean mayReportJobStatus(String host) {
             return rules.hosts().is(id, host);
         }
     }
 
-    private PeerIdentity.Refusal byIdentity(SpiffeId id, String tenant) {
+    private PeerIdentity.Rejection byIdentity(SpiffeId id, String tenant) {
         if (rules.clients().allows(id, tenant)) {
             return null;
         }
         RejectionLog.log(id, "no rule lets it hand in jobs of tenant " + tenant);
-        return new PeerIdentity.Refusal(403, "X-Org: not a tenant of this identity");
+        return new PeerIdentity.Rejection(403, "X-Org: not a tenant of this identity");
     }
 
-    private PeerIdentity.Refusal byToken(HttpRequest message, String tenant) {
-        String shown = message.headers().several(AUTHORIZATION)
+    private PeerIdentity.Rejection byToken(HttpRequest message, String tenant) {
+        String shown = message.headers().hasSeveral(AUTHORIZATION)
                 ? null
                 : message.headers().get(AUTHORIZATION);
         if (shown == null || !shown.startsWith(SCHEME)) {
-            return new PeerIdentity.Refusal(403, "Authorization: one bearer token is needed");
+            return new PeerIdentity.Rejection(403, "Authorization: one bearer token is needed");
         }
         try {
             SpiffeId id = tokens.check(
@@ -191,7 +191,7 @@
             return byIdentity(id, tenant);
         } catch (IdentityRejectedException e) {
             RejectionLog.log("a token", e.getMessage());
-            return new PeerIdentity.Refusal(403, "Authorization: the token does not hold");
+            return new PeerIdentity.Rejection(403, "Authorization: the token does not hold");
         }
     }
 
@@ -199,19 +199,19 @@
      * Behind a proxy of our own that ends TLS: whoever comes shows a token with each job, and no host can be told from
      * another.
      */
-    private final class PlainDoor implements PeerIdentity.Door, PeerIdentity {
+    private final class PlainDoor implements PeerIdentity.Authenticator, PeerIdentity {
         @Override
-        public PeerIdentity visitor(Connection link) {
+        public PeerIdentity authenticate(Connection link) {
             return this;
         }
 
         @Override
-        public Refusal mayHandIn(HttpRequest message, String tenant) {
+        public Rejection checkRequest(HttpRequest message, String tenant) {
             return byToken(message, tenant);
         }
 
         @Override
-        public boolean mayTellOf(String host) {
+        public boolean mayReportJobStatus(String host) {
             return settings.downstream().mode() == Mode.OFF;
         }
     }
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -89,14 +89,14 @@
     public void connect(InetSocketAddress address, int millis) throws IOException {
         long end = System.nanoTime() + millis * 1_000_000L;
         super.connect(address, millis);
-        super.ready();
+        super.initialize();
         handshake(end, millis);
     }
 
     @Override
-    public void ready() throws IOException {
+    public void initialize() throws IOException {
         if (acceptMillis > 0) {
-            super.ready();
+            super.initialize();
             handshake(System.nanoTime() + acceptMillis * 1_000_000L, acceptMillis);
         }
     }
@@ -202,7 +202,7 @@
      * looked at when they have changed; a withdrawn peer stays so.
      */
     @Override
-    public boolean holds() {
+    public boolean isPeerIdentityValid() {
         SvidManager.State under = judged;
         if (under == null) {
             return true; // its handshake is under way, and has its own time
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public int readNow(ByteBuffer into) throws IOException {
+    public int readAvailable(ByteBuffer into) throws IOException {
         return read(into, false);
     }
 
@@ -246,7 +246,7 @@
                 }
             }
             if (!received.hasRemaining()) {
-                int n = waits ? super.read(machine.room()) : super.readNow(machine.room());
+                int n = waits ? super.read(machine.room()) : super.readAvailable(machine.room());
                 if (n < 0) {
                     throw new EOFException("ended without a word of leave");
                 }
@@ -282,13 +282,13 @@
     }
 
     @Override
-    public boolean unread() {
-        return received.hasRemaining() || super.unread();
+    public boolean hasUnreadInput() {
+        return received.hasRemaining() || super.hasUnreadInput();
     }
 
     @Override
-    public void finish() throws IOException {
+    public void shutdownOutput() throws IOException {
         send(machine::finish);
-        super.finish();
+        super.shutdownOutput();
     }
 }
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -155,7 +155,7 @@
     private static int read(Socket socket, InputStream in, long end) throws IOException {
         socket.setSoTimeout(left(end));
         byte[] one = new byte[1];
-        return TimedReads.read(in, one, 0, 1) < 0 ? TimedReads.END : one[0] & 0xff;
+        return TimedReads.read(in, one, 0, 1) < 0 ? TimedReads.END_OF_STREAM : one[0] & 0xff;
     }
 
     private static int left(long end) throws SocketTimeoutException {
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -74,7 +74,7 @@
         try {
             lease = new LeaseRenewer(settings, store, folder.owner(settings.machine()), this::report, tell, steady);
             intake = new MetricsReceiver(
-                    settings.figures(), book, 4 * nodes.size() + 8, SENDER_WITHIN, Threads.connections(), tell);
+                    settings.figures(), book, 4 * nodes.size() + 8, SENDER_WITHIN, Threads.connectionThreads(), tell);
         } catch (SupervisionException e) {
             folder.close();
             throw e;
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -64,7 +64,7 @@
                     } finally {
                         hangUp();
                     }
-                    pause(backoff.failed());
+                    pause(backoff.nextDelayMillis());
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -157,7 +157,7 @@
                 }
                 if (offer != null) {
                     sink.offered(new Offer(offer.chain(), offer.key(), withKeys(offer.bundles(), keys)));
-                    backoff.worked();
+                    backoff.reset();
                 }
             } catch (IdentityRejectedException e) {
                 sink.failed("workload API at " + address + ": " + e.getMessage()); // the next one may be better
--- a/src/main/java/olivechute/upstream/ConnectionPools.java
+++ b/src/main/java/olivechute/upstream/ConnectionPools.java
@@ -20,7 +20,7 @@
 import olivechute.proxy.ResolvedEndpoint;
 import olivechute.proxy.UpstreamRequest;
 import olivechute.proxy.UpstreamTransport;
-import olivechute.upstream.UpstreamConnection.Dropped;
+import olivechute.upstream.UpstreamConnection.DropResult;
 import org.tinylog.Logger;
 
 /**
@@ -29,22 +29,22 @@
  */
 public final class ConnectionPools implements UpstreamTransport {
     /** Hosts no longer listed whose address is remembered, in case they are still sent to. */
-    private static final int REMEMBERED = 256;
+    private static final int MAX_UNLISTED_POOLS = 256;
 
     /** One that carried something so lately is as good as new: little older than one that has just settled. */
-    private static final long FRESH = UpstreamConnection.SETTLING + 20_000;
+    private static final long FRESH_IDLE_US = UpstreamConnection.SETTLE_TIME_US + 20_000;
 
     private final EventLoop loop;
     private final WriterThreads writers;
-    private final Connector dialler;
-    final LoadReportHeader pressure;
-    private volatile int dialMillis;
-    private final int most;
-    private final boolean goneBinds;
-    private final long idleLimit;
-    final ConnectTimeEstimator dialTime = new ConnectTimeEstimator();
+    private final Connector connector;
+    final LoadReportHeader loadReportHeader;
+    private volatile int connectTimeoutMillis;
+    private final int maxConnections;
+    private final boolean removalBlocksRequests;
+    private final long maxIdleUs;
+    final ConnectTimeEstimator connectTimeEstimator = new ConnectTimeEstimator();
     private final Map<String, EndpointConnectionPool> pools = new LinkedHashMap<>();
-    private final Map<String, UpstreamConnection> carrying = new ConcurrentHashMap<>();
+    private final Map<String, UpstreamConnection> connectionsByRequestId = new ConcurrentHashMap<>();
 
     /**
      * {@code connIdle} is when hosts close idle connections, {@code most} bounds the connections, and with
@@ -53,154 +53,154 @@
     public ConnectionPools(
             EventLoop loop,
             WriterThreads writers,
-            Connector dialler,
-            LoadReportHeader pressure,
-            long connIdle,
-            long dialTimeout,
-            int most,
+            Connector connector,
+            LoadReportHeader loadReportHeader,
+            long endpointIdleTimeoutUs,
+            long connectTimeoutUs,
+            int maxConnections,
             boolean onlyDrainingBinds) {
         this.loop = loop;
         this.writers = writers;
-        this.dialler = dialler;
-        this.pressure = pressure;
-        dialTimeout(dialTimeout);
-        this.most = most;
-        this.goneBinds = !onlyDrainingBinds;
+        this.connector = connector;
+        this.loadReportHeader = loadReportHeader;
+        setConnectTimeout(connectTimeoutUs);
+        this.maxConnections = maxConnections;
+        this.removalBlocksRequests = !onlyDrainingBinds;
         // A request written to a connection that the host closes at that moment is lost: ours close well before.
-        this.idleLimit = Math.max(0, Math.min(connIdle * 4 / 5, connIdle - 500_000));
+        this.maxIdleUs = Math.max(0, Math.min(endpointIdleTimeoutUs * 4 / 5, endpointIdleTimeoutUs - 500_000));
     }
 
     /** How long dials may take from now on. */
-    public void dialTimeout(long micros) {
-        dialMillis = (int) Math.max(1, micros / 1000);
+    public void setConnectTimeout(long timeoutUs) {
+        connectTimeoutMillis = (int) Math.max(1, timeoutUs / 1000);
     }
 
-    int dialMillis() {
-        return dialMillis;
+    int connectTimeoutMillis() {
+        return connectTimeoutMillis;
     }
 
     /** How long the host of a new connection may shake hands, in microseconds. */
-    long dialLimit() {
-        return 1000L * dialMillis;
+    long handshakeTimeoutUs() {
+        return 1000L * connectTimeoutMillis;
     }
 
     @Override
-    public void onListUpdate(EndpointListUpdate list) {
-        if (list.complete()) {
+    public void onListUpdate(EndpointListUpdate update) {
+        if (update.complete()) {
             pools.values().forEach(pool -> pool.listed = false);
         }
-        for (ResolvedEndpoint host : list.endpoints()) {
-            EndpointConnectionPool pool = pools.get(host.info().name());
-            InetSocketAddress address = Address.parse("address", host.address());
+        for (ResolvedEndpoint endpoint : update.endpoints()) {
+            EndpointConnectionPool pool = pools.get(endpoint.info().name());
+            InetSocketAddress address = Address.parse("address", endpoint.address());
             if (pool == null) {
                 pool = new EndpointConnectionPool(
-                        host.info().name(), address, host.info().startedAtUs());
-                pools.put(host.info().name(), pool);
-            } else if (pool.moved(address, host.info().startedAtUs())) {
+                        endpoint.info().name(), address, endpoint.info().startedAtUs());
+                pools.put(endpoint.info().name(), pool);
+            } else if (pool.updateLocation(address, endpoint.info().startedAtUs())) {
                 // It started anew: connections to the process before it may stay open and silent.
                 pool.closeIdle(0);
             }
-            pool.listed = host.info().state() != EndpointState.REMOVED;
-            pool.stands(host.info().state(), goneBinds);
+            pool.listed = endpoint.info().state() != EndpointState.REMOVED;
+            pool.updateState(endpoint.info().state(), removalBlocksRequests);
         }
         List<EndpointConnectionPool> unlisted =
                 pools.values().stream().filter(pool -> !pool.listed).toList();
         for (EndpointConnectionPool pool : unlisted) {
-            pool.stands(EndpointState.REMOVED, goneBinds);
+            pool.updateState(EndpointState.REMOVED, removalBlocksRequests);
             pool.closeIdle(0);
         }
-        if (unlisted.size() > REMEMBERED) {
-            pools.values().removeIf(pool -> !pool.listed && pool.open() == 0);
+        if (unlisted.size() > MAX_UNLISTED_POOLS) {
+            pools.values().removeIf(pool -> !pool.listed && pool.openConnections() == 0);
         }
     }
 
     @Override
-    public boolean acceptsRequests(String host) {
-        EndpointConnectionPool pool = pools.get(host);
-        return pool != null && pool.takes();
+    public boolean acceptsRequests(String endpoint) {
+        EndpointConnectionPool pool = pools.get(endpoint);
+        return pool != null && pool.acceptsRequests();
     }
 
     @Override
     public void send(UpstreamRequest request) {
-        exchange(request.endpoint(), Exchange.of(request, loop.now()));
+        submit(request.endpoint(), Exchange.of(request, loop.now()));
     }
 
     @Override
     public boolean cancelWithoutReport(UpstreamRequest request, boolean accepted) {
-        UpstreamConnection connection = carrying.get(request.requestId());
+        UpstreamConnection connection = connectionsByRequestId.get(request.requestId());
         if (!accepted && connection != null) {
-            if (connection.withhold(request)) {
+            if (connection.withdraw(request)) {
                 return true;
             }
-            if (connection.drop(request) == Dropped.WRITTEN) {
+            if (connection.drop(request) == DropResult.WRITTEN) {
                 closeIdleConnections(request.endpoint()); // as silent as that one, for all that is known
             }
         }
         // Also before the acceptance is known: it may be on its way, and the host then runs on, whatever becomes of the
         // connection.
-        exchange(request.endpoint(), Exchange.cancelling(request, false, loop.now()));
+        submit(request.endpoint(), Exchange.cancellationOf(request, false, loop.now()));
         return false;
     }
 
     @Override
     public boolean hasWrittenBytes(UpstreamRequest request) {
-        UpstreamConnection connection = carrying.get(request.requestId());
-        return connection == null || connection.begun(request);
+        UpstreamConnection connection = connectionsByRequestId.get(request.requestId());
+        return connection == null || connection.hasBegun(request);
     }
 
     @Override
     public void suppressIfUnwritten(UpstreamRequest request) {
-        UpstreamConnection connection = carrying.get(request.requestId());
-        if (connection != null && connection.withhold(request)) {
-            withheld(request);
+        UpstreamConnection connection = connectionsByRequestId.get(request.requestId());
+        if (connection != null && connection.withdraw(request)) {
+            onWithdrawn(request);
         }
     }
 
     @Override
     public long handshakeAllowanceUs(UpstreamRequest request) {
-        UpstreamConnection connection = carrying.get(request.requestId());
-        return connection != null && connection.shakesHandsFor(request) ? dialLimit() : 0;
+        UpstreamConnection connection = connectionsByRequestId.get(request.requestId());
+        return connection != null && connection.mayBeInHandshake(request) ? handshakeTimeoutUs() : 0;
     }
 
     @Override
     public void cancelAndReportEnd(UpstreamRequest request, boolean accepted) {
         if (!accepted) {
-            UpstreamConnection connection = carrying.get(request.requestId());
-            Dropped dropped = connection == null ? Dropped.NOT_CARRIED : connection.drop(request);
-            if (dropped == Dropped.UNWRITTEN) {
-                ended(request, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
+            UpstreamConnection connection = connectionsByRequestId.get(request.requestId());
+            DropResult dropped = connection == null ? DropResult.NOT_CARRIED : connection.drop(request);
+            if (dropped == DropResult.UNWRITTEN) {
+                reportEnd(request, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
             }
-            if (dropped != Dropped.WRITTEN) {
+            if (dropped != DropResult.WRITTEN) {
                 return; // if not carried, its answer or its end is on its way here
             }
             closeIdleConnections(request.endpoint()); // as silent as that one, for all that is known
         }
-        exchange(request.endpoint(), Exchange.cancelling(request, true, loop.now()));
+        submit(request.endpoint(), Exchange.cancellationOf(request, true, loop.now()));
     }
 
-    private void exchange(String host, Exchange exchange) {
-        EndpointConnectionPool pool = pools.get(host);
+    private void submit(String endpoint, Exchange exchange) {
+        EndpointConnectionPool pool = pools.get(endpoint);
         if (pool == null) {
-            failed(exchange, AttemptOutcome.CONNECT_FAILED);
+            onFailed(exchange, AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        long now = loop.now();
-        if (!exchange.cancels()) {
-            carrying.remove(exchange.request().requestId());
+        long nowUs = loop.now();
+        if (!exchange.isCancellation()) {
+            connectionsByRequestId.remove(exchange.request().requestId());
         }
-        long limit = Math.min(idleLimit, exchange.request().requiresNewConnection() ? FRESH : pool.reuseLimit(now));
+        long reuseLimitUs = Math.min(maxIdleUs, exchange.request().requiresNewConnection() ? FRESH_IDLE_US : pool.maxReuseIdleUs(nowUs));
         // One that settles sooner than a new one would have its answer is waited for; until then nothing is written.
-        long wait = limit < UpstreamConnection.SETTLING ? 0 : Math.max(0, dialTime.extraConnectTimeUs() - EventLoop.TICK_US);
-        for (UpstreamConnection c = pool.take(now, now - limit, wait);
-                c != null;
-                c = pool.take(now, now - limit, wait)) {
-            long settled = c.settledAt();
-            if (c.begin(exchange, settled <= now + wait ? Math.max(now, settled) : now)) {
+        long maxWaitUs = reuseLimitUs < UpstreamConnection.SETTLE_TIME_US ? 0 : Math.max(0, connectTimeEstimator.extraConnectTimeUs() - EventLoop.TICK_US);
+        for (UpstreamConnection idleConnection = pool.takeIdle(nowUs, nowUs - reuseLimitUs, maxWaitUs);
+                idleConnection != null;
+                idleConnection = pool.takeIdle(nowUs, nowUs - reuseLimitUs, maxWaitUs)) {
+            long settledAtUs = idleConnection.settledAtUs();
+            if (idleConnection.begin(exchange, settledAtUs <= nowUs + maxWaitUs ? Math.max(nowUs, settledAtUs) : nowUs)) {
                 return;
             }
         }
-        if (open() >= most && !shedIdle()) {
-            failed(exchange, AttemptOutcome.CONNECT_FAILED);
+        if (openConnections() >= maxConnections && !closeOneIdle()) {
+            onFailed(exchange, AttemptOutcome.CONNECT_FAILED);
             return;
         }
         UpstreamConnection connection = new UpstreamConnection(this, pool, exchange);
@@ -212,17 +212,17 @@
         }
     }
 
-    private int open() {
-        return pools.values().stream().mapToInt(EndpointConnectionPool::open).sum();
+    private int openConnections() {
+        return pools.values().stream().mapToInt(EndpointConnectionPool::openConnections).sum();
     }
 
-    private boolean shedIdle() {
+    private boolean closeOneIdle() {
         return pools.values().stream().anyMatch(EndpointConnectionPool::closeOldestIdle);
     }
 
     @Override
-    public void closeIdleConnections(String host) {
-        EndpointConnectionPool pool = pools.get(host);
+    public void closeIdleConnections(String endpoint) {
+        EndpointConnectionPool pool = pools.get(endpoint);
         if (pool != null) {
             pool.closeIdle(0);
         }
@@ -230,12 +230,12 @@
 
     /** Closes what has stood idle too long and what waits too long for its host; to be called on the loop. */
     public void sweep() {
-        long now = loop.now();
+        long nowUs = loop.now();
         for (EndpointConnectionPool pool : pools.values()) {
-            pool.closeIdle(idleLimit == 0 ? 0 : now - idleLimit);
-            pool.closeStuck(now);
-            if (dialler != Connector.PLAIN) {
-                pool.closeLapsed();
+            pool.closeIdle(maxIdleUs == 0 ? 0 : nowUs - maxIdleUs);
+            pool.closeStalled(nowUs);
+            if (connector != Connector.PLAINTEXT) {
+                pool.closeIdleWithInvalidIdentity();
             }
         }
     }
@@ -244,30 +244,30 @@
         return loop.now();
     }
 
-    Connection unconnected(EndpointConnectionPool pool) throws IOException {
-        return dialler.unconnected(pool.name);
+    Connection createUnconnected(EndpointConnectionPool pool) throws IOException {
+        return connector.createUnconnected(pool.name);
     }
 
     /** Runs this at a moment, on the event loop; to be called there. */
-    void runAt(long at, Runnable task) {
-        loop.runAt(at, task);
+    void runAt(long atUs, Runnable task) {
+        loop.runAt(atUs, task);
     }
 
     /**
      * Has an exchange, of which nothing was written, go by another connection to that host; {@code taken} takes it from
      * the one it was on.
      */
-    void elsewhere(Supplier<Exchange> taken) {
+    void resubmit(Supplier<Exchange> takeExchange) {
         loop.post(new ProxyEvent.Task(() -> {
-            Exchange exchange = taken.get();
+            Exchange exchange = takeExchange.get();
             if (exchange != null) {
-                exchange(exchange.request().endpoint(), exchange);
+                submit(exchange.request().endpoint(), exchange);
             }
         }));
     }
 
     /** Has something written to a host that has read all before it; on the event loop. False if that cannot be. */
-    boolean write(Runnable write) {
+    boolean scheduleWrite(Runnable write) {
         if (loop.onLoopThread()) {
             return writers.offer(write); // should a host have answered what it did not read, no timer waits for it
         }
@@ -275,53 +275,53 @@
         return true;
     }
 
-    void carries(Exchange exchange, UpstreamConnection connection) {
-        if (!exchange.cancels()) {
-            carrying.put(exchange.request().requestId(), connection);
+    void register(Exchange exchange, UpstreamConnection connection) {
+        if (!exchange.isCancellation()) {
+            connectionsByRequestId.put(exchange.request().requestId(), connection);
         }
     }
 
-    void carriesNoMore(Exchange exchange, UpstreamConnection connection) {
-        carrying.remove(exchange.request().requestId(), connection);
+    void unregister(Exchange exchange, UpstreamConnection connection) {
+        connectionsByRequestId.remove(exchange.request().requestId(), connection);
     }
 
-    void accepted(Exchange exchange) {
+    void onAccepted(Exchange exchange) {
         loop.post(new ProxyEvent.AttemptAccepted(
                 exchange.request().requestId(), exchange.request().attemptNumber()));
     }
 
-    void failed(Exchange exchange, AttemptOutcome outcome) {
-        if (exchange.again() && outcome != AttemptOutcome.CONNECT_FAILED && loop.now() < exchange.answerBy()) {
-            loop.post(new ProxyEvent.Task(() -> exchange(exchange.request().endpoint(), exchange.last())));
+    void onFailed(Exchange exchange, AttemptOutcome outcome) {
+        if (exchange.retriesIfBroken() && outcome != AttemptOutcome.CONNECT_FAILED && loop.now() < exchange.responseDeadlineUs()) {
+            loop.post(new ProxyEvent.Task(() -> submit(exchange.request().endpoint(), exchange.withoutRetry())));
             return;
         }
-        if (exchange.cancels()) {
+        if (exchange.isCancellation()) {
             Logger.debug(
                     "endpoint {} did not confirm the cancellation of {}: {}",
                     exchange.request().endpoint(),
                     exchange.request().requestId(),
                     outcome);
         }
-        ended(exchange, exchange.cancels() ? AttemptOutcome.CANCEL_UNCONFIRMED : outcome, LoadReport.NONE);
+        reportEnd(exchange, exchange.isCancellation() ? AttemptOutcome.CANCEL_UNCONFIRMED : outcome, LoadReport.NONE);
     }
 
     /** The host answered, or {@link #failed}; the word that gives an upstream request up is heard by any answer. */
-    void answered(Exchange exchange, AttemptOutcome outcome, LoadReport load) {
-        ended(exchange, exchange.cancels() ? AttemptOutcome.ACCEPT_TIMEOUT : outcome, load);
+    void onResponse(Exchange exchange, AttemptOutcome outcome, LoadReport loadReport) {
+        reportEnd(exchange, exchange.isCancellation() ? AttemptOutcome.ACCEPT_TIMEOUT : outcome, loadReport);
     }
 
     /** Nothing of it was written, nor will be. */
-    void withheld(UpstreamRequest request) {
-        ended(request, AttemptOutcome.SUPPRESSED, LoadReport.NONE);
+    void onWithdrawn(UpstreamRequest request) {
+        reportEnd(request, AttemptOutcome.SUPPRESSED, LoadReport.NONE);
     }
 
-    private void ended(Exchange exchange, AttemptOutcome outcome, LoadReport load) {
-        if (exchange.ends()) {
-            ended(exchange.request(), outcome, load);
+    private void reportEnd(Exchange exchange, AttemptOutcome outcome, LoadReport loadReport) {
+        if (exchange.reportsEnd()) {
+            reportEnd(exchange.request(), outcome, loadReport);
         }
     }
 
-    private void ended(UpstreamRequest request, AttemptOutcome outcome, LoadReport load) {
-        loop.post(new ProxyEvent.AttemptEnded(request.requestId(), request.attemptNumber(), outcome, load));
+    private void reportEnd(UpstreamRequest request, AttemptOutcome outcome, LoadReport loadReport) {
+        loop.post(new ProxyEvent.AttemptEnded(request.requestId(), request.attemptNumber(), outcome, loadReport));
     }
 }
--- a/src/main/java/olivechute/upstream/Connector.java
+++ b/src/main/java/olivechute/upstream/Connector.java
@@ -7,8 +7,8 @@
 /** Makes the connections to upstream hosts. */
 public interface Connector {
     /** Plain TCP to whoever answers. */
-    Connector PLAIN = host -> new Connection(SocketChannel.open());
+    Connector PLAINTEXT = endpoint -> new Connection(SocketChannel.open());
 
     /** One to be dialled, to the host of this name and to nobody else. */
-    Connection unconnected(String host) throws IOException;
+    Connection createUnconnected(String endpoint) throws IOException;
 }
--- a/src/main/java/olivechute/upstream/EndpointConnectionPool.java
+++ b/src/main/java/olivechute/upstream/EndpointConnectionPool.java
@@ -14,91 +14,91 @@
      * Where a host's process listens, and the address as a Host field has it. The next process has another one, be it
      * at the same address.
      */
-    record Place(InetSocketAddress address, String host, long startedAt) {}
+    record Location(InetSocketAddress address, String hostHeader, long startedAtUs) {}
 
     /**
      * A host that is sent more than so many in {@link UpstreamConnection#SETTLING} gets no more connections for that
      * where dials are quick.
      */
-    static final int MOST_SETTLING = 8;
+    static final int MAX_SETTLING = 8;
 
     final String name;
-    private volatile Place place;
-    private volatile boolean takes = true;
+    private volatile Location location;
+    private volatile boolean acceptsRequests = true;
     boolean listed = true; // on the event loop only
-    private final IdleReusePolicy reuse = new IdleReusePolicy();
-    private final Set<UpstreamConnection> all = new HashSet<>();
-    private final List<UpstreamConnection> idle = new ArrayList<>(); // the one used last comes last
+    private final IdleReusePolicy reusePolicy = new IdleReusePolicy();
+    private final Set<UpstreamConnection> connections = new HashSet<>();
+    private final List<UpstreamConnection> idleConnections = new ArrayList<>(); // the one used last comes last
 
-    EndpointConnectionPool(String name, InetSocketAddress address, long startedAt) {
+    EndpointConnectionPool(String name, InetSocketAddress address, long startedAtUs) {
         this.name = name;
-        this.place = place(address, startedAt);
+        this.location = location(address, startedAtUs);
     }
 
-    private static Place place(InetSocketAddress address, long startedAt) {
-        return new Place(address, address.getAddress().getHostAddress() + ":" + address.getPort(), startedAt);
+    private static Location location(InetSocketAddress address, long startedAtUs) {
+        return new Location(address, address.getAddress().getHostAddress() + ":" + address.getPort(), startedAtUs);
     }
 
     /** Takes where it is and when it started from the list; true if either is new. */
-    boolean moved(InetSocketAddress to, long started) {
-        boolean moved = !place.address().equals(to) || place.startedAt() != started;
-        if (moved) {
-            place = place(to, started);
+    boolean updateLocation(InetSocketAddress address, long startedAtUs) {
+        boolean changed = !location.address().equals(address) || location.startedAtUs() != startedAtUs;
+        if (changed) {
+            location = location(address, startedAtUs);
         }
-        return moved;
+        return changed;
     }
 
-    Place place() {
-        return place;
+    Location location() {
+        return location;
     }
 
     /**
      * The list has it in this state; {@code goneBinds}: nothing new may go to one that is gone, else only if it drained
      * before.
      */
-    void stands(EndpointState state, boolean goneBinds) {
+    void updateState(EndpointState state, boolean removalBlocksRequests) {
         switch (state) {
-            case ACTIVE -> takes = true;
-            case DRAINING -> takes = false;
-            default -> takes &= !goneBinds;
+            case ACTIVE -> acceptsRequests = true;
+            case DRAINING -> acceptsRequests = false;
+            default -> acceptsRequests &= !removalBlocksRequests;
         }
     }
 
     /** False while nothing new may go there; on any thread. */
-    boolean takes() {
-        return takes;
+    boolean acceptsRequests() {
+        return acceptsRequests;
     }
 
     /** The longest idle time after which a connection there is worth another request, in microseconds. */
-    synchronized long reuseLimit(long now) {
-        return reuse.maxIdleUs(now);
+    synchronized long maxReuseIdleUs(long nowUs) {
+        return reusePolicy.maxIdleUs(nowUs);
     }
 
     /** One that had stood idle for so long was used again, and broke or did not. */
-    synchronized void reused(long now, long idle, boolean broke) {
-        reuse.onReuse(now, idle, broke);
+    synchronized void onReuse(long nowUs, long idleUs, boolean broken) {
+        reusePolicy.onReuse(nowUs, idleUs, broken);
     }
 
-    synchronized int open() {
-        return all.size();
+    synchronized int openConnections() {
+        return connections.size();
     }
 
     synchronized void add(UpstreamConnection connection) {
-        all.add(connection);
+        connections.add(connection);
     }
 
     synchronized void remove(UpstreamConnection connection) {
-        all.remove(connection);
-        idle.remove(connection);
+        connections.remove(connection);
+        idleConnections.remove(connection);
     }
 
     synchronized void release(UpstreamConnection connection) {
-        if (all.contains(connection)) {
-            int at = idle.size();
-            while (at > 0 && idle.get(at - 1).idleSince() > connection.idleSince()) {
-                at--; // it was held back: its host saw it idle all the while
+        if (connections.contains(connection)) {
+            int index = idleConnections.size();
+            while (index > 0 && idleConnections.get(index - 1).idleSinceUs() > connection.idleSinceUs()) {
+                index--; // it was held back: its host saw it idle all the while
             }
-            idle.add(at, connection);
+            idleConnections.add(index, connection);
         }
     }
 
@@ -107,26 +107,26 @@
      * settle, if it will have within {@code wait}, or if it is one of {@link #MOST_SETTLING}. Null if there is none of
      * these.
      */
-    synchronized UpstreamConnection take(long now, long since, long wait) {
-        int settling = idle.size();
-        while (settling > 0 && idle.get(settling - 1).settledAt() > now) {
-            settling--;
+    synchronized UpstreamConnection takeIdle(long nowUs, long idleAfterUs, long maxWaitUs) {
+        int firstSettling = idleConnections.size();
+        while (firstSettling > 0 && idleConnections.get(firstSettling - 1).settledAtUs() > nowUs) {
+            firstSettling--;
         }
-        if (settling > 0 && idle.get(settling - 1).idleSince() >= since) {
-            return idle.remove(settling - 1);
+        if (firstSettling > 0 && idleConnections.get(firstSettling - 1).idleSinceUs() >= idleAfterUs) {
+            return idleConnections.remove(firstSettling - 1);
         }
-        boolean some = settling < idle.size() && idle.get(settling).idleSince() >= since;
-        return some
-                        && (idle.size() - settling >= MOST_SETTLING
-                                || idle.get(settling).settledAt() <= now + wait)
-                ? idle.remove(settling)
+        boolean settlingIsRecent = firstSettling < idleConnections.size() && idleConnections.get(firstSettling).idleSinceUs() >= idleAfterUs;
+        return settlingIsRecent
+                        && (idleConnections.size() - firstSettling >= MAX_SETTLING
+                                || idleConnections.get(firstSettling).settledAtUs() <= nowUs + maxWaitUs)
+                ? idleConnections.remove(firstSettling)
                 : null;
     }
 
     boolean closeOldestIdle() {
         UpstreamConnection oldest;
         synchronized (this) {
-            oldest = idle.isEmpty() ? null : idle.remove(0);
+            oldest = idleConnections.isEmpty() ? null : idleConnections.remove(0);
         }
         if (oldest != null) {
             oldest.close();
@@ -135,31 +135,31 @@
     }
 
     /** Closes those that have waited too long for their peer. */
-    void closeStuck(long now) {
-        List<UpstreamConnection> carrying;
+    void closeStalled(long nowUs) {
+        List<UpstreamConnection> snapshot;
         synchronized (this) {
-            carrying = new ArrayList<>(all);
+            snapshot = new ArrayList<>(connections);
         }
-        carrying.forEach(c -> c.closeIfStuck(now));
+        snapshot.forEach(connection -> connection.closeIfStalled(nowUs));
     }
 
     /** Closes the idle ones whose host is no longer to be spoken with on them. */
-    void closeLapsed() {
-        List<UpstreamConnection> lapsed = new ArrayList<>(0);
+    void closeIdleWithInvalidIdentity() {
+        List<UpstreamConnection> invalid = new ArrayList<>(0);
         synchronized (this) {
-            idle.removeIf(c -> !c.holds() && lapsed.add(c));
+            idleConnections.removeIf(connection -> !connection.isPeerIdentityValid() && invalid.add(connection));
         }
-        lapsed.forEach(UpstreamConnection::close);
+        invalid.forEach(UpstreamConnection::close);
     }
 
     /** Closes those idle since before a moment; 0 for all idle ones. */
-    void closeIdle(long before) {
-        List<UpstreamConnection> old = new ArrayList<>(0);
+    void closeIdle(long beforeUs) {
+        List<UpstreamConnection> expired = new ArrayList<>(0);
         synchronized (this) {
-            while (!idle.isEmpty() && (before == 0 || idle.get(0).idleSince() < before)) {
-                old.add(idle.remove(0));
+            while (!idleConnections.isEmpty() && (beforeUs == 0 || idleConnections.get(0).idleSinceUs() < beforeUs)) {
+                expired.add(idleConnections.remove(0));
             }
         }
-        old.forEach(UpstreamConnection::close);
+        expired.forEach(UpstreamConnection::close);
     }
 }
--- a/src/main/java/olivechute/upstream/LoadReportHeader.java
+++ b/src/main/java/olivechute/upstream/LoadReportHeader.java
@@ -12,7 +12,7 @@
         this.fields = fields;
     }
 
-    LoadReport load(Headers headers) {
+    LoadReport parse(Headers headers) {
         String text = headers.get("X-Pressure");
         if (text == null || !text.startsWith("TEXT ")) {
             return LoadReport.NONE;
@@ -20,16 +20,16 @@
         String[] pairs = text.substring(5).split(",");
         return fields.load(name -> {
             for (String pair : pairs) {
-                String[] halves = pair.strip().split("=", 2);
-                if (halves.length == 2 && halves[0].equals(name)) {
-                    return number(halves[1]);
+                String[] nameAndValue = pair.strip().split("=", 2);
+                if (nameAndValue.length == 2 && nameAndValue[0].equals(name)) {
+                    return parseNumber(nameAndValue[1]);
                 }
             }
             return Double.NaN;
         });
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
