--- a/src/main/java/olivechute/upstream/UpstreamConnection.java
+++ b/src/main/java/olivechute/upstream/UpstreamConnection.java
@@ -23,12 +23,12 @@
      * milliseconds; taken for the answer to the next exchange, the second would end or accept what it is not about, as
      * no answer names its request. One that comes meanwhile closes the connection.
      */
-    static final long SETTLING = 30_000;
+    static final long SETTLE_TIME_US = 30_000;
 
-    private static final long WRITE_LIMIT = 1_000_000;
+    private static final long WRITE_TIMEOUT_US = 1_000_000;
 
     /** What became of an upstream request that was to be dropped. */
-    enum Dropped {
+    enum DropResult {
         /** Nothing of it was written, nor will be. */
         UNWRITTEN,
         /** Some of it may have come. */
@@ -39,124 +39,124 @@
 
     private final ConnectionPools pools;
     private final EndpointConnectionPool pool;
-    private final EndpointConnectionPool.Place place;
-    private volatile Connection link;
+    private final EndpointConnectionPool.Location location;
+    private volatile Connection transport;
     private final ResponseParser parser = new ResponseParser();
-    private Exchange current; // guarded by this, as the rest
-    private boolean up; // it was dialled
-    private boolean heard; // an answer came on it
-    private boolean writing; // some of it may be out
+    private Exchange currentExchange; // guarded by this, as the rest
+    private boolean connected; // it was dialled
+    private boolean responseReceived; // an answer came on it
+    private boolean writeStarted; // some of it may be out
     private boolean written;
-    private long begunAt;
-    private long idleSince;
-    private long idleFor = -1; // how long it had stood idle before the current exchange; negative on its first
+    private long exchangeStartUs;
+    private long idleSinceUs;
+    private long idleBeforeExchangeUs = -1; // how long it had stood idle before the current exchange; negative on its first
     private boolean closed;
-    private volatile boolean fed; // the reader has bytes in hand
+    private volatile boolean inputPending; // the reader has bytes in hand
 
-    UpstreamConnection(ConnectionPools pools, EndpointConnectionPool pool, Exchange first) {
+    UpstreamConnection(ConnectionPools pools, EndpointConnectionPool pool, Exchange firstExchange) {
         this.pools = pools;
         this.pool = pool;
-        this.place = pool.place();
-        this.current = first;
-        this.begunAt = first.since();
+        this.location = pool.location();
+        this.currentExchange = firstExchange;
+        this.exchangeStartUs = firstExchange.createdAtUs();
     }
 
     void start() {
         pool.add(this);
-        pools.carries(current, this);
-        Threads.connection(this::run);
+        pools.register(currentExchange, this);
+        Threads.runConnection(this::run);
     }
 
-    synchronized long idleSince() {
-        return idleSince;
+    synchronized long idleSinceUs() {
+        return idleSinceUs;
     }
 
     /** From when on no late answer is to be feared: see {@link #SETTLING}. */
-    synchronized long settledAt() {
-        return heard ? idleSince + SETTLING : idleSince;
+    synchronized long settledAtUs() {
+        return responseReceived ? idleSinceUs + SETTLE_TIME_US : idleSinceUs;
     }
 
     /** False once nothing new may be sent on it. */
-    boolean holds() {
-        return link.holds();
+    boolean isPeerIdentityValid() {
+        return transport.isPeerIdentityValid();
     }
 
     /**
      * Takes an exchange on an idle connection, to be written at a moment; false if it has ended meanwhile. On the event
      * loop.
      */
-    boolean begin(Exchange exchange, long at) {
-        if (!link.holds()) {
+    boolean begin(Exchange exchange, long startUs) {
+        if (!transport.isPeerIdentityValid()) {
             close();
             return false;
         }
-        pools.carries(exchange, this); // first: the connection's end may come at any moment and take it back
-        boolean ended;
+        pools.register(exchange, this); // first: the connection's end may come at any moment and take it back
+        boolean alreadyClosed;
         synchronized (this) {
-            ended = closed;
-            if (!ended) {
-                current = exchange;
-                writing = false;
+            alreadyClosed = closed;
+            if (!alreadyClosed) {
+                currentExchange = exchange;
+                writeStarted = false;
                 written = false;
-                begunAt = at;
-                idleFor = at - idleSince;
+                exchangeStartUs = startUs;
+                idleBeforeExchangeUs = startUs - idleSinceUs;
             }
         }
-        if (ended) {
-            pools.carriesNoMore(exchange, this);
+        if (alreadyClosed) {
+            pools.unregister(exchange, this);
             return false;
         }
-        if (at > pools.now()) {
-            pools.runAt(at, () -> post(exchange));
+        if (startUs > pools.now()) {
+            pools.runAt(startUs, () -> scheduleWrite(exchange));
         } else {
-            post(exchange);
+            scheduleWrite(exchange);
         }
         return true;
     }
 
-    private void post(Exchange exchange) {
+    private void scheduleWrite(Exchange exchange) {
         // The host has answered all that was written before, so this finds the send buffer empty and waits for nobody.
-        if (current() == exchange && !pools.write(() -> write(exchange))) {
+        if (currentExchange() == exchange && !pools.scheduleWrite(() -> write(exchange))) {
             close();
         }
     }
 
     private void write(Exchange exchange) {
         try {
-            ByteBuffer head = exchange.head(place.host(), pools.now());
-            boolean goes;
-            boolean strays;
+            ByteBuffer head = exchange.head(location.hostHeader(), pools.now());
+            boolean allowed;
+            boolean unsolicited;
             synchronized (this) {
-                if (closed || current != exchange) {
+                if (closed || currentExchange != exchange) {
                     return;
                 }
-                goes = goes(exchange);
-                strays = goes && heard && strays();
-                writing = goes && !strays;
-                current = goes ? exchange : null;
+                allowed = mayWrite(exchange);
+                unsolicited = allowed && responseReceived && hasUnsolicitedInput();
+                writeStarted = allowed && !unsolicited;
+                currentExchange = allowed ? exchange : null;
             }
-            if (strays) {
+            if (unsolicited) {
                 Logger.debug("endpoint {} sent something unasked", pool.name);
                 close(true);
                 return;
             }
-            if (!goes) {
-                pools.carriesNoMore(exchange, this);
-                keep();
-                pools.withheld(exchange.request());
+            if (!allowed) {
+                pools.unregister(exchange, this);
+                releaseOrClose();
+                pools.onWithdrawn(exchange.request());
                 return;
             }
-            link.write(head, exchange.body());
+            transport.write(head, exchange.body());
             synchronized (this) {
-                written |= current == exchange;
+                written |= currentExchange == exchange;
             }
         } catch (IOException e) {
-            boolean cut;
+            boolean interrupted;
             synchronized (this) {
-                cut = current == exchange;
-                writing &= !cut; // its last byte is not out, nor will be
+                interrupted = currentExchange == exchange;
+                writeStarted &= !interrupted; // its last byte is not out, nor will be
             }
-            close(!cut);
+            close(!interrupted);
         }
     }
 
@@ -164,27 +164,27 @@
      * True if something has come that nobody asked for yet: read or not, it is no answer to what is about to be
      * written.
      */
-    private boolean strays() {
-        return link.unread() || fed; // in this order: what is no longer in the one is in the other
+    private boolean hasUnsolicitedInput() {
+        return transport.hasUnreadInput() || inputPending; // in this order: what is no longer in the one is in the other
     }
 
     /**
      * The last look. A word that gives a request up goes to any host; all else to none that takes nothing new, or is
      * elsewhere by now.
      */
-    private boolean goes(Exchange exchange) {
+    private boolean mayWrite(Exchange exchange) {
         UpstreamRequest request = exchange.request();
-        return exchange.cancels()
-                || (wanted() && request.preSendCheck().maySendFirstByte(request, pools.now(), heard ? 0 : pools.dialLimit()));
+        return exchange.isCancellation()
+                || (isReusable() && request.preSendCheck().maySendFirstByte(request, pools.now(), responseReceived ? 0 : pools.handshakeTimeoutUs()));
     }
 
-    private boolean wanted() {
-        return pool.takes() && pool.place() == place;
+    private boolean isReusable() {
+        return pool.acceptsRequests() && pool.location() == location;
     }
 
     /** Kept for what comes, unless nothing may come. */
-    private void keep() {
-        if (wanted()) {
+    private void releaseOrClose() {
+        if (isReusable()) {
             pool.release(this);
         } else {
             close();
@@ -193,196 +193,196 @@
 
     private void run() {
         try {
-            if (!dial()) {
+            if (!connect()) {
                 return;
             }
-            Exchange first;
+            Exchange firstExchange;
             synchronized (this) {
-                up = true;
-                idleSince = pools.now();
-                first = current;
+                connected = true;
+                idleSinceUs = pools.now();
+                firstExchange = currentExchange;
             }
-            if (first == null) {
-                keep();
+            if (firstExchange == null) {
+                releaseOrClose();
             } else {
-                write(first);
+                write(firstExchange);
             }
-            for (int n = link.read(parser.room()); n >= 0; n = link.read(parser.room())) {
-                fed = true;
-                parser.filled(n);
-                take();
-                fed = false;
+            for (int read = transport.read(parser.inputBuffer()); read >= 0; read = transport.read(parser.inputBuffer())) {
+                inputPending = true;
+                parser.onBytesRead(read);
+                processInput();
+                inputPending = false;
             }
-            if (parser.end()) {
-                answered(parser.take());
+            if (parser.onEndOfInput()) {
+                onResponse(parser.take());
             }
         } catch (IOException e) {
-            Logger.debug("endpoint {} at {}: {}", pool.name, place.address(), e.getMessage());
+            Logger.debug("endpoint {} at {}: {}", pool.name, location.address(), e.getMessage());
         } catch (HttpException e) {
-            Logger.warn("{} answered what is no HTTP: {}", place.address(), e.getMessage());
+            Logger.warn("{} answered what is no HTTP: {}", location.address(), e.getMessage());
         } finally {
             close(true);
         }
     }
 
     /** False if the connection was given up before it had a socket. */
-    private boolean dial() throws IOException {
-        Connection made = pools.unconnected(pool);
+    private boolean connect() throws IOException {
+        Connection newTransport = pools.createUnconnected(pool);
         synchronized (this) {
             if (!closed) {
-                link = made;
+                transport = newTransport;
             }
         }
-        if (link == null) {
-            made.close();
+        if (transport == null) {
+            newTransport.close();
             return false;
         }
-        long from = pools.now();
-        made.connect(place.address(), pools.dialMillis());
-        made.ready();
-        Logger.debug("endpoint {} connected in {} us", pool.name, pools.now() - from);
+        long startUs = pools.now();
+        newTransport.connect(location.address(), pools.connectTimeoutMillis());
+        newTransport.initialize();
+        Logger.debug("endpoint {} connected in {} us", pool.name, pools.now() - startUs);
         return true;
     }
 
-    private synchronized Exchange current() {
-        return current;
+    private synchronized Exchange currentExchange() {
+        return currentExchange;
     }
 
-    private synchronized boolean asked() {
-        return current != null && writing;
+    private synchronized boolean isAwaitingResponse() {
+        return currentExchange != null && writeStarted;
     }
 
-    private void take() throws HttpException, IOException {
+    private void processInput() throws HttpException, IOException {
         do {
-            if (!asked()) {
+            if (!isAwaitingResponse()) {
                 throw new IOException("bytes between exchanges");
             }
-            if (parser.whole()) {
+            if (parser.parse()) {
                 HttpResponse response = parser.take();
                 if (response.status() >= 200) {
-                    answered(response);
+                    onResponse(response);
                 }
-                parser.reuse(true);
+                parser.releaseMessage(true);
             }
-        } while (parser.more());
+        } while (parser.hasUnparsedBytes());
     }
 
-    private void answered(HttpResponse response) throws IOException {
+    private void onResponse(HttpResponse response) throws IOException {
         Exchange exchange;
-        boolean begins;
+        boolean firstResponse;
         synchronized (this) {
-            exchange = current;
+            exchange = currentExchange;
             if (exchange == null) {
                 return;
             }
-            current = null;
-            begins = !heard;
-            heard = true;
-            idleSince = pools.now();
+            currentExchange = null;
+            firstResponse = !responseReceived;
+            responseReceived = true;
+            idleSinceUs = pools.now();
         }
-        reused(false);
-        timed(exchange, begins);
-        pools.carriesNoMore(exchange, this);
-        if (exchange.cancels()) {
+        recordReuse(false);
+        recordResponseTime(exchange, firstResponse);
+        pools.unregister(exchange, this);
+        if (exchange.isCancellation()) {
             Logger.debug(
                     "endpoint {} answered the cancellation of {}: {}",
                     pool.name,
                     exchange.request().requestId(),
                     response.status());
         }
-        boolean turnedAway = "1".equals(response.headers().get("X-Turned-Away"));
-        if (response.status() == 202 && !exchange.cancels()) {
-            pools.accepted(exchange);
+        boolean rejected = "1".equals(response.headers().get("X-Turned-Away"));
+        if (response.status() == 202 && !exchange.isCancellation()) {
+            pools.onAccepted(exchange);
         } else {
-            boolean never = turnedAway && (response.status() == 503 || response.status() == 504);
-            pools.answered(
+            boolean neverRan = rejected && (response.status() == 503 || response.status() == 504);
+            pools.onResponse(
                     exchange,
-                    never ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
-                    pools.pressure.load(response.headers()));
+                    neverRan ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR,
+                    pools.loadReportHeader.parse(response.headers()));
         }
         if (!response.keepAlive()) {
             throw new IOException("closed by its last answer");
         }
-        if (parser.more() || pool.place() != place) {
+        if (parser.hasUnparsedBytes() || pool.location() != location) {
             throw new IOException("answered twice at once, or by a process that is gone");
         }
-        fed = false; // nothing is left of it, and another may begin at once
+        inputPending = false; // nothing is left of it, and another may begin at once
         pool.release(this);
     }
 
     /** Tells how long the answer took, unless it is to a word, or the first after a dial for another one. */
-    private void timed(Exchange exchange, boolean begins) {
-        long took = idleSince - begunAt;
-        if (!exchange.cancels() && begins == idleFor < 0) {
-            if (begins) {
-                pools.dialTime.addNewConnectionSample(took);
+    private void recordResponseTime(Exchange exchange, boolean firstResponse) {
+        long tookUs = idleSinceUs - exchangeStartUs;
+        if (!exchange.isCancellation() && firstResponse == idleBeforeExchangeUs < 0) {
+            if (firstResponse) {
+                pools.connectTimeEstimator.addNewConnectionSample(tookUs);
             } else {
-                pools.dialTime.addReusedConnectionSample(took);
+                pools.connectTimeEstimator.addReusedConnectionSample(tookUs);
             }
         }
     }
 
-    private void reused(boolean broke) {
-        if (idleFor >= 0) {
-            pool.reused(pools.now(), idleFor, broke);
+    private void recordReuse(boolean broken) {
+        if (idleBeforeExchangeUs >= 0) {
+            pool.onReuse(pools.now(), idleBeforeExchangeUs, broken);
         }
     }
 
     /** True if a request was written, as the first here: the host may still be at the handshake. */
-    synchronized boolean shakesHandsFor(UpstreamRequest request) {
-        return current != null && current.request() == request && writing && !heard;
+    synchronized boolean mayBeInHandshake(UpstreamRequest request) {
+        return currentExchange != null && currentExchange.request() == request && writeStarted && !responseReceived;
     }
 
     /** False if it carries this and nothing of it was written. */
-    synchronized boolean begun(UpstreamRequest request) {
-        return current == null || current.request() != request || writing;
+    synchronized boolean hasBegun(UpstreamRequest request) {
+        return currentExchange == null || currentExchange.request() != request || writeStarted;
     }
 
     /**
      * Takes an upstream request back if nothing of it was written, without an end of it; the connection stays, or its
      * dial goes on.
      */
-    boolean withhold(UpstreamRequest request) {
+    boolean withdraw(UpstreamRequest request) {
         boolean idle;
         synchronized (this) {
-            if (current == null || current.request() != request || writing) {
+            if (currentExchange == null || currentExchange.request() != request || writeStarted) {
                 return false;
             }
-            pools.carriesNoMore(current, this);
-            current = null;
-            idle = up && !closed;
+            pools.unregister(currentExchange, this);
+            currentExchange = null;
+            idle = connected && !closed;
         }
         if (idle) {
-            keep();
+            releaseOrClose();
         }
         return true;
     }
 
     /** Closes it without an end of what it carries. */
-    Dropped drop(UpstreamRequest request) {
-        Dropped dropped;
+    DropResult drop(UpstreamRequest request) {
+        DropResult result;
         synchronized (this) {
-            if (current == null || current.request() != request) {
-                return Dropped.NOT_CARRIED;
+            if (currentExchange == null || currentExchange.request() != request) {
+                return DropResult.NOT_CARRIED;
             }
-            pools.carriesNoMore(current, this);
-            current = null;
-            dropped = writing ? Dropped.WRITTEN : Dropped.UNWRITTEN;
+            pools.unregister(currentExchange, this);
+            currentExchange = null;
+            result = writeStarted ? DropResult.WRITTEN : DropResult.UNWRITTEN;
         }
         close();
-        return dropped;
+        return result;
     }
 
-    void closeIfStuck(long now) {
-        boolean stuck;
+    void closeIfStalled(long nowUs) {
+        boolean stalled;
         synchronized (this) {
             // A machine that is cut off says nothing: neither a write, which may have to wait for its dial, nor a wait
             // may last for good.
-            stuck = current != null
-                    && ((!written && now - begunAt > WRITE_LIMIT + (heard ? 0 : pools.dialLimit()))
-                            || now > current.answerBy());
+            stalled = currentExchange != null
+                    && ((!written && nowUs - exchangeStartUs > WRITE_TIMEOUT_US + (responseReceived ? 0 : pools.handshakeTimeoutUs()))
+                            || nowUs > currentExchange.responseDeadlineUs());
         }
-        if (stuck) {
+        if (stalled) {
             close();
         }
     }
@@ -396,62 +396,62 @@
      * off under a write that is not back yet, the peer may have had all of it. Where one in use broke or strayed before
      * anything was written, the exchange goes by another.
      */
-    private void close(boolean broke) {
+    private void close(boolean broken) {
         Exchange exchange;
         AttemptOutcome outcome;
-        boolean elsewhere;
+        boolean resubmit;
         synchronized (this) {
             if (closed) {
                 return;
             }
             closed = true;
-            exchange = current;
-            elsewhere = broke && exchange != null && !writing && idleFor >= 0;
-            current = elsewhere ? exchange : null; // until the loop has taken it, it may still be given up
-            outcome = !writing || (!written && !broke)
+            exchange = currentExchange;
+            resubmit = broken && exchange != null && !writeStarted && idleBeforeExchangeUs >= 0;
+            currentExchange = resubmit ? exchange : null; // until the loop has taken it, it may still be given up
+            outcome = !writeStarted || (!written && !broken)
                     ? AttemptOutcome.CONNECT_FAILED
-                    : broke && idleFor >= 0 ? AttemptOutcome.STALE_CONNECTION : AttemptOutcome.RESET;
+                    : broken && idleBeforeExchangeUs >= 0 ? AttemptOutcome.STALE_CONNECTION : AttemptOutcome.RESET;
         }
         if (exchange != null && Logger.isDebugEnabled()) {
             Logger.debug(
                     "endpoint {} connection closed under {} {}: {}, {}",
                     pool.name,
-                    exchange.cancels() ? "the cancellation of" : "request",
+                    exchange.isCancellation() ? "the cancellation of" : "request",
                     exchange.request().requestId(),
-                    broke ? "broken" : "given up",
-                    elsewhere ? "goes by another" : outcome);
+                    broken ? "broken" : "given up",
+                    resubmit ? "goes by another" : outcome);
         }
         pool.remove(this);
         try {
-            if (link != null) {
-                link.close();
+            if (transport != null) {
+                transport.close();
             }
         } catch (IOException e) {
-            Logger.debug("{}: {}", place.address(), e.getMessage());
+            Logger.debug("{}: {}", location.address(), e.getMessage());
         }
-        if (elsewhere) {
-            pools.elsewhere(this::taken);
+        if (resubmit) {
+            pools.resubmit(this::takeExchange);
         } else if (exchange != null) {
             // It broke or fell silent under an exchange: those idle to that host are no better, as far as is known, or
             // for as long.
-            pool.closeIdle(outcome == AttemptOutcome.STALE_CONNECTION ? begunAt - idleFor + 1 : 0);
-            pools.carriesNoMore(exchange, this);
+            pool.closeIdle(outcome == AttemptOutcome.STALE_CONNECTION ? exchangeStartUs - idleBeforeExchangeUs + 1 : 0);
+            pools.unregister(exchange, this);
             if (outcome == AttemptOutcome.STALE_CONNECTION) {
-                reused(true);
+                recordReuse(true);
             }
-            pools.failed(exchange, outcome);
+            pools.onFailed(exchange, outcome);
         }
     }
 
     /** What it carried as it ended and nobody gave up since, null if there is none. */
-    private Exchange taken() {
+    private Exchange takeExchange() {
         Exchange exchange;
         synchronized (this) {
-            exchange = current;
-            current = null;
+            exchange = currentExchange;
+            currentExchange = null;
         }
         if (exchange != null) {
-            pools.carriesNoMore(exchange, this);
+            pools.unregister(exchange, this);
         }
         return exchange;
     }
--- a/src/test/java/olivechute/Client.java
+++ b/src/test/java/olivechute/Client.java
@@ -58,9 +58,9 @@
     /** The next answer; null if the connection ended without one. */
     HttpResponse receive() throws IOException, HttpException {
         byte[] buffer = new byte[1];
-        while (!parser.complete()) {
+        while (!parser.isComplete()) {
             if (socket.getInputStream().read(buffer) < 0) {
-                return parser.end() ? parser.take() : null;
+                return parser.onEndOfInput() ? parser.take() : null;
             }
             parser.feed(buffer, 0, 1);
         }
--- a/src/test/java/olivechute/ClientGoneTest.java
+++ b/src/test/java/olivechute/ClientGoneTest.java
@@ -58,7 +58,7 @@
         client.close();
         awaitGone(first);
         serve(first, "late");
-        await(() -> front.unanswered() == 0 && front.atRest());
+        await(() -> front.unansweredRequests() == 0 && front.isQuiescent());
         assertEquals(opened.size(), 0);
     }
 
@@ -70,7 +70,7 @@
         ProxyEvent.RequestArrived first = next();
         client.close();
         awaitGone(first);
-        await(front::atRest);
+        await(front::isQuiescent);
     }
 
     @Test
@@ -117,7 +117,7 @@
         assertEquals(text(other.receive()), "200 ok");
         String large = "x".repeat(60_000);
         serve(first, large);
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
         assertEquals(text(flood.receive()), "200 " + large);
         assertNull(flood.receive());
         assertEquals(opened.size(), 0);
@@ -138,8 +138,8 @@
         }
 
         @Override
-        public int readNow(ByteBuffer into) throws IOException {
-            return counted(super.readNow(into));
+        public int readAvailable(ByteBuffer into) throws IOException {
+            return counted(super.readAvailable(into));
         }
 
         private int counted(int n) {
@@ -182,10 +182,10 @@
         go.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
-            assertTrue(front.unanswered() == 0);
+            assertTrue(front.unansweredRequests() == 0);
         }
         flood.close();
-        await(front::atRest);
+        await(front::isQuiescent);
     }
 
     /** It sends much, reads nothing and goes: what it holds is given back, and nothing of it is taken. */
@@ -197,7 +197,7 @@
         flood.send(new byte[FLOOD]);
         flood.close();
         awaitGone(first);
-        await(front::atRest);
+        await(front::isQuiescent);
         assertEquals(opened.size(), 0);
     }
 
@@ -212,7 +212,7 @@
         client.send(jobs("t2", "t3"));
         String large = "x".repeat(60_000);
         serve(first, large);
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
         client.send(jobs("t4"));
         assertEquals(text(client.receive()), "200 " + large);
         assertNull(client.receive());
@@ -245,10 +245,10 @@
         client.send(MessageWriter.request("POST", "/verify", "b", null, "X-Txn", "t1", "Connection", "close"));
         ProxyEvent.RequestArrived first = next();
         client.send(jobs("t2"));
-        await(() -> link.get().unread());
+        await(() -> link.get().hasUnreadInput());
         String large = "x".repeat(60_000);
         serve(first, large);
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
         go.countDown();
         assertEquals(text(client.receive()), "200 " + large);
         assertNull(client.receive());
@@ -265,11 +265,11 @@
         ProxyEvent.RequestArrived first = next();
         Threads.start("answer", () -> serve(first, "x".repeat(60_000)));
         assertTrue(writes.await(2, TimeUnit.SECONDS));
-        assertEquals(front.unanswered(), 1); // handed over, not written: still owed
+        assertEquals(front.unansweredRequests(), 1); // handed over, not written: still owed
         client.close();
         Thread.sleep(GONE_MILLIS);
         go.countDown();
-        await(front::atRest);
+        await(front::isQuiescent);
         assertEquals(opened.size(), 0);
     }
 }
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -79,12 +79,12 @@
         CountDownLatch taken = new CountDownLatch(1);
         listen(channel -> new Connection(channel) {
             @Override
-            public boolean unread() {
+            public boolean hasUnreadInput() {
                 if (!asked.getAndSet(true)) {
                     decides.countDown();
                     hold(taken, HELD_UP_MILLIS);
                 }
-                return super.unread();
+                return super.hasUnreadInput();
             }
         });
         onRequest = taken::countDown;
@@ -206,9 +206,9 @@
         String large = "x".repeat(60_000);
         client.send(Client.job("verify", "t1", 5000));
         serve(next(), large);
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
         front.drain();
-        await(() -> front.atRest());
+        await(() -> front.isQuiescent());
         try {
             client.send(Client.job("verify", "t2", 5000)).send(Client.job("verify", "t3", 5000));
         } catch (IOException ended) {
@@ -262,7 +262,7 @@
         listen(Connection::new);
         Client client = clientOwedALongAnswerBehindAnother();
         assertEquals(text(client.receive()), "200 " + LONG_ANSWER);
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
     }
 
     @Test
@@ -271,6 +271,6 @@
         listen(Connection::new);
         Client client = clientOwedALongAnswerBehindAnother();
         client.close();
-        await(() -> front.unanswered() == 0 && front.atRest());
+        await(() -> front.unansweredRequests() == 0 && front.isQuiescent());
     }
 }
--- a/src/test/java/olivechute/EndTest.java
+++ b/src/test/java/olivechute/EndTest.java
@@ -57,7 +57,7 @@
         assertEquals(client.call(READY).status(), 200);
         assertTrue(waits.await(2, TimeUnit.SECONDS));
         client.send(Client.job("sign", "t1", 5000));
-        await(() -> link.get().unread());
+        await(() -> link.get().hasUnreadInput());
         front.drain();
         go.countDown();
         serve(next(), "ok");
@@ -92,9 +92,9 @@
         assertEquals(text(answer), "200 ok");
         assertFalse(answer.keepAlive());
         assertTrue(client.ended());
-        await(() -> front.atRestSince(loop.now()));
+        await(() -> front.isQuiescentSince(loop.now()));
         assertEquals(opened.size(), 0);
-        assertEquals(front.unanswered(), 0);
+        assertEquals(front.unansweredRequests(), 0);
     }
 
     /**
@@ -114,9 +114,9 @@
         byte[] job = Client.job("sign", "t0", 5000);
         client.send(job);
         serve(next(), "ok");
-        await(() -> front.unanswered() == 0);
+        await(() -> front.unansweredRequests() == 0);
         front.drain();
-        await(front::atRest);
+        await(front::isQuiescent);
         try {
             client.send(Client.job("sign", "t1", 5000)).send(Client.job("sign", "t2", 5000));
         } catch (SocketException ended) {
@@ -229,6 +229,6 @@
                 throw new IllegalStateException(e);
             }
         });
-        assertEquals(front.listen(taken, PeerIdentity.Door.OPEN), taken);
+        assertEquals(front.listen(taken, PeerIdentity.Authenticator.PLAINTEXT), taken);
     }
 }
--- a/src/test/java/olivechute/FrontRig.java
+++ b/src/test/java/olivechute/FrontRig.java
@@ -54,7 +54,7 @@
     }
 
     void listen(Function<SocketChannel, Connection> links, int most) throws IOException {
-        listen(links, Threads.connections(), most);
+        listen(links, Threads.connectionThreads(), most);
     }
 
     void listen(Function<SocketChannel, Connection> links, ConnectionThreads threads, int most) throws IOException {
@@ -72,15 +72,15 @@
                 gone.add(e);
             }
         });
-        at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Door() {
+        at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Authenticator() {
             @Override
-            public Connection link(SocketChannel accepted) {
+            public Connection createTransport(SocketChannel accepted) {
                 return links.apply(accepted);
             }
 
             @Override
-            public PeerIdentity visitor(Connection link) {
-                return PeerIdentity.ANYBODY;
+            public PeerIdentity authenticate(Connection link) {
+                return PeerIdentity.UNRESTRICTED;
             }
         });
         front.ready();
--- a/src/test/java/olivechute/Peer.java
+++ b/src/test/java/olivechute/Peer.java
@@ -155,7 +155,7 @@
                     n = socket.getInputStream().read(buffer)) {
                 for (int at = 0; at < n; ) {
                     at += parser.feed(buffer, at, n - at);
-                    if (parser.complete()) {
+                    if (parser.isComplete()) {
                         HttpRequest request = parser.take();
                         seen.add(new Seen(request, System.nanoTime() / 1_000_000));
                         byte[] reply = answer.to(request);
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -581,7 +581,7 @@
         });
         settled(peer);
         peer.say(0, ERROR);
-        await(() -> links.get(0).unread());
+        await(() -> links.get(0).hasUnreadInput());
         onLoop(() -> pools.send(request("b", "s1", YES)));
         NodeRig.awaitRequests(peer, 2);
         firstReads.countDown();
@@ -609,7 +609,7 @@
         CompletableFuture.runAsync(() -> loop.post(new ProxyEvent.Task(() -> pools.send(request("b", "s1", waits)))));
         looking.await();
         peer.say(0, ERROR);
-        await(() -> !links.get(0).unread() && links.get(0).reader.getState() == Thread.State.BLOCKED);
+        await(() -> !links.get(0).hasUnreadInput() && links.get(0).reader.getState() == Thread.State.BLOCKED);
         looks.countDown();
         await(() -> told.size() == 2);
         assertEquals(told, List.of("a accepted", "b accepted"));
--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -88,7 +88,7 @@
                         count >= 0;
                         count = socket.getInputStream().read(buffer)) {
                     parser.feed(buffer, 0, count);
-                    if (parser.complete()) {
+                    if (parser.isComplete()) {
                         calls.add(new Call(parser.take(), connectionNumber, socket, System.nanoTime()));
                     }
                 }
--- a/src/test/java/olivechute/downstream/ConnectionLimitTest.java
+++ b/src/test/java/olivechute/downstream/ConnectionLimitTest.java
@@ -7,54 +7,54 @@
 import org.testng.annotations.Test;
 
 public class ConnectionLimitTest {
-    private static final int MOST = 400;
+    private static final int MAX_CONNECTIONS = 400;
 
     @Test
-    public void proofsAreDueFromSixtyFourConnectionsOnOnceForEachStep() {
-        ConnectionLimit bound = new ConnectionLimit(MOST);
-        int due = 0;
+    public void checksAreDueAboveSixtyFourConnectionsOncePerInterval() {
+        ConnectionLimit limit = new ConnectionLimit(MAX_CONNECTIONS);
+        int checks = 0;
         for (int open = 1; open <= 64; open++) {
-            assertFalse(bound.proofDue(open));
+            assertFalse(limit.beginCheckIfDue(open));
         }
-        for (int open = 65; open < 65 + 10 * (ConnectionLimit.STEP + 1); open++) {
-            due += bound.proofDue(open) ? 1 : 0;
+        for (int open = 65; open < 65 + 10 * (ConnectionLimit.CONNECTIONS_PER_CHECK + 1); open++) {
+            checks += limit.beginCheckIfDue(open) ? 1 : 0;
         }
-        assertEquals(due, 10);
-        assertFalse(bound.proofDue(100), "proven already");
+        assertEquals(checks, 10);
+        assertFalse(limit.beginCheckIfDue(100), "proven already");
     }
 
     /** From one proof to the next the threads of the reserve stay free. */
     @Test
-    public void aProofIsForAllConnectionsUpToTheNextAndTheReserve() {
-        ConnectionLimit bound = new ConnectionLimit(MOST);
-        int granted = ConnectionLimit.UNPROVEN + ConnectionLimit.RESERVE;
-        for (int open = 1; open <= MOST; open++) {
-            assertTrue(open + ConnectionLimit.RESERVE <= granted + 1, "at " + open);
-            granted = bound.proofDue(open) ? open + ConnectionLimit.PROOF : granted;
+    public void aCheckCoversTheConnectionsUpToTheNextCheckAndTheReserve() {
+        ConnectionLimit limit = new ConnectionLimit(MAX_CONNECTIONS);
+        int checkedThreads = ConnectionLimit.UNCHECKED_CONNECTIONS + ConnectionLimit.RESERVED_THREADS;
+        for (int open = 1; open <= MAX_CONNECTIONS; open++) {
+            assertTrue(open + ConnectionLimit.RESERVED_THREADS <= checkedThreads + 1, "at " + open);
+            checkedThreads = limit.beginCheckIfDue(open) ? open + ConnectionLimit.CHECK_THREADS : checkedThreads;
         }
     }
 
     @Test
-    public void fewerAreKeptAfterARefusalForAWhile() {
-        ConnectionLimit bound = new ConnectionLimit(MOST);
-        assertEquals(bound.at(0), MOST);
-        bound.refused(300, 1_000);
-        assertEquals(bound.at(1_000), 300 - ConnectionLimit.PROOF);
-        bound.refused(260, 2_000);
-        assertEquals(bound.at(2_000), 260 - ConnectionLimit.PROOF);
-        assertEquals(bound.at(2_000 + ConnectionLimit.HELD - 1), 260 - ConnectionLimit.PROOF);
-        assertEquals(bound.at(2_000 + ConnectionLimit.HELD), MOST);
-        assertTrue(bound.proofDue(260 - ConnectionLimit.PROOF + 1), "what the system refused is to be proven again");
+    public void theLimitIsReducedForAWhileAfterAThreadWasUnavailable() {
+        ConnectionLimit limit = new ConnectionLimit(MAX_CONNECTIONS);
+        assertEquals(limit.limitAt(0), MAX_CONNECTIONS);
+        limit.onThreadUnavailable(300, 1_000);
+        assertEquals(limit.limitAt(1_000), 300 - ConnectionLimit.CHECK_THREADS);
+        limit.onThreadUnavailable(260, 2_000);
+        assertEquals(limit.limitAt(2_000), 260 - ConnectionLimit.CHECK_THREADS);
+        assertEquals(limit.limitAt(2_000 + ConnectionLimit.REDUCTION_US - 1), 260 - ConnectionLimit.CHECK_THREADS);
+        assertEquals(limit.limitAt(2_000 + ConnectionLimit.REDUCTION_US), MAX_CONNECTIONS);
+        assertTrue(limit.beginCheckIfDue(260 - ConnectionLimit.CHECK_THREADS + 1), "what the system refused is to be proven again");
     }
 
     @Test
-    public void someAreKeptHoweverFewThreadsThereAre() {
-        ConnectionLimit bound = new ConnectionLimit(MOST);
-        bound.refused(40, 0);
-        assertEquals(bound.at(0), 20);
-        bound.refused(1, 0);
-        assertEquals(bound.at(0), 1);
-        bound.refused(0, 0);
-        assertEquals(bound.at(0), 1);
+    public void theLimitNeverFallsBelowOne() {
+        ConnectionLimit limit = new ConnectionLimit(MAX_CONNECTIONS);
+        limit.onThreadUnavailable(40, 0);
+        assertEquals(limit.limitAt(0), 20);
+        limit.onThreadUnavailable(1, 0);
+        assertEquals(limit.limitAt(0), 1);
+        limit.onThreadUnavailable(0, 0);
+        assertEquals(limit.limitAt(0), 1);
     }
 }
--- a/src/test/java/olivechute/downstream/IdleConnectionsTest.java
+++ b/src/test/java/olivechute/downstream/IdleConnectionsTest.java
@@ -9,90 +9,90 @@
 import java.util.Map;
 import java.util.Random;
 import olivechute.downstream.IdleConnections.Kind;
-import olivechute.downstream.IdleConnections.Place;
+import olivechute.downstream.IdleConnections.Entry;
 import org.testng.annotations.Test;
 
 /** The order in which connections go when room is short, against the plain rule. */
 public class IdleConnectionsTest {
-    private static final long SETTLED = 100_000;
-    private static final int NEVER = 9;
+    private static final long SETTLE_TIME_US = 100_000;
+    private static final int NOT_CLOSABLE = 9;
 
-    private record Of(Kind kind, long since, int turn) {}
+    private record ModelEntry(Kind kind, long sinceUs, int step) {}
 
     /** Rank of a kind, lower goes first; the rule as the architecture page words it. */
-    private static int rank(Of of, long now) {
-        boolean settled = now - of.since >= SETTLED;
-        return switch (of.kind) {
-            case REJECTED -> 0;
+    private static int rank(ModelEntry entry, long nowUs) {
+        boolean settled = nowUs - entry.sinceUs >= SETTLE_TIME_US;
+        return switch (entry.kind) {
+            case FINISHED -> 0;
             case UNUSED -> settled ? 1 : 4;
-            case MIDWAY -> settled ? 2 : NEVER;
-            case BETWEEN -> 3;
-            case NEWS -> 5;
+            case RECEIVING -> settled ? 2 : NOT_CLOSABLE;
+            case BETWEEN_REQUESTS -> 3;
+            case JOB_STATUS_SENDER -> 5;
         };
     }
 
     @Test
-    public void theLeastIsTheOneThatTheRuleNames() {
+    public void nextToCloseFollowsTheRanking() {
         long seed = 77;
         Random random = new Random(seed);
-        IdleConnections<Integer> spares = new IdleConnections<>(SETTLED);
-        List<Place<Integer>> places = new ArrayList<>();
-        Map<Integer, Of> model = new HashMap<>();
+        IdleConnections<Integer> idleConnections = new IdleConnections<>(SETTLE_TIME_US);
+        List<Entry<Integer>> entries = new ArrayList<>();
+        Map<Integer, ModelEntry> model = new HashMap<>();
         for (int i = 0; i < 40; i++) {
-            places.add(new Place<>(i));
+            entries.add(new Entry<>(i));
         }
-        long now = 1_000_000;
-        for (int turn = 0; turn < 20_000; turn++) {
-            now += random.nextInt(9000);
-            Place<Integer> place = places.get(random.nextInt(places.size()));
+        long nowUs = 1_000_000;
+        for (int step = 0; step < 20_000; step++) {
+            nowUs += random.nextInt(9000);
+            Entry<Integer> entry = entries.get(random.nextInt(entries.size()));
             if (random.nextInt(4) == 0) {
-                spares.remove(place);
-                model.remove(place.connection);
+                idleConnections.remove(entry);
+                model.remove(entry.connection);
             } else {
                 Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-                spares.put(place, kind, now);
-                model.put(place.connection, new Of(kind, now, turn));
+                idleConnections.put(entry, kind, nowUs);
+                model.put(entry.connection, new ModelEntry(kind, nowUs, step));
             }
-            Integer want = null;
-            for (Map.Entry<Integer, Of> e : model.entrySet()) {
-                Of best = want == null ? null : model.get(want);
-                int rank = rank(e.getValue(), now);
-                if (rank < NEVER
+            Integer expected = null;
+            for (Map.Entry<Integer, ModelEntry> e : model.entrySet()) {
+                ModelEntry best = expected == null ? null : model.get(expected);
+                int rank = rank(e.getValue(), nowUs);
+                if (rank < NOT_CLOSABLE
                         && (best == null
-                                || rank < rank(best, now)
-                                || (rank == rank(best, now) && e.getValue().turn < best.turn))) {
-                    want = e.getKey();
+                                || rank < rank(best, nowUs)
+                                || (rank == rank(best, nowUs) && e.getValue().step < best.step))) {
+                    expected = e.getKey();
                 }
             }
-            Place<Integer> least = spares.least(now);
-            assertEquals(least == null ? null : least.connection, want, "seed " + seed + ", turn " + turn);
+            Entry<Integer> actual = idleConnections.nextToClose(nowUs);
+            assertEquals(actual == null ? null : actual.connection, expected, "seed " + seed + ", turn " + step);
         }
     }
 
     /** A message that comes in ever more pieces gains no time by it. */
     @Test
-    public void toldAgainOfTheSameItKeepsItsPlace() {
-        IdleConnections<String> spares = new IdleConnections<>(SETTLED);
-        Place<String> slow = new Place<>("slow");
-        Place<String> later = new Place<>("later");
-        spares.put(slow, Kind.MIDWAY, 1);
-        spares.put(later, Kind.MIDWAY, 2);
-        spares.put(slow, Kind.MIDWAY, 1);
-        assertEquals(spares.least(1 + SETTLED).connection, "slow");
+    public void repeatedPutWithTheSameTimeKeepsThePosition() {
+        IdleConnections<String> idleConnections = new IdleConnections<>(SETTLE_TIME_US);
+        Entry<String> slow = new Entry<>("slow");
+        Entry<String> later = new Entry<>("later");
+        idleConnections.put(slow, Kind.RECEIVING, 1);
+        idleConnections.put(later, Kind.RECEIVING, 2);
+        idleConnections.put(slow, Kind.RECEIVING, 1);
+        assertEquals(idleConnections.nextToClose(1 + SETTLE_TIME_US).connection, "slow");
     }
 
     @Test
-    public void oneThatCannotGoLetsTheOthersOfItsKindGoFirst() {
-        IdleConnections<String> spares = new IdleConnections<>(SETTLED);
-        Place<String> one = new Place<>("one");
-        Place<String> two = new Place<>("two");
-        assertNull(spares.least(0));
-        spares.put(one, Kind.BETWEEN, 1);
-        spares.put(two, Kind.BETWEEN, 2);
-        spares.spare(one, 3);
-        assertEquals(spares.least(4).connection, "two");
-        spares.remove(two);
-        spares.remove(two);
-        assertEquals(spares.least(4).connection, "one");
+    public void aRequeuedConnectionComesAfterTheOthersOfItsKind() {
+        IdleConnections<String> idleConnections = new IdleConnections<>(SETTLE_TIME_US);
+        Entry<String> one = new Entry<>("one");
+        Entry<String> two = new Entry<>("two");
+        assertNull(idleConnections.nextToClose(0));
+        idleConnections.put(one, Kind.BETWEEN_REQUESTS, 1);
+        idleConnections.put(two, Kind.BETWEEN_REQUESTS, 2);
+        idleConnections.requeue(one, 3);
+        assertEquals(idleConnections.nextToClose(4).connection, "two");
+        idleConnections.remove(two);
+        idleConnections.remove(two);
+        assertEquals(idleConnections.nextToClose(4).connection, "one");
     }
 }
--- a/src/test/java/olivechute/downstream/JobStatusDecoderTest.java
+++ b/src/test/java/olivechute/downstream/JobStatusDecoderTest.java
@@ -17,13 +17,13 @@
 /** News as hosts send it, whole and broken. */
 public class JobStatusDecoderTest {
     private static JobStatusReceived decode(String text) throws IOException {
-        LoadReportFields none =
+        LoadReportFields noLoadReportFields =
                 LoadReportFields.of(JsonFields.parse("settings", "{}".getBytes(StandardCharsets.UTF_8)));
-        return new JobStatusDecoder(none).decode(Body.of(text.getBytes(StandardCharsets.UTF_8)));
+        return new JobStatusDecoder(noLoadReportFields).decode(Body.of(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static String running(String share) {
-        return "{\"id\":\"t1\",\"from\":\"s1\",\"state\":\"running\",\"share\":" + share + "}";
+    private static String running(String progress) {
+        return "{\"id\":\"t1\",\"from\":\"s1\",\"state\":\"running\",\"share\":" + progress + "}";
     }
 
     @DataProvider
@@ -35,10 +35,10 @@
 
     /** Progress is a part of the whole, whatever a host says. */
     @Test(dataProvider = "shares")
-    public void aShareOfProgressIsFromNoneToAll(String told, double share) throws IOException {
-        JobStatusReceived news = decode(running(told));
-        assertEquals(news.progress(), share);
-        assertEquals(news.status(), JobStatus.RUNNING);
+    public void progressIsClampedToTheRangeFromZeroToOne(String sent, double progress) throws IOException {
+        JobStatusReceived jobStatus = decode(running(sent));
+        assertEquals(jobStatus.progress(), progress);
+        assertEquals(jobStatus.status(), JobStatus.RUNNING);
     }
 
     @DataProvider
@@ -64,15 +64,15 @@
     }
 
     @Test(dataProvider = "broken")
-    public void brokenNewsIsAFaultThatIsAnswered(String text) {
-        assertThrows(IOException.class, () -> told(text));
+    public void malformedJobStatusFailsWithAnAnsweredException(String text) {
+        assertThrows(IOException.class, () -> decodeMalformed(text));
     }
 
     /**
      * Only what the front answers with 400 counts as a fault here: anything else would end the connection without a
      * word.
      */
-    private static void told(String text) throws IOException {
+    private static void decodeMalformed(String text) throws IOException {
         try {
             decode(text);
         } catch (InvalidValueException | IOException e) {
--- a/src/test/java/olivechute/downstream/RequestDecoderTest.java
+++ b/src/test/java/olivechute/downstream/RequestDecoderTest.java
@@ -18,7 +18,7 @@
 
 /** What a client says of a request's work, and how far that is believed. */
 public class RequestDecoderTest {
-    private static final double DEADLINE = 5_000_000; // of every class, in microseconds
+    private static final double DEADLINE_US = 5_000_000; // of every class, in microseconds
 
     private RequestDecoder decoder;
 
@@ -54,16 +54,16 @@
             {"12.5", null, 12.5},
             {"1500", "slots=2", 1500.0},
             {"1500", "cost=0.25", 250_000.0},
-            {"99999999999", null, DEADLINE},
-            {"9".repeat(400), null, DEADLINE},
+            {"99999999999", null, DEADLINE_US},
+            {"9".repeat(400), null, DEADLINE_US},
         };
     }
 
     /** A label's cost counts before a guess; a guess counts for no more than its class's deadline. */
     @Test(dataProvider = "works")
-    public void theWorkIsWhatTheLabelsSayOrElseTheEstimate(String estimate, String labels, double work)
+    public void expectedWorkComesFromTheLabelsOrElseFromTheEstimate(String estimate, String labels, double workUs)
             throws Exception {
-        assertEquals(decoder.decode(request(estimate, labels)).expectedWorkUs(), work);
+        assertEquals(decoder.decode(request(estimate, labels)).expectedWorkUs(), workUs);
     }
 
     @DataProvider
@@ -74,7 +74,7 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void anEstimateThatIsNoNumberIsRejected(String estimate) {
+    public void aMalformedEstimateIsRejected(String estimate) {
         assertEquals(expectThrows(LocalReply.class, () -> decoder.decode(request(estimate, "cost=1"))).status, 400);
     }
 }
--- a/src/test/java/olivechute/http/ParserPropertyTest.java
+++ b/src/test/java/olivechute/http/ParserPropertyTest.java
@@ -16,15 +16,15 @@
 
 /** Any messages, cut anywhere: what comes out is what was sent, and what was handed on stays as it was. */
 class ParserPropertyTest {
-    private static final int LARGEST = 20_000;
+    private static final int MAX_BODY_BYTES = 20_000;
 
     private record Sent(String target, byte[] body) {}
 
     /** Requests one after the other, some with a length, some in chunks, some with long heads. */
-    private static List<Sent> messages(Random random, int count, ByteArrayOutputStream wire) {
+    private static List<Sent> messages(Random random, int count, ByteArrayOutputStream output) {
         List<Sent> sent = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            byte[] body = new byte[random.nextInt(3) == 0 ? random.nextInt(LARGEST) : random.nextInt(1500)];
+            byte[] body = new byte[random.nextInt(3) == 0 ? random.nextInt(MAX_BODY_BYTES) : random.nextInt(1500)];
             random.nextBytes(body);
             String target = "/t" + i;
             StringBuilder head = new StringBuilder("POST " + target + " HTTP/1.1\r\nHost: x\r\n");
@@ -34,18 +34,18 @@
             boolean chunked = random.nextInt(3) == 0;
             head.append(chunked ? "Transfer-Encoding: chunked" : "Content-Length: " + body.length)
                     .append("\r\n\r\n");
-            wire.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
+            output.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
             if (!chunked) {
-                wire.writeBytes(body);
+                output.writeBytes(body);
             } else {
-                for (int at = 0; at < body.length; ) {
-                    int n = Math.min(body.length - at, 1 + random.nextInt(4000));
-                    wire.writeBytes((Integer.toHexString(n) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-                    wire.write(body, at, n);
-                    wire.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                    at += n;
+                for (int offset = 0; offset < body.length; ) {
+                    int chunkSize = Math.min(body.length - offset, 1 + random.nextInt(4000));
+                    output.writeBytes((Integer.toHexString(chunkSize) + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+                    output.write(body, offset, chunkSize);
+                    output.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                    offset += chunkSize;
                 }
-                wire.writeBytes("0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                output.writeBytes("0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1));
             }
             sent.add(new Sent(target, body));
         }
@@ -57,46 +57,46 @@
      * not lie in it. The worst fault a reused buffer can make is to hand one client's document to another.
      */
     @Property(tries = 300, seed = "20261201")
-    void everyMessageComesOutAndNoBodyInUseIsWrittenTo(
+    void everyMessageIsParsedAndNoBodyInUseIsOverwritten(
             @ForAll @LongRange(max = 1L << 40) long seed,
             @ForAll @IntRange(min = 1, max = 8) int count,
             @ForAll @IntRange(min = 1, max = 5000) int step)
             throws HttpException {
         Random random = new Random(seed);
-        ByteArrayOutputStream wire = new ByteArrayOutputStream();
-        List<Sent> sent = messages(random, count, wire);
-        byte[] bytes = wire.toByteArray();
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        List<Sent> sent = messages(random, count, output);
+        byte[] bytes = output.toByteArray();
         RequestParser parser = new RequestParser();
         List<Body> inUse = new ArrayList<>();
         List<byte[]> expected = new ArrayList<>();
-        int seen = 0;
-        for (int at = 0; at < bytes.length; ) {
-            ByteBuffer room = parser.room();
-            int n = Math.min(Math.min(bytes.length - at, room.remaining()), 1 + random.nextInt(step));
-            room.put(bytes, at, n);
-            parser.filled(n);
-            at += n;
-            while (parser.whole()) {
+        int parsedCount = 0;
+        for (int offset = 0; offset < bytes.length; ) {
+            ByteBuffer inputBuffer = parser.inputBuffer();
+            int read = Math.min(Math.min(bytes.length - offset, inputBuffer.remaining()), 1 + random.nextInt(step));
+            inputBuffer.put(bytes, offset, read);
+            parser.onBytesRead(read);
+            offset += read;
+            while (parser.parse()) {
                 HttpRequest message = parser.take();
-                Sent want = sent.get(seen++);
-                assertEquals(want.target(), message.target());
-                assertEquals(ByteBuffer.wrap(want.body()), ByteBuffer.wrap(message.body()));
-                boolean given = random.nextBoolean();
-                if (given) {
-                    Body poisoned = message.content();
-                    parser.reuse(true);
-                    Arrays.fill(poisoned.bytes(), poisoned.from(), poisoned.from() + poisoned.length(), (byte) 0xDD);
+                Sent expectedMessage = sent.get(parsedCount++);
+                assertEquals(expectedMessage.target(), message.target());
+                assertEquals(ByteBuffer.wrap(expectedMessage.body()), ByteBuffer.wrap(message.body()));
+                boolean released = random.nextBoolean();
+                if (released) {
+                    Body releasedBody = message.content();
+                    parser.releaseMessage(true);
+                    Arrays.fill(releasedBody.bytes(), releasedBody.offset(), releasedBody.offset() + releasedBody.length(), (byte) 0xDD);
                 } else {
-                    parser.reuse(false);
+                    parser.releaseMessage(false);
                     inUse.add(message.content());
-                    expected.add(want.body());
+                    expected.add(expectedMessage.body());
                 }
-                if (!parser.more()) {
+                if (!parser.hasUnparsedBytes()) {
                     break;
                 }
             }
         }
-        assertEquals(sent.size(), seen);
+        assertEquals(sent.size(), parsedCount);
         for (int i = 0; i < inUse.size(); i++) {
             assertEquals(
                     ByteBuffer.wrap(expected.get(i)),
--- a/src/test/java/olivechute/net/DescriptorsTest.java
+++ b/src/test/java/olivechute/net/FileDescriptorsTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** What the system's table of limits says of descriptors. */
-public class DescriptorsTest {
+public class FileDescriptorsTest {
     @DataProvider
     public Object[][] tables() {
         String head = "Limit                     Soft Limit           Hard Limit           Units     \n";
@@ -31,12 +31,12 @@
     }
 
     @Test(dataProvider = "tables")
-    public void theLimitInForceIsTheSoftOne(String table, int most) {
-        assertEquals(FileDescriptors.most(table), most);
+    public void theLimitInForceIsTheSoftOne(String table, int limit) {
+        assertEquals(FileDescriptors.limit(table), limit);
     }
 
     @Test
-    public void thisProcessHasOne() {
-        assertTrue(FileDescriptors.most() > 0);
+    public void thisProcessHasALimit() {
+        assertTrue(FileDescriptors.limit() > 0);
     }
 }
--- a/src/test/java/olivechute/net/TimedReadsTest.java
+++ b/src/test/java/olivechute/net/TimedReadsTest.java
@@ -12,7 +12,7 @@
 /** A read that a signal interrupts is neither data nor an end. */
 public class TimedReadsTest {
     private static InputStream returning(Integer... results) {
-        Queue<Integer> left = new ArrayDeque<>(List.of(results));
+        Queue<Integer> remaining = new ArrayDeque<>(List.of(results));
         return new InputStream() {
             @Override
             public int read() {
@@ -21,14 +21,14 @@
 
             @Override
             public int read(byte[] into, int from, int length) {
-                return left.remove();
+                return remaining.remove();
             }
         };
     }
 
     @Test
-    public void anInterruptedReadBeginsAnew() throws IOException {
+    public void anInterruptedReadIsRetried() throws IOException {
         assertEquals(TimedReads.read(returning(-3, -2, 5), new byte[8], 0, 8), 5);
-        assertEquals(TimedReads.read(returning(-3, -1), new byte[8], 0, 8), TimedReads.END);
+        assertEquals(TimedReads.read(returning(-3, -1), new byte[8], 0, 8), TimedReads.END_OF_STREAM);
     }
 }
--- a/src/test/java/olivechute/rig/HttpLine.java
+++ b/src/test/java/olivechute/rig/HttpLine.java
@@ -37,7 +37,7 @@
             while (from < to) {
                 from += parser.feed(buffer, from, to - from);
                 begun = true;
-                if (parser.complete()) {
+                if (parser.isComplete()) {
                     return parser.take();
                 }
             }
@@ -46,7 +46,7 @@
             to = Math.max(0, socket.getInputStream().read(buffer));
             if (to == 0) {
                 if (begun) {
-                    return parser.end() ? parser.take() : null;
+                    return parser.onEndOfInput() ? parser.take() : null;
                 }
                 return null;
             }
--- a/src/test/java/olivechute/rig/HttpPeer.java
+++ b/src/test/java/olivechute/rig/HttpPeer.java
@@ -59,7 +59,7 @@
                     n = socket.getInputStream().read(buffer)) {
                 for (int at = 0; at < n; ) {
                     at += parser.feed(buffer, at, n - at);
-                    if (parser.complete()) {
+                    if (parser.isComplete()) {
                         if (answering.asksWhetherGivenUp() && at == n && ended(socket)) {
                             return;
                         }
--- a/src/test/java/olivechute/rig/Registry.java
+++ b/src/test/java/olivechute/rig/Registry.java
@@ -29,10 +29,10 @@
         byte[] whole = list(true, workers.entries(node, zone));
         byte[] same = list(false, "");
         HttpPeer peer = new HttpPeer("discovery", request -> {
-            if (!INDEX.equals(request.parameter("since"))) {
+            if (!INDEX.equals(request.queryParameter("since"))) {
                 return whole;
             }
-            String wait = request.parameter("timeout_ms");
+            String wait = request.queryParameter("timeout_ms");
             end.await(wait == null ? 1000 : Math.min(60_000, Long.parseLong(wait)), TimeUnit.MILLISECONDS);
             return same;
         });
--- a/src/test/java/olivechute/soak/Clients.java
+++ b/src/test/java/olivechute/soak/Clients.java
@@ -287,7 +287,7 @@
                         return new Result(History.Ending.CUT, 0, "", false);
                     }
                     line.parser.feed(buffer, 0, n);
-                    if (line.parser.complete()) {
+                    if (line.parser.isComplete()) {
                         HttpResponse response = line.parser.take();
                         String text = new String(response.body(), StandardCharsets.US_ASCII);
                         return new Result(History.Ending.ANSWERED, response.status(), text, response.keepAlive());
--- a/src/test/java/olivechute/soak/Discovery.java
+++ b/src/test/java/olivechute/soak/Discovery.java
@@ -100,9 +100,9 @@
     }
 
     private void handle(StandIn.Exchange exchange) throws IOException, InterruptedException {
-        String since = exchange.request().parameter("since");
+        String since = exchange.request().queryParameter("since");
         int held = since == null ? -1 : Integer.parseInt(since);
-        String wait = exchange.request().parameter("timeout_ms");
+        String wait = exchange.request().queryParameter("timeout_ms");
         long endUs = History.nowUs() + 1000L * (wait == null ? 0 : Math.min(MOST_WAIT_MILLIS, Integer.parseInt(wait)));
         String body;
         int told;
--- a/src/test/java/olivechute/soak/InterruptedReadIT.java
+++ b/src/test/java/olivechute/soak/InterruptedReadIT.java
@@ -70,7 +70,7 @@
     /** The status of the next answer, 0 where the connection ends first. */
     private static int status(Socket client, ResponseParser parser) throws Exception {
         byte[] one = new byte[1];
-        while (!parser.complete()) {
+        while (!parser.isComplete()) {
             if (client.getInputStream().read(one) < 0) {
                 return 0;
             }
--- a/src/test/java/olivechute/soak/Servers.java
+++ b/src/test/java/olivechute/soak/Servers.java
@@ -256,7 +256,7 @@
                     n >= 0;
                     n = socket.getInputStream().read(buffer)) {
                 parser.feed(buffer, 0, n);
-                if (parser.complete()) {
+                if (parser.isComplete()) {
                     int status = parser.take().status();
                     return status == 200 || status == 204;
                 }
--- a/src/test/java/olivechute/soak/StandIn.java
+++ b/src/test/java/olivechute/soak/StandIn.java
@@ -85,10 +85,10 @@
             for (int n = socket.getInputStream().read(buffer);
                     n >= 0;
                     n = socket.getInputStream().read(buffer)) {
-                beganUs = parser.midway() ? beganUs : History.nowUs();
+                beganUs = parser.isInMessage() ? beganUs : History.nowUs();
                 for (int at = 0; at < n; ) {
                     at += parser.feed(buffer, at, n - at);
-                    if (parser.complete()) {
+                    if (parser.isComplete()) {
                         last = new Exchange(parser.take(), socket, beganUs, History.nowUs());
                         handler.handle(last);
                     }
--- a/src/test/java/olivechute/upstream/PressureHeaderTest.java
+++ b/src/test/java/olivechute/upstream/LoadReportHeaderTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** The load report in an answer's head, as the settings name its fields. */
-public class PressureHeaderTest {
+public class LoadReportHeaderTest {
     @DataProvider
     public Object[][] reports() {
         return new Object[][] {
@@ -21,7 +21,7 @@
     }
 
     @Test(dataProvider = "reports")
-    public void reportsAreRead(String text, double free, double busy) throws Exception {
+    public void reportsAreRead(String text, double freeSlots, double utilization) throws Exception {
         JsonFields settings = JsonFields.parse(
                 "settings",
                 ("{\"domain\":{\"report_x0\":\"free slots\"}," + "\"report\":{\"fields\":[\"x0\",\"depth\"]}}")
@@ -29,9 +29,9 @@
         ResponseParser parser = new ResponseParser();
         byte[] answer = ("HTTP/1.1 204 x\r\nX-Pressure: " + text + "\r\n\r\n").getBytes(StandardCharsets.UTF_8);
         parser.feed(answer, 0, answer.length);
-        var load = new LoadReportHeader(LoadReportFields.of(settings))
-                .load(parser.take().headers());
-        assertEquals(load.freeSlots(), free);
-        assertEquals(load.utilization(), busy);
+        var loadReport = new LoadReportHeader(LoadReportFields.of(settings))
+                .parse(parser.take().headers());
+        assertEquals(loadReport.freeSlots(), freeSlots);
+        assertEquals(loadReport.utilization(), utilization);
     }
 }
