--- a/src/main/java/olivechute/controller/ArtifactCatalog.java
+++ b/src/main/java/olivechute/controller/ArtifactDigest.java
@@ -14,15 +14,15 @@
 import olivechute.error.RolloutException;
 
 /** The jars that versions name. */
-final class ArtifactCatalog {
-    private ArtifactCatalog() {}
+final class ArtifactDigest {
+    private ArtifactDigest() {}
 
     /** The SHA-256 of a jar in hexadecimal digits; PROGRAM_MISSING where it cannot be read or is no jar. */
     static String digest(Path jar) throws RolloutException {
-        try (ZipFile whole = new ZipFile(jar.toFile());
+        try (ZipFile zip = new ZipFile(jar.toFile());
                 InputStream in =
                         new DigestInputStream(Files.newInputStream(jar), MessageDigest.getInstance("SHA-256"))) {
-            if (whole.getEntry("META-INF/MANIFEST.MF") == null) {
+            if (zip.getEntry("META-INF/MANIFEST.MF") == null) {
                 throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " is no jar: it has no manifest");
             }
             in.transferTo(OutputStream.nullOutputStream());
@@ -34,9 +34,9 @@
     }
 
     /** PROGRAM_MISSING where the jar's digest is not the one that was said. */
-    static void check(Path jar, String digest, String said) throws RolloutException {
-        if (said != null && !said.equalsIgnoreCase(digest)) {
-            throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " has the digest " + digest + ", not " + said);
+    static void verify(Path jar, String digest, String expected) throws RolloutException {
+        if (expected != null && !expected.equalsIgnoreCase(digest)) {
+            throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " has the digest " + digest + ", not " + expected);
         }
     }
 }
--- a/src/main/java/olivechute/controller/ControllerSettings.java
+++ b/src/main/java/olivechute/controller/ControllerSettings.java
@@ -15,8 +15,8 @@
 /**
  * How the driver judges and how often it looks: {@code worths} of the classes of jobs, {@code tick} between two looks.
  */
-public record ControllerSettings(PriorityWeights worths, Duration tick) {
-    private static final double MOST_WORTH = 1e6;
+public record ControllerSettings(PriorityWeights weights, Duration tickInterval) {
+    private static final double MAX_WEIGHT = 1e6;
 
     /**
      * Reads the object {@code rollout} of a replica's settings file and nothing else of it: {@code worth} of each
@@ -25,36 +25,36 @@
      * nodes count their delay, in us.
      */
     public static ControllerSettings load(Path file, List<Long> delayBoundsUs) throws SettingsException {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         ControllerSettings settings =
-                read(HoconObject.parse(RolloutClientSettings.text(file), faults).node("rollout"), delayBoundsUs);
-        if (!faults.isEmpty()) {
-            throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + ": " + String.join("; ", faults));
+                read(HoconObject.parse(RolloutClientSettings.readText(file), errors).node("rollout"), delayBoundsUs);
+        if (!errors.isEmpty()) {
+            throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + ": " + String.join("; ", errors));
         }
         return settings;
     }
 
     private static ControllerSettings read(HoconObject rollout, List<Long> delayBoundsUs) {
-        HoconObject each = rollout.node("worth");
-        double late = rollout.number("late", 0.2, 0, 1);
-        Map<String, Double> worth = new HashMap<>();
-        Map<String, Double> latePart = new HashMap<>();
-        for (String name : each.names()) {
-            worth.put(name, each.number(name, 1, 0, MOST_WORTH));
-            latePart.put(name, late);
+        HoconObject weightSettings = rollout.node("worth");
+        double lateFraction = rollout.number("late", 0.2, 0, 1);
+        Map<String, Double> weightByClass = new HashMap<>();
+        Map<String, Double> lateFractionByClass = new HashMap<>();
+        for (String name : weightSettings.names()) {
+            weightByClass.put(name, weightSettings.number(name, 1, 0, MAX_WEIGHT));
+            lateFractionByClass.put(name, lateFraction);
         }
-        Duration tick = rollout.duration(
-                "tick", Duration.ofSeconds(1), Duration.ofMillis(50), RolloutController.TTL.dividedBy(2));
+        Duration tickInterval = rollout.duration(
+                "tick", Duration.ofSeconds(1), Duration.ofMillis(50), RolloutController.LEASE_TTL.dividedBy(2));
         rollout.close();
         return new ControllerSettings(
                 new PriorityWeights(
-                        worth,
-                        latePart,
+                        weightByClass,
+                        lateFractionByClass,
                         delayBoundsUs.stream().mapToLong(Long::longValue).toArray()),
-                tick);
+                tickInterval);
     }
 
-    ReconcilePlan.Steps steps() {
-        return (progress, nodes, figures, now) -> Rollout.step(progress, nodes, figures, worths, now);
+    ReconcilePlan.StepFunction stepFunction() {
+        return (progress, nodes, figures, now) -> Rollout.step(progress, nodes, figures, weights, now);
     }
 }
--- a/src/main/java/olivechute/controller/FleetState.java
+++ b/src/main/java/olivechute/controller/FleetState.java
@@ -29,59 +29,59 @@
  */
 final class FleetState {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<String, MachineReport> reports = new TreeMap<>(); // by machine, those whose lease holds
-    private final Map<String, NodeState> told = new HashMap<>(); // by node, the last that was told
-    private final Map<String, Order> orders = new TreeMap<>();
-    private final Map<String, NodeFigures> figures = new TreeMap<>();
+    private final Map<String, MachineReport> reportsByMachine = new TreeMap<>(); // by machine, those whose lease holds
+    private final Map<String, NodeState> lastStateByNode = new HashMap<>(); // by node, the last that was told
+    private final Map<String, Order> ordersByNode = new TreeMap<>();
+    private final Map<String, NodeFigures> metricsByNode = new TreeMap<>();
     private long version;
 
     /**
      * Takes in what a list or a watch of the prefix "" gave; values that cannot be read leave what was known before.
      */
-    void take(Store.Changes changes) {
+    void apply(Store.Changes changes) {
         if (changes.whole()) {
-            Set<String> gone = new TreeSet<>(entries.keySet());
-            changes.entries().forEach(e -> gone.remove(e.key()));
-            gone.forEach(this::remove);
+            Set<String> missingKeys = new TreeSet<>(entries.keySet());
+            changes.entries().forEach(e -> missingKeys.remove(e.key()));
+            missingKeys.forEach(this::remove);
         }
         changes.removed().forEach(this::remove);
         changes.entries().forEach(this::put);
         version = Math.max(version, changes.version());
-        Set<String> live = new TreeSet<>(orders.keySet());
-        reports.values().forEach(r -> r.getNodesList().forEach(n -> live.add(n.getNode())));
-        told.keySet().retainAll(live);
+        Set<String> knownNodes = new TreeSet<>(ordersByNode.keySet());
+        reportsByMachine.values().forEach(r -> r.getNodesList().forEach(n -> knownNodes.add(n.getNode())));
+        lastStateByNode.keySet().retainAll(knownNodes);
     }
 
     private void remove(String key) {
         entries.remove(key);
-        reports.remove(name(key, StoreKeys.MACHINE));
-        orders.remove(name(key, StoreKeys.ORDER));
-        figures.remove(name(key, StoreKeys.FIGURES));
+        reportsByMachine.remove(nameAfterPrefix(key, StoreKeys.MACHINE_PREFIX));
+        ordersByNode.remove(nameAfterPrefix(key, StoreKeys.ORDER_PREFIX));
+        metricsByNode.remove(nameAfterPrefix(key, StoreKeys.METRICS_PREFIX));
     }
 
     private void put(Entry entry) {
         entries.put(entry.key(), entry);
         try {
-            if (entry.key().startsWith(StoreKeys.MACHINE)) {
-                MachineReport report = RolloutCodec.read(MachineReport.parser(), entry.key(), entry.value());
-                reports.put(name(entry.key(), StoreKeys.MACHINE), report);
-                report.getNodesList().forEach(n -> told.put(n.getNode(), n));
-            } else if (entry.key().startsWith(StoreKeys.ORDER)) {
-                orders.put(
-                        name(entry.key(), StoreKeys.ORDER),
-                        RolloutCodec.read(Order.parser(), entry.key(), entry.value()));
-            } else if (entry.key().startsWith(StoreKeys.FIGURES)) {
-                figures.put(
-                        name(entry.key(), StoreKeys.FIGURES),
-                        RolloutCodec.read(NodeFigures.parser(), entry.key(), entry.value()));
+            if (entry.key().startsWith(StoreKeys.MACHINE_PREFIX)) {
+                MachineReport report = RolloutCodec.parse(MachineReport.parser(), entry.key(), entry.value());
+                reportsByMachine.put(nameAfterPrefix(entry.key(), StoreKeys.MACHINE_PREFIX), report);
+                report.getNodesList().forEach(n -> lastStateByNode.put(n.getNode(), n));
+            } else if (entry.key().startsWith(StoreKeys.ORDER_PREFIX)) {
+                ordersByNode.put(
+                        nameAfterPrefix(entry.key(), StoreKeys.ORDER_PREFIX),
+                        RolloutCodec.parse(Order.parser(), entry.key(), entry.value()));
+            } else if (entry.key().startsWith(StoreKeys.METRICS_PREFIX)) {
+                metricsByNode.put(
+                        nameAfterPrefix(entry.key(), StoreKeys.METRICS_PREFIX),
+                        RolloutCodec.parse(NodeFigures.parser(), entry.key(), entry.value()));
             }
         } catch (RolloutException e) {
-            reports.remove(name(entry.key(), StoreKeys.MACHINE)); // out of reach while its report cannot be read
+            reportsByMachine.remove(nameAfterPrefix(entry.key(), StoreKeys.MACHINE_PREFIX)); // out of reach while its report cannot be read
         }
     }
 
     /** What stands behind the prefix; the whole key where it has another. */
-    private static String name(String key, String prefix) {
+    private static String nameAfterPrefix(String key, String prefix) {
         return key.startsWith(prefix) ? key.substring(prefix.length()) : key;
     }
 
@@ -97,88 +97,88 @@
     }
 
     /** The base version's id, null before a first was set. */
-    String base() throws RolloutException {
-        Entry entry = entries.get(StoreKeys.BASE);
+    String baseVersion() throws RolloutException {
+        Entry entry = entries.get(StoreKeys.BASE_VERSION);
         return entry == null
                 ? null
-                : RolloutCodec.read(BaseVersion.parser(), StoreKeys.BASE, entry.value())
+                : RolloutCodec.parse(BaseVersion.parser(), StoreKeys.BASE_VERSION, entry.value())
                         .getVersion();
     }
 
     /** The change under way. */
-    Optional<ChangeRecord> current() throws RolloutException {
-        Entry entry = entries.get(StoreKeys.CURRENT);
+    Optional<ChangeRecord> currentChange() throws RolloutException {
+        Entry entry = entries.get(StoreKeys.CURRENT_CHANGE);
         return entry == null
                 ? Optional.empty()
-                : Optional.of(RolloutCodec.read(ChangeRecord.parser(), StoreKeys.CURRENT, entry.value()));
+                : Optional.of(RolloutCodec.parse(ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, entry.value()));
     }
 
     /** What a version is made of. */
-    Optional<VersionSpec> spec(String id) throws RolloutException {
-        Entry entry = entries.get(StoreKeys.VERSION + id);
+    Optional<VersionSpec> versionSpec(String id) throws RolloutException {
+        Entry entry = entries.get(StoreKeys.VERSION_PREFIX + id);
         return entry == null
                 ? Optional.empty()
-                : Optional.of(RolloutCodec.read(VersionSpec.parser(), entry.key(), entry.value()));
+                : Optional.of(RolloutCodec.parse(VersionSpec.parser(), entry.key(), entry.value()));
     }
 
     /** All entries under a prefix, oldest change first. */
-    List<Entry> under(String prefix) {
+    List<Entry> entriesUnder(String prefix) {
         List<Entry> found = new ArrayList<>();
-        for (Entry each : entries.tailMap(prefix, true).values()) {
-            if (!each.key().startsWith(prefix)) {
+        for (Entry entry : entries.tailMap(prefix, true).values()) {
+            if (!entry.key().startsWith(prefix)) {
                 break;
             }
-            found.add(each);
+            found.add(entry);
         }
         found.sort((a, b) -> Long.compare(a.version(), b.version()));
         return found;
     }
 
     /** The newest orders, by node. */
-    Map<String, Order> orders() {
-        return orders;
+    Map<String, Order> ordersByNode() {
+        return ordersByNode;
     }
 
     /** The least number that an order to a node must exceed: its present one and the one it carried out last. */
-    long lastNumber(String node) {
-        long present = orders.containsKey(node) ? orders.get(node).getNumber() : 0;
-        return Math.max(present, told.containsKey(node) ? told.get(node).getOrderNumber() : 0);
+    long lastOrderNumber(String node) {
+        long current = ordersByNode.containsKey(node) ? ordersByNode.get(node).getNumber() : 0;
+        return Math.max(current, lastStateByNode.containsKey(node) ? lastStateByNode.get(node).getOrderNumber() : 0);
     }
 
     /** All nodes that are known, by name. */
     List<NodeStatus> nodes() {
-        Set<String> live = new TreeSet<>();
-        reports.values().forEach(r -> r.getNodesList().forEach(n -> live.add(n.getNode())));
-        Set<String> all = new TreeSet<>(orders.keySet());
-        all.addAll(live);
-        List<NodeStatus> nodes = new ArrayList<>();
-        for (String node : all) {
-            String ordered = orders.containsKey(node) ? orders.get(node).getVersion() : null;
-            nodes.add(
-                    told.containsKey(node)
-                            ? RolloutCodec.status(told.get(node), live.contains(node), ordered)
-                            : unseen(node, ordered));
+        Set<String> reportedNodes = new TreeSet<>();
+        reportsByMachine.values().forEach(r -> r.getNodesList().forEach(n -> reportedNodes.add(n.getNode())));
+        Set<String> knownNodes = new TreeSet<>(ordersByNode.keySet());
+        knownNodes.addAll(reportedNodes);
+        List<NodeStatus> statuses = new ArrayList<>();
+        for (String node : knownNodes) {
+            String orderedVersion = ordersByNode.containsKey(node) ? ordersByNode.get(node).getVersion() : null;
+            statuses.add(
+                    lastStateByNode.containsKey(node)
+                            ? RolloutCodec.toStatus(lastStateByNode.get(node), reportedNodes.contains(node), orderedVersion)
+                            : unreportedNode(node, orderedVersion));
         }
-        return nodes;
+        return statuses;
     }
 
     /** A node of which this lead has heard nothing but the order; its last figures tell what it ran. */
-    private NodeStatus unseen(String node, String ordered) {
-        NodeFigures last = figures.get(node);
+    private NodeStatus unreportedNode(String node, String orderedVersion) {
+        NodeFigures lastMetrics = metricsByNode.get(node);
         return new NodeStatus(
                 node,
                 "",
-                last == null ? "" : last.getVersion(),
-                last == null ? NodePhase.DOWN : NodePhase.READY,
+                lastMetrics == null ? "" : lastMetrics.getVersion(),
+                lastMetrics == null ? NodePhase.DOWN : NodePhase.READY,
                 0,
                 0,
                 "not heard of since this lead took over",
                 false,
-                ordered);
+                orderedVersion);
     }
 
     /** The newest figures of all nodes. */
-    List<NodeMetrics> figures() {
-        return figures.values().stream().map(RolloutCodec::figures).toList();
+    List<NodeMetrics> metricsByNode() {
+        return metricsByNode.values().stream().map(RolloutCodec::convertMetrics).toList();
     }
 }
--- a/src/main/java/olivechute/controller/OutOfDateNodes.java
+++ b/src/main/java/olivechute/controller/OutOfDateNodes.java
@@ -15,29 +15,29 @@
     private OutOfDateNodes() {}
 
     /** Adds to the orders. {@code due}: version by node, null for none; {@code change}: whether one is under way. */
-    static void order(
-            Collection<NodeStatus> nodes, Function<String, String> due, boolean change, Map<String, String> orders) {
-        boolean room = !change && nodes.stream().noneMatch(OutOfDateNodes::onWay);
-        for (NodeStatus each : nodes) {
-            String version = due.apply(each.node());
+    static void addOrders(
+            Collection<NodeStatus> nodes, Function<String, String> desiredVersion, boolean changeActive, Map<String, String> orders) {
+        boolean mayRestart = !changeActive && nodes.stream().noneMatch(OutOfDateNodes::inTransition);
+        for (NodeStatus node : nodes) {
+            String version = desiredVersion.apply(node.node());
             if (version == null
-                    || version.equals(each.ordered())
-                    || orders.containsKey(each.node())
-                    || (change && each.ordered() != null)) {
+                    || version.equals(node.orderedVersion())
+                    || orders.containsKey(node.node())
+                    || (changeActive && node.orderedVersion() != null)) {
                 continue;
             }
-            boolean restarts = !each.version().isEmpty() && !each.version().equals(version);
-            if (!restarts || (room && each.reachable())) {
-                orders.put(each.node(), version);
-                room &= !restarts;
+            boolean restarts = !node.version().isEmpty() && !node.version().equals(version);
+            if (!restarts || (mayRestart && node.reachable())) {
+                orders.put(node.node(), version);
+                mayRestart &= !restarts;
             }
         }
     }
 
-    private static boolean onWay(NodeStatus node) {
-        boolean moves = node.phase() == NodePhase.STARTING
+    private static boolean inTransition(NodeStatus node) {
+        boolean changing = node.phase() == NodePhase.STARTING
                 || node.phase() == NodePhase.DRAINING
-                || (node.phase() == NodePhase.READY && !node.version().equals(node.ordered()));
-        return node.reachable() && node.ordered() != null && moves;
+                || (node.phase() == NodePhase.READY && !node.version().equals(node.orderedVersion()));
+        return node.reachable() && node.orderedVersion() != null && changing;
     }
 }
--- a/src/main/java/olivechute/controller/ReconcilePlan.java
+++ b/src/main/java/olivechute/controller/ReconcilePlan.java
@@ -25,126 +25,126 @@
  * The one write that a tick comes to: the change's next state, and the orders that follow from it. Does no I/O. Each
  * write names the version that was read, so that the whole is refused where anything it was decided on has changed.
  */
-record ReconcilePlan(List<Write> writes, ChangeRecord change) {
-    static final int PAST_KEPT = 20;
-    private static final int RECORD_BYTES = 63 << 10;
+record ReconcilePlan(List<Write> writes, ChangeRecord updatedChange) {
+    static final int MAX_PAST_CHANGES = 20;
+    private static final int MAX_RECORD_BYTES = 63 << 10;
 
     /** Decides of a change that is under way; times in ms since the epoch. */
-    interface Steps {
+    interface StepFunction {
         RolloutDecision step(
-                RolloutState progress, Collection<NodeStatus> nodes, Collection<NodeMetrics> figures, long now);
+                RolloutState state, Collection<NodeStatus> nodes, Collection<NodeMetrics> metrics, long nowMs);
     }
 
     /**
      * {@code change}: what is written of the change under way, null for nothing. MALFORMED where it cannot be followed.
      */
-    static ReconcilePlan of(FleetState view, Steps steps, long clock, long fence) throws RolloutException {
+    static ReconcilePlan of(FleetState fleet, StepFunction stepFunction, long clockMs, long fence) throws RolloutException {
         List<Write> writes = new ArrayList<>();
-        List<NodeStatus> nodes = view.nodes();
+        List<NodeStatus> nodes = fleet.nodes();
         Map<String, String> orders = new TreeMap<>();
-        String base = view.base();
-        Function<String, String> due = node -> base;
-        String change = "";
-        long now = clock;
-        ChangeRecord written = null;
-        Optional<ChangeRecord> current = view.current();
+        String baseVersion = fleet.baseVersion();
+        Function<String, String> desiredVersion = node -> baseVersion;
+        String changeId = "";
+        long nowMs = clockMs;
+        ChangeRecord updatedChange = null;
+        Optional<ChangeRecord> current = fleet.currentChange();
         if (current.isPresent()) {
-            ChangeRecord before = current.get();
-            change = before.getSpec().getId();
-            now = Math.max(clock, before.getUpdatedMs());
-            RolloutState progress = RolloutCodec.progress(before);
-            RolloutDecision decision = progress.phase().ended()
-                    ? new RolloutDecision(progress, Map.of())
-                    : steps.step(progress, nodes, view.figures(), now);
+            ChangeRecord previousRecord = current.get();
+            changeId = previousRecord.getSpec().getId();
+            nowMs = Math.max(clockMs, previousRecord.getUpdatedMs());
+            RolloutState state = RolloutCodec.toState(previousRecord);
+            RolloutDecision decision = state.phase().ended()
+                    ? new RolloutDecision(state, Map.of())
+                    : stepFunction.step(state, nodes, fleet.metricsByNode(), nowMs);
             orders.putAll(decision.orders());
             orders.keySet()
                     .retainAll(nodes.stream().map(NodeStatus::node).toList()); // one forgotten meanwhile gets none
-            ChangeRecord next = bounded(RolloutCodec.record(before, decision.next(), now, fence));
-            RolloutState stands = decision.next();
-            due = node -> stands.moved().contains(node)
-                    ? stands.change().to()
-                    : stands.change().from();
-            if (stands.phase().ended()) {
-                end(view, writes, next, stands.phase() == RolloutPhase.DONE);
-                written = next;
-            } else if (!orders.isEmpty() || !same(before, next)) {
-                writes.add(Write.putIf(StoreKeys.CURRENT, next.toByteArray(), view.version(StoreKeys.CURRENT)));
-                written = next;
+            ChangeRecord nextRecord = withinSizeLimit(RolloutCodec.toRecord(previousRecord, decision.nextState(), nowMs, fence));
+            RolloutState nextState = decision.nextState();
+            desiredVersion = node -> nextState.moved().contains(node)
+                    ? nextState.spec().toVersion()
+                    : nextState.spec().fromVersion();
+            if (nextState.phase().ended()) {
+                archive(fleet, writes, nextRecord, nextState.phase() == RolloutPhase.DONE);
+                updatedChange = nextRecord;
+            } else if (!orders.isEmpty() || !sameProgress(previousRecord, nextRecord)) {
+                writes.add(Write.putIf(StoreKeys.CURRENT_CHANGE, nextRecord.toByteArray(), fleet.version(StoreKeys.CURRENT_CHANGE)));
+                updatedChange = nextRecord;
             }
         }
-        OutOfDateNodes.order(nodes, due, current.isPresent(), orders);
-        for (Map.Entry<String, String> each : orders.entrySet()) {
-            writes.add(order(view, each.getKey(), each.getValue(), change, now));
+        OutOfDateNodes.addOrders(nodes, desiredVersion, current.isPresent(), orders);
+        for (Map.Entry<String, String> order : orders.entrySet()) {
+            writes.add(orderWrite(fleet, order.getKey(), order.getValue(), changeId, nowMs));
         }
-        return new ReconcilePlan(writes, written);
+        return new ReconcilePlan(writes, updatedChange);
     }
 
     /** A higher number than any order before: the store's version has grown with each of them. */
-    private static Write order(FleetState view, String node, String version, String change, long now) {
-        long number = Math.max(view.version(), view.lastNumber(node)) + 1;
+    private static Write orderWrite(FleetState fleet, String node, String version, String changeId, long nowMs) {
+        long number = Math.max(fleet.version(), fleet.lastOrderNumber(node)) + 1;
         Order order = Order.newBuilder()
                 .setNode(node)
                 .setVersion(version)
                 .setNumber(number)
-                .setChange(change)
-                .setGivenMs(now)
+                .setChange(changeId)
+                .setGivenMs(nowMs)
                 .build();
-        return Write.putIf(StoreKeys.ORDER + node, order.toByteArray(), view.version(StoreKeys.ORDER + node));
+        return Write.putIf(StoreKeys.ORDER_PREFIX + node, order.toByteArray(), fleet.version(StoreKeys.ORDER_PREFIX + node));
     }
 
     /**
      * Over the store's bound it would be refused for good; without evidence it goes on, and the comparison begins anew.
      */
-    private static ChangeRecord bounded(ChangeRecord record) {
-        return record.getSerializedSize() <= RECORD_BYTES
+    private static ChangeRecord withinSizeLimit(ChangeRecord record) {
+        return record.getSerializedSize() <= MAX_RECORD_BYTES
                 ? record
                 : record.toBuilder().clearEvidence().build();
     }
 
-    private static boolean same(ChangeRecord before, ChangeRecord next) {
+    private static boolean sameProgress(ChangeRecord previous, ChangeRecord next) {
         return next.toBuilder()
-                .setUpdatedMs(before.getUpdatedMs())
-                .setFence(before.getFence())
+                .setUpdatedMs(previous.getUpdatedMs())
+                .setFence(previous.getFence())
                 .build()
-                .equals(before);
+                .equals(previous);
     }
 
     /**
      * The change goes to those past, of which the oldest go, and with them the versions that nothing names any more.
      */
-    private static void end(FleetState view, List<Write> writes, ChangeRecord last, boolean done)
+    private static void archive(FleetState fleet, List<Write> writes, ChangeRecord endedChange, boolean completed)
             throws RolloutException {
-        writes.add(new Write(StoreKeys.CURRENT, null, view.version(StoreKeys.CURRENT), 0));
-        writes.add(Write.put(StoreKeys.PAST + last.getSpec().getId(), last.toByteArray()));
-        String base = view.base();
-        if (done) {
-            base = last.getSpec().getToVersion();
+        writes.add(new Write(StoreKeys.CURRENT_CHANGE, null, fleet.version(StoreKeys.CURRENT_CHANGE), 0));
+        writes.add(Write.put(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId(), endedChange.toByteArray()));
+        String baseVersion = fleet.baseVersion();
+        if (completed) {
+            baseVersion = endedChange.getSpec().getToVersion();
             writes.add(Write.putIf(
-                    StoreKeys.BASE,
-                    BaseVersion.newBuilder().setVersion(base).build().toByteArray(),
-                    view.version(StoreKeys.BASE)));
+                    StoreKeys.BASE_VERSION,
+                    BaseVersion.newBuilder().setVersion(baseVersion).build().toByteArray(),
+                    fleet.version(StoreKeys.BASE_VERSION)));
         }
-        Set<String> named = new TreeSet<>(
-                Set.of(last.getSpec().getFromVersion(), last.getSpec().getToVersion()));
-        if (base != null) {
-            named.add(base);
+        Set<String> referencedVersions = new TreeSet<>(
+                Set.of(endedChange.getSpec().getFromVersion(), endedChange.getSpec().getToVersion()));
+        if (baseVersion != null) {
+            referencedVersions.add(baseVersion);
         }
-        view.orders().values().forEach(o -> named.add(o.getVersion()));
-        List<Entry> past = new ArrayList<>(view.under(StoreKeys.PAST));
-        past.removeIf(e -> e.key().equals(StoreKeys.PAST + last.getSpec().getId()));
-        for (int i = 0; i < past.size(); i++) {
-            if (i < past.size() - (PAST_KEPT - 1)) {
-                writes.add(Write.delete(past.get(i).key()));
+        fleet.ordersByNode().values().forEach(o -> referencedVersions.add(o.getVersion()));
+        List<Entry> pastChanges = new ArrayList<>(fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX));
+        pastChanges.removeIf(e -> e.key().equals(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId()));
+        for (int i = 0; i < pastChanges.size(); i++) {
+            if (i < pastChanges.size() - (MAX_PAST_CHANGES - 1)) {
+                writes.add(Write.delete(pastChanges.get(i).key()));
             } else {
-                ChangeRecord kept = RolloutCodec.read(
-                        ChangeRecord.parser(), past.get(i).key(), past.get(i).value());
-                named.add(kept.getSpec().getFromVersion());
-                named.add(kept.getSpec().getToVersion());
+                ChangeRecord retained = RolloutCodec.parse(
+                        ChangeRecord.parser(), pastChanges.get(i).key(), pastChanges.get(i).value());
+                referencedVersions.add(retained.getSpec().getFromVersion());
+                referencedVersions.add(retained.getSpec().getToVersion());
             }
         }
-        for (Entry each : view.under(StoreKeys.VERSION)) {
-            if (!named.contains(each.key().substring(StoreKeys.VERSION.length()))) {
-                writes.add(Write.delete(each.key()));
+        for (Entry entry : fleet.entriesUnder(StoreKeys.VERSION_PREFIX)) {
+            if (!referencedVersions.contains(entry.key().substring(StoreKeys.VERSION_PREFIX.length()))) {
+                writes.add(Write.delete(entry.key()));
             }
         }
     }
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -25,8 +25,8 @@
  * may have taken effect.
  */
 public final class RolloutClient {
-    private static final int TRIES = 8;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final int MAX_ATTEMPTS = 8;
+    private static final Pattern VALID_ID = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
 
     private final Store store;
     private final LongSupplier clockMs;
@@ -37,43 +37,43 @@
         this.clockMs = clockMs;
     }
 
-    private interface Attempt<T> {
+    private interface StoreOperation<T> {
         T run() throws StoreException, RolloutException;
     }
 
-    private static <T> T tries(String what, Attempt<T> attempt) throws StoreException, RolloutException {
-        for (int i = 0; i < TRIES; i++) {
+    private static <T> T retryOnConflict(String subject, StoreOperation<T> operation) throws StoreException, RolloutException {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             try {
-                return attempt.run();
+                return operation.run();
             } catch (StoreException e) {
                 if (e.kind() != ErrorCode.CONFLICT) {
                     throw e;
                 }
             }
         }
-        throw new StoreException(ErrorCode.CONFLICT, what + ": others wrote each time, " + TRIES + " times");
+        throw new StoreException(ErrorCode.CONFLICT, subject + ": others wrote each time, " + MAX_ATTEMPTS + " times");
     }
 
     /** What the fleet and its changes are now, linearizable. */
-    FleetState view() throws StoreException {
-        FleetState view = new FleetState();
-        view.take(store.list(""));
-        return view;
+    FleetState fleetState() throws StoreException {
+        FleetState fleet = new FleetState();
+        fleet.apply(store.list(""));
+        return fleet;
     }
 
     /** Sets the first version of a new fleet; CHANGE_INVALID where there is a base already. */
-    public void base(VersionSpec version) throws StoreException, RolloutException {
-        named("version", version.getId());
-        tries("the base", () -> {
-            if (store.get(StoreKeys.BASE).isPresent()) {
+    public void setBaseVersion(VersionSpec version) throws StoreException, RolloutException {
+        requireValidId("version", version.getId());
+        retryOnConflict("the base", () -> {
+            if (store.get(StoreKeys.BASE_VERSION).isPresent()) {
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID, "there is a base already; it changes by a change only");
             }
             return store.write(
                     List.of(
-                            Write.putIf(StoreKeys.VERSION + version.getId(), version.toByteArray(), 0),
+                            Write.putIf(StoreKeys.VERSION_PREFIX + version.getId(), version.toByteArray(), 0),
                             Write.putIf(
-                                    StoreKeys.BASE,
+                                    StoreKeys.BASE_VERSION,
                                     BaseVersion.newBuilder()
                                             .setVersion(version.getId())
                                             .build()
@@ -87,102 +87,102 @@
      * Begins a change of the base to a new version. What the version leaves empty it has from the base's. Of two at
      * once one is accepted. Faults: CHANGE_UNDER_WAY, CHANGE_INVALID.
      */
-    public ChangeRecord propose(ChangeSpec wanted, VersionSpec version) throws StoreException, RolloutException {
-        named("change", wanted.getId());
-        named("version", version.getId());
-        return tries("change " + wanted.getId(), () -> {
-            FleetState view = view();
-            Optional<ChangeRecord> current = view.current();
+    public ChangeRecord propose(ChangeSpec requested, VersionSpec version) throws StoreException, RolloutException {
+        requireValidId("change", requested.getId());
+        requireValidId("version", version.getId());
+        return retryOnConflict("change " + requested.getId(), () -> {
+            FleetState fleet = fleetState();
+            Optional<ChangeRecord> current = fleet.currentChange();
             if (current.isPresent()) {
                 throw new RolloutException(
                         ErrorCode.CHANGE_UNDER_WAY,
                         "change " + current.get().getSpec().getId());
             }
-            String base = view.base();
-            if (base == null) {
+            String baseVersion = fleet.baseVersion();
+            if (baseVersion == null) {
                 throw new RolloutException(ErrorCode.CHANGE_INVALID, "the fleet has no base version yet; set it first");
             }
-            if (view.version(StoreKeys.PAST + wanted.getId()) != 0
-                    || view.version(StoreKeys.VERSION + version.getId()) != 0) {
+            if (fleet.version(StoreKeys.PAST_CHANGE_PREFIX + requested.getId()) != 0
+                    || fleet.version(StoreKeys.VERSION_PREFIX + version.getId()) != 0) {
                 throw new RolloutException(
-                        ErrorCode.CHANGE_INVALID, "the id " + wanted.getId() + " was used before; take another");
+                        ErrorCode.CHANGE_INVALID, "the id " + requested.getId() + " was used before; take another");
             }
-            long now = clockMs.getAsLong();
-            ChangeSpec spec = wanted.toBuilder()
-                    .setFromVersion(base)
+            long nowMs = clockMs.getAsLong();
+            ChangeSpec spec = requested.toBuilder()
+                    .setFromVersion(baseVersion)
                     .setToVersion(version.getId())
-                    .setProposedMs(now)
+                    .setProposedMs(nowMs)
                     .build();
-            RolloutState begun = RolloutState.proposed(RolloutCodec.change(spec), now);
-            List<RolloutException> faults =
-                    Rollout.check(begun.change(), view.nodes().size());
-            if (!faults.isEmpty()) {
-                String all = faults.stream().map(RolloutException::what).collect(Collectors.joining("; "));
-                throw new RolloutException(ErrorCode.CHANGE_INVALID, "change " + wanted.getId() + ": " + all);
+            RolloutState initialState = RolloutState.proposed(RolloutCodec.toSpec(spec), nowMs);
+            List<RolloutException> errors =
+                    Rollout.validate(initialState.spec(), fleet.nodes().size());
+            if (!errors.isEmpty()) {
+                String errorText = errors.stream().map(RolloutException::what).collect(Collectors.joining("; "));
+                throw new RolloutException(ErrorCode.CHANGE_INVALID, "change " + requested.getId() + ": " + errorText);
             }
             ChangeRecord record =
-                    RolloutCodec.record(ChangeRecord.newBuilder().setSpec(spec).build(), begun, now, 0);
-            byte[] same = BaseVersion.newBuilder().setVersion(base).build().toByteArray();
+                    RolloutCodec.toRecord(ChangeRecord.newBuilder().setSpec(spec).build(), initialState, nowMs, 0);
+            byte[] baseValue = BaseVersion.newBuilder().setVersion(baseVersion).build().toByteArray();
             store.write(
                     List.of(
-                            Write.putIf(StoreKeys.CURRENT, record.toByteArray(), 0),
+                            Write.putIf(StoreKeys.CURRENT_CHANGE, record.toByteArray(), 0),
                             Write.putIf(
-                                    StoreKeys.VERSION + version.getId(),
-                                    laid(view, base, version).toByteArray(),
+                                    StoreKeys.VERSION_PREFIX + version.getId(),
+                                    withBaseDefaults(fleet, baseVersion, version).toByteArray(),
                                     0),
-                            Write.putIf(StoreKeys.BASE, same, view.version(StoreKeys.BASE))),
+                            Write.putIf(StoreKeys.BASE_VERSION, baseValue, fleet.version(StoreKeys.BASE_VERSION))),
                     List.of()); // the base is still what was read
             return record;
         });
     }
 
-    private static VersionSpec laid(FleetState view, String base, VersionSpec version) throws RolloutException {
-        Optional<VersionSpec> under = view.spec(base);
-        VersionSpec.Builder built = version.toBuilder();
-        if (under.isPresent() && version.getProgram().isEmpty()) {
-            built.setProgram(under.get().getProgram()).setDigest(under.get().getDigest());
+    private static VersionSpec withBaseDefaults(FleetState fleet, String baseVersion, VersionSpec version) throws RolloutException {
+        Optional<VersionSpec> baseSpec = fleet.versionSpec(baseVersion);
+        VersionSpec.Builder builder = version.toBuilder();
+        if (baseSpec.isPresent() && version.getProgram().isEmpty()) {
+            builder.setProgram(baseSpec.get().getProgram()).setDigest(baseSpec.get().getDigest());
         }
-        if (under.isPresent() && version.getSettings().isEmpty()) {
-            built.setSettings(under.get().getSettings());
+        if (baseSpec.isPresent() && version.getSettings().isEmpty()) {
+            builder.setSettings(baseSpec.get().getSettings());
         }
-        return built.build();
+        return builder.build();
     }
 
     /** Nothing moves and nothing is judged until {@link #resume}. */
     public ChangeRecord pause() throws StoreException, RolloutException {
-        return edit(Rollout::pause);
+        return updateState(Rollout::pause);
     }
 
     /** Goes on after a pause or where it is held. */
     public ChangeRecord resume() throws StoreException, RolloutException {
-        return edit(Rollout::resume);
+        return updateState(Rollout::resume);
     }
 
     /** Takes the new nodes back to the old version. */
     public ChangeRecord stop() throws StoreException, RolloutException {
-        return edit(Rollout::stop);
+        return updateState(Rollout::stop);
     }
 
-    private interface Edit {
-        RolloutState apply(RolloutState progress, long now) throws RolloutException;
+    private interface StateUpdate {
+        RolloutState apply(RolloutState state, long nowMs) throws RolloutException;
     }
 
-    private ChangeRecord edit(Edit edit) throws StoreException, RolloutException {
-        return tries("the change under way", () -> {
-            Optional<Store.Entry> entry = store.get(StoreKeys.CURRENT);
+    private ChangeRecord updateState(StateUpdate update) throws StoreException, RolloutException {
+        return retryOnConflict("the change under way", () -> {
+            Optional<Store.Entry> entry = store.get(StoreKeys.CURRENT_CHANGE);
             if (entry.isEmpty()) {
                 throw new RolloutException(ErrorCode.CHANGE_UNKNOWN, "no change is under way");
             }
-            ChangeRecord before = RolloutCodec.read(
-                    ChangeRecord.parser(), StoreKeys.CURRENT, entry.get().value());
-            long now = Math.max(clockMs.getAsLong(), before.getUpdatedMs());
-            ChangeRecord next =
-                    RolloutCodec.record(before, edit.apply(RolloutCodec.progress(before), now), now, before.getFence());
+            ChangeRecord previous = RolloutCodec.parse(
+                    ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, entry.get().value());
+            long nowMs = Math.max(clockMs.getAsLong(), previous.getUpdatedMs());
+            ChangeRecord updated =
+                    RolloutCodec.toRecord(previous, update.apply(RolloutCodec.toState(previous), nowMs), nowMs, previous.getFence());
             store.write(
                     List.of(Write.putIf(
-                            StoreKeys.CURRENT, next.toByteArray(), entry.get().version())),
+                            StoreKeys.CURRENT_CHANGE, updated.toByteArray(), entry.get().version())),
                     List.of());
-            return next;
+            return updated;
         });
     }
 
@@ -191,42 +191,42 @@
      * tells of it.
      */
     public void forget(String node) throws StoreException, RolloutException {
-        tries("node " + node, () -> {
-            FleetState view = view();
-            if (view.nodes().stream().anyMatch(n -> n.node().equals(node) && n.reachable())) {
+        retryOnConflict("node " + node, () -> {
+            FleetState fleet = fleetState();
+            if (fleet.nodes().stream().anyMatch(n -> n.node().equals(node) && n.reachable())) {
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
                         "node " + node + " is in reach;" + " take it from its supervisor's settings first");
             }
-            if (view.version(StoreKeys.ORDER + node) == 0) {
+            if (fleet.version(StoreKeys.ORDER_PREFIX + node) == 0) {
                 throw new RolloutException(ErrorCode.CHANGE_UNKNOWN, "there is no node " + node);
             }
             List<Write> writes = new ArrayList<>(List.of(
-                    Write.delete(StoreKeys.FIGURES + node),
-                    new Write(StoreKeys.ORDER + node, null, view.version(StoreKeys.ORDER + node), 0)));
-            Optional<ChangeRecord> current = view.current();
+                    Write.delete(StoreKeys.METRICS_PREFIX + node),
+                    new Write(StoreKeys.ORDER_PREFIX + node, null, fleet.version(StoreKeys.ORDER_PREFIX + node), 0)));
+            Optional<ChangeRecord> current = fleet.currentChange();
             if (current.isPresent() && current.get().getMovedList().contains(node)) {
-                List<String> left = current.get().getMovedList().stream()
+                List<String> remaining = current.get().getMovedList().stream()
                         .filter(n -> !n.equals(node))
                         .toList();
                 writes.add(Write.putIf(
-                        StoreKeys.CURRENT,
+                        StoreKeys.CURRENT_CHANGE,
                         current.get().toBuilder()
                                 .clearMoved()
-                                .addAllMoved(left)
+                                .addAllMoved(remaining)
                                 .build()
                                 .toByteArray(),
-                        view.version(StoreKeys.CURRENT)));
+                        fleet.version(StoreKeys.CURRENT_CHANGE)));
             }
             return store.write(writes, List.of());
         });
     }
 
-    private static void named(String what, String id) throws RolloutException {
-        if (!NAME.matcher(id).matches()) {
+    private static void requireValidId(String subject, String id) throws RolloutException {
+        if (!VALID_ID.matcher(id).matches()) {
             throw new RolloutException(
                     ErrorCode.CHANGE_INVALID,
-                    "the " + what + " id '" + id + "' must be 1 to 64 letters, digits, '.', '_', '-'");
+                    "the " + subject + " id '" + id + "' must be 1 to 64 letters, digits, '.', '_', '-'");
         }
     }
 }
--- a/src/main/java/olivechute/controller/RolloutClientSettings.java
+++ b/src/main/java/olivechute/controller/RolloutClientSettings.java
@@ -22,22 +22,22 @@
         List<ReplicaAddress> replicas,
         Duration timeout,
         List<StageSpec> stages,
-        int mostAway,
-        Duration readyWithin) {
-    private static final Duration DAY = Duration.ofDays(1);
-    private static final int MOST_NODES = 100_000;
+        int maxUnavailable,
+        Duration readyTimeout) {
+    private static final Duration MAX_DURATION = Duration.ofDays(1);
+    private static final int MAX_NODES = 100_000;
 
     /** SETTINGS_INVALID with all that is wrong. */
     static RolloutClientSettings load(Path file) throws SettingsException {
-        List<String> faults = new ArrayList<>();
-        RolloutClientSettings settings = parse(text(file), faults);
-        if (!faults.isEmpty()) {
-            throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + ": " + String.join("; ", faults));
+        List<String> errors = new ArrayList<>();
+        RolloutClientSettings settings = parse(readText(file), errors);
+        if (!errors.isEmpty()) {
+            throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + ": " + String.join("; ", errors));
         }
         return settings;
     }
 
-    static String text(Path file) throws SettingsException {
+    static String readText(Path file) throws SettingsException {
         try {
             return Files.readString(file);
         } catch (IOException e) {
@@ -45,13 +45,13 @@
         }
     }
 
-    private static RolloutClientSettings parse(String text, List<String> faults) {
-        HoconObject root = HoconObject.parse(text, faults);
+    private static RolloutClientSettings parse(String text, List<String> errors) {
+        HoconObject root = HoconObject.parse(text, errors);
         List<ReplicaAddress> replicas = new ArrayList<>();
         HoconObject store = root.node("store");
-        for (HoconObject each : store.nodes("replicas")) {
-            replicas.add(new ReplicaAddress(each.needed("id"), each.needed("address")));
-            each.close();
+        for (HoconObject item : store.nodes("replicas")) {
+            replicas.add(new ReplicaAddress(item.needed("id"), item.needed("address")));
+            item.close();
         }
         if (replicas.isEmpty()) {
             store.wrong("replicas", "must name the replicas of the store");
@@ -61,17 +61,17 @@
         String region = store.text("region", "");
         store.close();
         List<StageSpec> stages = new ArrayList<>();
-        for (HoconObject each : root.nodes("stages")) {
+        for (HoconObject item : root.nodes("stages")) {
             stages.add(StageSpec.newBuilder()
-                    .setNodes(each.integer("nodes", 0, 0, MOST_NODES))
-                    .setPercent(each.integer("percent", 0, 0, 100))
-                    .setLeastMs(each.duration("least", Duration.ofMinutes(1), Duration.ZERO, DAY)
+                    .setNodes(item.integer("nodes", 0, 0, MAX_NODES))
+                    .setPercent(item.integer("percent", 0, 0, 100))
+                    .setLeastMs(item.duration("least", Duration.ofMinutes(1), Duration.ZERO, MAX_DURATION)
                             .toMillis())
-                    .setLongestMs(each.duration("longest", Duration.ofMinutes(15), Duration.ZERO, DAY)
+                    .setLongestMs(item.duration("longest", Duration.ofMinutes(15), Duration.ZERO, MAX_DURATION)
                             .toMillis())
-                    .setLeastJobs(each.integer("least_jobs", 200, 0, Integer.MAX_VALUE))
+                    .setLeastJobs(item.integer("least_jobs", 200, 0, Integer.MAX_VALUE))
                     .build());
-            each.close();
+            item.close();
         }
         if (stages.isEmpty()) {
             root.wrong("stages", "must name the stages of a change");
@@ -81,8 +81,8 @@
                 replicas,
                 timeout,
                 stages,
-                root.integer("most_away", 1, 1, MOST_NODES),
-                root.duration("ready_within", Duration.ofMinutes(1), Duration.ofSeconds(1), DAY));
+                root.integer("most_away", 1, 1, MAX_NODES),
+                root.duration("ready_within", Duration.ofMinutes(1), Duration.ofSeconds(1), MAX_DURATION));
         root.close();
         return settings;
     }
--- a/src/main/java/olivechute/controller/RolloutCodec.java
+++ b/src/main/java/olivechute/controller/RolloutCodec.java
@@ -36,7 +36,7 @@
     private RolloutCodec() {}
 
     /** Reads a message; MALFORMED names the key that held it. */
-    static <M extends MessageLite> M read(Parser<M> parser, String key, byte[] value) throws RolloutException {
+    static <M extends MessageLite> M parse(Parser<M> parser, String key, byte[] value) throws RolloutException {
         try {
             return parser.parseFrom(value);
         } catch (InvalidProtocolBufferException e) {
@@ -45,9 +45,9 @@
     }
 
     /** What a record of a change says; MALFORMED where a newer version wrote what this one cannot follow. */
-    static RolloutState progress(ChangeRecord record) throws RolloutException {
+    static RolloutState toState(ChangeRecord record) throws RolloutException {
         ChangeSpec spec = record.getSpec();
-        RolloutPhase phase = word(RolloutPhase.values(), record.getPhase());
+        RolloutPhase phase = enumByName(RolloutPhase.values(), record.getPhase());
         if (phase == null) {
             throw new RolloutException(
                     ErrorCode.MALFORMED,
@@ -58,7 +58,7 @@
                     ErrorCode.MALFORMED, "change " + spec.getId() + ": there is no stage " + record.getStage());
         }
         return new RolloutState(
-                change(spec),
+                toSpec(spec),
                 phase,
                 record.getStage(),
                 record.getStageSinceMs(),
@@ -67,11 +67,11 @@
                 record.getEvidence().toByteArray());
     }
 
-    static RolloutSpec change(ChangeSpec spec) {
+    static RolloutSpec toSpec(ChangeSpec spec) {
         List<RolloutStage> stages = new ArrayList<>();
-        for (StageSpec each : spec.getStagesList()) {
+        for (StageSpec stage : spec.getStagesList()) {
             stages.add(new RolloutStage(
-                    each.getNodes(), each.getPercent(), each.getLeastMs(), each.getLongestMs(), each.getLeastJobs()));
+                    stage.getNodes(), stage.getPercent(), stage.getLeastMs(), stage.getLongestMs(), stage.getLeastJobs()));
         }
         return new RolloutSpec(
                 spec.getId(),
@@ -83,24 +83,24 @@
     }
 
     /** The record before with what a step changed; all else in it stays as it is. */
-    static ChangeRecord record(ChangeRecord before, RolloutState next, long now, long fence) {
-        return before.toBuilder()
+    static ChangeRecord toRecord(ChangeRecord previous, RolloutState next, long nowMs, long fence) {
+        return previous.toBuilder()
                 .setPhase(next.phase().name())
                 .setStage(next.stage())
-                .setStageSinceMs(next.stageSince())
+                .setStageSinceMs(next.stageSinceMs())
                 .setReason(next.reason())
                 .clearMoved()
                 .addAllMoved(new TreeSet<>(next.moved()))
                 .setEvidence(ByteString.copyFrom(next.evidence()))
-                .setUpdatedMs(now)
+                .setUpdatedMs(nowMs)
                 .setFence(fence)
                 .build();
     }
 
     /** A node as its supervisor told; with a phase that is not known here it counts as out of reach. */
-    static NodeStatus status(NodeState state, boolean reachable, String ordered) {
-        NodePhase phase = word(NodePhase.values(), state.getPhase());
-        String trouble = phase != null
+    static NodeStatus toStatus(NodeState state, boolean reachable, String orderedVersion) {
+        NodePhase phase = enumByName(NodePhase.values(), state.getPhase());
+        String lastError = phase != null
                 ? state.getTrouble()
                 : "its supervisor tells a phase '" + state.getPhase() + "' not known here";
         return new NodeStatus(
@@ -110,62 +110,62 @@
                 phase == null ? NodePhase.DOWN : phase,
                 state.getSinceMs(),
                 state.getCrashes(),
-                trouble,
+                lastError,
                 reachable && phase != null,
-                ordered);
+                orderedVersion);
     }
 
-    static NodeMetrics figures(NodeFigures told) {
+    static NodeMetrics convertMetrics(NodeFigures message) {
         Map<String, ClassCounts> classes = new LinkedHashMap<>();
-        for (ClassFigures each : told.getClassesList()) {
+        for (ClassFigures classMetrics : message.getClassesList()) {
             classes.put(
-                    each.getName(),
+                    classMetrics.getName(),
                     new ClassCounts(
-                            each.getTaken(),
-                            each.getServedInTime(),
-                            each.getServedLate(),
-                            each.getRefused(),
-                            each.getFailed(),
-                            each.getGone()));
+                            classMetrics.getTaken(),
+                            classMetrics.getServedInTime(),
+                            classMetrics.getServedLate(),
+                            classMetrics.getRefused(),
+                            classMetrics.getFailed(),
+                            classMetrics.getGone()));
         }
-        long[] delay = told.getDelayList().stream().mapToLong(Long::longValue).toArray();
+        long[] delayCounts = message.getDelayList().stream().mapToLong(Long::longValue).toArray();
         return new NodeMetrics(
-                told.getNode(),
-                told.getVersion(),
-                told.getIncarnation(),
-                told.getSequence(),
+                message.getNode(),
+                message.getVersion(),
+                message.getIncarnation(),
+                message.getSequence(),
                 classes,
-                told.getRulesBroken(),
-                delay);
+                message.getRulesBroken(),
+                delayCounts);
     }
 
-    static NodeFigures figures(NodeMetrics figures, long now) {
-        NodeFigures.Builder told = NodeFigures.newBuilder()
-                .setNode(figures.node())
-                .setVersion(figures.version())
-                .setIncarnation(figures.incarnation())
-                .setSequence(figures.sequence())
-                .setAtMs(now)
-                .setRulesBroken(figures.rulesBroken());
-        figures.classes()
-                .forEach((name, c) -> told.addClasses(ClassFigures.newBuilder()
+    static NodeFigures convertMetrics(NodeMetrics metrics, long nowMs) {
+        NodeFigures.Builder message = NodeFigures.newBuilder()
+                .setNode(metrics.node())
+                .setVersion(metrics.version())
+                .setIncarnation(metrics.incarnation())
+                .setSequence(metrics.sequence())
+                .setAtMs(nowMs)
+                .setRulesBroken(metrics.ruleViolations());
+        metrics.classes()
+                .forEach((name, counts) -> message.addClasses(ClassFigures.newBuilder()
                         .setName(name)
-                        .setTaken(c.taken())
-                        .setServedInTime(c.servedInTime())
-                        .setServedLate(c.servedLate())
-                        .setRefused(c.refused())
-                        .setFailed(c.failed())
-                        .setGone(c.gone())));
-        for (long count : figures.delay()) {
-            told.addDelay(count);
+                        .setTaken(counts.received())
+                        .setServedInTime(counts.servedInTime())
+                        .setServedLate(counts.servedLate())
+                        .setRefused(counts.rejected())
+                        .setFailed(counts.failed())
+                        .setGone(counts.cancelled())));
+        for (long count : metrics.delayCounts()) {
+            message.addDelay(count);
         }
-        return told.build();
+        return message.build();
     }
 
-    private static <E extends Enum<E>> E word(E[] values, String name) {
-        for (E each : values) {
-            if (each.name().equals(name)) {
-                return each;
+    private static <E extends Enum<E>> E enumByName(E[] values, String name) {
+        for (E value : values) {
+            if (value.name().equals(name)) {
+                return value;
             }
         }
         return null;
--- a/src/main/java/olivechute/controller/RolloutCommand.java
+++ b/src/main/java/olivechute/controller/RolloutCommand.java
@@ -38,22 +38,22 @@
         footer = "Exit status: 0 done, 1 settings that cannot be used or trouble that is told, 2 wrong call.")
 public final class RolloutCommand implements Callable<Integer> {
     /** Reaches the store. */
-    interface Stores {
+    interface StoreConnector {
         Store connect(String region, List<ReplicaAddress> replicas, Duration timeout) throws FleetException;
     }
 
-    private interface Task {
-        int run(RolloutClient changes, RolloutClientSettings settings, Store store) throws FleetException;
+    private interface StoreTask {
+        int run(RolloutClient client, RolloutClientSettings settings, Store store) throws FleetException;
     }
 
     /** What each subcommand has. */
-    static final class Shared {
+    static final class SettingsOption {
         @Option(names = "--settings", required = true, paramLabel = "FILE", description = "Settings in HOCON.")
         private Path settings;
     }
 
     /** What a version is made of. */
-    static final class Made {
+    static final class VersionOptions {
         @Option(names = "--program", paramLabel = "JAR", description = "The program; at this path on every machine.")
         private Path program;
 
@@ -66,19 +66,19 @@
                 description = "Settings laid over each node's own configuration.")
         private Path overlay;
 
-        private VersionSpec spec(String id) throws FleetException {
+        private VersionSpec versionSpec(String id) throws FleetException {
             VersionSpec.Builder spec = VersionSpec.newBuilder().setId(id);
             if (program != null) {
-                String found = ArtifactCatalog.digest(program);
-                ArtifactCatalog.check(program, found, digest);
-                spec.setProgram(program.toAbsolutePath().normalize().toString()).setDigest(found);
+                String actualDigest = ArtifactDigest.digest(program);
+                ArtifactDigest.verify(program, actualDigest, digest);
+                spec.setProgram(program.toAbsolutePath().normalize().toString()).setDigest(actualDigest);
             }
             if (overlay != null) {
-                String text = RolloutClientSettings.text(overlay);
-                List<String> faults = new ArrayList<>();
-                HoconObject.parse(text, faults);
-                if (!faults.isEmpty()) {
-                    throw new RolloutException(ErrorCode.CHANGE_INVALID, overlay + ": " + String.join("; ", faults));
+                String text = RolloutClientSettings.readText(overlay);
+                List<String> errors = new ArrayList<>();
+                HoconObject.parse(text, errors);
+                if (!errors.isEmpty()) {
+                    throw new RolloutException(ErrorCode.CHANGE_INVALID, overlay + ": " + String.join("; ", errors));
                 }
                 spec.setSettings(text);
             }
@@ -87,9 +87,9 @@
     }
 
     @Spec
-    private CommandSpec spec;
+    private CommandSpec commandSpec;
 
-    private final Stores stores;
+    private final StoreConnector connector;
 
     /** One that reaches the replicas that its settings name. */
     public RolloutCommand() {
@@ -98,24 +98,24 @@
         this((region, replicas, timeout) -> RatisStore.connect(region, replicas, timeout));
     }
 
-    RolloutCommand(Stores stores) {
-        this.stores = stores;
+    RolloutCommand(StoreConnector connector) {
+        this.connector = connector;
     }
 
     @Override
     public Integer call() {
-        spec.commandLine().usage(spec.commandLine().getErr());
+        commandSpec.commandLine().usage(commandSpec.commandLine().getErr());
         return 2;
     }
 
     @Command(name = "base", mixinStandardHelpOptions = true, description = "Sets the first version of a new fleet.")
-    int base(
-            @Mixin Shared shared,
+    int setBaseVersion(
+            @Mixin SettingsOption settingsOption,
             @Option(names = "--id", required = true, description = "The version's id.") String id,
-            @Mixin Made made) {
-        return run(shared, (changes, settings, store) -> {
-            changes.base(made.spec(id));
-            return told(List.of("base: " + id));
+            @Mixin VersionOptions versionOptions) {
+        return run(settingsOption, (client, settings, store) -> {
+            client.setBaseVersion(versionOptions.versionSpec(id));
+            return print(List.of("base: " + id));
         });
     }
 
@@ -125,31 +125,31 @@
             description =
                     "Begins a change to a version made of a program, of settings or of both; what is not named stays as it is.")
     int propose(
-            @Mixin Shared shared,
-            @Mixin Made made,
+            @Mixin SettingsOption settingsOption,
+            @Mixin VersionOptions versionOptions,
             @Option(
                             names = "--id",
                             description = "Id of the change and of its version; the moment where it is not given.")
                     String id) {
-        if (made.program == null && made.overlay == null) {
-            throw new ParameterException(spec.commandLine(), "name a --program, an --overlay or both");
+        if (versionOptions.program == null && versionOptions.overlay == null) {
+            throw new ParameterException(commandSpec.commandLine(), "name a --program, an --overlay or both");
         }
-        String name = id != null
+        String changeId = id != null
                 ? id
                 : DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss")
                         .withZone(ZoneOffset.UTC)
                         .format(Instant.now());
         return run(
-                shared,
-                (changes, settings, store) -> told(RolloutStatusText.of(changes.propose(
+                settingsOption,
+                (client, settings, store) -> print(RolloutStatusText.of(client.propose(
                         ChangeSpec.newBuilder()
-                                .setId(name)
+                                .setId(changeId)
                                 .addAllStages(settings.stages())
-                                .setMostAway(settings.mostAway())
-                                .setReadyWithinMs(settings.readyWithin().toMillis())
+                                .setMostAway(settings.maxUnavailable())
+                                .setReadyWithinMs(settings.readyTimeout().toMillis())
                                 .setProposedBy(System.getProperty("user.name", ""))
                                 .build(),
-                        made.spec(name)))));
+                        versionOptions.versionSpec(changeId)))));
     }
 
     @Command(
@@ -157,7 +157,7 @@
             mixinStandardHelpOptions = true,
             description = "Shows the change under way, or the last one, and the nodes.")
     int show(
-            @Mixin Shared shared,
+            @Mixin SettingsOption settingsOption,
             @Option(
                             names = "--wait",
                             paramLabel = "PHASE",
@@ -168,86 +168,86 @@
                             paramLabel = "SECONDS",
                             defaultValue = "600",
                             description = "Waits so long; then 1.")
-                    long within) {
-        return run(shared, (changes, settings, store) -> {
-            boolean met = phase == null || await(store, phase, TimeUnit.SECONDS.toNanos(within));
-            told(RolloutStatusText.of(changes.view()));
-            return met ? 0 : 1;
+                    long timeoutSeconds) {
+        return run(settingsOption, (client, settings, store) -> {
+            boolean reached = phase == null || awaitPhase(store, phase, TimeUnit.SECONDS.toNanos(timeoutSeconds));
+            print(RolloutStatusText.of(client.fleetState()));
+            return reached ? 0 : 1;
         });
     }
 
-    private static boolean await(Store store, RolloutPhase phase, long nanos) throws FleetException {
-        long begun = System.nanoTime();
-        FleetState view = null;
+    private static boolean awaitPhase(Store store, RolloutPhase phase, long timeoutNanos) throws FleetException {
+        long startNanos = System.nanoTime();
+        FleetState fleet = null;
         while (true) {
             try {
-                view = newer(store, view);
-                ChangeRecord newest = RolloutStatusText.newest(view);
+                fleet = refresh(store, fleet);
+                ChangeRecord newest = RolloutStatusText.newestChange(fleet);
                 if (newest == null) {
                     throw new RolloutException(ErrorCode.CHANGE_UNKNOWN, "there was no change yet");
                 }
-                boolean met = newest.getPhase().equals(phase.name());
-                if (met || view.current().isEmpty() || System.nanoTime() - begun > nanos) {
-                    return met;
+                boolean reached = newest.getPhase().equals(phase.name());
+                if (reached || fleet.currentChange().isEmpty() || System.nanoTime() - startNanos > timeoutNanos) {
+                    return reached;
                 }
             } catch (StoreException e) {
-                boolean passing = e.kind() == ErrorCode.NOT_REACHED || e.kind() == ErrorCode.NO_MAJORITY;
-                if (!passing || System.nanoTime() - begun > nanos) {
+                boolean transientError = e.kind() == ErrorCode.NOT_REACHED || e.kind() == ErrorCode.NO_MAJORITY;
+                if (!transientError || System.nanoTime() - startNanos > timeoutNanos) {
                     throw e;
                 }
-                view = null; // who waits for a change waits through a lost lead, too
+                fleet = null; // who waits for a change waits through a lost lead, too
             }
         }
     }
 
-    private static FleetState newer(Store store, FleetState view) throws FleetException {
-        FleetState next = view == null ? new FleetState() : view;
-        next.take(view == null ? store.list("change/") : store.watch("change/", view.version(), Duration.ofSeconds(1)));
+    private static FleetState refresh(Store store, FleetState fleet) throws FleetException {
+        FleetState next = fleet == null ? new FleetState() : fleet;
+        next.apply(fleet == null ? store.list("change/") : store.watch("change/", fleet.version(), Duration.ofSeconds(1)));
         return next;
     }
 
     @Command(name = "pause", mixinStandardHelpOptions = true, description = "Moves nothing more until it is resumed.")
-    int pause(@Mixin Shared shared) {
-        return run(shared, (changes, settings, store) -> told(RolloutStatusText.of(changes.pause())));
+    int pause(@Mixin SettingsOption settingsOption) {
+        return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.pause())));
     }
 
     @Command(name = "resume", mixinStandardHelpOptions = true, description = "Goes on with a paused change.")
-    int resume(@Mixin Shared shared) {
-        return run(shared, (changes, settings, store) -> told(RolloutStatusText.of(changes.resume())));
+    int resume(@Mixin SettingsOption settingsOption) {
+        return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.resume())));
     }
 
     @Command(
             name = "stop",
             mixinStandardHelpOptions = true,
             description = "Takes the new nodes back to the version before.")
-    int stop(@Mixin Shared shared) {
-        return run(shared, (changes, settings, store) -> told(RolloutStatusText.of(changes.stop())));
+    int stop(@Mixin SettingsOption settingsOption) {
+        return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.stop())));
     }
 
     @Command(name = "forget", mixinStandardHelpOptions = true, description = "Forgets a node that will not come back.")
-    int forget(@Mixin Shared shared, @Parameters(paramLabel = "NODE", description = "The node's name.") String node) {
-        return run(shared, (changes, settings, store) -> {
-            changes.forget(node);
-            return told(List.of("forgotten: " + node));
+    int forget(@Mixin SettingsOption settingsOption, @Parameters(paramLabel = "NODE", description = "The node's name.") String node) {
+        return run(settingsOption, (client, settings, store) -> {
+            client.forget(node);
+            return print(List.of("forgotten: " + node));
         });
     }
 
-    private int run(Shared shared, Task task) {
+    private int run(SettingsOption settingsOption, StoreTask task) {
         try {
-            RolloutClientSettings settings = RolloutClientSettings.load(shared.settings);
-            try (Store store = stores.connect(settings.region(), settings.replicas(), settings.timeout())) {
+            RolloutClientSettings settings = RolloutClientSettings.load(settingsOption.settings);
+            try (Store store = connector.connect(settings.region(), settings.replicas(), settings.timeout())) {
                 return task.run(new RolloutClient(store, System::currentTimeMillis), settings, store);
             }
         } catch (FleetException e) {
-            PrintWriter err = spec.commandLine().getErr();
+            PrintWriter err = commandSpec.commandLine().getErr();
             err.println(e.getMessage());
             err.flush();
             return 1;
         }
     }
 
-    private int told(List<String> lines) {
-        PrintWriter out = spec.commandLine().getOut();
+    private int print(List<String> lines) {
+        PrintWriter out = commandSpec.commandLine().getOut();
         lines.forEach(out::println);
         out.flush();
         return 0;
--- a/src/main/java/olivechute/controller/RolloutController.java
+++ b/src/main/java/olivechute/controller/RolloutController.java
@@ -22,19 +22,19 @@
  */
 public final class RolloutController implements AutoCloseable {
     /** Three ticks: one that is late by two thirds of it, on a busy machine, costs no lead. */
-    static final Duration TTL = Duration.ofSeconds(3);
+    static final Duration LEASE_TTL = Duration.ofSeconds(3);
 
     private final Store store;
-    private final BooleanSupplier leads;
+    private final BooleanSupplier isLeader;
     private final LongSupplier clockMs;
     private final Duration tick;
-    private final ReconcilePlan.Steps steps;
+    private final ReconcilePlan.StepFunction stepFunction;
     private final String owner;
     private final CountDownLatch closing = new CountDownLatch(1);
     private Store.Lease lease;
-    private FleetState view; // null: to be read anew
-    private long now;
-    private String last = ""; // trouble or state told last, so that each is told once
+    private FleetState fleet; // null: to be read anew
+    private long nowMs;
+    private String lastMessage = ""; // trouble or state told last, so that each is told once
     private Thread thread;
 
     /**
@@ -42,22 +42,22 @@
      * id.
      */
     public RolloutController(
-            Store store, BooleanSupplier leads, LongSupplier clockMs, ControllerSettings settings, String replica) {
-        this(store, leads, clockMs, settings.tick(), settings.steps(), replica);
+            Store store, BooleanSupplier isLeader, LongSupplier clockMs, ControllerSettings settings, String replica) {
+        this(store, isLeader, clockMs, settings.tickInterval(), settings.stepFunction(), replica);
     }
 
     RolloutController(
             Store store,
-            BooleanSupplier leads,
+            BooleanSupplier isLeader,
             LongSupplier clockMs,
-            Duration tick,
-            ReconcilePlan.Steps steps,
+            Duration tickInterval,
+            ReconcilePlan.StepFunction stepFunction,
             String replica) {
         this.store = store;
-        this.leads = leads;
+        this.isLeader = isLeader;
         this.clockMs = clockMs;
-        this.tick = tick;
-        this.steps = steps;
+        this.tick = tickInterval;
+        this.stepFunction = stepFunction;
         this.owner = replica + "-" + clockMs.getAsLong();
     }
 
@@ -73,79 +73,79 @@
                 try {
                     tick();
                 } catch (RuntimeException e) {
-                    view = null;
+                    fleet = null;
                     Logger.error(e, "a tick of the change failed"); // thrown on, it would end the driving for good
                 }
             } while (!closing.await(tick.toMillis(), TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        letGo();
+        releaseLease();
     }
 
     /** Reads, decides and writes once; whether anything was written. */
     boolean tick() {
-        if (!leads.getAsBoolean()) {
-            letGo();
+        if (!isLeader.getAsBoolean()) {
+            releaseLease();
             return false;
         }
         try {
             if (lease == null) {
-                view = null;
-                lease = store.acquire(StoreKeys.LEASE, owner, TTL);
+                fleet = null;
+                lease = store.acquire(StoreKeys.LEADER_LEASE, owner, LEASE_TTL);
                 Logger.info("drives changes under fence {}", lease.session());
             } else {
                 store.renew(lease);
             }
-            if (view == null) {
-                FleetState fresh = new FleetState();
-                fresh.take(store.list(""));
-                view = fresh;
+            if (fleet == null) {
+                FleetState listed = new FleetState();
+                listed.apply(store.list(""));
+                fleet = listed;
             } else {
-                view.take(store.watch("", view.version(), Duration.ZERO));
+                fleet.apply(store.watch("", fleet.version(), Duration.ZERO));
             }
-            now = Math.max(now, clockMs.getAsLong());
-            ReconcilePlan plan = ReconcilePlan.of(view, steps, now, lease.session());
+            nowMs = Math.max(nowMs, clockMs.getAsLong());
+            ReconcilePlan plan = ReconcilePlan.of(fleet, stepFunction, nowMs, lease.session());
             if (plan.writes().isEmpty()) {
                 return false;
             }
             store.write(plan.writes(), List.of(lease.fence()));
-            tell(plan.change());
+            logChange(plan.updatedChange());
             return true;
         } catch (StoreException e) {
-            refused(e);
+            handleStoreError(e);
         } catch (RolloutException e) {
-            once(e.getMessage());
+            logOnce(e.getMessage());
         }
         return false;
     }
 
-    private void refused(StoreException e) {
-        view = null; // the write may have taken effect, or others did: read anew before anything else
+    private void handleStoreError(StoreException e) {
+        fleet = null; // the write may have taken effect, or others did: read anew before anything else
         if (e.kind() == ErrorCode.STALE_FENCE || e.kind() == ErrorCode.SESSION_ENDED) {
             lease = null;
         }
         if (e.kind() != ErrorCode.CONFLICT && e.kind() != ErrorCode.LEASE_HELD) {
-            once(e.getMessage());
+            logOnce(e.getMessage());
         }
     }
 
-    private void tell(ChangeRecord change) {
+    private void logChange(ChangeRecord change) {
         if (change != null) {
-            once("change " + change.getSpec().getId() + " is " + change.getPhase() + " at stage " + change.getStage()
+            logOnce("change " + change.getSpec().getId() + " is " + change.getPhase() + " at stage " + change.getStage()
                     + ": " + change.getReason());
         }
     }
 
-    private void once(String text) {
-        if (!text.equals(last)) {
-            last = text;
+    private void logOnce(String text) {
+        if (!text.equals(lastMessage)) {
+            lastMessage = text;
             Logger.info("{}", text);
         }
     }
 
-    private void letGo() {
-        view = null;
+    private void releaseLease() {
+        fleet = null;
         if (lease != null) {
             try {
                 store.release(lease);
@@ -161,7 +161,7 @@
         closing.countDown();
         try {
             if (thread != null) {
-                thread.join(TTL.toMillis());
+                thread.join(LEASE_TTL.toMillis());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/olivechute/controller/RolloutStatusText.java
+++ b/src/main/java/olivechute/controller/RolloutStatusText.java
@@ -17,14 +17,14 @@
     private RolloutStatusText() {}
 
     /** The change under way, or the one that ended last; null where there was none. */
-    static ChangeRecord newest(FleetState view) throws RolloutException {
-        Optional<ChangeRecord> current = view.current();
-        List<Entry> past = view.under(StoreKeys.PAST);
-        if (current.isPresent() || past.isEmpty()) {
+    static ChangeRecord newestChange(FleetState fleet) throws RolloutException {
+        Optional<ChangeRecord> current = fleet.currentChange();
+        List<Entry> pastChanges = fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX);
+        if (current.isPresent() || pastChanges.isEmpty()) {
             return current.orElse(null);
         }
-        Entry last = past.get(past.size() - 1);
-        return RolloutCodec.read(ChangeRecord.parser(), last.key(), last.value());
+        Entry last = pastChanges.get(pastChanges.size() - 1);
+        return RolloutCodec.parse(ChangeRecord.parser(), last.key(), last.value());
     }
 
     static List<String> of(ChangeRecord record) {
@@ -40,27 +40,27 @@
         return lines;
     }
 
-    static List<String> of(FleetState view) throws RolloutException {
+    static List<String> of(FleetState fleet) throws RolloutException {
         List<String> lines = new ArrayList<>();
-        lines.add("base: " + (view.base() == null ? "none" : view.base()));
-        ChangeRecord newest = newest(view);
+        lines.add("base: " + (fleet.baseVersion() == null ? "none" : fleet.baseVersion()));
+        ChangeRecord newest = newestChange(fleet);
         if (newest != null) {
             lines.addAll(of(newest));
         }
-        Map<String, List<String>> nodes = new TreeMap<>();
-        List<String> away = new ArrayList<>();
-        for (NodeStatus each : view.nodes()) {
-            if (each.reachable() && each.phase() == NodePhase.READY) {
-                nodes.computeIfAbsent(each.version(), v -> new ArrayList<>()).add(each.node());
+        Map<String, List<String>> readyByVersion = new TreeMap<>();
+        List<String> unavailableLines = new ArrayList<>();
+        for (NodeStatus node : fleet.nodes()) {
+            if (node.reachable() && node.phase() == NodePhase.READY) {
+                readyByVersion.computeIfAbsent(node.version(), v -> new ArrayList<>()).add(node.node());
             } else {
-                away.add("away: " + each.node() + " " + (each.reachable() ? each.phase() : "out of reach")
-                        + ", ordered " + (each.ordered() == null ? "nothing" : each.ordered())
-                        + (each.trouble().isEmpty() ? "" : ": " + each.trouble()));
+                unavailableLines.add("away: " + node.node() + " " + (node.reachable() ? node.phase() : "out of reach")
+                        + ", ordered " + (node.orderedVersion() == null ? "nothing" : node.orderedVersion())
+                        + (node.lastError().isEmpty() ? "" : ": " + node.lastError()));
             }
         }
-        nodes.forEach((version, names) ->
+        readyByVersion.forEach((version, names) ->
                 lines.add("nodes: " + names.size() + " ready at " + version + ": " + String.join(" ", names)));
-        lines.addAll(away);
+        lines.addAll(unavailableLines);
         return lines;
     }
 }
--- a/src/main/java/olivechute/controller/StoreKeys.java
+++ b/src/main/java/olivechute/controller/StoreKeys.java
@@ -2,14 +2,14 @@
 
 /** Where in the store things are kept; see fleet.proto. */
 final class StoreKeys {
-    static final String LEASE = "lead/rollout";
-    static final String BASE = "base";
-    static final String CURRENT = "change/current";
-    static final String PAST = "change/past/";
-    static final String VERSION = "version/";
-    static final String ORDER = "order/";
-    static final String MACHINE = "machine/";
-    static final String FIGURES = "figures/";
+    static final String LEADER_LEASE = "lead/rollout";
+    static final String BASE_VERSION = "base";
+    static final String CURRENT_CHANGE = "change/current";
+    static final String PAST_CHANGE_PREFIX = "change/past/";
+    static final String VERSION_PREFIX = "version/";
+    static final String ORDER_PREFIX = "order/";
+    static final String MACHINE_PREFIX = "machine/";
+    static final String METRICS_PREFIX = "figures/";
 
     private StoreKeys() {}
 }
--- a/src/main/java/olivechute/rollout/AbortConditions.java
+++ b/src/main/java/olivechute/rollout/AbortConditions.java
@@ -10,64 +10,64 @@
     private AbortConditions() {}
 
     /** The first that holds, as a sentence. Renews since when each node that can be reached has not been ready. */
-    static Optional<String> found(
-            RolloutSpec change,
+    static Optional<String> findAbortReason(
+            RolloutSpec spec,
             Collection<NodeStatus> nodes,
-            Map<String, NodeMetrics> figures,
+            Map<String, NodeMetrics> metricsByNode,
             Set<String> moved,
             Evidence evidence,
-            long now) {
-        int crashed = 0;
-        String last = null;
+            long nowMs) {
+        int crashedNodes = 0;
+        String lastCrash = null;
         for (NodeStatus node : nodes) {
             if (!moved.contains(node.node())) {
                 continue;
             }
-            NodeMetrics counted = figures.get(node.node());
-            if (counted != null && counted.version().equals(change.to()) && counted.rulesBroken() > 0) {
+            NodeMetrics metrics = metricsByNode.get(node.node());
+            if (metrics != null && metrics.version().equals(spec.toVersion()) && metrics.ruleViolations() > 0) {
                 return Optional.of(
-                        "node " + node.node() + " broke " + counted.rulesBroken() + " rules under the new version");
+                        "node " + node.node() + " broke " + metrics.ruleViolations() + " rules under the new version");
             }
-            boolean arrived =
-                    change.to().equals(node.ordered()) && !change.from().equals(node.version());
-            if (arrived && node.phase() == NodePhase.REFUSED) {
-                return Optional.of("node " + node.node() + " refused the new version" + trouble(node));
+            boolean leftOldVersion =
+                    spec.toVersion().equals(node.orderedVersion()) && !spec.fromVersion().equals(node.version());
+            if (leftOldVersion && node.phase() == NodePhase.REFUSED) {
+                return Optional.of("node " + node.node() + " refused the new version" + lastErrorSuffix(node));
             }
-            if (arrived && node.crashes() > 0) {
-                crashed++;
-                last = "node " + node.node() + " crashed " + node.crashes() + (node.crashes() == 1 ? " time" : " times")
-                        + " under the new version" + trouble(node);
+            if (leftOldVersion && node.crashes() > 0) {
+                crashedNodes++;
+                lastCrash = "node " + node.node() + " crashed " + node.crashes() + (node.crashes() == 1 ? " time" : " times")
+                        + " under the new version" + lastErrorSuffix(node);
                 if (node.crashes() >= 2) {
-                    return Optional.of(last);
+                    return Optional.of(lastCrash);
                 }
             }
-            Long since = evidence.waiting.get(node.node());
-            if (since != null && node.reachable() && now - since > change.readyWithinMs()) {
-                return Optional.of("node " + node.node() + " is not ready " + (now - since) / 1000
-                        + " s after it was to be, " + change.readyWithinMs() / 1000 + " s are allowed" + trouble(node));
+            Long notReadySinceMs = evidence.notReadySinceMs.get(node.node());
+            if (notReadySinceMs != null && node.reachable() && nowMs - notReadySinceMs > spec.readyTimeoutMs()) {
+                return Optional.of("node " + node.node() + " is not ready " + (nowMs - notReadySinceMs) / 1000
+                        + " s after it was to be, " + spec.readyTimeoutMs() / 1000 + " s are allowed" + lastErrorSuffix(node));
             }
         }
-        return crashed >= 2
-                ? Optional.of(crashed + " nodes crashed under the new version, the last: " + last)
+        return crashedNodes >= 2
+                ? Optional.of(crashedNodes + " nodes crashed under the new version, the last: " + lastCrash)
                 : Optional.empty();
     }
 
     /** Keeps since when nodes are not where they are to be; what cannot be reached is not counted. */
-    static void await(
-            RolloutSpec change, Collection<NodeStatus> nodes, Set<String> moved, Evidence evidence, long now) {
-        evidence.waiting.keySet().retainAll(nodes.stream().map(NodeStatus::node).toList());
+    static void updateNotReadySince(
+            RolloutSpec spec, Collection<NodeStatus> nodes, Set<String> moved, Evidence evidence, long nowMs) {
+        evidence.notReadySinceMs.keySet().retainAll(nodes.stream().map(NodeStatus::node).toList());
         for (NodeStatus node : nodes) {
-            boolean there = node.phase() == NodePhase.READY
-                    && (moved.contains(node.node()) ? change.to() : change.from()).equals(node.version());
-            if (there || !node.reachable()) {
-                evidence.waiting.remove(node.node());
+            boolean readyAtDesiredVersion = node.phase() == NodePhase.READY
+                    && (moved.contains(node.node()) ? spec.toVersion() : spec.fromVersion()).equals(node.version());
+            if (readyAtDesiredVersion || !node.reachable()) {
+                evidence.notReadySinceMs.remove(node.node());
             } else {
-                evidence.waiting.putIfAbsent(node.node(), now);
+                evidence.notReadySinceMs.putIfAbsent(node.node(), nowMs);
             }
         }
     }
 
-    private static String trouble(NodeStatus node) {
-        return node.trouble() == null || node.trouble().isEmpty() ? "" : ": " + node.trouble();
+    private static String lastErrorSuffix(NodeStatus node) {
+        return node.lastError() == null || node.lastError().isEmpty() ? "" : ": " + node.lastError();
     }
 }
--- a/src/main/java/olivechute/rollout/Comparison.java
+++ b/src/main/java/olivechute/rollout/Comparison.java
@@ -12,178 +12,178 @@
  */
 final class Comparison {
     /** Chance of a false stop allotted to a whole change. */
-    static final double STOP_CHANCE = 0.005;
+    static final double FALSE_STOP_PROBABILITY = 0.005;
     /** Chance to pass harm of a size that matters. */
-    static final double PASS_CHANCE = 0.05;
+    static final double FALSE_PASS_PROBABILITY = 0.05;
     /** Part of a class's worth whose loss matters. */
-    static final double MATTERS = 0.05;
+    static final double SIGNIFICANT_LOSS = 0.05;
     /** Part of the jobs from which on a class must be shown not to lose. */
-    static final double CLASS_COUNTS = 0.05;
+    static final double MIN_CLASS_SHARE = 0.05;
     /** A node's standing to others changes by about this by itself, as at a restart. */
-    private static final double DRIFT = 0.003;
+    private static final double MIN_DRIFT_STDDEV = 0.003;
 
-    private static final double SHARES = 0.05;
-    private static final double DELAYS = 0.5;
+    private static final double SHARE_EFFECT_SCALE = 0.05;
+    private static final double DELAY_EFFECT_SCALE = 0.5;
     /** What a tail of delays, or any proof of harm, needs at least. */
-    private static final int TAIL_NODES = 2;
+    private static final int MIN_TAIL_NODES = 2;
 
-    private static final int LEAST_BLOCKS = 4;
-    private static final String[] KINDS = {"served", "not failed", "not refused", "not late"};
+    private static final int MIN_BLOCKS = 4;
+    private static final String[] OUTCOME_NAMES = {"served", "not failed", "not refused", "not late"};
 
     /** Shift relative to the level, its variance, and the level and jobs it was found at. */
-    record Shift(double shift, double variance, double level, double found, long jobs) {
+    record EffectEstimate(double relativeEffect, double variance, double expectedMean, double observedMean, long sampleSize) {
         /**
          * Half of the interval that holds at all times with this chance of error; {@code scale}: size of the shifts
          * looked for; {@code most}: how far one job can lie off, for what is too rare to be spread as a normal variable
          * is (Bernstein's term).
          */
-        double width(double chance, double scale, double most) {
-            double tried = scale * scale;
-            double errors = Math.log(1 / chance) + 0.5 * Math.log(1 + tried / variance);
-            return Math.sqrt(2 * errors * variance * (variance + tried) / tried) + most * errors / (3 * jobs);
+        double halfWidth(double errorProbability, double effectScale, double maxDeviation) {
+            double mixtureVariance = effectScale * effectScale;
+            double logBound = Math.log(1 / errorProbability) + 0.5 * Math.log(1 + mixtureVariance / variance);
+            return Math.sqrt(2 * logBound * variance * (variance + mixtureVariance) / mixtureVariance) + maxDeviation * logBound / (3 * sampleSize);
         }
     }
 
     private final Evidence evidence;
     private final Set<String> moved;
-    private final double chance;
-    private final long now;
+    private final double errorProbability;
+    private final long nowMs;
 
-    Comparison(Evidence evidence, Set<String> moved, int stages, long now) {
+    Comparison(Evidence evidence, Set<String> moved, int stageCount, long nowMs) {
         this.evidence = evidence;
         this.moved = moved;
-        this.now = now;
-        chance = STOP_CHANCE / Math.max(1, stages * evidence.series());
+        this.nowMs = nowMs;
+        errorProbability = FALSE_STOP_PROBABILITY / Math.max(1, stageCount * evidence.seriesCount());
     }
 
     /** What is proven worse, as a sentence. */
-    Optional<String> worse() {
+    Optional<String> findRegression() {
         for (int c = 0; c < evidence.classes.size(); c++) {
-            for (int kind = 0; kind < Evidence.PER_CLASS; kind++) {
-                int s = c * Evidence.PER_CLASS + kind;
-                double tolerance = kind == 0 ? 0 : kind == 1 ? 0.002 : 0.01;
-                Shift shift = shift(s, evidence.newJobs[c]);
-                if (shift != null) {
-                    double most = (shift.shift + shift.width(chance, SHARES, 1)) * shift.level;
-                    if (most < -tolerance) {
-                        return Optional.of(text(
+            for (int outcome = 0; outcome < Evidence.SERIES_PER_CLASS; outcome++) {
+                int series = c * Evidence.SERIES_PER_CLASS + outcome;
+                double tolerance = outcome == 0 ? 0 : outcome == 1 ? 0.002 : 0.01;
+                EffectEstimate effect = estimateEffect(series, evidence.newRequests[c]);
+                if (effect != null) {
+                    double upperBound = (effect.relativeEffect + effect.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * effect.expectedMean;
+                    if (upperBound < -tolerance) {
+                        return Optional.of(format(
                                 "class %s %s %.3f at new nodes against %.3f at old ones, difference at most %.3f, "
                                         + "after %d s",
-                                evidence.classes.get(c), KINDS[kind], shift.found, shift.level, most, seconds()));
+                                evidence.classes.get(c), OUTCOME_NAMES[outcome], effect.observedMean, effect.expectedMean, upperBound, secondsSinceFirstMove()));
                     }
                 }
             }
         }
-        return slower();
+        return findDelayRegression();
     }
 
     /**
      * Delay is compared with {@link DelayShift#MATTERS_MS} on top of each: of what is usually near nothing any uneven
      * part is large, and as a multiple of that a delay that was added would never be proven.
      */
-    private Optional<String> slower() {
-        if (evidence.series() == 0) {
+    private Optional<String> findDelayRegression() {
+        if (evidence.seriesCount() == 0) {
             return Optional.empty();
         }
-        Shift delay = shift(evidence.delay(), evidence.newStreams);
+        EffectEstimate delay = estimateEffect(evidence.delaySeries(), evidence.newStreams);
         if (delay != null) {
-            double least = (delay.shift - delay.width(chance, DELAYS, 10)) * delay.level;
-            if (least > DelayShift.MATTERS_MS) {
-                return Optional.of(text(
+            double lowerBound = (delay.relativeEffect - delay.halfWidth(errorProbability, DELAY_EFFECT_SCALE, 10)) * delay.expectedMean;
+            if (lowerBound > DelayTailThreshold.SIGNIFICANT_DELAY_MS) {
+                return Optional.of(format(
                         "added delay %.1f ms at new nodes against %.1f ms at old ones, difference at least %.1f ms, "
                                 + "after %d s",
-                        delay.found - DelayShift.MATTERS_MS, delay.level - DelayShift.MATTERS_MS, least, seconds()));
+                        delay.observedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS, delay.expectedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS, lowerBound, secondsSinceFirstMove()));
             }
         }
-        Shift tail =
-                evidence.quick < 0 || moved.size() < TAIL_NODES ? null : shift(evidence.tail(), evidence.newStreams);
+        EffectEstimate tail =
+                evidence.lastFastBucket < 0 || moved.size() < MIN_TAIL_NODES ? null : estimateEffect(evidence.tailSeries(), evidence.newStreams);
         if (tail != null) {
-            double most = (tail.shift + tail.width(chance, SHARES, 1)) * tail.level;
-            if (most < -0.01) {
-                return Optional.of(text(
+            double upperBound = (tail.relativeEffect + tail.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * tail.expectedMean;
+            if (upperBound < -0.01) {
+                return Optional.of(format(
                         "streams within the old nodes' 99th percentile of added delay and %d ms: %.3f at new nodes against "
                                 + "%.3f at old ones, difference at most %.3f, after %d s",
-                        DelayShift.MATTERS_MS, tail.found, tail.level, most, seconds()));
+                        DelayTailThreshold.SIGNIFICANT_DELAY_MS, tail.observedMean, tail.expectedMean, upperBound, secondsSinceFirstMove()));
             }
         }
         return Optional.empty();
     }
 
     /** The class of which harm that matters is not excluded yet, as a clause; empty when none is left. */
-    Optional<String> open() {
-        long all = 0;
+    Optional<String> findInconclusiveClass() {
+        long allRequests = 0;
         for (int c = 0; c < evidence.classes.size(); c++) {
-            all += evidence.newJobs[c] + evidence.oldJobs[c];
+            allRequests += evidence.newRequests[c] + evidence.oldRequests[c];
         }
-        if (evidence.classes.isEmpty() || all == 0) {
+        if (evidence.classes.isEmpty() || allRequests == 0) {
             return Optional.of("no figures to compare");
         }
         for (int c = 0; c < evidence.classes.size(); c++) {
             String name = evidence.classes.get(c);
-            if (evidence.newJobs[c] + evidence.oldJobs[c] < CLASS_COUNTS * all) {
+            if (evidence.newRequests[c] + evidence.oldRequests[c] < MIN_CLASS_SHARE * allRequests) {
                 continue;
             }
-            Shift shift = shift(c * Evidence.PER_CLASS, evidence.newJobs[c]);
-            if (shift == null) {
+            EffectEstimate effect = estimateEffect(c * Evidence.SERIES_PER_CLASS, evidence.newRequests[c]);
+            if (effect == null) {
                 return Optional.of("no figures of class " + name + " to compare");
             }
-            double least = shift.shift - shift.width(PASS_CHANCE / evidence.classes.size(), SHARES, 1);
-            if (least < -MATTERS) {
-                return Optional.of(text(
+            double lowerBound = effect.relativeEffect - effect.halfWidth(FALSE_PASS_PROBABILITY / evidence.classes.size(), SHARE_EFFECT_SCALE, 1);
+            if (lowerBound < -SIGNIFICANT_LOSS) {
+                return Optional.of(format(
                         "class %s served %.3f at new nodes against %.3f at old ones may still be %.1f %% worse, "
                                 + "%.1f %% matter",
-                        name, shift.found, shift.level, -100 * least, 100 * MATTERS));
+                        name, effect.observedMean, effect.expectedMean, -100 * lowerBound, 100 * SIGNIFICANT_LOSS));
             }
         }
         return Optional.empty();
     }
 
-    private Shift shift(int s, long of) {
-        VarianceEstimator noise = evidence.noise[s];
-        if (!noise.known() || noise.blocks < LEAST_BLOCKS || of <= 0) {
+    private EffectEstimate estimateEffect(int series, long sampleSize) {
+        VarianceEstimator estimator = evidence.estimators[series];
+        if (!estimator.hasEnoughSamples() || estimator.blockCount < MIN_BLOCKS || sampleSize <= 0) {
             return null;
         }
-        double perLevel = noise.perLevel();
-        double drift = drift(s, perLevel);
-        double rest = 0;
-        double level = 0;
-        double usual = 0;
+        double varianceRate = estimator.varianceRate();
+        double driftVariance = estimateDriftVariance(series, varianceRate);
+        double residual = 0;
+        double expected = 0;
+        double baselineVariance = 0;
         for (Map.Entry<String, NodeEvidence> entry : evidence.nodes.entrySet()) {
             NodeEvidence node = entry.getValue();
-            if (moved.contains(entry.getKey()) && node.level[s] > 0) {
-                rest += node.rest[s];
-                level += node.level[s];
-                usual += (double) node.level[s] * node.level[s] * (perLevel / node.baseLevel[s] + drift);
+            if (moved.contains(entry.getKey()) && node.stageExpected[series] > 0) {
+                residual += node.stageResidual[series];
+                expected += node.stageExpected[series];
+                baselineVariance += (double) node.stageExpected[series] * node.stageExpected[series] * (varianceRate / node.baselineExpected[series] + driftVariance);
             }
         }
-        if (level <= 0) {
+        if (expected <= 0) {
             return null;
         }
-        double shift = rest / level;
-        double variance = Math.max(perLevel * level, noise.own(shift)) + usual + noise.control(perLevel, drift);
-        return new Shift(shift, variance / level / level, level / of, (level + rest) / of, of);
+        double relativeEffect = residual / expected;
+        double variance = Math.max(varianceRate * expected, estimator.blockVariance(relativeEffect)) + baselineVariance + estimator.controlVariance(varianceRate, driftVariance);
+        return new EffectEstimate(relativeEffect, variance / expected / expected, expected / sampleSize, (expected + residual) / sampleSize, sampleSize);
     }
 
     /** Variance of old nodes' standing against what it was before, beyond what chance makes of it. */
-    private double drift(int s, double perLevel) {
+    private double estimateDriftVariance(int series, double varianceRate) {
         double sum = 0;
         int count = 0;
         for (Map.Entry<String, NodeEvidence> entry : evidence.nodes.entrySet()) {
             NodeEvidence node = entry.getValue();
-            if (!moved.contains(entry.getKey()) && node.level[s] > 0 && node.hasBase(s)) {
-                double rest = node.rest[s] / (double) node.level[s];
-                sum += rest * rest - perLevel / node.level[s] - perLevel / node.baseLevel[s];
+            if (!moved.contains(entry.getKey()) && node.stageExpected[series] > 0 && node.hasBaseline(series)) {
+                double relativeResidual = node.stageResidual[series] / (double) node.stageExpected[series];
+                sum += relativeResidual * relativeResidual - varianceRate / node.stageExpected[series] - varianceRate / node.baselineExpected[series];
                 count++;
             }
         }
-        return count < 5 ? DRIFT * DRIFT : Math.max(DRIFT * DRIFT, sum / count);
+        return count < 5 ? MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV : Math.max(MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV, sum / count);
     }
 
-    private long seconds() {
-        return evidence.since == 0 ? 0 : (now - evidence.since) / 1000;
+    private long secondsSinceFirstMove() {
+        return evidence.firstMoveMs == 0 ? 0 : (nowMs - evidence.firstMoveMs) / 1000;
     }
 
-    private static String text(String format, Object... args) {
+    private static String format(String format, Object... args) {
         return String.format(Locale.ROOT, format, args);
     }
 }
--- a/src/main/java/olivechute/rollout/DisruptionBudget.java
+++ b/src/main/java/olivechute/rollout/DisruptionBudget.java
@@ -12,60 +12,60 @@
  * counted.
  */
 final class DisruptionBudget {
-    private final RolloutSpec change;
-    private final Map<String, NodeStatus> nodes = new HashMap<>();
+    private final RolloutSpec spec;
+    private final Map<String, NodeStatus> nodesByName = new HashMap<>();
     private final Map<String, String> orders = new HashMap<>();
-    private int away;
+    private int unavailable;
 
-    DisruptionBudget(RolloutSpec change, Collection<NodeStatus> all, Set<String> moved) {
-        this.change = change;
-        Set<String> missing = new HashSet<>(moved);
-        for (NodeStatus node : all) {
-            nodes.put(node.node(), node);
-            missing.remove(node.node());
-            away += away(node) ? 1 : 0;
+    DisruptionBudget(RolloutSpec spec, Collection<NodeStatus> allNodes, Set<String> moved) {
+        this.spec = spec;
+        Set<String> missingNodes = new HashSet<>(moved);
+        for (NodeStatus node : allNodes) {
+            nodesByName.put(node.node(), node);
+            missingNodes.remove(node.node());
+            unavailable += unavailable(node) ? 1 : 0;
         }
-        away += missing.size();
+        unavailable += missingNodes.size();
     }
 
     /** Not ready, out of reach, or on its way to another version. */
-    static boolean away(NodeStatus node) {
+    static boolean unavailable(NodeStatus node) {
         return node.phase() != NodePhase.READY
                 || !node.reachable()
-                || (node.ordered() != null && !node.ordered().equals(node.version()));
+                || (node.orderedVersion() != null && !node.orderedVersion().equals(node.version()));
     }
 
-    int away() {
-        return away;
+    int unavailable() {
+        return unavailable;
     }
 
-    boolean full() {
-        return away >= change.mostAway();
+    boolean exhausted() {
+        return unavailable >= spec.maxUnavailable();
     }
 
     /** Orders a version where it is not ordered yet; false where the pace does not allow it now. */
-    boolean order(NodeStatus node, String version) {
-        String stands = node.ordered() == null ? node.version() : node.ordered();
-        if (version.equals(stands)) {
+    boolean tryOrder(NodeStatus node, String version) {
+        String desiredVersion = node.orderedVersion() == null ? node.version() : node.orderedVersion();
+        if (version.equals(desiredVersion)) {
             return true;
         }
-        if (!away(node)) {
-            if (full()) {
+        if (!unavailable(node)) {
+            if (exhausted()) {
                 return false;
             }
-            away++;
+            unavailable++;
         }
         orders.put(node.node(), version);
         return true;
     }
 
     /** Every node, that joined or strayed too, is to have the order its stage names. */
-    void align(Set<String> moved) {
-        for (NodeStatus node : nodes.values().stream()
+    void orderStageVersions(Set<String> moved) {
+        for (NodeStatus node : nodesByName.values().stream()
                 .sorted(Comparator.comparing(NodeStatus::node))
                 .toList()) {
             if (!orders.containsKey(node.node())) {
-                order(node, moved.contains(node.node()) ? change.to() : change.from());
+                tryOrder(node, moved.contains(node.node()) ? spec.toVersion() : spec.fromVersion());
             }
         }
     }
--- a/src/main/java/olivechute/rollout/Evidence.java
+++ b/src/main/java/olivechute/rollout/Evidence.java
@@ -13,91 +13,91 @@
     /** Length of a block, the unit of the comparison. */
     static final long BLOCK_MS = 5_000;
     /** More classes than this are not compared. */
-    static final int MOST_CLASSES = 8;
+    static final int MAX_CLASSES = 8;
     /** For each class: served, failed, refused, late; then added delay and its tail. */
-    static final int PER_CLASS = 4;
+    static final int SERIES_PER_CLASS = 4;
 
     /** Why it is held. */
-    enum Held {
-        NOT,
-        AWAY,
-        EVIDENCE,
-        FIGURES
+    enum HoldReason {
+        NONE,
+        NODES_UNAVAILABLE,
+        INSUFFICIENT_EVIDENCE,
+        NO_METRICS
     }
 
-    Held held = Held.NOT;
+    HoldReason holdReason = HoldReason.NONE;
     /** An operator took it on himself that the stage passes. */
-    boolean vouched;
+    boolean operatorApproved;
     /** Why it is rolled back. */
-    String cause = "";
+    String rollbackCause = "";
     /** When the stage's first node moved, or 0. */
-    long since;
+    long firstMoveMs;
     /** Number of the block under way, -1 before the first. */
-    long block = -1;
+    long currentBlock = -1;
     /** Index of the delay bucket up to which a stream counts as quick; -1 while unknown. */
-    int quick = -1;
+    int lastFastBucket = -1;
     /** Classes compared; empty until the first figures come. */
     List<String> classes = List.of();
 
-    long[] newJobs = new long[0];
-    long[] oldJobs = new long[0];
+    long[] newRequests = new long[0];
+    long[] oldRequests = new long[0];
     long newStreams;
-    VarianceEstimator[] noise = new VarianceEstimator[0];
+    VarianceEstimator[] estimators = new VarianceEstimator[0];
     final Map<String, NodeEvidence> nodes = new TreeMap<>();
     /** Nodes not ready, and since when they have been so while their machines could be reached. */
-    final Map<String, Long> waiting = new TreeMap<>();
+    final Map<String, Long> notReadySinceMs = new TreeMap<>();
 
-    int series() {
-        return noise.length;
+    int seriesCount() {
+        return estimators.length;
     }
 
-    void compare(List<String> names) {
+    void startComparison(List<String> names) {
         classes = List.copyOf(names);
-        newJobs = new long[names.size()];
-        oldJobs = new long[names.size()];
-        noise = new VarianceEstimator[names.size() * PER_CLASS + 2];
-        for (int s = 0; s < noise.length; s++) {
-            noise[s] = new VarianceEstimator();
+        newRequests = new long[names.size()];
+        oldRequests = new long[names.size()];
+        estimators = new VarianceEstimator[names.size() * SERIES_PER_CLASS + 2];
+        for (int series = 0; series < estimators.length; series++) {
+            estimators[series] = new VarianceEstimator();
         }
     }
 
     /** Drops all that was counted. */
-    void forget() {
+    void resetComparison() {
         classes = List.of();
-        newJobs = new long[0];
-        oldJobs = new long[0];
+        newRequests = new long[0];
+        oldRequests = new long[0];
         newStreams = 0;
-        noise = new VarianceEstimator[0];
+        estimators = new VarianceEstimator[0];
         nodes.clear();
     }
 
-    int delay() {
-        return classes.size() * PER_CLASS;
+    int delaySeries() {
+        return classes.size() * SERIES_PER_CLASS;
     }
 
-    int tail() {
-        return delay() + 1;
+    int tailSeries() {
+        return delaySeries() + 1;
     }
 
     /** Jobs ended at new nodes since the stage began. */
-    long jobs() {
+    long totalNewRequests() {
         long sum = 0;
-        for (long jobs : newJobs) {
-            sum += jobs;
+        for (long requests : newRequests) {
+            sum += requests;
         }
         return sum;
     }
 
     void nextStage(Set<String> moved) {
         nodes.forEach((name, node) -> node.nextStage(!moved.contains(name)));
-        for (VarianceEstimator one : noise) {
-            one.nextStage();
+        for (VarianceEstimator estimator : estimators) {
+            estimator.nextStage();
         }
-        newJobs = new long[classes.size()];
-        oldJobs = new long[classes.size()];
+        newRequests = new long[classes.size()];
+        oldRequests = new long[classes.size()];
         newStreams = 0;
-        since = 0;
-        vouched = false;
-        held = Held.NOT;
+        firstMoveMs = 0;
+        operatorApproved = false;
+        holdReason = HoldReason.NONE;
     }
 }
--- a/src/main/java/olivechute/rollout/EvidenceCodec.java
+++ b/src/main/java/olivechute/rollout/EvidenceCodec.java
@@ -17,175 +17,175 @@
  * does not fit begins anew.
  */
 final class EvidenceCodec {
-    private static final byte FORMAT = 1;
-    private static final int HEAD = 5;
+    private static final byte FORMAT_VERSION = 1;
+    private static final int HEADER_BYTES = 5;
 
     private EvidenceCodec() {}
 
     static byte[] encode(Evidence evidence) {
-        ByteBuffer to = ByteBuffer.allocate(EvidenceLimits.BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(EvidenceLimits.MAX_BYTES);
         try {
-            write(evidence, to);
+            write(evidence, buffer);
         } catch (BufferOverflowException e) {
-            evidence.forget();
-            evidence.waiting.clear();
-            to.clear();
-            write(evidence, to);
-        }
-        CRC32 sum = new CRC32();
-        sum.update(to.array(), HEAD, to.position() - HEAD);
-        to.put(0, FORMAT).putInt(1, (int) sum.getValue());
-        return Arrays.copyOf(to.array(), to.position());
+            evidence.resetComparison();
+            evidence.notReadySinceMs.clear();
+            buffer.clear();
+            write(evidence, buffer);
+        }
+        CRC32 checksum = new CRC32();
+        checksum.update(buffer.array(), HEADER_BYTES, buffer.position() - HEADER_BYTES);
+        buffer.put(0, FORMAT_VERSION).putInt(1, (int) checksum.getValue());
+        return Arrays.copyOf(buffer.array(), buffer.position());
     }
 
-    private static void write(Evidence evidence, ByteBuffer to) {
-        to.position(HEAD);
-        to.put((byte) evidence.held.ordinal()).put((byte) (evidence.vouched ? 1 : 0));
-        text(to, evidence.cause);
-        whole(to, evidence.since);
-        whole(to, evidence.block + 1);
-        whole(to, evidence.quick + 1);
-        whole(to, evidence.newStreams);
-        whole(to, evidence.classes.size());
+    private static void write(Evidence evidence, ByteBuffer buffer) {
+        buffer.position(HEADER_BYTES);
+        buffer.put((byte) evidence.holdReason.ordinal()).put((byte) (evidence.operatorApproved ? 1 : 0));
+        string(buffer, evidence.rollbackCause);
+        varint(buffer, evidence.firstMoveMs);
+        varint(buffer, evidence.currentBlock + 1);
+        varint(buffer, evidence.lastFastBucket + 1);
+        varint(buffer, evidence.newStreams);
+        varint(buffer, evidence.classes.size());
         for (int c = 0; c < evidence.classes.size(); c++) {
-            text(to, evidence.classes.get(c));
-            whole(to, evidence.newJobs[c]);
-            whole(to, evidence.oldJobs[c]);
-        }
-        for (VarianceEstimator noise : evidence.noise) {
-            to.putDouble(noise.baseSquares)
-                    .putDouble(noise.baseLevel)
-                    .putDouble(noise.stageSquares)
-                    .putDouble(noise.stageLevel);
-            to.putDouble(noise.restSquares).putDouble(noise.restLevel).putDouble(noise.levelSquares);
-            to.putDouble(noise.controlBlocks).putDouble(noise.controlBase).putDouble(noise.controlDrift);
-            whole(to, noise.baseCount);
-            whole(to, noise.stageCount);
-            whole(to, noise.blocks);
-        }
-        whole(to, evidence.waiting.size());
-        evidence.waiting.forEach((name, since) -> {
-            text(to, name);
-            whole(to, since);
+            string(buffer, evidence.classes.get(c));
+            varint(buffer, evidence.newRequests[c]);
+            varint(buffer, evidence.oldRequests[c]);
+        }
+        for (VarianceEstimator estimator : evidence.estimators) {
+            buffer.putDouble(estimator.baselineSquares)
+                    .putDouble(estimator.baselineExpected)
+                    .putDouble(estimator.stageSquares)
+                    .putDouble(estimator.stageExpected);
+            buffer.putDouble(estimator.residualSquares).putDouble(estimator.residualTimesExpected).putDouble(estimator.expectedSquares);
+            buffer.putDouble(estimator.controlBlockSum).putDouble(estimator.controlBaselineSum).putDouble(estimator.controlDriftSum);
+            varint(buffer, estimator.baselineCount);
+            varint(buffer, estimator.stageCount);
+            varint(buffer, estimator.blockCount);
+        }
+        varint(buffer, evidence.notReadySinceMs.size());
+        evidence.notReadySinceMs.forEach((name, sinceMs) -> {
+            string(buffer, name);
+            varint(buffer, sinceMs);
         });
-        whole(to, evidence.nodes.size());
+        varint(buffer, evidence.nodes.size());
         evidence.nodes.forEach((name, node) -> {
-            text(to, name);
-            node(to, node);
+            string(buffer, name);
+            nodeEvidence(buffer, node);
         });
     }
 
-    private static void node(ByteBuffer to, NodeEvidence node) {
-        whole(to, node.incarnation);
-        whole(to, node.sequence);
-        to.put((byte) (node.edge == null ? 0 : 1));
-        for (int i = 0; node.edge != null && i < node.edge.length; i++) {
-            whole(to, node.edge[i]);
-        }
-        for (float[] sums : new float[][] {node.baseRest, node.baseLevel, node.rest, node.level}) {
+    private static void nodeEvidence(ByteBuffer buffer, NodeEvidence node) {
+        varint(buffer, node.incarnation);
+        varint(buffer, node.sequence);
+        buffer.put((byte) (node.blockStartTotals == null ? 0 : 1));
+        for (int i = 0; node.blockStartTotals != null && i < node.blockStartTotals.length; i++) {
+            varint(buffer, node.blockStartTotals[i]);
+        }
+        for (float[] sums : new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
             for (float sum : sums) {
-                to.putFloat(sum);
+                buffer.putFloat(sum);
             }
         }
     }
 
     /** Empty where the bytes are not such evidence: another format, cut short, or damaged. */
     static Optional<Evidence> decode(byte[] bytes) {
-        if (bytes.length <= HEAD || bytes.length > EvidenceLimits.BYTES || bytes[0] != FORMAT) {
+        if (bytes.length <= HEADER_BYTES || bytes.length > EvidenceLimits.MAX_BYTES || bytes[0] != FORMAT_VERSION) {
             return Optional.empty();
         }
-        CRC32 sum = new CRC32();
-        sum.update(bytes, HEAD, bytes.length - HEAD);
-        if (ByteBuffer.wrap(bytes).getInt(1) != (int) sum.getValue()) {
+        CRC32 checksum = new CRC32();
+        checksum.update(bytes, HEADER_BYTES, bytes.length - HEADER_BYTES);
+        if (ByteBuffer.wrap(bytes).getInt(1) != (int) checksum.getValue()) {
             return Optional.empty();
         }
         try {
-            return Optional.of(read(ByteBuffer.wrap(bytes).position(HEAD)));
+            return Optional.of(read(ByteBuffer.wrap(bytes).position(HEADER_BYTES)));
         } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
             return Optional.empty();
         }
     }
 
-    private static Evidence read(ByteBuffer from) {
+    private static Evidence read(ByteBuffer buffer) {
         Evidence evidence = new Evidence();
-        evidence.held = Evidence.Held.values()[from.get()];
-        evidence.vouched = from.get() == 1;
-        evidence.cause = text(from);
-        evidence.since = whole(from);
-        evidence.block = whole(from) - 1;
-        evidence.quick = (int) whole(from) - 1;
-        long streams = whole(from);
-        int count = count(from, Evidence.MOST_CLASSES);
+        evidence.holdReason = Evidence.HoldReason.values()[buffer.get()];
+        evidence.operatorApproved = buffer.get() == 1;
+        evidence.rollbackCause = string(buffer);
+        evidence.firstMoveMs = varint(buffer);
+        evidence.currentBlock = varint(buffer) - 1;
+        evidence.lastFastBucket = (int) varint(buffer) - 1;
+        long newStreams = varint(buffer);
+        int classCount = readCount(buffer, Evidence.MAX_CLASSES);
         List<String> names = new ArrayList<>();
-        long[] newJobs = new long[count];
-        long[] oldJobs = new long[count];
-        for (int c = 0; c < count; c++) {
-            names.add(text(from));
-            newJobs[c] = whole(from);
-            oldJobs[c] = whole(from);
-        }
-        if (count > 0) {
-            evidence.compare(names);
-            evidence.newJobs = newJobs;
-            evidence.oldJobs = oldJobs;
-        }
-        evidence.newStreams = streams;
-        for (VarianceEstimator noise : evidence.noise) {
-            noise.baseSquares = from.getDouble();
-            noise.baseLevel = from.getDouble();
-            noise.stageSquares = from.getDouble();
-            noise.stageLevel = from.getDouble();
-            noise.restSquares = from.getDouble();
-            noise.restLevel = from.getDouble();
-            noise.levelSquares = from.getDouble();
-            noise.controlBlocks = from.getDouble();
-            noise.controlBase = from.getDouble();
-            noise.controlDrift = from.getDouble();
-            noise.baseCount = whole(from);
-            noise.stageCount = whole(from);
-            noise.blocks = whole(from);
-        }
-        for (int left = count(from, EvidenceLimits.BYTES); left > 0; left--) {
-            evidence.waiting.put(text(from), whole(from));
-        }
-        for (int left = count(from, EvidenceLimits.BYTES); left > 0; left--) {
-            evidence.nodes.put(text(from), node(from, evidence));
+        long[] newRequests = new long[classCount];
+        long[] oldRequests = new long[classCount];
+        for (int c = 0; c < classCount; c++) {
+            names.add(string(buffer));
+            newRequests[c] = varint(buffer);
+            oldRequests[c] = varint(buffer);
+        }
+        if (classCount > 0) {
+            evidence.startComparison(names);
+            evidence.newRequests = newRequests;
+            evidence.oldRequests = oldRequests;
+        }
+        evidence.newStreams = newStreams;
+        for (VarianceEstimator estimator : evidence.estimators) {
+            estimator.baselineSquares = buffer.getDouble();
+            estimator.baselineExpected = buffer.getDouble();
+            estimator.stageSquares = buffer.getDouble();
+            estimator.stageExpected = buffer.getDouble();
+            estimator.residualSquares = buffer.getDouble();
+            estimator.residualTimesExpected = buffer.getDouble();
+            estimator.expectedSquares = buffer.getDouble();
+            estimator.controlBlockSum = buffer.getDouble();
+            estimator.controlBaselineSum = buffer.getDouble();
+            estimator.controlDriftSum = buffer.getDouble();
+            estimator.baselineCount = varint(buffer);
+            estimator.stageCount = varint(buffer);
+            estimator.blockCount = varint(buffer);
+        }
+        for (int remaining = readCount(buffer, EvidenceLimits.MAX_BYTES); remaining > 0; remaining--) {
+            evidence.notReadySinceMs.put(string(buffer), varint(buffer));
+        }
+        for (int remaining = readCount(buffer, EvidenceLimits.MAX_BYTES); remaining > 0; remaining--) {
+            evidence.nodes.put(string(buffer), nodeEvidence(buffer, evidence));
         }
         return evidence;
     }
 
-    private static NodeEvidence node(ByteBuffer from, Evidence evidence) {
-        NodeEvidence node = new NodeEvidence(evidence.series());
-        node.incarnation = whole(from);
-        node.sequence = whole(from);
-        if (from.get() == 1) {
-            node.edge = new long[MetricsSample.size(evidence.classes.size())];
-            for (int i = 0; i < node.edge.length; i++) {
-                node.edge[i] = whole(from);
+    private static NodeEvidence nodeEvidence(ByteBuffer buffer, Evidence evidence) {
+        NodeEvidence node = new NodeEvidence(evidence.seriesCount());
+        node.incarnation = varint(buffer);
+        node.sequence = varint(buffer);
+        if (buffer.get() == 1) {
+            node.blockStartTotals = new long[MetricsSample.length(evidence.classes.size())];
+            for (int i = 0; i < node.blockStartTotals.length; i++) {
+                node.blockStartTotals[i] = varint(buffer);
             }
         }
-        for (float[] sums : new float[][] {node.baseRest, node.baseLevel, node.rest, node.level}) {
-            for (int s = 0; s < sums.length; s++) {
-                sums[s] = from.getFloat();
+        for (float[] sums : new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
+            for (int series = 0; series < sums.length; series++) {
+                sums[series] = buffer.getFloat();
             }
         }
         return node;
     }
 
-    private static void whole(ByteBuffer to, long value) {
-        long left = value;
-        while ((left & ~0x7fL) != 0) {
-            to.put((byte) ((left & 0x7f) | 0x80));
-            left >>>= 7;
+    private static void varint(ByteBuffer buffer, long value) {
+        long remaining = value;
+        while ((remaining & ~0x7fL) != 0) {
+            buffer.put((byte) ((remaining & 0x7f) | 0x80));
+            remaining >>>= 7;
         }
-        to.put((byte) left);
+        buffer.put((byte) remaining);
     }
 
-    private static long whole(ByteBuffer from) {
+    private static long varint(ByteBuffer buffer) {
         long value = 0;
         for (int shift = 0; ; shift += 7) {
             Objects.checkIndex(shift, Long.SIZE);
-            byte next = from.get();
+            byte next = buffer.get();
             value |= (next & 0x7fL) << shift;
             if (next >= 0) {
                 return value;
@@ -193,20 +193,20 @@
         }
     }
 
-    private static int count(ByteBuffer from, int most) {
-        long count = whole(from);
-        return Math.toIntExact(Objects.checkIndex(count, most + 1L));
+    private static int readCount(ByteBuffer buffer, int max) {
+        long count = varint(buffer);
+        return Math.toIntExact(Objects.checkIndex(count, max + 1L));
     }
 
-    private static void text(ByteBuffer to, String text) {
+    private static void string(ByteBuffer buffer, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        whole(to, bytes.length);
-        to.put(bytes);
+        varint(buffer, bytes.length);
+        buffer.put(bytes);
     }
 
-    private static String text(ByteBuffer from) {
-        byte[] bytes = new byte[count(from, EvidenceLimits.BYTES)];
-        from.get(bytes);
+    private static String string(ByteBuffer buffer) {
+        byte[] bytes = new byte[readCount(buffer, EvidenceLimits.MAX_BYTES)];
+        buffer.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/olivechute/rollout/EvidenceLimits.java
+++ b/src/main/java/olivechute/rollout/EvidenceLimits.java
@@ -10,22 +10,22 @@
  */
 final class EvidenceLimits {
     /** Bytes of evidence at most. */
-    static final int BYTES = 64 * 1024;
+    static final int MAX_BYTES = 64 * 1024;
 
-    private static final int FOR_NODES = 44 * 1024;
+    private static final int MAX_NODE_BYTES = 44 * 1024;
 
     private EvidenceLimits() {}
 
-    static Set<String> sample(RolloutSpec change, Collection<NodeStatus> nodes, int series) {
-        int most = FOR_NODES / (series * 16 + 120);
+    static Set<String> sampleNodes(RolloutSpec spec, Collection<NodeStatus> nodes, int seriesCount) {
+        int maxNodes = MAX_NODE_BYTES / (seriesCount * 16 + 120);
         Set<String> names = new HashSet<>();
-        if (nodes.size() <= most) {
+        if (nodes.size() <= maxNodes) {
             nodes.forEach(node -> names.add(node.node()));
             return names;
         }
-        List<NodeStatus> order = NodeSelection.next(change.id(), nodes, Set.of());
-        order.subList(0, most / 2).forEach(node -> names.add(node.node()));
-        order.subList(order.size() - most / 2, order.size()).forEach(node -> names.add(node.node()));
+        List<NodeStatus> updateOrder = NodeSelection.updateOrder(spec.id(), nodes, Set.of());
+        updateOrder.subList(0, maxNodes / 2).forEach(node -> names.add(node.node()));
+        updateOrder.subList(updateOrder.size() - maxNodes / 2, updateOrder.size()).forEach(node -> names.add(node.node()));
         return names;
     }
 }
--- a/src/main/java/olivechute/rollout/MetricsAggregator.java
+++ b/src/main/java/olivechute/rollout/MetricsAggregator.java
@@ -11,220 +11,220 @@
 /** Turns the nodes' cumulative counts into the comparison's sums, block by block; nothing happens within a block. */
 final class MetricsAggregator {
     /** So long after it became ready a node is not compared: it warms up. */
-    static final long SETTLE_MS = 5_000;
+    static final long WARMUP_MS = 5_000;
 
     /** A node's part of one block. */
-    private record Part(NodeEvidence node, long[] counts, boolean isNew) {}
+    private record BlockSample(NodeEvidence node, long[] counts, boolean isNew) {}
 
     private final Evidence evidence;
-    private final RolloutSpec change;
+    private final RolloutSpec spec;
     private final Set<String> moved;
-    private final PriorityWeights worths;
+    private final PriorityWeights weights;
 
-    MetricsAggregator(Evidence evidence, RolloutSpec change, Set<String> moved, PriorityWeights worths) {
+    MetricsAggregator(Evidence evidence, RolloutSpec spec, Set<String> moved, PriorityWeights weights) {
         this.evidence = evidence;
-        this.change = change;
+        this.spec = spec;
         this.moved = moved;
-        this.worths = worths;
+        this.weights = weights;
     }
 
     /** Whether a block ended. {@code proposed}: all run the old version, what is usual is being learnt. */
-    boolean collect(Collection<NodeStatus> nodes, Map<String, NodeMetrics> figures, boolean proposed, long now) {
-        long block = Math.floorDiv(now, Evidence.BLOCK_MS);
-        if (block == evidence.block) {
+    boolean collect(Collection<NodeStatus> nodes, Map<String, NodeMetrics> metricsByNode, boolean learningBaseline, long nowMs) {
+        long block = Math.floorDiv(nowMs, Evidence.BLOCK_MS);
+        if (block == evidence.currentBlock) {
             return false;
         }
-        evidence.block = block;
-        prepare(figures, proposed);
+        evidence.currentBlock = block;
+        prepare(metricsByNode, learningBaseline);
         if (evidence.classes.isEmpty()) {
             return false;
         }
-        Map<String, List<Part>> zones = new TreeMap<>();
-        Set<String> sampled = EvidenceLimits.sample(change, nodes, evidence.series());
+        Map<String, List<BlockSample>> samplesByZone = new TreeMap<>();
+        Set<String> sampledNodes = EvidenceLimits.sampleNodes(spec, nodes, evidence.seriesCount());
         for (NodeStatus node : nodes) {
-            if (sampled.contains(node.node())) {
-                part(node, figures.get(node.node()), now, zones);
+            if (sampledNodes.contains(node.node())) {
+                addSample(node, metricsByNode.get(node.node()), nowMs, samplesByZone);
             }
         }
-        evidence.nodes.keySet().retainAll(sampled);
-        double[] rest = new double[evidence.series()];
-        double[] level = new double[evidence.series()];
-        for (List<Part> zone : zones.values()) {
-            for (int s = 0; s < evidence.series(); s++) {
-                if (proposed) {
-                    learn(zone, s);
+        evidence.nodes.keySet().retainAll(sampledNodes);
+        double[] residuals = new double[evidence.seriesCount()];
+        double[] expected = new double[evidence.seriesCount()];
+        for (List<BlockSample> samples : samplesByZone.values()) {
+            for (int series = 0; series < evidence.seriesCount(); series++) {
+                if (learningBaseline) {
+                    updateBaseline(samples, series);
                 } else {
-                    compare(zone, s, rest, level);
+                    compareNewNodes(samples, series, residuals, expected);
                 }
             }
         }
-        for (int s = 0; s < level.length; s++) {
-            if (level[s] > 0) {
-                VarianceEstimator noise = evidence.noise[s];
-                noise.blocks++;
-                noise.restSquares += rest[s] * rest[s];
-                noise.restLevel += rest[s] * level[s];
-                noise.levelSquares += level[s] * level[s];
+        for (int series = 0; series < expected.length; series++) {
+            if (expected[series] > 0) {
+                VarianceEstimator estimator = evidence.estimators[series];
+                estimator.blockCount++;
+                estimator.residualSquares += residuals[series] * residuals[series];
+                estimator.residualTimesExpected += residuals[series] * expected[series];
+                estimator.expectedSquares += expected[series] * expected[series];
             }
         }
         return true;
     }
 
-    private void prepare(Map<String, NodeMetrics> figures, boolean proposed) {
-        if (proposed || evidence.classes.isEmpty()) {
-            Set<String> names = new TreeSet<>(evidence.classes);
-            figures.values()
-                    .forEach(one -> one.classes().forEach((name, counts) -> {
-                        if (counts.taken() > 0 && names.size() < Evidence.MOST_CLASSES) {
-                            names.add(name);
+    private void prepare(Map<String, NodeMetrics> metricsByNode, boolean learningBaseline) {
+        if (learningBaseline || evidence.classes.isEmpty()) {
+            Set<String> classNames = new TreeSet<>(evidence.classes);
+            metricsByNode.values()
+                    .forEach(metrics -> metrics.classes().forEach((name, counts) -> {
+                        if (counts.received() > 0 && classNames.size() < Evidence.MAX_CLASSES) {
+                            classNames.add(name);
                         }
                     }));
-            if (names.size() > evidence.classes.size()) {
-                evidence.compare(new ArrayList<>(names));
+            if (classNames.size() > evidence.classes.size()) {
+                evidence.startComparison(new ArrayList<>(classNames));
                 evidence.nodes.clear();
             }
         }
-        if (evidence.quick < 0) {
-            evidence.quick = DelayShift.quick(
-                    figures.values().stream()
-                            .filter(one -> one.version().equals(change.from()))
+        if (evidence.lastFastBucket < 0) {
+            evidence.lastFastBucket = DelayTailThreshold.lastFastBucket(
+                    metricsByNode.values().stream()
+                            .filter(metrics -> metrics.version().equals(spec.fromVersion()))
                             .toList(),
-                    worths.delayBoundsUs());
-            if (evidence.quick >= 0) {
-                evidence.nodes.values().forEach(node -> node.edge = null);
+                    weights.delayBoundsUs());
+            if (evidence.lastFastBucket >= 0) {
+                evidence.nodes.values().forEach(node -> node.blockStartTotals = null);
             }
         }
     }
 
-    private void part(NodeStatus status, NodeMetrics figures, long now, Map<String, List<Part>> zones) {
-        NodeEvidence node = evidence.nodes.computeIfAbsent(status.node(), name -> new NodeEvidence(evidence.series()));
+    private void addSample(NodeStatus status, NodeMetrics metrics, long nowMs, Map<String, List<BlockSample>> samplesByZone) {
+        NodeEvidence node = evidence.nodes.computeIfAbsent(status.node(), name -> new NodeEvidence(evidence.seriesCount()));
         boolean isNew = moved.contains(status.node());
-        String version = isNew ? change.to() : change.from();
-        boolean counts = figures != null
+        String version = isNew ? spec.toVersion() : spec.fromVersion();
+        boolean comparable = metrics != null
                 && status.phase() == NodePhase.READY
                 && status.reachable()
                 && version.equals(status.version())
-                && version.equals(figures.version())
-                && now - status.since() >= SETTLE_MS
-                && (figures.incarnation() != node.incarnation || figures.sequence() > node.sequence);
-        if (!counts) {
-            node.edge = null;
+                && version.equals(metrics.version())
+                && nowMs - status.phaseSinceMs() >= WARMUP_MS
+                && (metrics.incarnation() != node.incarnation || metrics.sequence() > node.sequence);
+        if (!comparable) {
+            node.blockStartTotals = null;
             return;
         }
-        long[] edge = MetricsSample.of(figures, evidence.classes, worths.delayBoundsUs(), evidence.quick);
-        if (node.edge != null && node.incarnation == figures.incarnation()) {
-            long[] delta = MetricsSample.between(node.edge, edge);
+        long[] totals = MetricsSample.of(metrics, evidence.classes, weights.delayBoundsUs(), evidence.lastFastBucket);
+        if (node.blockStartTotals != null && node.incarnation == metrics.incarnation()) {
+            long[] delta = MetricsSample.difference(node.blockStartTotals, totals);
             if (delta != null) {
-                zones.computeIfAbsent(status.zone(), zone -> new ArrayList<>()).add(new Part(node, delta, isNew));
-                count(delta, isNew);
+                samplesByZone.computeIfAbsent(status.zone(), zone -> new ArrayList<>()).add(new BlockSample(node, delta, isNew));
+                addTotals(delta, isNew);
             }
         }
-        node.edge = edge;
-        node.incarnation = figures.incarnation();
-        node.sequence = figures.sequence();
+        node.blockStartTotals = totals;
+        node.incarnation = metrics.incarnation();
+        node.sequence = metrics.sequence();
     }
 
-    private void count(long[] delta, boolean isNew) {
+    private void addTotals(long[] delta, boolean isNew) {
         for (int c = 0; c < evidence.classes.size(); c++) {
-            (isNew ? evidence.newJobs : evidence.oldJobs)[c] += MetricsSample.jobs(delta, c);
+            (isNew ? evidence.newRequests : evidence.oldRequests)[c] += MetricsSample.requests(delta, c);
         }
-        evidence.newStreams += isNew ? MetricsSample.of(delta, evidence.delay(), evidence.classes.size()) : 0;
+        evidence.newStreams += isNew ? MetricsSample.of(delta, evidence.delaySeries(), evidence.classes.size()) : 0;
     }
 
-    private double good(Part part, int s) {
-        return MetricsSample.good(part.counts, s, evidence.classes, worths);
+    private double observedValue(BlockSample sample, int series) {
+        return MetricsSample.seriesValue(sample.counts, series, evidence.classes, weights);
     }
 
-    private long of(Part part, int s) {
-        return MetricsSample.of(part.counts, s, evidence.classes.size());
+    private long sampleSize(BlockSample sample, int series) {
+        return MetricsSample.of(sample.counts, series, evidence.classes.size());
     }
 
     /** What is usual: each node against the plain level of its zone. */
-    private void learn(List<Part> zone, int s) {
-        double good = 0;
-        long of = 0;
-        for (Part part : zone) {
-            good += good(part, s);
-            of += of(part, s);
-        }
-        if (of == 0 || good <= 0) {
+    private void updateBaseline(List<BlockSample> samples, int series) {
+        double observed = 0;
+        long total = 0;
+        for (BlockSample sample : samples) {
+            observed += observedValue(sample, series);
+            total += sampleSize(sample, series);
+        }
+        if (total == 0 || observed <= 0) {
             return;
         }
-        spread(zone, s, true);
-        for (Part part : zone) {
-            double level = of(part, s) * good / of;
-            part.node.baseRest[s] += (float) (good(part, s) - level);
-            part.node.baseLevel[s] += (float) level;
+        addOldNodeResiduals(samples, series, true);
+        for (BlockSample sample : samples) {
+            double expected = sampleSize(sample, series) * observed / total;
+            sample.node.baselineResidual[series] += (float) (observedValue(sample, series) - expected);
+            sample.node.baselineExpected[series] += (float) expected;
         }
     }
 
     /** How far old nodes lie from what the other old nodes of their zone lead one to expect, for the variance. */
-    private void spread(List<Part> zone, int s, boolean base) {
-        double good = 0;
-        long of = 0;
-        for (Part part : zone) {
-            if (!part.isNew && part.node.hasBase(s)) {
-                good += good(part, s) / part.node.usual(s);
-                of += of(part, s);
+    private void addOldNodeResiduals(List<BlockSample> samples, int series, boolean learningBaseline) {
+        double observed = 0;
+        long total = 0;
+        for (BlockSample sample : samples) {
+            if (!sample.isNew && sample.node.hasBaseline(series)) {
+                observed += observedValue(sample, series) / sample.node.baselineRatio(series);
+                total += sampleSize(sample, series);
             }
         }
-        VarianceEstimator noise = evidence.noise[s];
-        for (Part part : zone) {
-            if (part.isNew || !part.node.hasBase(s) || of(part, s) == 0 || of == of(part, s)) {
+        VarianceEstimator estimator = evidence.estimators[series];
+        for (BlockSample sample : samples) {
+            if (sample.isNew || !sample.node.hasBaseline(series) || sampleSize(sample, series) == 0 || total == sampleSize(sample, series)) {
                 continue;
             }
-            double others = (good - good(part, s) / part.node.usual(s)) / (of - of(part, s));
-            double level = of(part, s) * Math.max(0, others) * part.node.usual(s);
-            double rest = good(part, s) - level;
-            if (base) {
-                noise.baseSquares += rest * rest;
-                noise.baseLevel += level;
-                noise.baseCount++;
+            double otherNodesRate = (observed - observedValue(sample, series) / sample.node.baselineRatio(series)) / (total - sampleSize(sample, series));
+            double expected = sampleSize(sample, series) * Math.max(0, otherNodesRate) * sample.node.baselineRatio(series);
+            double residual = observedValue(sample, series) - expected;
+            if (learningBaseline) {
+                estimator.baselineSquares += residual * residual;
+                estimator.baselineExpected += expected;
+                estimator.baselineCount++;
             } else {
-                noise.stageSquares += rest * rest;
-                noise.stageLevel += level;
-                noise.stageCount++;
-                part.node.rest[s] += (float) rest;
-                part.node.level[s] += (float) level;
+                estimator.stageSquares += residual * residual;
+                estimator.stageExpected += expected;
+                estimator.stageCount++;
+                sample.node.stageResidual[series] += (float) residual;
+                sample.node.stageExpected[series] += (float) expected;
             }
         }
     }
 
     /** The new nodes against the level of the old ones of their zone, each as it usually stood to them. */
-    private void compare(List<Part> zone, int s, double[] restSum, double[] levelSum) {
-        double good = 0;
-        double usual = 0;
-        double base = 0;
-        long of = 0;
-        int old = 0;
-        for (Part part : zone) {
-            if (!part.isNew && part.node.hasBase(s) && of(part, s) > 0) {
-                good += good(part, s) / part.node.usual(s);
-                usual += of(part, s) * part.node.usual(s);
-                base += part.node.baseLevel[s];
-                of += of(part, s);
-                old++;
+    private void compareNewNodes(List<BlockSample> samples, int series, double[] residualSums, double[] expectedSums) {
+        double observed = 0;
+        double baselineWeightedTotal = 0;
+        double baselineExpected = 0;
+        long total = 0;
+        int oldNodeCount = 0;
+        for (BlockSample sample : samples) {
+            if (!sample.isNew && sample.node.hasBaseline(series) && sampleSize(sample, series) > 0) {
+                observed += observedValue(sample, series) / sample.node.baselineRatio(series);
+                baselineWeightedTotal += sampleSize(sample, series) * sample.node.baselineRatio(series);
+                baselineExpected += sample.node.baselineExpected[series];
+                total += sampleSize(sample, series);
+                oldNodeCount++;
             }
         }
-        if (of == 0 || good <= 0) {
+        if (total == 0 || observed <= 0) {
             return;
         }
-        spread(zone, s, false);
-        double levels = 0;
-        for (Part part : zone) {
-            if (part.isNew && part.node.hasBase(s) && of(part, s) > 0) {
-                double level = of(part, s) * (good / of) * part.node.usual(s);
-                double rest = good(part, s) - level;
-                part.node.rest[s] += (float) rest;
-                part.node.level[s] += (float) level;
-                restSum[s] += rest;
-                levelSum[s] += level;
-                levels += level;
+        addOldNodeResiduals(samples, series, false);
+        double zoneExpected = 0;
+        for (BlockSample sample : samples) {
+            if (sample.isNew && sample.node.hasBaseline(series) && sampleSize(sample, series) > 0) {
+                double expected = sampleSize(sample, series) * (observed / total) * sample.node.baselineRatio(series);
+                double residual = observedValue(sample, series) - expected;
+                sample.node.stageResidual[series] += (float) residual;
+                sample.node.stageExpected[series] += (float) expected;
+                residualSums[series] += residual;
+                expectedSums[series] += expected;
+                zoneExpected += expected;
             }
         }
-        VarianceEstimator noise = evidence.noise[s];
-        noise.controlBlocks += levels * levels / (usual * good / of);
-        noise.controlBase += levels / Math.sqrt(base);
-        noise.controlDrift += levels / Math.sqrt(old);
+        VarianceEstimator estimator = evidence.estimators[series];
+        estimator.controlBlockSum += zoneExpected * zoneExpected / (baselineWeightedTotal * observed / total);
+        estimator.controlBaselineSum += zoneExpected / Math.sqrt(baselineExpected);
+        estimator.controlDriftSum += zoneExpected / Math.sqrt(oldNodeCount);
     }
 }
--- a/src/main/java/olivechute/rollout/NodeEvidence.java
+++ b/src/main/java/olivechute/rollout/NodeEvidence.java
@@ -9,38 +9,38 @@
 final class NodeEvidence {
     long incarnation;
     long sequence;
-    long[] edge;
-    float[] baseRest;
-    float[] baseLevel;
-    float[] rest;
-    float[] level;
+    long[] blockStartTotals;
+    float[] baselineResidual;
+    float[] baselineExpected;
+    float[] stageResidual;
+    float[] stageExpected;
 
-    NodeEvidence(int series) {
-        baseRest = new float[series];
-        baseLevel = new float[series];
-        rest = new float[series];
-        level = new float[series];
+    NodeEvidence(int seriesCount) {
+        baselineResidual = new float[seriesCount];
+        baselineExpected = new float[seriesCount];
+        stageResidual = new float[seriesCount];
+        stageExpected = new float[seriesCount];
     }
 
-    boolean hasBase(int series) {
-        return baseLevel[series] > 0 && baseRest[series] > -baseLevel[series];
+    boolean hasBaseline(int series) {
+        return baselineExpected[series] > 0 && baselineResidual[series] > -baselineExpected[series];
     }
 
     /** How the node stood to its data centre while all ran the old version: 1 for as the others. */
-    double usual(int series) {
-        return hasBase(series) ? 1 + baseRest[series] / (double) baseLevel[series] : 1;
+    double baselineRatio(int series) {
+        return hasBaseline(series) ? 1 + baselineResidual[series] / (double) baselineExpected[series] : 1;
     }
 
     /** A new stage begins; an old node's last one adds to what is usual. */
-    void nextStage(boolean old) {
-        for (int s = 0; s < rest.length; s++) {
-            if (old && hasBase(s)) {
-                double raw = level[s] / usual(s);
-                baseRest[s] += (float) (rest[s] + level[s] - raw);
-                baseLevel[s] += (float) raw;
+    void nextStage(boolean onOldVersion) {
+        for (int series = 0; series < stageResidual.length; series++) {
+            if (onOldVersion && hasBaseline(series)) {
+                double zoneExpected = stageExpected[series] / baselineRatio(series);
+                baselineResidual[series] += (float) (stageResidual[series] + stageExpected[series] - zoneExpected);
+                baselineExpected[series] += (float) zoneExpected;
             }
-            rest[s] = 0;
-            level[s] = 0;
+            stageResidual[series] = 0;
+            stageExpected[series] = 0;
         }
     }
 }
--- a/src/main/java/olivechute/rollout/NodeMetrics.java
+++ b/src/main/java/olivechute/rollout/NodeMetrics.java
@@ -13,5 +13,5 @@
         long incarnation,
         long sequence,
         Map<String, ClassCounts> classes,
-        long rulesBroken,
-        long[] delay) {}
+        long ruleViolations,
+        long[] delayCounts) {}
--- a/src/main/java/olivechute/rollout/NodeSelection.java
+++ b/src/main/java/olivechute/rollout/NodeSelection.java
@@ -17,47 +17,47 @@
     private NodeSelection() {}
 
     /** How many nodes run the new version at the end of a stage; never more than there are. */
-    static int size(RolloutStage stage, int known) {
-        int wanted = stage.nodes() > 0 ? stage.nodes() : (int) (((long) known * stage.percent() + 99) / 100);
-        return Math.min(wanted, known);
+    static int targetNodeCount(RolloutStage stage, int knownNodes) {
+        int target = stage.nodes() > 0 ? stage.nodes() : (int) (((long) knownNodes * stage.percent() + 99) / 100);
+        return Math.min(target, knownNodes);
     }
 
     /** All that have not moved, in the order in which they would. */
-    static List<NodeStatus> next(String change, Collection<NodeStatus> nodes, Set<String> moved) {
-        Map<String, List<NodeStatus>> left = new TreeMap<>();
-        Map<String, int[]> counts = new TreeMap<>();
+    static List<NodeStatus> updateOrder(String changeId, Collection<NodeStatus> nodes, Set<String> moved) {
+        Map<String, List<NodeStatus>> remainingByZone = new TreeMap<>();
+        Map<String, int[]> countsByZone = new TreeMap<>();
         for (NodeStatus node : nodes) {
-            int[] count = counts.computeIfAbsent(node.zone(), zone -> new int[2]);
+            int[] count = countsByZone.computeIfAbsent(node.zone(), zone -> new int[2]);
             count[1]++;
             if (moved.contains(node.node())) {
                 count[0]++;
             } else {
-                left.computeIfAbsent(node.zone(), zone -> new ArrayList<>()).add(node);
+                remainingByZone.computeIfAbsent(node.zone(), zone -> new ArrayList<>()).add(node);
             }
         }
-        Comparator<NodeStatus> byHash = Comparator.comparingLong(node -> hash(change, node.node()));
-        left.values().forEach(zone -> zone.sort(byHash.thenComparing(NodeStatus::node)));
-        List<NodeStatus> order = new ArrayList<>();
-        Set<String> open = new HashSet<>(left.keySet());
-        while (!open.isEmpty()) {
-            String zone = open.stream()
-                    .min(Comparator.<String>comparingDouble(name -> counts.get(name)[0] / (double) counts.get(name)[1])
-                            .thenComparingLong(name -> hash(change, name))
+        Comparator<NodeStatus> byHash = Comparator.comparingLong(node -> hash(changeId, node.node()));
+        remainingByZone.values().forEach(zone -> zone.sort(byHash.thenComparing(NodeStatus::node)));
+        List<NodeStatus> ordered = new ArrayList<>();
+        Set<String> openZones = new HashSet<>(remainingByZone.keySet());
+        while (!openZones.isEmpty()) {
+            String zone = openZones.stream()
+                    .min(Comparator.<String>comparingDouble(name -> countsByZone.get(name)[0] / (double) countsByZone.get(name)[1])
+                            .thenComparingLong(name -> hash(changeId, name))
                             .thenComparing(Comparator.naturalOrder()))
                     .orElseThrow();
-            order.add(left.get(zone).remove(0));
-            counts.get(zone)[0]++;
-            if (left.get(zone).isEmpty()) {
-                open.remove(zone);
+            ordered.add(remainingByZone.get(zone).remove(0));
+            countsByZone.get(zone)[0]++;
+            if (remainingByZone.get(zone).isEmpty()) {
+                openZones.remove(zone);
             }
         }
-        return order;
+        return ordered;
     }
 
     /** The same on every machine and in every release: FNV-1a over both names, mixed. */
-    static long hash(String change, String name) {
+    static long hash(String changeId, String name) {
         long hash = 0xcbf29ce484222325L;
-        String text = change + '\n' + name;
+        String text = changeId + '\n' + name;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
--- a/src/main/java/olivechute/rollout/NodeStatus.java
+++ b/src/main/java/olivechute/rollout/NodeStatus.java
@@ -11,8 +11,8 @@
         String zone,
         String version,
         NodePhase phase,
-        long since,
+        long phaseSinceMs,
         int crashes,
-        String trouble,
+        String lastError,
         boolean reachable,
-        String ordered) {}
+        String orderedVersion) {}
--- a/src/main/java/olivechute/rollout/OperatorActions.java
+++ b/src/main/java/olivechute/rollout/OperatorActions.java
@@ -7,86 +7,86 @@
 final class OperatorActions {
     private OperatorActions() {}
 
-    static RolloutState pause(RolloutState progress, long now) throws RolloutException {
-        underWay(progress);
-        return switch (progress.phase()) {
+    static RolloutState pause(RolloutState state, long nowMs) throws RolloutException {
+        requireActive(state);
+        return switch (state.phase()) {
             case ROLLING_BACK ->
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
-                        "change " + progress.change().id() + " is being taken back, which cannot be paused");
-            case PAUSED -> progress;
-            default -> with(progress, RolloutPhase.PAUSED, now, "paused by an operator", evidence(progress));
+                        "change " + state.spec().id() + " is being taken back, which cannot be paused");
+            case PAUSED -> state;
+            default -> withPhase(state, RolloutPhase.PAUSED, nowMs, "paused by an operator", decodeEvidence(state));
         };
     }
 
-    static RolloutState resume(RolloutState progress, long now) throws RolloutException {
-        underWay(progress);
-        return switch (progress.phase()) {
+    static RolloutState resume(RolloutState state, long nowMs) throws RolloutException {
+        requireActive(state);
+        return switch (state.phase()) {
             case ROLLING_BACK ->
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
-                        "change " + progress.change().id() + " is being taken back and does not go on");
+                        "change " + state.spec().id() + " is being taken back and does not go on");
             case PAUSED -> {
-                boolean begun = progress.stage() > 0 || !progress.moved().isEmpty();
-                yield with(
-                        progress,
-                        begun ? RolloutPhase.MOVING : RolloutPhase.PROPOSED,
-                        now,
+                boolean started = state.stage() > 0 || !state.moved().isEmpty();
+                yield withPhase(
+                        state,
+                        started ? RolloutPhase.MOVING : RolloutPhase.PROPOSED,
+                        nowMs,
                         "resumed by an operator",
-                        evidence(progress));
+                        decodeEvidence(state));
             }
-            case HELD -> vouched(progress, now);
-            default -> progress;
+            case HELD -> approveHeldStage(state, nowMs);
+            default -> state;
         };
     }
 
-    private static RolloutState vouched(RolloutState progress, long now) {
-        Evidence evidence = evidence(progress);
-        if (evidence.held == Evidence.Held.FIGURES) {
-            return with(progress, RolloutPhase.MOVING, now, "goes on without figures by an operator's word", evidence);
+    private static RolloutState approveHeldStage(RolloutState state, long nowMs) {
+        Evidence evidence = decodeEvidence(state);
+        if (evidence.holdReason == Evidence.HoldReason.NO_METRICS) {
+            return withPhase(state, RolloutPhase.MOVING, nowMs, "goes on without figures by an operator's word", evidence);
         }
-        if (evidence.held != Evidence.Held.EVIDENCE) {
-            return progress;
+        if (evidence.holdReason != Evidence.HoldReason.INSUFFICIENT_EVIDENCE) {
+            return state;
         }
-        evidence.vouched = true;
-        return with(progress, RolloutPhase.HELD, progress.stageSince(), "an operator lets the stage pass", evidence);
+        evidence.operatorApproved = true;
+        return withPhase(state, RolloutPhase.HELD, state.stageSinceMs(), "an operator lets the stage pass", evidence);
     }
 
-    static RolloutState stop(RolloutState progress, long now) throws RolloutException {
-        underWay(progress);
-        if (progress.phase() == RolloutPhase.ROLLING_BACK) {
-            return progress;
+    static RolloutState stop(RolloutState state, long nowMs) throws RolloutException {
+        requireActive(state);
+        if (state.phase() == RolloutPhase.ROLLING_BACK) {
+            return state;
         }
-        Evidence evidence = evidence(progress);
-        evidence.cause = "stopped by an operator";
-        return with(
-                progress,
-                progress.moved().isEmpty() ? RolloutPhase.STOPPED : RolloutPhase.ROLLING_BACK,
-                now,
-                evidence.cause,
+        Evidence evidence = decodeEvidence(state);
+        evidence.rollbackCause = "stopped by an operator";
+        return withPhase(
+                state,
+                state.moved().isEmpty() ? RolloutPhase.STOPPED : RolloutPhase.ROLLING_BACK,
+                nowMs,
+                evidence.rollbackCause,
                 evidence);
     }
 
-    private static void underWay(RolloutState progress) throws RolloutException {
-        if (progress.phase().ended()) {
+    private static void requireActive(RolloutState state) throws RolloutException {
+        if (state.phase().ended()) {
             throw new RolloutException(
-                    ErrorCode.CHANGE_UNKNOWN, "change " + progress.change().id() + " has ended: " + progress.phase());
+                    ErrorCode.CHANGE_UNKNOWN, "change " + state.spec().id() + " has ended: " + state.phase());
         }
     }
 
-    private static Evidence evidence(RolloutState progress) {
-        return EvidenceCodec.decode(progress.evidence()).orElseGet(Evidence::new);
+    private static Evidence decodeEvidence(RolloutState state) {
+        return EvidenceCodec.decode(state.evidence()).orElseGet(Evidence::new);
     }
 
-    private static RolloutState with(
-            RolloutState progress, RolloutPhase phase, long since, String reason, Evidence evidence) {
+    private static RolloutState withPhase(
+            RolloutState state, RolloutPhase phase, long stageSinceMs, String reason, Evidence evidence) {
         return new RolloutState(
-                progress.change(),
+                state.spec(),
                 phase,
-                progress.stage(),
-                since,
+                state.stage(),
+                stageSinceMs,
                 reason,
-                progress.moved(),
+                state.moved(),
                 EvidenceCodec.encode(evidence));
     }
 }
--- a/src/main/java/olivechute/rollout/PriorityWeights.java
+++ b/src/main/java/olivechute/rollout/PriorityWeights.java
@@ -8,27 +8,27 @@
  * is served late, nothing otherwise. Classes that are not named count 1 and 0.2. {@code delayBoundsUs}: upper ends of
  * the buckets of {@link NodeMetrics#delay()} in us, growing; the last bucket may lie above them all.
  */
-public record PriorityWeights(Map<String, Double> worth, Map<String, Double> latePart, long[] delayBoundsUs) {
+public record PriorityWeights(Map<String, Double> weightByClass, Map<String, Double> lateFractionByClass, long[] delayBoundsUs) {
     /** Copies its arguments. */
     public PriorityWeights {
-        worth = Map.copyOf(worth);
-        latePart = Map.copyOf(latePart);
+        weightByClass = Map.copyOf(weightByClass);
+        lateFractionByClass = Map.copyOf(lateFractionByClass);
         delayBoundsUs = delayBoundsUs.clone();
     }
 
     /** All classes alike. */
-    public static PriorityWeights alike(List<Long> delayBoundsUs) {
+    public static PriorityWeights equalWeights(List<Long> delayBoundsUs) {
         return new PriorityWeights(
                 Map.of(),
                 Map.of(),
                 delayBoundsUs.stream().mapToLong(Long::longValue).toArray());
     }
 
-    double of(String name) {
-        return worth.getOrDefault(name, 1.0);
+    double weight(String name) {
+        return weightByClass.getOrDefault(name, 1.0);
     }
 
-    double late(String name) {
-        return latePart.getOrDefault(name, 0.2);
+    double lateFraction(String name) {
+        return lateFractionByClass.getOrDefault(name, 0.2);
     }
 }
--- a/src/main/java/olivechute/rollout/RollbackStep.java
+++ b/src/main/java/olivechute/rollout/RollbackStep.java
@@ -12,52 +12,52 @@
  */
 final class RollbackStep {
     private final Map<String, String> orders = new HashMap<>();
-    private final Set<String> left;
-    private boolean over;
-    private String slow = "";
+    private final Set<String> remaining;
+    private boolean complete;
+    private String notReadyText = "";
 
     RollbackStep(
-            RolloutSpec change,
+            RolloutSpec spec,
             Collection<NodeStatus> nodes,
             Set<String> moved,
-            DisruptionBudget pace,
-            Map<String, Long> waiting,
-            long now) {
-        left = new TreeSet<>(moved);
-        Map<String, NodeStatus> known = new HashMap<>();
-        nodes.forEach(node -> known.put(node.node(), node));
-        for (boolean away : new boolean[] {true, false}) {
+            DisruptionBudget budget,
+            Map<String, Long> notReadySinceMs,
+            long nowMs) {
+        remaining = new TreeSet<>(moved);
+        Map<String, NodeStatus> nodesByName = new HashMap<>();
+        nodes.forEach(node -> nodesByName.put(node.node(), node));
+        for (boolean unavailable : new boolean[] {true, false}) {
             for (String name : moved) {
-                NodeStatus node = known.get(name);
-                if (node == null && away) {
-                    orders.put(name, change.from());
-                    left.remove(name);
-                } else if (node != null && away == DisruptionBudget.away(node) && pace.order(node, change.from())) {
-                    left.remove(name);
+                NodeStatus node = nodesByName.get(name);
+                if (node == null && unavailable) {
+                    orders.put(name, spec.fromVersion());
+                    remaining.remove(name);
+                } else if (node != null && unavailable == DisruptionBudget.unavailable(node) && budget.tryOrder(node, spec.fromVersion())) {
+                    remaining.remove(name);
                 }
             }
         }
-        pace.align(left);
-        orders.putAll(pace.orders());
-        over = left.isEmpty() && orders.isEmpty();
+        budget.orderStageVersions(remaining);
+        orders.putAll(budget.orders());
+        complete = remaining.isEmpty() && orders.isEmpty();
         for (NodeStatus node : nodes) {
-            Long since = waiting.get(node.node());
-            boolean late = since != null && now - since > change.readyWithinMs();
-            over &= !node.reachable() || !DisruptionBudget.away(node) || late;
-            if (late && slow.isEmpty() && change.from().equals(node.ordered())) {
-                slow = "; taken back, node " + node.node() + " is not ready";
+            Long sinceMs = notReadySinceMs.get(node.node());
+            boolean overdue = sinceMs != null && nowMs - sinceMs > spec.readyTimeoutMs();
+            complete &= !node.reachable() || !DisruptionBudget.unavailable(node) || overdue;
+            if (overdue && notReadyText.isEmpty() && spec.fromVersion().equals(node.orderedVersion())) {
+                notReadyText = "; taken back, node " + node.node() + " is not ready";
             }
         }
     }
 
     /** Nodes not ordered back yet. */
-    Set<String> left() {
-        return left;
+    Set<String> remaining() {
+        return remaining;
     }
 
     /** All that answer run the old version, or had the time to. */
-    boolean over() {
-        return over;
+    boolean complete() {
+        return complete;
     }
 
     Map<String, String> orders() {
@@ -65,7 +65,7 @@
     }
 
     /** How far it is, to follow the cause. */
-    String told() {
-        return (left.isEmpty() ? "" : "; " + left.size() + " nodes are still to be taken back") + slow;
+    String progressText() {
+        return (remaining.isEmpty() ? "" : "; " + remaining.size() + " nodes are still to be taken back") + notReadyText;
     }
 }
--- a/src/main/java/olivechute/rollout/Rollout.java
+++ b/src/main/java/olivechute/rollout/Rollout.java
@@ -16,25 +16,25 @@
  * has not ended.
  */
 public final class Rollout {
-    private final RolloutState progress;
-    private final RolloutSpec change;
+    private final RolloutState state;
+    private final RolloutSpec spec;
     private final Evidence evidence;
-    private final boolean anew;
+    private final boolean evidenceLost;
     private final Collection<NodeStatus> nodes;
-    private final long now;
+    private final long nowMs;
     private final Set<String> moved;
-    private final DisruptionBudget pace;
+    private final DisruptionBudget budget;
 
-    private Rollout(RolloutState progress, Collection<NodeStatus> nodes, long now) {
-        this.progress = progress;
-        this.change = progress.change();
+    private Rollout(RolloutState state, Collection<NodeStatus> nodes, long nowMs) {
+        this.state = state;
+        this.spec = state.spec();
         this.nodes = nodes;
-        this.now = now;
-        moved = new TreeSet<>(progress.moved());
-        pace = new DisruptionBudget(change, nodes, moved);
-        Optional<Evidence> read = EvidenceCodec.decode(progress.evidence());
-        evidence = read.orElseGet(Evidence::new);
-        anew = read.isEmpty() && progress.evidence().length > 0;
+        this.nowMs = nowMs;
+        moved = new TreeSet<>(state.moved());
+        budget = new DisruptionBudget(spec, nodes, moved);
+        Optional<Evidence> decoded = EvidenceCodec.decode(state.evidence());
+        evidence = decoded.orElseGet(Evidence::new);
+        evidenceLost = decoded.isEmpty() && state.evidence().length > 0;
     }
 
     /**
@@ -42,258 +42,258 @@
      * {@code figures}: the newest of each node. An ended change stays as it is, without orders.
      */
     public static RolloutDecision step(
-            RolloutState progress,
+            RolloutState state,
             Collection<NodeStatus> nodes,
-            Collection<NodeMetrics> figures,
-            PriorityWeights worths,
-            long now) {
-        if (progress.phase().ended()) {
-            return new RolloutDecision(progress, Map.of());
+            Collection<NodeMetrics> metrics,
+            PriorityWeights weights,
+            long nowMs) {
+        if (state.phase().ended()) {
+            return new RolloutDecision(state, Map.of());
         }
-        return new Rollout(progress, nodes, now).step(figures, worths);
+        return new Rollout(state, nodes, nowMs).step(metrics, weights);
     }
 
     /**
      * Stops moving until {@link #resume}; harm still takes the new nodes back. Faults: CHANGE_UNKNOWN, CHANGE_INVALID.
      */
-    public static RolloutState pause(RolloutState progress, long now) throws RolloutException {
-        return OperatorActions.pause(progress, now);
+    public static RolloutState pause(RolloutState state, long nowMs) throws RolloutException {
+        return OperatorActions.pause(state, nowMs);
     }
 
     /**
      * Goes on after a pause, or past a stage that is held for too little evidence, by the operator's own judgement;
      * where nothing stands still nothing changes. Faults: CHANGE_UNKNOWN, CHANGE_INVALID.
      */
-    public static RolloutState resume(RolloutState progress, long now) throws RolloutException {
-        return OperatorActions.resume(progress, now);
+    public static RolloutState resume(RolloutState state, long nowMs) throws RolloutException {
+        return OperatorActions.resume(state, nowMs);
     }
 
     /** Takes the new nodes back; ends at once where none moved. Fault: CHANGE_UNKNOWN. */
-    public static RolloutState stop(RolloutState progress, long now) throws RolloutException {
-        return OperatorActions.stop(progress, now);
+    public static RolloutState stop(RolloutState state, long nowMs) throws RolloutException {
+        return OperatorActions.stop(state, nowMs);
     }
 
     /** Faults (CHANGE_INVALID) that a change has for a fleet of so many nodes; empty for none. */
-    public static List<RolloutException> check(RolloutSpec change, int known) {
-        return RolloutSpecValidator.check(change, known);
+    public static List<RolloutException> validate(RolloutSpec spec, int nodeCount) {
+        return RolloutSpecValidator.validate(spec, nodeCount);
     }
 
-    private RolloutDecision step(Collection<NodeMetrics> all, PriorityWeights worths) {
-        Map<String, NodeMetrics> figures = new HashMap<>();
-        all.forEach(one -> figures.put(one.node(), one));
-        AbortConditions.await(change, nodes, moved, evidence, now);
-        if (progress.phase() == RolloutPhase.ROLLING_BACK) {
-            return takeBack();
+    private RolloutDecision step(Collection<NodeMetrics> allMetrics, PriorityWeights weights) {
+        Map<String, NodeMetrics> metrics = new HashMap<>();
+        allMetrics.forEach(one -> metrics.put(one.node(), one));
+        AbortConditions.updateNotReadySince(spec, nodes, moved, evidence, nowMs);
+        if (state.phase() == RolloutPhase.ROLLING_BACK) {
+            return rollBack();
         }
-        Optional<String> stop = AbortConditions.found(change, nodes, figures, moved, evidence, now);
-        if (stop.isEmpty()
-                && new MetricsAggregator(evidence, change, moved, worths)
-                        .collect(nodes, figures, moved.isEmpty(), now)) {
-            stop = comparison().worse();
+        Optional<String> abortReason = AbortConditions.findAbortReason(spec, nodes, metrics, moved, evidence, nowMs);
+        if (abortReason.isEmpty()
+                && new MetricsAggregator(evidence, spec, moved, weights)
+                        .collect(nodes, metrics, moved.isEmpty(), nowMs)) {
+            abortReason = comparison().findRegression();
         }
-        if (stop.isPresent() && !moved.isEmpty()) {
-            evidence.cause = stop.get();
-            return decide(RolloutPhase.ROLLING_BACK, now, stop.get());
+        if (abortReason.isPresent() && !moved.isEmpty()) {
+            evidence.rollbackCause = abortReason.get();
+            return decide(RolloutPhase.ROLLING_BACK, nowMs, abortReason.get());
         }
-        return switch (progress.phase()) {
-            case PROPOSED -> proposed();
-            case MOVING -> moving();
-            case WATCHING -> watching();
-            case HELD -> held();
-            default -> stay(progress.reason());
+        return switch (state.phase()) {
+            case PROPOSED -> learnBaseline();
+            case MOVING -> moveNodes();
+            case WATCHING -> watchStage();
+            case HELD -> continueHeldStage();
+            default -> keepPhase(state.reason());
         };
     }
 
     private Comparison comparison() {
-        return new Comparison(evidence, moved, change.stages().size(), now);
+        return new Comparison(evidence, moved, spec.stages().size(), nowMs);
     }
 
-    private RolloutStage stage() {
-        return change.stages().get(progress.stage());
+    private RolloutStage currentStage() {
+        return spec.stages().get(state.stage());
     }
 
-    private boolean last() {
-        return progress.stage() == change.stages().size() - 1;
+    private boolean isLastStage() {
+        return state.stage() == spec.stages().size() - 1;
     }
 
-    private int wanted() {
-        return last() ? nodes.size() : NodeSelection.size(stage(), nodes.size());
+    private int targetNodeCount() {
+        return isLastStage() ? nodes.size() : NodeSelection.targetNodeCount(currentStage(), nodes.size());
     }
 
     /** Learns for as long as the first stage is watched at least how the nodes usually differ. */
-    private RolloutDecision proposed() {
-        long age = now - progress.stageSince();
-        boolean figures = evidence.nodes.values().stream().anyMatch(node -> evidence.series() > 0 && node.hasBase(0));
-        if (age >= stage().leastMs() && figures) {
+    private RolloutDecision learnBaseline() {
+        long elapsedMs = nowMs - state.stageSinceMs();
+        boolean hasMetrics = evidence.nodes.values().stream().anyMatch(node -> evidence.seriesCount() > 0 && node.hasBaseline(0));
+        if (elapsedMs >= currentStage().minDurationMs() && hasMetrics) {
             return decide(
                     RolloutPhase.MOVING,
-                    now,
-                    "stage 1: brings " + wanted() + " of " + nodes.size() + " nodes to the new version");
+                    nowMs,
+                    "stage 1: brings " + targetNodeCount() + " of " + nodes.size() + " nodes to the new version");
         }
-        if (age >= stage().longestMs() && !figures) {
-            evidence.held = Evidence.Held.FIGURES;
+        if (elapsedMs >= currentStage().maxDurationMs() && !hasMetrics) {
+            evidence.holdReason = Evidence.HoldReason.NO_METRICS;
             return decide(
                     RolloutPhase.HELD,
-                    progress.stageSince(),
-                    "no node told figures for " + age / 1000 + " s, nothing has moved");
+                    state.stageSinceMs(),
+                    "no node told figures for " + elapsedMs / 1000 + " s, nothing has moved");
         }
-        return stay("learns how the nodes usually differ, for " + stage().leastMs() / 1000 + " s");
+        return keepPhase("learns how the nodes usually differ, for " + currentStage().minDurationMs() / 1000 + " s");
     }
 
-    private RolloutDecision moving() {
-        pace.align(moved);
-        int there = 0;
-        boolean onWay = false;
+    private RolloutDecision moveNodes() {
+        budget.orderStageVersions(moved);
+        int serving = 0;
+        boolean inTransition = false;
         for (NodeStatus node : nodes) {
-            boolean is = moved.contains(node.node());
-            there += is && !DisruptionBudget.away(node) && change.to().equals(node.version()) ? 1 : 0;
-            onWay |= is && DisruptionBudget.away(node);
+            boolean isMoved = moved.contains(node.node());
+            serving += isMoved && !DisruptionBudget.unavailable(node) && spec.toVersion().equals(node.version()) ? 1 : 0;
+            inTransition |= isMoved && DisruptionBudget.unavailable(node);
         }
-        for (NodeStatus node : NodeSelection.next(change.id(), nodes, moved)) {
-            if (moved.size() >= wanted() || pace.full()) {
+        for (NodeStatus node : NodeSelection.updateOrder(spec.id(), nodes, moved)) {
+            if (moved.size() >= targetNodeCount() || budget.exhausted()) {
                 break;
             }
-            if (!DisruptionBudget.away(node) && pace.order(node, change.to())) {
-                move(node.node());
-                onWay = true;
+            if (!DisruptionBudget.unavailable(node) && budget.tryOrder(node, spec.toVersion())) {
+                recordMove(node.node());
+                inTransition = true;
             }
         }
-        String aim =
-                "stage " + (progress.stage() + 1) + ": " + there + " of " + wanted() + " nodes serve the new version";
-        if (moved.size() >= wanted() && !onWay) {
-            return decide(RolloutPhase.WATCHING, now, aim + ", compares them with the old ones");
+        String progressText =
+                "stage " + (state.stage() + 1) + ": " + serving + " of " + targetNodeCount() + " nodes serve the new version";
+        if (moved.size() >= targetNodeCount() && !inTransition) {
+            return decide(RolloutPhase.WATCHING, nowMs, progressText + ", compares them with the old ones");
         }
-        if (!onWay && (pace.full() || pace.orders().isEmpty())) {
-            evidence.held = Evidence.Held.AWAY;
-            return decide(RolloutPhase.HELD, progress.stageSince(), aim + ", " + awayText());
+        if (!inTransition && (budget.exhausted() || budget.orders().isEmpty())) {
+            evidence.holdReason = Evidence.HoldReason.NODES_UNAVAILABLE;
+            return decide(RolloutPhase.HELD, state.stageSinceMs(), progressText + ", " + unavailableText());
         }
-        return stay(aim + (pace.full() ? ", " + pace.away() + " away of at most " + change.mostAway() : ""));
+        return keepPhase(progressText + (budget.exhausted() ? ", " + budget.unavailable() + " away of at most " + spec.maxUnavailable() : ""));
     }
 
-    private void move(String name) {
-        moved.add(name);
-        if (evidence.since == 0) {
-            evidence.since = now;
+    private void recordMove(String nodeName) {
+        moved.add(nodeName);
+        if (evidence.firstMoveMs == 0) {
+            evidence.firstMoveMs = nowMs;
         }
-        evidence.waiting.put(name, now);
-        NodeEvidence node = evidence.nodes.get(name);
+        evidence.notReadySinceMs.put(nodeName, nowMs);
+        NodeEvidence node = evidence.nodes.get(nodeName);
         if (node != null) {
             node.nextStage(true);
-            node.edge = null;
+            node.blockStartTotals = null;
         }
     }
 
-    private String awayText() {
-        return pace.away() + " nodes are away, " + change.mostAway() + " may be: nothing moves until they are back";
+    private String unavailableText() {
+        return budget.unavailable() + " nodes are away, " + spec.maxUnavailable() + " may be: nothing moves until they are back";
     }
 
-    private RolloutDecision watching() {
-        if (pace.full()) {
-            evidence.held = Evidence.Held.AWAY;
-            return decide(RolloutPhase.HELD, progress.stageSince(), awayText());
+    private RolloutDecision watchStage() {
+        if (budget.exhausted()) {
+            evidence.holdReason = Evidence.HoldReason.NODES_UNAVAILABLE;
+            return decide(RolloutPhase.HELD, state.stageSinceMs(), unavailableText());
         }
-        Optional<String> missing = missing();
-        if (missing.isEmpty()) {
+        Optional<String> missingEvidence = findMissingEvidence();
+        if (missingEvidence.isEmpty()) {
             return advance("");
         }
-        if (now - progress.stageSince() >= stage().longestMs()) {
-            evidence.held = Evidence.Held.EVIDENCE;
+        if (nowMs - state.stageSinceMs() >= currentStage().maxDurationMs()) {
+            evidence.holdReason = Evidence.HoldReason.INSUFFICIENT_EVIDENCE;
             return decide(
                     RolloutPhase.HELD,
-                    progress.stageSince(),
-                    "too little evidence after " + stage().longestMs() / 1000 + " s: " + missing.get());
+                    state.stageSinceMs(),
+                    "too little evidence after " + currentStage().maxDurationMs() / 1000 + " s: " + missingEvidence.get());
         }
-        return stay("stage " + (progress.stage() + 1) + " watches: " + missing.get());
+        return keepPhase("stage " + (state.stage() + 1) + " watches: " + missingEvidence.get());
     }
 
     /** What the stage lacks to pass, as a clause. */
-    private Optional<String> missing() {
-        if (now - progress.stageSince() < stage().leastMs()) {
+    private Optional<String> findMissingEvidence() {
+        if (nowMs - state.stageSinceMs() < currentStage().minDurationMs()) {
             return Optional.of(
-                    (now - progress.stageSince()) / 10_000 * 10 + " of at least " + stage().leastMs() / 1000 + " s");
+                    (nowMs - state.stageSinceMs()) / 10_000 * 10 + " of at least " + currentStage().minDurationMs() / 1000 + " s");
         }
-        if (evidence.jobs() < stage().leastJobs() || evidence.jobs() == 0) {
+        if (evidence.totalNewRequests() < currentStage().minRequests() || evidence.totalNewRequests() == 0) {
             return Optional.of(
-                    evidence.jobs() + " of at least " + Math.max(1, stage().leastJobs()) + " jobs ended at new nodes");
+                    evidence.totalNewRequests() + " of at least " + Math.max(1, currentStage().minRequests()) + " jobs ended at new nodes");
         }
-        boolean alone = progress.stage() > 0 && nodes.stream().allMatch(node -> moved.contains(node.node()));
-        return alone ? Optional.empty() : comparison().open();
+        boolean noOldNodes = state.stage() > 0 && nodes.stream().allMatch(node -> moved.contains(node.node()));
+        return noOldNodes ? Optional.empty() : comparison().findInconclusiveClass();
     }
 
-    private RolloutDecision held() {
-        if (evidence.held == Evidence.Held.FIGURES) {
-            RolloutDecision as = proposed();
-            return as.next().phase() == RolloutPhase.MOVING ? as : stay(progress.reason());
+    private RolloutDecision continueHeldStage() {
+        if (evidence.holdReason == Evidence.HoldReason.NO_METRICS) {
+            RolloutDecision decision = learnBaseline();
+            return decision.nextState().phase() == RolloutPhase.MOVING ? decision : keepPhase(state.reason());
         }
-        if (evidence.held != Evidence.Held.EVIDENCE) {
-            boolean strays = moved.size() < wanted()
-                    && NodeSelection.next(change.id(), nodes, moved).stream().allMatch(DisruptionBudget::away);
-            return pace.full() || strays
-                    ? stay(awayText())
-                    : decide(RolloutPhase.MOVING, progress.stageSince(), "the nodes are back, goes on");
+        if (evidence.holdReason != Evidence.HoldReason.INSUFFICIENT_EVIDENCE) {
+            boolean noneAvailable = moved.size() < targetNodeCount()
+                    && NodeSelection.updateOrder(spec.id(), nodes, moved).stream().allMatch(DisruptionBudget::unavailable);
+            return budget.exhausted() || noneAvailable
+                    ? keepPhase(unavailableText())
+                    : decide(RolloutPhase.MOVING, state.stageSinceMs(), "the nodes are back, goes on");
         }
-        if (pace.full()) {
-            return stay(awayText());
+        if (budget.exhausted()) {
+            return keepPhase(unavailableText());
         }
-        if (evidence.vouched) {
+        if (evidence.operatorApproved) {
             return advance(" by an operator's word");
         }
-        Optional<String> missing = missing();
-        return missing.isEmpty() ? advance("") : stay("too little evidence: " + missing.get());
+        Optional<String> missingEvidence = findMissingEvidence();
+        return missingEvidence.isEmpty() ? advance("") : keepPhase("too little evidence: " + missingEvidence.get());
     }
 
-    private RolloutDecision advance(String how) {
-        String passed =
-                "stage " + (progress.stage() + 1) + " passed" + how + " with " + evidence.jobs() + " jobs at new nodes";
-        if (!last()) {
+    private RolloutDecision advance(String qualifier) {
+        String passedText =
+                "stage " + (state.stage() + 1) + " passed" + qualifier + " with " + evidence.totalNewRequests() + " jobs at new nodes";
+        if (!isLastStage()) {
             evidence.nextStage(moved);
-            return decide(progress.stage() + 1, RolloutPhase.MOVING, now, passed);
+            return decide(state.stage() + 1, RolloutPhase.MOVING, nowMs, passedText);
         }
         if (nodes.stream().allMatch(node -> moved.contains(node.node()))) {
-            evidence.forget();
-            return decide(RolloutPhase.DONE, now, passed + ", all " + moved.size() + " nodes run the new version");
+            evidence.resetComparison();
+            return decide(RolloutPhase.DONE, nowMs, passedText + ", all " + moved.size() + " nodes run the new version");
         }
-        return decide(RolloutPhase.MOVING, now, passed + ", nodes that joined are left");
+        return decide(RolloutPhase.MOVING, nowMs, passedText + ", nodes that joined are left");
     }
 
-    private RolloutDecision takeBack() {
-        String cause = evidence.cause.isEmpty() ? progress.reason() : evidence.cause;
-        evidence.cause = cause;
-        RollbackStep back = new RollbackStep(change, nodes, moved, pace, evidence.waiting, now);
-        moved.retainAll(back.left());
-        if (back.over()) {
-            evidence.forget();
+    private RolloutDecision rollBack() {
+        String cause = evidence.rollbackCause.isEmpty() ? state.reason() : evidence.rollbackCause;
+        evidence.rollbackCause = cause;
+        RollbackStep rollback = new RollbackStep(spec, nodes, moved, budget, evidence.notReadySinceMs, nowMs);
+        moved.retainAll(rollback.remaining());
+        if (rollback.complete()) {
+            evidence.resetComparison();
             return new RolloutDecision(
-                    next(progress.stage(), RolloutPhase.STOPPED, now, cause + back.told()), Map.of());
+                    nextState(state.stage(), RolloutPhase.STOPPED, nowMs, cause + rollback.progressText()), Map.of());
         }
         return new RolloutDecision(
-                next(progress.stage(), RolloutPhase.ROLLING_BACK, progress.stageSince(), cause + back.told()),
-                back.orders());
+                nextState(state.stage(), RolloutPhase.ROLLING_BACK, state.stageSinceMs(), cause + rollback.progressText()),
+                rollback.orders());
     }
 
-    private RolloutDecision stay(String reason) {
-        return decide(progress.phase(), progress.stageSince(), reason);
+    private RolloutDecision keepPhase(String reason) {
+        return decide(state.phase(), state.stageSinceMs(), reason);
     }
 
-    private RolloutDecision decide(RolloutPhase phase, long since, String reason) {
-        return decide(progress.stage(), phase, since, reason);
+    private RolloutDecision decide(RolloutPhase phase, long stageSinceMs, String reason) {
+        return decide(state.stage(), phase, stageSinceMs, reason);
     }
 
-    private RolloutDecision decide(int stage, RolloutPhase phase, long since, String reason) {
+    private RolloutDecision decide(int stage, RolloutPhase phase, long stageSinceMs, String reason) {
         if (phase == RolloutPhase.ROLLING_BACK || phase == RolloutPhase.DONE) {
-            return new RolloutDecision(next(stage, phase, since, reason), Map.of());
+            return new RolloutDecision(nextState(stage, phase, stageSinceMs, reason), Map.of());
         }
         if (phase != RolloutPhase.HELD && phase != RolloutPhase.PAUSED) {
-            evidence.held = Evidence.Held.NOT;
+            evidence.holdReason = Evidence.HoldReason.NONE;
         }
-        pace.align(moved);
-        return new RolloutDecision(next(stage, phase, since, reason), pace.orders());
+        budget.orderStageVersions(moved);
+        return new RolloutDecision(nextState(stage, phase, stageSinceMs, reason), budget.orders());
     }
 
-    private RolloutState next(int stage, RolloutPhase phase, long since, String reason) {
-        String told =
-                anew ? reason + " (the evidence could not be read, the comparison of this stage begins anew)" : reason;
+    private RolloutState nextState(int stage, RolloutPhase phase, long stageSinceMs, String reason) {
+        String fullReason =
+                evidenceLost ? reason + " (the evidence could not be read, the comparison of this stage begins anew)" : reason;
         return new RolloutState(
-                change, phase, stage, since, told, new HashSet<>(moved), EvidenceCodec.encode(evidence));
+                spec, phase, stage, stageSinceMs, fullReason, new HashSet<>(moved), EvidenceCodec.encode(evidence));
     }
 }
--- a/src/main/java/olivechute/rollout/RolloutSpec.java
+++ b/src/main/java/olivechute/rollout/RolloutSpec.java
@@ -7,7 +7,7 @@
  * it at once.
  */
 public record RolloutSpec(
-        String id, String from, String to, List<RolloutStage> stages, int mostAway, long readyWithinMs) {
+        String id, String fromVersion, String toVersion, List<RolloutStage> stages, int maxUnavailable, long readyTimeoutMs) {
     public RolloutSpec {
         stages = List.copyOf(stages);
     }
--- a/src/main/java/olivechute/rollout/RolloutStage.java
+++ b/src/main/java/olivechute/rollout/RolloutStage.java
@@ -5,4 +5,4 @@
  * up. It passes after {@code leastMs} at the earliest and with {@code leastJobs} jobs ended at new nodes since its
  * begin; without enough evidence by {@code longestMs} the change is held.
  */
-public record RolloutStage(int nodes, int percent, long leastMs, long longestMs, long leastJobs) {}
+public record RolloutStage(int nodes, int percent, long minDurationMs, long maxDurationMs, long minRequests) {}
--- a/src/main/java/olivechute/rollout/RolloutState.java
+++ b/src/main/java/olivechute/rollout/RolloutState.java
@@ -8,10 +8,10 @@
  * {@code evidence}: state of the comparison, in this package's own form, bounded to 64 KiB.
  */
 public record RolloutState(
-        RolloutSpec change,
+        RolloutSpec spec,
         RolloutPhase phase,
         int stage,
-        long stageSince,
+        long stageSinceMs,
         String reason,
         Set<String> moved,
         byte[] evidence) {
@@ -20,7 +20,7 @@
     }
 
     /** A change as it begins. */
-    public static RolloutState proposed(RolloutSpec change, long now) {
-        return new RolloutState(change, RolloutPhase.PROPOSED, 0, now, "proposed", Set.of(), new byte[0]);
+    public static RolloutState proposed(RolloutSpec spec, long nowMs) {
+        return new RolloutState(spec, RolloutPhase.PROPOSED, 0, nowMs, "proposed", Set.of(), new byte[0]);
     }
 }
--- a/src/main/java/olivechute/rollout/VarianceEstimator.java
+++ b/src/main/java/olivechute/rollout/VarianceEstimator.java
@@ -2,68 +2,68 @@
 
 /** Sums over blocks from which the variance of one series comes. {@code stage...}: since the stage began. */
 final class VarianceEstimator {
-    double baseSquares;
-    double baseLevel;
-    long baseCount;
+    double baselineSquares;
+    double baselineExpected;
+    long baselineCount;
     double stageSquares;
-    double stageLevel;
+    double stageExpected;
     long stageCount;
     /** Of the new nodes together: blocks, squares of rests, rest times level, squares of levels. */
-    long blocks;
+    long blockCount;
 
-    double restSquares;
-    double restLevel;
-    double levelSquares;
+    double residualSquares;
+    double residualTimesExpected;
+    double expectedSquares;
     /**
      * What the old nodes' own noise adds: per block, by what was usual of them, by their drift. Zones count as if they
      * erred alike.
      */
-    double controlBlocks;
+    double controlBlockSum;
 
-    double controlBase;
-    double controlDrift;
+    double controlBaselineSum;
+    double controlDriftSum;
 
-    private static final long LEAST = 20;
+    private static final long MIN_SAMPLES = 20;
 
-    boolean known() {
-        return baseCount + stageCount >= LEAST && baseLevel + stageLevel > 0;
+    boolean hasEnoughSamples() {
+        return baselineCount + stageCount >= MIN_SAMPLES && baselineExpected + stageExpected > 0;
     }
 
     /**
      * Variance of a node's rest per unit of its level. Three events more than seen: nothing seen is not nothing
      * possible.
      */
-    double perLevel() {
-        double all = (baseSquares + stageSquares + 3) / (baseLevel + stageLevel);
-        return stageCount < LEAST || stageLevel <= 0 ? all : Math.max(all, stageSquares / stageLevel);
+    double varianceRate() {
+        double pooledRate = (baselineSquares + stageSquares + 3) / (baselineExpected + stageExpected);
+        return stageCount < MIN_SAMPLES || stageExpected <= 0 ? pooledRate : Math.max(pooledRate, stageSquares / stageExpected);
     }
 
     /** Variance of the new nodes' summed rest as they show it themselves, given the shift found. */
-    double own(double shift) {
-        if (blocks < 2) {
+    double blockVariance(double relativeEffect) {
+        if (blockCount < 2) {
             return 0;
         }
-        return Math.max(0, restSquares - 2 * shift * restLevel + shift * shift * levelSquares) * blocks / (blocks - 1);
+        return Math.max(0, residualSquares - 2 * relativeEffect * residualTimesExpected + relativeEffect * relativeEffect * expectedSquares) * blockCount / (blockCount - 1);
     }
 
     /** Variance that the old nodes add to the new nodes' summed rest. */
-    double control(double perLevel, double drift) {
-        return perLevel * (controlBlocks + controlBase * controlBase) + drift * controlDrift * controlDrift;
+    double controlVariance(double varianceRate, double driftVariance) {
+        return varianceRate * (controlBlockSum + controlBaselineSum * controlBaselineSum) + driftVariance * controlDriftSum * controlDriftSum;
     }
 
     void nextStage() {
-        baseSquares += stageSquares;
-        baseLevel += stageLevel;
-        baseCount += stageCount;
+        baselineSquares += stageSquares;
+        baselineExpected += stageExpected;
+        baselineCount += stageCount;
         stageSquares = 0;
-        stageLevel = 0;
+        stageExpected = 0;
         stageCount = 0;
-        blocks = 0;
-        restSquares = 0;
-        restLevel = 0;
-        levelSquares = 0;
-        controlBlocks = 0;
-        controlBase = 0;
-        controlDrift = 0;
+        blockCount = 0;
+        residualSquares = 0;
+        residualTimesExpected = 0;
+        expectedSquares = 0;
+        controlBlockSum = 0;
+        controlBaselineSum = 0;
+        controlDriftSum = 0;
     }
 }
