--- a/src/test/java/olivechute/controller/LeadRig.java
+++ b/src/test/java/olivechute/controller/ControllerRig.java
@@ -14,38 +14,38 @@
 import olivechute.store.MemoryStore;
 
 /** A store in memory, a scripted fleet at its base v1, and two drivers of it in virtual time. */
-final class LeadRig {
+final class ControllerRig {
     private static final long ROUND_MS = 1000;
 
     final TestClock clock = new TestClock();
     final MemoryStore store = new MemoryStore(clock);
-    final WatchedStore.Orders orders = new WatchedStore.Orders();
-    final WatchedStore firstSees = new WatchedStore(store, orders);
-    final WatchedStore secondSees = new WatchedStore(store, orders);
-    final RolloutController first;
-    final RolloutController second;
-    final RolloutClient changes = new RolloutClient(store, clock);
+    final InterceptingStore.OrderLog orderLog = new InterceptingStore.OrderLog();
+    final InterceptingStore firstStore = new InterceptingStore(store, orderLog);
+    final InterceptingStore secondStore = new InterceptingStore(store, orderLog);
+    final RolloutController firstController;
+    final RolloutController secondController;
+    final RolloutClient client = new RolloutClient(store, clock);
     final ScriptedFleet fleet;
 
-    LeadRig(int nodes) throws FleetException {
-        this(nodes, new PlainSteps());
+    ControllerRig(int nodes) throws FleetException {
+        this(nodes, new SequentialStepFunction());
     }
 
-    LeadRig(int nodes, ReconcilePlan.Steps steps) throws FleetException {
-        first = new RolloutController(firstSees, () -> true, clock, Duration.ofSeconds(1), steps, "r1");
-        second = new RolloutController(secondSees, () -> true, clock, Duration.ofSeconds(1), steps, "r2");
+    ControllerRig(int nodes, ReconcilePlan.StepFunction stepFunction) throws FleetException {
+        firstController = new RolloutController(firstStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r1");
+        secondController = new RolloutController(secondStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r2");
         fleet = new ScriptedFleet(store, clock, nodes);
-        changes.base(VersionSpec.newBuilder()
+        client.setBaseVersion(VersionSpec.newBuilder()
                 .setId("v1")
                 .setProgram("/p1")
                 .setDigest("d1")
                 .build());
         rounds(3);
-        assertEquals(0, fleet.away());
+        assertEquals(0, fleet.notReadyCount());
     }
 
     /** The change to a version, in a stage of one node and one of all. */
-    static ChangeSpec spec(String id) {
+    static ChangeSpec changeSpec(String id) {
         return ChangeSpec.newBuilder()
                 .setId(id)
                 .setMostAway(1)
@@ -64,20 +64,20 @@
     }
 
     ChangeRecord propose(String id) throws FleetException {
-        return changes.propose(
-                spec(id),
+        return client.propose(
+                changeSpec(id),
                 VersionSpec.newBuilder().setId(id).setSettings("a = 1").build());
     }
 
     /** The first driver's tick, and a second of the fleet. */
     void round() throws StoreException {
-        first.tick();
-        rest();
+        firstController.tick();
+        advanceFleet();
     }
 
-    void rest() throws StoreException {
+    void advanceFleet() throws StoreException {
         fleet.round();
-        clock.pass(ROUND_MS);
+        clock.advance(ROUND_MS);
     }
 
     void rounds(int count) throws StoreException {
@@ -86,36 +86,36 @@
         }
     }
 
-    boolean underWay() throws FleetException {
-        return changes.view().current().isPresent();
+    boolean changeActive() throws FleetException {
+        return client.fleetState().currentChange().isPresent();
     }
 
-    void untilEnded() throws FleetException {
-        for (int i = 0; underWay(); i++) {
+    void runUntilEnded() throws FleetException {
+        for (int i = 0; changeActive(); i++) {
             assertFalse(i > 1000, "still under way: " + i);
             round();
         }
         rounds(2);
     }
 
-    ChangeRecord current() throws FleetException {
-        return changes.view().current().orElseThrow();
+    ChangeRecord currentChange() throws FleetException {
+        return client.fleetState().currentChange().orElseThrow();
     }
 
-    ChangeRecord past(String id) throws FleetException {
-        return RolloutCodec.read(
+    ChangeRecord pastChange(String id) throws FleetException {
+        return RolloutCodec.parse(
                 ChangeRecord.parser(),
                 id,
-                store.get(StoreKeys.PAST + id).orElseThrow().value());
+                store.get(StoreKeys.PAST_CHANGE_PREFIX + id).orElseThrow().value());
     }
 
     int orderCount() {
-        return orders.written.values().stream().mapToInt(List::size).sum();
+        return orderLog.ordersByNode.values().stream().mapToInt(List::size).sum();
     }
 
     /** Each node was given these versions, one order each, with numbers that grow. */
-    void eachOrdered(List<String> versions) {
-        orders.versions().forEach((node, given) -> assertEquals(versions, given, node));
-        assertEquals(List.of(), orders.broken);
+    void assertOrderedVersions(List<String> versions) {
+        orderLog.versions().forEach((node, given) -> assertEquals(versions, given, node));
+        assertEquals(List.of(), orderLog.violations);
     }
 }
--- a/src/test/java/olivechute/controller/WatchedStore.java
+++ b/src/test/java/olivechute/controller/InterceptingStore.java
@@ -15,21 +15,21 @@
  * A store as one driver sees it, with a hand in each of its writes: something may happen before or after, or the fences
  * be left out. Notes every order written, and what broke the rule that a node's numbers only grow.
  */
-class WatchedStore implements Store {
+class InterceptingStore implements Store {
     /** What happens around a write. */
-    interface Hand {
+    interface WriteHook {
         void run() throws StoreException;
     }
 
     /** The orders that all drivers of a store wrote. */
-    static final class Orders {
-        final Map<String, List<Order>> written = new TreeMap<>();
-        final List<String> broken = new ArrayList<>();
+    static final class OrderLog {
+        final Map<String, List<Order>> ordersByNode = new TreeMap<>();
+        final List<String> violations = new ArrayList<>();
 
         void add(Order order) {
-            List<Order> before = written.computeIfAbsent(order.getNode(), n -> new ArrayList<>());
+            List<Order> before = ordersByNode.computeIfAbsent(order.getNode(), n -> new ArrayList<>());
             if (!before.isEmpty() && before.get(before.size() - 1).getNumber() >= order.getNumber()) {
-                broken.add(order.getNode() + ": " + order.getNumber() + " after "
+                violations.add(order.getNode() + ": " + order.getNumber() + " after "
                         + before.get(before.size() - 1).getNumber());
             }
             before.add(order);
@@ -38,59 +38,59 @@
         /** Versions ordered to each node, in order. */
         Map<String, List<String>> versions() {
             Map<String, List<String>> all = new HashMap<>();
-            written.forEach((node, orders) ->
+            ordersByNode.forEach((node, orders) ->
                     all.put(node, orders.stream().map(Order::getVersion).toList()));
             return all;
         }
     }
 
     private final Store store;
-    private final Orders orders;
-    private Hand before;
-    private Hand after;
+    private final OrderLog orderLog;
+    private WriteHook beforeNextWrite;
+    private WriteHook afterNextWrite;
     private boolean fenced = true;
 
-    WatchedStore(Store store, Orders orders) {
+    InterceptingStore(Store store, OrderLog orderLog) {
         this.store = store;
-        this.orders = orders;
+        this.orderLog = orderLog;
     }
 
     /** Once, before the next write of this one reaches the store. */
-    void before(Hand hand) {
-        before = hand;
+    void beforeNextWrite(WriteHook hook) {
+        beforeNextWrite = hook;
     }
 
     /** Once, after the next write took effect and before its writer hears of it. */
-    void after(Hand hand) {
-        after = hand;
+    void afterNextWrite(WriteHook hook) {
+        afterNextWrite = hook;
     }
 
     /** Whether what was to happen has not happened yet. */
-    boolean waits() {
-        return before != null || after != null;
+    boolean hookPending() {
+        return beforeNextWrite != null || afterNextWrite != null;
     }
 
-    void unfenced() {
+    void dropFences() {
         fenced = false;
     }
 
     @Override
     public long write(List<Write> writes, List<Fence> fences) throws StoreException {
-        Hand first = before;
-        before = null;
-        if (first != null) {
-            first.run();
+        WriteHook beforeHook = beforeNextWrite;
+        beforeNextWrite = null;
+        if (beforeHook != null) {
+            beforeHook.run();
         }
         long version = store.write(writes, fenced ? fences : List.of());
         for (Write each : writes) {
-            if (each.key().startsWith(StoreKeys.ORDER) && each.value() != null) {
-                orders.add(ScriptedFleet.read(new Entry(each.key(), each.value(), version)));
+            if (each.key().startsWith(StoreKeys.ORDER_PREFIX) && each.value() != null) {
+                orderLog.add(ScriptedFleet.parseOrder(new Entry(each.key(), each.value(), version)));
             }
         }
-        Hand then = after;
-        after = null;
-        if (then != null) {
-            then.run();
+        WriteHook afterHook = afterNextWrite;
+        afterNextWrite = null;
+        if (afterHook != null) {
+            afterHook.run();
         }
         return version;
     }
--- a/src/test/java/olivechute/controller/InterleavingTest.java
+++ b/src/test/java/olivechute/controller/InterleavingTest.java
@@ -17,55 +17,55 @@
     private static final int STEPS = 150;
 
     @Property(tries = 300, seed = "20261202")
-    void aNodesNumbersOnlyGrow(@ForAll long seed) throws FleetException {
+    void orderNumbersOnlyIncrease(@ForAll long seed) throws FleetException {
         Random random = new Random(seed);
-        LeadRig rig = new LeadRig(4);
+        ControllerRig rig = new ControllerRig(4);
         int version = 2;
         for (int i = 0; i < STEPS; i++) {
-            boolean one = random.nextBoolean();
-            RolloutController driver = one ? rig.first : rig.second;
-            RolloutController other = one ? rig.second : rig.first;
-            WatchedStore sees = one ? rig.firstSees : rig.secondSees;
+            boolean useFirst = random.nextBoolean();
+            RolloutController controller = useFirst ? rig.firstController : rig.secondController;
+            RolloutController other = useFirst ? rig.secondController : rig.firstController;
+            InterceptingStore store = useFirst ? rig.firstStore : rig.secondStore;
             switch (random.nextInt(12)) {
-                case 0, 1, 2, 3 -> driver.tick();
-                case 4, 5 -> rig.rest();
-                case 6 -> rig.clock.pass(random.nextInt(2 * (int) RolloutController.TTL.toMillis()));
-                case 7 -> sees.before(() -> stall(rig, random.nextInt(4000), other));
-                case 8 -> sees.after(() -> stall(rig, random.nextInt(4000), other));
+                case 0, 1, 2, 3 -> controller.tick();
+                case 4, 5 -> rig.advanceFleet();
+                case 6 -> rig.clock.advance(random.nextInt(2 * (int) RolloutController.LEASE_TTL.toMillis()));
+                case 7 -> store.beforeNextWrite(() -> stall(rig, random.nextInt(4000), other));
+                case 8 -> store.afterNextWrite(() -> stall(rig, random.nextInt(4000), other));
                 case 9 -> {
-                    if (!rig.underWay()) {
+                    if (!rig.changeActive()) {
                         rig.propose("v" + version++);
                     }
                 }
-                case 10 -> rig.fleet.cut("n" + (1 + random.nextInt(4)), random.nextInt(3) == 0);
-                default -> operator(rig, random);
+                case 10 -> rig.fleet.setDisconnected("n" + (1 + random.nextInt(4)), random.nextInt(3) == 0);
+                default -> runOperatorAction(rig, random);
             }
         }
-        assertEquals(List.of(), rig.orders.broken, "seed " + seed);
+        assertEquals(List.of(), rig.orderLog.violations, "seed " + seed);
         for (int i = 1; i <= 4; i++) {
-            rig.fleet.cut("n" + i, false);
+            rig.fleet.setDisconnected("n" + i, false);
         }
-        rig.clock.pass(2 * RolloutController.TTL.toMillis());
+        rig.clock.advance(2 * RolloutController.LEASE_TTL.toMillis());
         finish(rig, seed);
     }
 
-    private static void stall(LeadRig rig, int ms, RolloutController other) {
-        rig.clock.pass(ms);
+    private static void stall(ControllerRig rig, int ms, RolloutController other) {
+        rig.clock.advance(ms);
         other.tick();
     }
 
-    private static void operator(LeadRig rig, Random random) throws FleetException {
-        if (rig.underWay() && !rig.current().getPhase().equals("STOPPED")) {
+    private static void runOperatorAction(ControllerRig rig, Random random) throws FleetException {
+        if (rig.changeActive() && !rig.currentChange().getPhase().equals("STOPPED")) {
             switch (random.nextInt(6)) {
-                case 0 -> rig.changes.stop();
+                case 0 -> rig.client.stop();
                 case 1 -> {
-                    if (!rig.current().getPhase().equals("ROLLING_BACK")) {
-                        rig.changes.pause();
+                    if (!rig.currentChange().getPhase().equals("ROLLING_BACK")) {
+                        rig.client.pause();
                     }
                 }
                 default -> {
-                    if (rig.current().getPhase().equals("PAUSED")) {
-                        rig.changes.resume();
+                    if (rig.currentChange().getPhase().equals("PAUSED")) {
+                        rig.client.resume();
                     }
                 }
             }
@@ -73,22 +73,22 @@
     }
 
     /** However it went, it can be brought to its end, and all nodes then run the base. */
-    private static void finish(LeadRig rig, long seed) throws FleetException {
-        for (int i = 0; rig.underWay(); i++) {
+    private static void finish(ControllerRig rig, long seed) throws FleetException {
+        for (int i = 0; rig.changeActive(); i++) {
             assertTrue(
                     i < 300,
-                    "not at its end, seed " + seed + ": " + rig.current().getPhase());
-            if (rig.current().getPhase().equals("PAUSED")) {
-                rig.changes.stop();
+                    "not at its end, seed " + seed + ": " + rig.currentChange().getPhase());
+            if (rig.currentChange().getPhase().equals("PAUSED")) {
+                rig.client.stop();
             }
-            rig.second.tick();
+            rig.secondController.tick();
             rig.round();
         }
         for (int i = 0; i < 4; i++) {
-            rig.second.tick();
+            rig.secondController.tick();
             rig.round();
         }
-        assertEquals(List.of(rig.changes.view().base()), List.copyOf(rig.fleet.versions()), "seed " + seed);
-        assertEquals(List.of(), rig.orders.broken, "seed " + seed);
+        assertEquals(List.of(rig.client.fleetState().baseVersion()), List.copyOf(rig.fleet.versions()), "seed " + seed);
+        assertEquals(List.of(), rig.orderLog.violations, "seed " + seed);
     }
 }
--- a/src/test/java/olivechute/controller/OutOfDateNodesTest.java
+++ b/src/test/java/olivechute/controller/OutOfDateNodesTest.java
@@ -11,22 +11,22 @@
 
 /** Which nodes get an order that no change gave. */
 class OutOfDateNodesTest {
-    private static NodeStatus node(String name, String version, NodePhase phase, boolean reachable, String ordered) {
-        return new NodeStatus(name, "z", version, phase, 0, 0, "", reachable, ordered);
+    private static NodeStatus node(String name, String version, NodePhase phase, boolean reachable, String orderedVersion) {
+        return new NodeStatus(name, "z", version, phase, 0, 0, "", reachable, orderedVersion);
     }
 
-    private static NodeStatus ready(String name, String version, String ordered) {
-        return node(name, version, NodePhase.READY, true, ordered);
+    private static NodeStatus ready(String name, String version, String orderedVersion) {
+        return node(name, version, NodePhase.READY, true, orderedVersion);
     }
 
-    private static Map<String, String> orders(boolean change, NodeStatus... nodes) {
+    private static Map<String, String> orders(boolean changeActive, NodeStatus... nodes) {
         Map<String, String> orders = new TreeMap<>();
-        OutOfDateNodes.order(List.of(nodes), n -> "v5", change, orders);
+        OutOfDateNodes.addOrders(List.of(nodes), n -> "v5", changeActive, orders);
         return orders;
     }
 
     @Test
-    void whatRestartsNothingGoesOutAtOnce() {
+    void ordersWithoutRestartAreGivenAtOnce() {
         NodeStatus[] joiners = {
             node("n1", "", NodePhase.DOWN, true, null),
             ready("n2", "v5", null),
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void whatRestartsGoesOneAtATime() {
+    void restartsAreOrderedOneAtATime() {
         assertEquals(
                 Map.of("n1", "v5"),
                 orders(false, ready("n1", "v1", null), ready("n2", "v4", "v4"), ready("n3", "v5", "v5")));
@@ -47,19 +47,19 @@
     }
 
     @Test
-    void aBrokenNodeDoesNotHoldUpTheOthers() {
+    void aDownNodeDoesNotBlockOthers() {
         assertEquals(
                 Map.of("n2", "v5"),
                 orders(false, node("n1", "v5", NodePhase.DOWN, true, "v5"), ready("n2", "v4", "v4")));
     }
 
     @Test
-    void aChangePacesItsOwn() {
+    void noRestartsAreOrderedDuringAChange() {
         assertEquals(Map.of(), orders(true, ready("n1", "v1", null), ready("n2", "v4", "v4")));
     }
 
     @Test
-    void whatIsOutOfReachIsLeft() {
+    void unreachableNodesAreSkipped() {
         assertEquals(Map.of(), orders(false, node("n1", "v4", NodePhase.READY, false, "v4")));
     }
 }
--- a/src/test/java/olivechute/controller/RolloutClientTest.java
+++ b/src/test/java/olivechute/controller/RolloutClientTest.java
@@ -25,31 +25,31 @@
 
 /** What operators call, each against a store in memory. */
 class RolloutClientTest {
-    private final LeadRig rig = new LeadRig(3);
+    private final ControllerRig rig = new ControllerRig(3);
 
     RolloutClientTest() throws FleetException {}
 
-    private static void refused(ErrorCode kind, Executable call) {
+    private static void assertFails(ErrorCode kind, Executable call) {
         assertEquals(kind, assertThrows(FleetException.class, call).kind());
     }
 
-    private VersionSpec stored(String id) throws FleetException {
-        return RolloutCodec.read(
+    private VersionSpec storedVersion(String id) throws FleetException {
+        return RolloutCodec.parse(
                 VersionSpec.parser(),
                 id,
-                rig.store.get(StoreKeys.VERSION + id).orElseThrow().value());
+                rig.store.get(StoreKeys.VERSION_PREFIX + id).orElseThrow().value());
     }
 
     @Test
-    void whatAVersionLeavesOutItHasFromTheBase() throws FleetException {
+    void unsetVersionFieldsAreInheritedFromTheBase() throws FleetException {
         rig.propose("v2");
         assertEquals(
                 "/p1 d1 a = 1",
-                stored("v2").getProgram() + " " + stored("v2").getDigest() + " "
-                        + stored("v2").getSettings());
-        rig.untilEnded();
-        rig.changes.propose(
-                LeadRig.spec("v3"),
+                storedVersion("v2").getProgram() + " " + storedVersion("v2").getDigest() + " "
+                        + storedVersion("v2").getSettings());
+        rig.runUntilEnded();
+        rig.client.propose(
+                ControllerRig.changeSpec("v3"),
                 VersionSpec.newBuilder()
                         .setId("v3")
                         .setProgram("/p3")
@@ -57,50 +57,50 @@
                         .build());
         assertEquals(
                 "/p3 d3 a = 1",
-                stored("v3").getProgram() + " " + stored("v3").getDigest() + " "
-                        + stored("v3").getSettings());
-        assertEquals("v2", rig.current().getSpec().getFromVersion());
+                storedVersion("v3").getProgram() + " " + storedVersion("v3").getDigest() + " "
+                        + storedVersion("v3").getSettings());
+        assertEquals("v2", rig.currentChange().getSpec().getFromVersion());
     }
 
     @Test
-    void onlyOneChangeIsUnderWay() throws FleetException {
+    void onlyOneChangeIsActive() throws FleetException {
         rig.propose("v2");
-        refused(ErrorCode.CHANGE_UNDER_WAY, () -> rig.propose("v3"));
-        assertEquals("v2", rig.current().getSpec().getId());
-        assertTrue(rig.store.get(StoreKeys.VERSION + "v3").isEmpty());
+        assertFails(ErrorCode.CHANGE_UNDER_WAY, () -> rig.propose("v3"));
+        assertEquals("v2", rig.currentChange().getSpec().getId());
+        assertTrue(rig.store.get(StoreKeys.VERSION_PREFIX + "v3").isEmpty());
     }
 
     /** The second proposal comes between the first one's look and its write: one wins, whichever way it falls. */
     @Test
-    void ofTwoAtOnceTheWriteDecides() throws FleetException {
-        WatchedStore sees = new WatchedStore(rig.store, rig.orders);
-        sees.before(() -> {
+    void concurrentProposalsAreResolvedByTheConditionalWrite() throws FleetException {
+        InterceptingStore store = new InterceptingStore(rig.store, rig.orderLog);
+        store.beforeNextWrite(() -> {
             try {
                 rig.propose("v3");
             } catch (FleetException e) {
                 throw new AssertionError(e);
             }
         });
-        RolloutClient late = new RolloutClient(sees, rig.clock);
-        refused(
+        RolloutClient client = new RolloutClient(store, rig.clock);
+        assertFails(
                 ErrorCode.CHANGE_UNDER_WAY,
-                () -> late.propose(
-                        LeadRig.spec("v2"), VersionSpec.newBuilder().setId("v2").build()));
-        assertEquals("v3", rig.current().getSpec().getId());
-        assertTrue(rig.store.get(StoreKeys.VERSION + "v2").isEmpty());
+                () -> client.propose(
+                        ControllerRig.changeSpec("v2"), VersionSpec.newBuilder().setId("v2").build()));
+        assertEquals("v3", rig.currentChange().getSpec().getId());
+        assertTrue(rig.store.get(StoreKeys.VERSION_PREFIX + "v2").isEmpty());
     }
 
     @Test
-    void ofManyThreadsOneWins() throws Exception {
+    void oneOfManyConcurrentProposalsWins() throws Exception {
         int threads = 4;
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try {
-            CyclicBarrier together = new CyclicBarrier(threads);
+            CyclicBarrier barrier = new CyclicBarrier(threads);
             List<Future<String>> results = new ArrayList<>();
             for (int i = 0; i < threads; i++) {
                 String id = "v" + (2 + i);
                 Callable<String> call = () -> {
-                    together.await();
+                    barrier.await();
                     try {
                         return rig.propose(id).getSpec().getId();
                     } catch (FleetException e) {
@@ -109,12 +109,12 @@
                 };
                 results.add(pool.submit(call));
             }
-            List<String> said = new ArrayList<>();
+            List<String> outcomes = new ArrayList<>();
             for (Future<String> each : results) {
-                said.add(each.get());
+                outcomes.add(each.get());
             }
-            assertTrue(said.remove(rig.current().getSpec().getId()), said.toString());
-            assertEquals(List.of("CHANGE_UNDER_WAY", "CHANGE_UNDER_WAY", "CHANGE_UNDER_WAY"), said);
+            assertTrue(outcomes.remove(rig.currentChange().getSpec().getId()), outcomes.toString());
+            assertEquals(List.of("CHANGE_UNDER_WAY", "CHANGE_UNDER_WAY", "CHANGE_UNDER_WAY"), outcomes);
         } finally {
             pool.shutdownNow();
         }
@@ -122,24 +122,24 @@
 
     /** The base moved on between look and write: the change begins at the new one. */
     @Test
-    void beginsAtTheBaseThatHolds() throws FleetException {
-        WatchedStore sees = new WatchedStore(rig.store, rig.orders);
-        sees.before(() -> {
+    void startsFromTheCurrentBase() throws FleetException {
+        InterceptingStore store = new InterceptingStore(rig.store, rig.orderLog);
+        store.beforeNextWrite(() -> {
             try {
                 rig.propose("v2");
-                rig.untilEnded();
+                rig.runUntilEnded();
             } catch (FleetException e) {
                 throw new AssertionError(e);
             }
         });
-        new RolloutClient(sees, rig.clock)
+        new RolloutClient(store, rig.clock)
                 .propose(
-                        LeadRig.spec("v3"), VersionSpec.newBuilder().setId("v3").build());
-        assertEquals("v2", rig.current().getSpec().getFromVersion());
+                        ControllerRig.changeSpec("v3"), VersionSpec.newBuilder().setId("v3").build());
+        assertEquals("v2", rig.currentChange().getSpec().getFromVersion());
     }
 
     @Test
-    void refusesWhatCannotBeCarriedOut() {
+    void rejectsInvalidChanges() {
         ChangeSpec more = ChangeSpec.newBuilder()
                 .setId("v2")
                 .setMostAway(1)
@@ -147,39 +147,39 @@
                 .addStages(StageSpec.newBuilder().setNodes(1).setPercent(5).setLongestMs(10))
                 .build();
         VersionSpec version = VersionSpec.newBuilder().setId("v2").build();
-        refused(ErrorCode.CHANGE_INVALID, () -> rig.changes.propose(more, version));
-        refused(
+        assertFails(ErrorCode.CHANGE_INVALID, () -> rig.client.propose(more, version));
+        assertFails(
                 ErrorCode.CHANGE_INVALID,
-                () -> rig.changes.propose(
-                        LeadRig.spec("v2").toBuilder().clearStages().build(), version));
-        refused(ErrorCode.CHANGE_INVALID, () -> rig.propose("v1"));
-        refused(ErrorCode.CHANGE_INVALID, () -> rig.propose("no/slash"));
-        refused(ErrorCode.CHANGE_INVALID, () -> rig.changes.base(version));
-        assertTrue(assertThrows(RolloutException.class, () -> rig.changes.propose(more, version))
+                () -> rig.client.propose(
+                        ControllerRig.changeSpec("v2").toBuilder().clearStages().build(), version));
+        assertFails(ErrorCode.CHANGE_INVALID, () -> rig.propose("v1"));
+        assertFails(ErrorCode.CHANGE_INVALID, () -> rig.propose("no/slash"));
+        assertFails(ErrorCode.CHANGE_INVALID, () -> rig.client.setBaseVersion(version));
+        assertTrue(assertThrows(RolloutException.class, () -> rig.client.propose(more, version))
                 .getMessage()
                 .contains("stage 1"));
     }
 
     @Test
-    void thereMustBeSomethingToActOn() {
-        refused(ErrorCode.CHANGE_UNKNOWN, rig.changes::pause);
-        refused(ErrorCode.CHANGE_UNKNOWN, rig.changes::resume);
-        refused(ErrorCode.CHANGE_UNKNOWN, rig.changes::stop);
-        refused(ErrorCode.CHANGE_UNKNOWN, () -> rig.changes.forget("n99"));
+    void actionsFailWithoutAChange() {
+        assertFails(ErrorCode.CHANGE_UNKNOWN, rig.client::pause);
+        assertFails(ErrorCode.CHANGE_UNKNOWN, rig.client::resume);
+        assertFails(ErrorCode.CHANGE_UNKNOWN, rig.client::stop);
+        assertFails(ErrorCode.CHANGE_UNKNOWN, () -> rig.client.forget("n99"));
     }
 
     @Test
-    void pausesAndGoesOn() throws FleetException {
+    void pausesAndResumes() throws FleetException {
         rig.propose("v2");
         rig.rounds(2);
-        rig.changes.pause();
+        rig.client.pause();
         int orders = rig.orderCount();
         rig.rounds(20);
         assertEquals(orders, rig.orderCount());
-        assertEquals("PAUSED", rig.current().getPhase());
-        rig.changes.resume();
-        rig.untilEnded();
-        assertEquals("DONE", rig.past("v2").getPhase());
+        assertEquals("PAUSED", rig.currentChange().getPhase());
+        rig.client.resume();
+        rig.runUntilEnded();
+        assertEquals("DONE", rig.pastChange("v2").getPhase());
     }
 
     /**
@@ -187,42 +187,42 @@
      * changed.
      */
     @Test
-    void triesSoManyTimesOnly() throws FleetException {
+    void givesUpAfterRepeatedConflicts() throws FleetException {
         rig.propose("v2");
-        WatchedStore sees = new WatchedStore(rig.store, rig.orders);
+        InterceptingStore store = new InterceptingStore(rig.store, rig.orderLog);
         List<Integer> tries = new ArrayList<>();
-        sees.before(new WatchedStore.Hand() {
+        store.beforeNextWrite(new InterceptingStore.WriteHook() {
             @Override
             public void run() throws StoreException {
-                Store.Entry entry = rig.store.get(StoreKeys.CURRENT).orElseThrow();
-                rig.store.write(List.of(Store.Write.put(StoreKeys.CURRENT, entry.value())), List.of());
+                Store.Entry entry = rig.store.get(StoreKeys.CURRENT_CHANGE).orElseThrow();
+                rig.store.write(List.of(Store.Write.put(StoreKeys.CURRENT_CHANGE, entry.value())), List.of());
                 tries.add(1);
-                sees.before(this);
+                store.beforeNextWrite(this);
             }
         });
-        refused(ErrorCode.CONFLICT, new RolloutClient(sees, rig.clock)::pause);
+        assertFails(ErrorCode.CONFLICT, new RolloutClient(store, rig.clock)::pause);
         assertEquals(8, tries.size());
-        assertEquals("PROPOSED", rig.current().getPhase());
+        assertEquals("PROPOSED", rig.currentChange().getPhase());
     }
 
     @Test
-    void aNodeIsForgottenOnlyOutOfReach() throws FleetException {
+    void onlyAnUnreachableNodeCanBeForgotten() throws FleetException {
         rig.propose("v2");
         while (!rig.fleet.versions().contains("v2")) {
             rig.round();
         }
-        refused(ErrorCode.CHANGE_INVALID, () -> rig.changes.forget("n1"));
-        rig.fleet.cut("n1", true);
+        assertFails(ErrorCode.CHANGE_INVALID, () -> rig.client.forget("n1"));
+        rig.fleet.setDisconnected("n1", true);
         rig.rounds(8);
-        rig.changes.forget("n1");
-        assertFalse(rig.current().getMovedList().contains("n1"));
-        assertEquals(2, rig.changes.view().nodes().size());
-        rig.changes.stop();
-        rig.untilEnded();
-        assertEquals(2, rig.changes.view().nodes().size());
-        rig.fleet.cut("n1", false);
+        rig.client.forget("n1");
+        assertFalse(rig.currentChange().getMovedList().contains("n1"));
+        assertEquals(2, rig.client.fleetState().nodes().size());
+        rig.client.stop();
+        rig.runUntilEnded();
+        assertEquals(2, rig.client.fleetState().nodes().size());
+        rig.fleet.setDisconnected("n1", false);
         rig.rounds(4);
         assertEquals("v1", rig.fleet.version("n1"));
-        assertEquals(List.of(), rig.orders.broken);
+        assertEquals(List.of(), rig.orderLog.violations);
     }
 }
--- a/src/test/java/olivechute/controller/RolloutCodecTest.java
+++ b/src/test/java/olivechute/controller/RolloutCodecTest.java
@@ -62,7 +62,7 @@
     }
 
     private static ChangeRecord record() {
-        ChangeSpec spec = LeadRig.spec("v2").toBuilder()
+        ChangeSpec spec = ControllerRig.changeSpec("v2").toBuilder()
                 .setFromVersion("v1")
                 .setToVersion("v2")
                 .build();
@@ -81,15 +81,15 @@
     }
 
     @Test
-    void aRecordComesBackAsItWas() throws RolloutException {
-        RolloutState read = RolloutCodec.progress(record());
+    void recordRoundTrip() throws RolloutException {
+        RolloutState read = RolloutCodec.toState(record());
         assertEquals(RolloutPhase.WATCHING, read.phase());
         assertEquals(Set.of("n1", "n2"), read.moved());
         assertEquals(
                 new RolloutStage(0, 100, 3000, 600_000, 10),
-                read.change().stages().get(1));
-        assertEquals(30_000, read.change().readyWithinMs());
-        ChangeRecord again = RolloutCodec.record(record(), read, 9, 3);
+                read.spec().stages().get(1));
+        assertEquals(30_000, read.spec().readyTimeoutMs());
+        ChangeRecord again = RolloutCodec.toRecord(record(), read, 9, 3);
         assertEquals(List.of("n1", "n2"), again.getMovedList());
         assertEquals(
                 record().toBuilder().clearMoved().build(),
@@ -97,23 +97,23 @@
     }
 
     @Test
-    void whatANewerVersionAddedStaysWhereItIsWrittenAnew() throws IOException, RolloutException {
+    void unknownFieldsArePreservedOnRewrite() throws IOException, RolloutException {
         ChangeSpec spec = newer(ChangeSpec.parser(), record().getSpec());
         ChangeRecord newer = record().toBuilder().setSpec(spec).build();
-        assertTrue(holdsNewerField(RolloutCodec.record(newer, RolloutCodec.progress(newer), 10, 4)), "of the spec");
+        assertTrue(holdsNewerField(RolloutCodec.toRecord(newer, RolloutCodec.toState(newer), 10, 4)), "of the spec");
         ChangeRecord whole = newer(ChangeRecord.parser(), record());
-        RolloutState read = RolloutCodec.progress(whole);
-        ChangeRecord written = RolloutCodec.record(whole, read, 10, 4);
+        RolloutState read = RolloutCodec.toState(whole);
+        ChangeRecord written = RolloutCodec.toRecord(whole, read, 10, 4);
         assertTrue(holdsNewerField(written), "of the record");
         assertEquals(10, written.getUpdatedMs());
         assertFalse(holdsNewerField(record()));
     }
 
     @Test
-    void aWordOfANewerVersionIsNotGuessedAt() {
+    void unknownEnumNamesAreRejected() {
         RolloutException fault = assertThrows(
                 RolloutException.class,
-                () -> RolloutCodec.progress(
+                () -> RolloutCodec.toState(
                         record().toBuilder().setPhase("WARMING").build()));
         assertEquals(ErrorCode.MALFORMED, fault.kind());
         assertTrue(fault.getMessage().contains("'WARMING'"), fault.getMessage());
@@ -121,7 +121,7 @@
                 ErrorCode.MALFORMED,
                 assertThrows(
                                 RolloutException.class,
-                                () -> RolloutCodec.progress(
+                                () -> RolloutCodec.toState(
                                         record().toBuilder().setStage(2).build()))
                         .kind());
         NodeState odd = NodeState.newBuilder()
@@ -129,13 +129,13 @@
                 .setVersion("v1")
                 .setPhase("THAWING")
                 .build();
-        NodeStatus status = RolloutCodec.status(odd, true, "v1");
+        NodeStatus status = RolloutCodec.toStatus(odd, true, "v1");
         assertFalse(status.reachable());
-        assertTrue(status.trouble().contains("THAWING"));
+        assertTrue(status.lastError().contains("THAWING"));
     }
 
     @Test
-    void anOlderRecordHasDefaults() throws RolloutException {
+    void missingFieldsHaveDefaults() throws RolloutException {
         ChangeRecord older = ChangeRecord.newBuilder()
                 .setPhase("PROPOSED")
                 .setSpec(ChangeSpec.newBuilder()
@@ -144,36 +144,36 @@
                         .setToVersion("v2")
                         .addStages(StageSpec.newBuilder().setPercent(100)))
                 .build();
-        RolloutState read = RolloutCodec.progress(older);
+        RolloutState read = RolloutCodec.toState(older);
         assertEquals(Set.of(), read.moved());
         assertArrayEquals(new byte[0], read.evidence());
-        assertEquals(new RolloutStage(0, 100, 0, 0, 0), read.change().stages().get(0));
-        NodeStatus status = RolloutCodec.status(
+        assertEquals(new RolloutStage(0, 100, 0, 0, 0), read.spec().stages().get(0));
+        NodeStatus status = RolloutCodec.toStatus(
                 NodeState.newBuilder().setNode("n1").setPhase("READY").build(), true, null);
         assertEquals(new NodeStatus("n1", "", "", NodePhase.READY, 0, 0, "", true, null), status);
     }
 
     @Test
-    void bytesThatAreNoMessageNameTheirKey() {
+    void parseErrorsNameTheKey() {
         RolloutException fault = assertThrows(
                 RolloutException.class,
-                () -> RolloutCodec.read(ChangeRecord.parser(), StoreKeys.CURRENT, new byte[] {(byte) 0xff}));
+                () -> RolloutCodec.parse(ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, new byte[] {(byte) 0xff}));
         assertEquals(ErrorCode.MALFORMED, fault.kind());
-        assertTrue(fault.getMessage().contains(StoreKeys.CURRENT));
+        assertTrue(fault.getMessage().contains(StoreKeys.CURRENT_CHANGE));
     }
 
     @Test
-    void figuresComeBackAsTheyWere() throws InvalidProtocolBufferException {
-        NodeMetrics figures = new NodeMetrics(
+    void metricsRoundTrip() throws InvalidProtocolBufferException {
+        NodeMetrics metrics = new NodeMetrics(
                 "n1", "v2", 5, 6, Map.of("sign", new ClassCounts(6, 5, 4, 3, 2, 1)), 7, new long[] {8, 0, 9});
-        NodeMetrics read = RolloutCodec.figures(
-                NodeFigures.parseFrom(RolloutCodec.figures(figures, 1).toByteArray()));
-        assertEquals(figures.classes(), read.classes());
-        assertArrayEquals(figures.delay(), read.delay());
+        NodeMetrics read = RolloutCodec.convertMetrics(
+                NodeFigures.parseFrom(RolloutCodec.convertMetrics(metrics, 1).toByteArray()));
+        assertEquals(metrics.classes(), read.classes());
+        assertArrayEquals(metrics.delayCounts(), read.delayCounts());
         assertEquals(
                 "n1 v2 5 6 7",
                 read.node() + " " + read.version() + " " + read.incarnation() + " " + read.sequence() + " "
-                        + read.rulesBroken());
+                        + read.ruleViolations());
     }
 
     private static Store.Changes changes(boolean whole, List<Store.Entry> entries, String... removed) {
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aNodeStaysKnownWithoutItsMachineUntilItsOrderGoes() {
+    void nodeStaysKnownWithoutItsReportUntilItsOrderIsDeleted() {
         NodeState state = NodeState.newBuilder()
                 .setNode("n1")
                 .setZone("z")
@@ -193,8 +193,8 @@
                 .setPhase("READY")
                 .setOrderNumber(40)
                 .build();
-        FleetState view = new FleetState();
-        view.take(changes(
+        FleetState fleet = new FleetState();
+        fleet.apply(changes(
                 true,
                 List.of(
                         entry(
@@ -207,20 +207,20 @@
                                         .setVersion("v1")
                                         .setNumber(30)
                                         .build()))));
-        assertTrue(view.nodes().get(0).reachable());
-        assertEquals(40, view.lastNumber("n1"));
-        view.take(changes(false, List.of(), "machine/m1"));
+        assertTrue(fleet.nodes().get(0).reachable());
+        assertEquals(40, fleet.lastOrderNumber("n1"));
+        fleet.apply(changes(false, List.of(), "machine/m1"));
         assertEquals(
                 new NodeStatus("n1", "z", "v1", NodePhase.READY, 0, 0, "", false, "v1"),
-                view.nodes().get(0));
-        view.take(changes(false, List.of(), "order/n1"));
-        assertEquals(List.of(), view.nodes());
+                fleet.nodes().get(0));
+        fleet.apply(changes(false, List.of(), "order/n1"));
+        assertEquals(List.of(), fleet.nodes());
     }
 
     @Test
-    void aWholeListReplacesWhatWasKnown() {
-        FleetState view = new FleetState();
-        view.take(changes(
+    void completeListReplacesState() {
+        FleetState fleet = new FleetState();
+        fleet.apply(changes(
                 true,
                 List.of(
                         entry(
@@ -235,26 +235,26 @@
                                         .setNode("n1")
                                         .setVersion("v0")
                                         .build()))));
-        assertEquals("v0", view.nodes().get(0).version());
-        assertFalse(view.nodes().get(0).reachable());
-        view.take(changes(
+        assertEquals("v0", fleet.nodes().get(0).version());
+        assertFalse(fleet.nodes().get(0).reachable());
+        fleet.apply(changes(
                 true,
                 List.of(entry(
                         "order/n2",
                         Order.newBuilder().setNode("n2").setVersion("v1").build()))));
-        assertEquals(List.of("n2"), view.nodes().stream().map(NodeStatus::node).toList());
-        assertEquals(List.of(), view.figures());
+        assertEquals(List.of("n2"), fleet.nodes().stream().map(NodeStatus::node).toList());
+        assertEquals(List.of(), fleet.metricsByNode());
     }
 
     @Test
-    void aReportThatCannotBeReadPutsItsNodesOutOfReach() {
+    void unreadableReportMakesItsNodesUnreachable() {
         NodeState state = NodeState.newBuilder()
                 .setNode("n1")
                 .setVersion("v1")
                 .setPhase("READY")
                 .build();
-        FleetState view = new FleetState();
-        view.take(changes(
+        FleetState fleet = new FleetState();
+        fleet.apply(changes(
                 true,
                 List.of(
                         entry(
@@ -266,8 +266,8 @@
                                         .setNode("n1")
                                         .setVersion("v1")
                                         .build()))));
-        view.take(changes(false, List.of(new Store.Entry("machine/m1", new byte[] {(byte) 0xff}, 20))));
-        assertFalse(view.nodes().get(0).reachable());
-        assertEquals("v1", view.nodes().get(0).version());
+        fleet.apply(changes(false, List.of(new Store.Entry("machine/m1", new byte[] {(byte) 0xff}, 20))));
+        assertFalse(fleet.nodes().get(0).reachable());
+        assertEquals("v1", fleet.nodes().get(0).version());
     }
 }
--- a/src/test/java/olivechute/controller/RolloutCommandTest.java
+++ b/src/test/java/olivechute/controller/RolloutCommandTest.java
@@ -34,16 +34,16 @@
     @TempDir
     private Path folder;
 
-    private final LeadRig rig = new LeadRig(6);
+    private final ControllerRig rig = new ControllerRig(6);
     private final StringWriter out = new StringWriter();
-    private List<ReplicaAddress> asked;
+    private List<ReplicaAddress> requestedReplicas;
 
     RolloutCommandTest() throws FleetException {}
 
     /** The store in memory, which stays when the command closes what it was given. */
     private Store connect(String region, List<ReplicaAddress> replicas, Duration timeout) {
-        asked = replicas;
-        return new WatchedStore(rig.store, rig.orders) {
+        requestedReplicas = replicas;
+        return new InterceptingStore(rig.store, rig.orderLog) {
             @Override
             public void close() {}
         };
@@ -60,7 +60,7 @@
         return line.execute(all);
     }
 
-    private void ran(int status, String holds, String... args) {
+    private void assertRun(int status, String holds, String... args) {
         assertEquals(status, run(SETTINGS, args), out.toString());
         assertTrue(out.toString().contains(holds), out.toString());
     }
@@ -82,26 +82,26 @@
 
     @Test
     void proposesShowsPausesResumesAndStops() throws IOException, FleetException {
-        ran(0, "phase: PROPOSED", "propose", "--overlay", overlay("a { b = 2 }"), "--id", "v2");
-        assertEquals("a", asked.get(0).id());
-        assertEquals(3, rig.current().getSpec().getStagesCount());
-        ran(1, "CHANGE_UNDER_WAY: change v2", "propose", "--overlay", overlay("a { b = 3 }"), "--id", "v3");
-        ran(0, "phase: PAUSED", "pause");
-        ran(0, "phase: PROPOSED", "resume");
-        ran(0, "nodes: 6 ready at v1: n1 n2 n3 n4 n5 n6", "show");
-        ran(0, "phase: STOPPED", "stop");
+        assertRun(0, "phase: PROPOSED", "propose", "--overlay", overlay("a { b = 2 }"), "--id", "v2");
+        assertEquals("a", requestedReplicas.get(0).id());
+        assertEquals(3, rig.currentChange().getSpec().getStagesCount());
+        assertRun(1, "CHANGE_UNDER_WAY: change v2", "propose", "--overlay", overlay("a { b = 3 }"), "--id", "v3");
+        assertRun(0, "phase: PAUSED", "pause");
+        assertRun(0, "phase: PROPOSED", "resume");
+        assertRun(0, "nodes: 6 ready at v1: n1 n2 n3 n4 n5 n6", "show");
+        assertRun(0, "phase: STOPPED", "stop");
         rig.round();
-        ran(0, "reason: stopped by an operator", "show", "--wait", "STOPPED");
-        ran(1, "phase: STOPPED", "show", "--wait", "DONE");
-        ran(1, "CHANGE_UNKNOWN: no change is under way", "stop");
+        assertRun(0, "reason: stopped by an operator", "show", "--wait", "STOPPED");
+        assertRun(1, "phase: STOPPED", "show", "--wait", "DONE");
+        assertRun(1, "CHANGE_UNKNOWN: no change is under way", "stop");
     }
 
     @Test
     void waitsForAPhase() throws Exception {
-        ran(1, "CHANGE_UNKNOWN: there was no change yet", "show", "--wait", "DONE");
+        assertRun(1, "CHANGE_UNKNOWN: there was no change yet", "show", "--wait", "DONE");
         rig.propose("v2");
         CompletableFuture<Integer> waits = CompletableFuture.supplyAsync(() -> run(SETTINGS, "show", "--wait", "DONE"));
-        rig.untilEnded();
+        rig.runUntilEnded();
         assertEquals(0, waits.get());
         assertTrue(out.toString().contains("phase: " + RolloutPhase.DONE), out.toString());
         rig.propose("v3");
@@ -109,10 +109,10 @@
     }
 
     @Test
-    void looksAtTheProgram() throws IOException, FleetException {
+    void verifiesTheProgramDigest() throws IOException, FleetException {
         Path jar = jar();
         String digest = "0".repeat(64);
-        ran(
+        assertRun(
                 1,
                 "PROGRAM_MISSING: " + jar + " has the digest ",
                 "propose",
@@ -122,7 +122,7 @@
                 digest,
                 "--id",
                 "v2");
-        ran(
+        assertRun(
                 1,
                 "PROGRAM_MISSING: ",
                 "propose",
@@ -130,15 +130,15 @@
                 folder.resolve("none.jar").toString(),
                 "--id",
                 "v2");
-        ran(0, "to: v2", "propose", "--program", jar.toString(), "--id", "v2");
-        assertEquals(64, rig.changes.view().spec("v2").orElseThrow().getDigest().length());
+        assertRun(0, "to: v2", "propose", "--program", jar.toString(), "--id", "v2");
+        assertEquals(64, rig.client.fleetState().versionSpec("v2").orElseThrow().getDigest().length());
     }
 
     @Test
-    void refusesWrongCallsAndSettings() throws IOException {
-        ran(2, "--program", "propose", "--id", "v2");
-        ran(1, "CHANGE_INVALID: ", "propose", "--overlay", overlay("a { b ="), "--id", "v2");
-        ran(1, "CHANGE_INVALID: ", "base", "--id", "v9");
+    void rejectsInvalidArgumentsAndSettings() throws IOException {
+        assertRun(2, "--program", "propose", "--id", "v2");
+        assertRun(1, "CHANGE_INVALID: ", "propose", "--overlay", overlay("a { b ="), "--id", "v2");
+        assertRun(1, "CHANGE_INVALID: ", "base", "--id", "v9");
         assertEquals(2, run(SETTINGS, "shows"));
         Path wrong = Files.writeString(folder.resolve("wrong.conf"), "stages = [{nods = 1}], most_away = 0");
         assertEquals(1, run(wrong, "show"));
@@ -151,19 +151,19 @@
     }
 
     @Test
-    void theDriversSettingsAreReadOutOfTheReplicas() throws IOException, SettingsException {
+    void controllerSettingsAreReadFromTheReplicaFile() throws IOException, SettingsException {
         Path file = Files.writeString(
                 folder.resolve("store.conf"),
                 "id = a, rollout { worth { verify = 2, sign = 0.5 }, late = 0.1, " + "tick = 500ms }");
         ControllerSettings settings = ControllerSettings.load(file, List.of(7L));
-        assertEquals(Duration.ofMillis(500), settings.tick());
-        assertEquals(2.0, settings.worths().worth().get("verify"));
-        assertEquals(0.1, settings.worths().latePart().get("sign"));
-        assertArrayEquals(new long[] {7}, settings.worths().delayBoundsUs());
+        assertEquals(Duration.ofMillis(500), settings.tickInterval());
+        assertEquals(2.0, settings.weights().weightByClass().get("verify"));
+        assertEquals(0.1, settings.weights().lateFractionByClass().get("sign"));
+        assertArrayEquals(new long[] {7}, settings.weights().delayBoundsUs());
         Files.writeString(file, "id = a");
         assertEquals(
                 Duration.ofSeconds(1),
-                ControllerSettings.load(file, List.of(7L)).tick());
+                ControllerSettings.load(file, List.of(7L)).tickInterval());
         Files.writeString(file, "rollout { worth { verify = -2 }, lat = 1 }");
         String text = assertThrows(SettingsException.class, () -> ControllerSettings.load(file, List.of()))
                 .getMessage();
--- a/src/test/java/olivechute/controller/RolloutControllerTest.java
+++ b/src/test/java/olivechute/controller/RolloutControllerTest.java
@@ -25,27 +25,27 @@
 /** Drivers that come and go over one store while a scripted fleet carries out their orders. */
 class RolloutControllerTest {
     private static final int NODES = 6;
-    private static final int MOST_ROUNDS = 400;
+    private static final int MAX_ROUNDS = 400;
 
-    private final LeadRig rig = new LeadRig(NODES);
+    private final ControllerRig rig = new ControllerRig(NODES);
 
     RolloutControllerTest() throws FleetException {}
 
     @Test
-    void aChangeGoesThroughItsStages() throws FleetException {
+    void changePassesItsStages() throws FleetException {
         rig.propose("v2");
         Set<String> seen = new TreeSet<>();
-        for (int i = 0; i < MOST_ROUNDS && rig.underWay(); i++) {
-            seen.add(rig.current().getPhase() + rig.current().getStage());
-            assertTrue(rig.fleet.away() <= 1, "more than one away in round " + i);
+        for (int i = 0; i < MAX_ROUNDS && rig.changeActive(); i++) {
+            seen.add(rig.currentChange().getPhase() + rig.currentChange().getStage());
+            assertTrue(rig.fleet.notReadyCount() <= 1, "more than one away in round " + i);
             rig.round();
         }
-        assertEquals("DONE", rig.past("v2").getPhase());
-        assertEquals("v2", rig.changes.view().base());
+        assertEquals("DONE", rig.pastChange("v2").getPhase());
+        assertEquals("v2", rig.client.fleetState().baseVersion());
         assertEquals(Set.of("v2"), rig.fleet.versions());
         assertTrue(
                 seen.containsAll(Set.of("PROPOSED0", "MOVING0", "WATCHING0", "MOVING1", "WATCHING1")), seen.toString());
-        rig.eachOrdered(List.of("v1", "v2"));
+        rig.assertOrderedVersions(List.of("v1", "v2"));
     }
 
     /**
@@ -54,37 +54,37 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theLeadIsReplacedAtEachWrite(boolean before) throws FleetException {
+    void leaderIsReplacedAtEachWrite(boolean beforeWrite) throws FleetException {
         int writes = 0;
-        for (int at = 0; ; at++) {
-            LeadRig one = new LeadRig(NODES);
-            one.propose("v2");
-            int left = at;
+        for (int replacedAtWrite = 0; ; replacedAtWrite++) {
+            ControllerRig rig = new ControllerRig(NODES);
+            rig.propose("v2");
+            int writesLeft = replacedAtWrite;
             boolean replaced = false;
-            for (int i = 0; i < MOST_ROUNDS && one.underWay(); i++) {
-                if (!replaced && left == 0) {
-                    WatchedStore.Hand takeOver = () -> {
-                        one.clock.pass(RolloutController.TTL.toMillis() + 1);
-                        one.second.tick();
+            for (int i = 0; i < MAX_ROUNDS && rig.changeActive(); i++) {
+                if (!replaced && writesLeft == 0) {
+                    InterceptingStore.WriteHook takeOver = () -> {
+                        rig.clock.advance(RolloutController.LEASE_TTL.toMillis() + 1);
+                        rig.secondController.tick();
                     };
-                    if (before) {
-                        one.firstSees.before(takeOver);
+                    if (beforeWrite) {
+                        rig.firstStore.beforeNextWrite(takeOver);
                     } else {
-                        one.firstSees.after(takeOver);
+                        rig.firstStore.afterNextWrite(takeOver);
                     }
                 }
-                boolean wrote = one.first.tick();
-                replaced |= left == 0 && !one.firstSees.waits();
-                left -= wrote && left > 0 ? 1 : 0;
+                boolean wrote = rig.firstController.tick();
+                replaced |= writesLeft == 0 && !rig.firstStore.hookPending();
+                writesLeft -= wrote && writesLeft > 0 ? 1 : 0;
                 if (replaced) {
-                    one.second.tick();
+                    rig.secondController.tick();
                 }
-                one.rest();
+                rig.advanceFleet();
             }
-            assertEquals("DONE", one.past("v2").getPhase(), "replaced at write " + at);
-            assertEquals(Set.of("v2"), one.fleet.versions());
-            one.eachOrdered(List.of("v1", "v2"));
-            writes = at;
+            assertEquals("DONE", rig.pastChange("v2").getPhase(), "replaced at write " + replacedAtWrite);
+            assertEquals(Set.of("v2"), rig.fleet.versions());
+            rig.assertOrderedVersions(List.of("v1", "v2"));
+            writes = replacedAtWrite;
             if (!replaced) {
                 break;
             }
@@ -94,23 +94,23 @@
 
     /** Its lease is another's, who has not written yet: nothing of its write may stay. */
     @Test
-    void aStalledLeadIsRefused() throws FleetException {
+    void writeOfAStalledLeaderIsRejected() throws FleetException {
         rig.propose("v2");
         rig.round();
-        long before = rig.changes.view().version(StoreKeys.CURRENT);
-        rig.firstSees.before(() -> {
-            rig.clock.pass(RolloutController.TTL.toMillis() + 1);
-            rig.store.acquire(StoreKeys.LEASE, "another", RolloutController.TTL);
+        long before = rig.client.fleetState().version(StoreKeys.CURRENT_CHANGE);
+        rig.firstStore.beforeNextWrite(() -> {
+            rig.clock.advance(RolloutController.LEASE_TTL.toMillis() + 1);
+            rig.store.acquire(StoreKeys.LEADER_LEASE, "another", RolloutController.LEASE_TTL);
         });
-        assertFalse(rig.first.tick());
-        assertEquals(before, rig.changes.view().version(StoreKeys.CURRENT));
-        rig.eachOrdered(List.of("v1"));
+        assertFalse(rig.firstController.tick());
+        assertEquals(before, rig.client.fleetState().version(StoreKeys.CURRENT_CHANGE));
+        rig.assertOrderedVersions(List.of("v1"));
     }
 
     @Test
-    void withoutTheFenceAStalledLeadWrites() throws FleetException {
-        rig.firstSees.unfenced();
-        assertThrows(AssertionError.class, this::aStalledLeadIsRefused);
+    void withoutTheFenceAStalledLeaderWrites() throws FleetException {
+        rig.firstStore.dropFences();
+        assertThrows(AssertionError.class, this::writeOfAStalledLeaderIsRejected);
     }
 
     @ParameterizedTest
@@ -119,167 +119,167 @@
             names = {"PROPOSED", "MOVING", "WATCHING", "PAUSED", "ROLLING_BACK"})
     void isStoppedInEachPhase(RolloutPhase phase) throws FleetException {
         rig.propose("v2");
-        for (int i = 0; !rig.current().getPhase().equals(phase.name()); i++) {
-            assertTrue(i < MOST_ROUNDS, "never " + phase);
+        for (int i = 0; !rig.currentChange().getPhase().equals(phase.name()); i++) {
+            assertTrue(i < MAX_ROUNDS, "never " + phase);
             rig.round();
             if (phase == RolloutPhase.PAUSED && rig.fleet.versions().contains("v2")) {
-                rig.changes.pause();
+                rig.client.pause();
             }
             if (phase == RolloutPhase.ROLLING_BACK && rig.fleet.versions().contains("v2")) {
-                rig.changes.stop();
+                rig.client.stop();
             }
         }
         if (phase != RolloutPhase.ROLLING_BACK) {
-            rig.changes.stop();
+            rig.client.stop();
         }
-        rig.untilEnded();
-        assertEquals("STOPPED", rig.past("v2").getPhase());
-        assertEquals("v1", rig.changes.view().base());
+        rig.runUntilEnded();
+        assertEquals("STOPPED", rig.pastChange("v2").getPhase());
+        assertEquals("v1", rig.client.fleetState().baseVersion());
         assertEquals(Set.of("v1"), rig.fleet.versions());
-        assertEquals(0, rig.fleet.away());
+        assertEquals(0, rig.fleet.notReadyCount());
     }
 
     @Test
-    void aJoinerRunsTheBase() throws FleetException {
+    void joiningNodeRunsTheBase() throws FleetException {
         rig.fleet.join("n9");
         rig.rounds(3);
         assertEquals("v1", rig.fleet.version("n9"));
         rig.propose("v2");
         rig.fleet.join("n0");
-        rig.untilEnded();
+        rig.runUntilEnded();
         assertEquals(Set.of("v2"), rig.fleet.versions());
         rig.rounds(2);
         rig.fleet.join("n10");
         rig.rounds(3);
         assertEquals("v2", rig.fleet.version("n10"));
-        assertEquals(List.of("v2"), rig.orders.versions().get("n10"));
+        assertEquals(List.of("v2"), rig.orderLog.versions().get("n10"));
     }
 
     @Test
-    void aMachineBackFromACutTakesTheNewestOrder() throws FleetException {
+    void reconnectedMachineTakesTheNewestOrder() throws FleetException {
         rig.propose("v2");
         while (!rig.fleet.versions().contains("v2")) {
             rig.round();
         }
-        rig.fleet.cut("n1", true);
+        rig.fleet.setDisconnected("n1", true);
         rig.rounds(8);
-        assertTrue(rig.changes.view().nodes().stream().anyMatch(n -> n.node().equals("n1") && !n.reachable()));
-        rig.changes.stop();
-        rig.untilEnded();
+        assertTrue(rig.client.fleetState().nodes().stream().anyMatch(n -> n.node().equals("n1") && !n.reachable()));
+        rig.client.stop();
+        rig.runUntilEnded();
         assertEquals("v2", rig.fleet.version("n1"));
-        rig.fleet.cut("n1", false);
+        rig.fleet.setDisconnected("n1", false);
         rig.rounds(3);
         assertEquals("v1", rig.fleet.version("n1"));
-        assertEquals(0, rig.fleet.away());
+        assertEquals(0, rig.fleet.notReadyCount());
     }
 
     @Test
-    void whatIsPastIsBounded() throws FleetException {
-        for (int i = 2; i < ReconcilePlan.PAST_KEPT + 6; i++) {
+    void historyIsBounded() throws FleetException {
+        for (int i = 2; i < ReconcilePlan.MAX_PAST_CHANGES + 6; i++) {
             rig.propose("v" + i);
-            rig.untilEnded();
+            rig.runUntilEnded();
         }
-        FleetState view = rig.changes.view();
-        assertEquals(ReconcilePlan.PAST_KEPT, view.under(StoreKeys.PAST).size());
-        assertEquals(0, view.version(StoreKeys.PAST + "v5"));
-        assertTrue(view.version(StoreKeys.PAST + "v25") > 0);
+        FleetState fleet = rig.client.fleetState();
+        assertEquals(ReconcilePlan.MAX_PAST_CHANGES, fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX).size());
+        assertEquals(0, fleet.version(StoreKeys.PAST_CHANGE_PREFIX + "v5"));
+        assertTrue(fleet.version(StoreKeys.PAST_CHANGE_PREFIX + "v25") > 0);
         assertTrue(
-                view.under(StoreKeys.VERSION).size() <= ReconcilePlan.PAST_KEPT + 1, "versions nothing names are gone");
-        assertTrue(view.version(StoreKeys.VERSION + "v25") > 0);
+                fleet.entriesUnder(StoreKeys.VERSION_PREFIX).size() <= ReconcilePlan.MAX_PAST_CHANGES + 1, "versions nothing names are gone");
+        assertTrue(fleet.version(StoreKeys.VERSION_PREFIX + "v25") > 0);
     }
 
     @Test
-    void onlyTheReplicaThatLeadsDrives() throws FleetException {
-        AtomicBoolean leads = new AtomicBoolean();
-        RolloutController driver =
-                new RolloutController(rig.store, leads::get, rig.clock, RolloutController.TTL, new PlainSteps(), "r9");
+    void onlyTheLeaderActs() throws FleetException {
+        AtomicBoolean isLeader = new AtomicBoolean();
+        RolloutController controller =
+                new RolloutController(rig.store, isLeader::get, rig.clock, RolloutController.LEASE_TTL, new SequentialStepFunction(), "r9");
         rig.propose("v2");
-        assertFalse(driver.tick());
-        leads.set(true);
-        rig.clock.pass(RolloutController.TTL.toMillis() + 1);
-        assertTrue(driver.tick());
-        leads.set(false);
-        driver.tick();
+        assertFalse(controller.tick());
+        isLeader.set(true);
+        rig.clock.advance(RolloutController.LEASE_TTL.toMillis() + 1);
+        assertTrue(controller.tick());
+        isLeader.set(false);
+        controller.tick();
         assertEquals(
                 "r8",
-                rig.store.acquire(StoreKeys.LEASE, "r8", RolloutController.TTL).owner());
+                rig.store.acquire(StoreKeys.LEADER_LEASE, "r8", RolloutController.LEASE_TTL).owner());
     }
 
     /** The store is gone for a while: nothing is done, and then it goes on. */
     @Test
-    void doesNothingWithoutAnAnswer() throws FleetException {
+    void doesNothingWhileTheStoreIsUnreachable() throws FleetException {
         rig.propose("v2");
         rig.rounds(4);
         int orders = rig.orderCount();
-        rig.firstSees.before(() -> {
+        rig.firstStore.beforeNextWrite(() -> {
             throw new StoreException(ErrorCode.NOT_REACHED, "the link is down");
         });
-        while (rig.firstSees.waits()) {
+        while (rig.firstStore.hookPending()) {
             orders = rig.orderCount();
             rig.round();
         }
         assertEquals(orders, rig.orderCount());
-        rig.untilEnded();
-        assertEquals("DONE", rig.past("v2").getPhase());
-        rig.eachOrdered(List.of("v1", "v2"));
+        rig.runUntilEnded();
+        assertEquals("DONE", rig.pastChange("v2").getPhase());
+        rig.assertOrderedVersions(List.of("v1", "v2"));
     }
 
     /** An answer that is lost after the write took effect: read anew, nothing is ordered twice. */
     @Test
-    void aLostAnswerOrdersNothingTwice() throws FleetException {
+    void lostWriteResponseGivesNoDuplicateOrders() throws FleetException {
         rig.propose("v2");
-        for (int i = 0; i < MOST_ROUNDS && rig.underWay(); i++) {
-            rig.firstSees.after(() -> {
+        for (int i = 0; i < MAX_ROUNDS && rig.changeActive(); i++) {
+            rig.firstStore.afterNextWrite(() -> {
                 throw new StoreException(ErrorCode.NOT_REACHED, "the answer is lost");
             });
             rig.round();
         }
-        assertEquals("DONE", rig.past("v2").getPhase());
-        rig.eachOrdered(List.of("v1", "v2"));
+        assertEquals("DONE", rig.pastChange("v2").getPhase());
+        rig.assertOrderedVersions(List.of("v1", "v2"));
     }
 
     @Test
-    void leavesAPhaseThatItDoesNotKnowAlone() throws FleetException {
+    void leavesAnUnknownPhaseUnchanged() throws FleetException {
         rig.propose("v2");
         rig.rounds(3);
-        ChangeRecord newer = rig.current().toBuilder().setPhase("WARMING").build();
-        rig.store.write(List.of(Store.Write.put(StoreKeys.CURRENT, newer.toByteArray())), List.of());
-        long version = rig.changes.view().version(StoreKeys.CURRENT);
+        ChangeRecord newer = rig.currentChange().toBuilder().setPhase("WARMING").build();
+        rig.store.write(List.of(Store.Write.put(StoreKeys.CURRENT_CHANGE, newer.toByteArray())), List.of());
+        long version = rig.client.fleetState().version(StoreKeys.CURRENT_CHANGE);
         rig.rounds(3);
-        assertEquals(version, rig.changes.view().version(StoreKeys.CURRENT));
-        RolloutException fault = assertThrows(RolloutException.class, rig.changes::stop);
+        assertEquals(version, rig.client.fleetState().version(StoreKeys.CURRENT_CHANGE));
+        RolloutException fault = assertThrows(RolloutException.class, rig.client::stop);
         assertEquals(ErrorCode.MALFORMED, fault.kind());
     }
 
     @Test
-    void aClockThatIsBehindDoesNotTurnTimeBack() throws FleetException {
+    void timestampsDoNotDecreaseWithALaggingClock() throws FleetException {
         rig.propose("v2");
         rig.rounds(3);
-        long updated = rig.current().getUpdatedMs();
-        rig.clock.pass(-60_000);
-        rig.changes.pause();
-        assertEquals(updated, rig.current().getUpdatedMs());
-        rig.first.tick();
-        assertTrue(rig.current().getUpdatedMs() >= updated);
+        long updated = rig.currentChange().getUpdatedMs();
+        rig.clock.advance(-60_000);
+        rig.client.pause();
+        assertEquals(updated, rig.currentChange().getUpdatedMs());
+        rig.firstController.tick();
+        assertTrue(rig.currentChange().getUpdatedMs() >= updated);
     }
 
     @Test
-    void ordersGoOutWithTheStateThatTheyFollowFrom() throws FleetException {
+    void ordersAreWrittenWithTheirState() throws FleetException {
         rig.propose("v2");
-        for (int i = 0; i < MOST_ROUNDS && rig.underWay(); i++) {
+        for (int i = 0; i < MAX_ROUNDS && rig.changeActive(); i++) {
             Set<String> ordered = new TreeSet<>();
-            rig.orders.versions().forEach((node, versions) -> {
+            rig.orderLog.versions().forEach((node, versions) -> {
                 if (versions.contains("v2")) {
                     ordered.add(node);
                 }
             });
-            assertEquals(ordered, new TreeSet<>(rig.current().getMovedList()));
+            assertEquals(ordered, new TreeSet<>(rig.currentChange().getMovedList()));
             rig.round();
         }
-        List<String> carried = new ArrayList<>(rig.fleet.carried);
-        carried.removeIf(c -> c.endsWith("v1"));
-        assertEquals(NODES, carried.size());
-        assertEquals(NODES, new TreeSet<>(carried).size(), carried.toString());
-        assertEquals(List.of(), rig.orders.broken);
+        List<String> executed = new ArrayList<>(rig.fleet.executedOrders);
+        executed.removeIf(c -> c.endsWith("v1"));
+        assertEquals(NODES, executed.size());
+        assertEquals(NODES, new TreeSet<>(executed).size(), executed.toString());
+        assertEquals(List.of(), rig.orderLog.violations);
     }
 }
--- a/src/test/java/olivechute/controller/ScriptedFleet.java
+++ b/src/test/java/olivechute/controller/ScriptedFleet.java
@@ -31,20 +31,20 @@
     private static final class Node {
         String version = "";
         NodePhase phase = NodePhase.DOWN;
-        long since;
-        long number;
+        long phaseSinceMs;
+        long orderNumber;
         long incarnation;
-        long taken;
-        long rounds;
+        long requests;
+        long reportCount;
         Store.Lease lease;
-        boolean cut;
+        boolean disconnected;
     }
 
     private final MemoryStore store;
     private final TestClock clock;
     private final Map<String, Node> nodes = new TreeMap<>();
     /** "NODE VERSION" of each order carried out, in order. */
-    final List<String> carried = new ArrayList<>();
+    final List<String> executedOrders = new ArrayList<>();
 
     ScriptedFleet(MemoryStore store, TestClock clock, int count) {
         this.store = store;
@@ -59,8 +59,8 @@
     }
 
     /** The machine's link breaks; its lease runs out by itself. */
-    void cut(String name, boolean cut) {
-        nodes.get(name).cut = cut;
+    void setDisconnected(String name, boolean cut) {
+        nodes.get(name).disconnected = cut;
     }
 
     String version(String name) {
@@ -74,38 +74,38 @@
     }
 
     /** Nodes that do not answer that they are ready. */
-    long away() {
+    long notReadyCount() {
         return nodes.values().stream().filter(n -> n.phase != NodePhase.READY).count();
     }
 
     /** One second of every supervisor: what is started is ready now, then the newest order, then the report. */
     void round() throws StoreException {
         for (Map.Entry<String, Node> each : nodes.entrySet()) {
-            if (!each.getValue().cut) {
+            if (!each.getValue().disconnected) {
                 round(each.getKey(), each.getValue());
             }
         }
     }
 
     private void round(String name, Node node) throws StoreException {
-        lease(name, node);
+        renewLease(name, node);
         if (node.phase == NodePhase.STARTING) {
             node.phase = NodePhase.READY;
-            node.since = clock.getAsLong();
+            node.phaseSinceMs = clock.getAsLong();
         }
-        Optional<Store.Entry> entry = store.get(StoreKeys.ORDER + name);
+        Optional<Store.Entry> entry = store.get(StoreKeys.ORDER_PREFIX + name);
         if (entry.isPresent()) {
-            Order order = read(entry.get());
-            if (order.getNumber() > node.number) {
-                node.number = order.getNumber();
+            Order order = parseOrder(entry.get());
+            if (order.getNumber() > node.orderNumber) {
+                node.orderNumber = order.getNumber();
                 if (!order.getVersion().equals(node.version)) {
-                    carried.add(name + " " + order.getVersion());
+                    executedOrders.add(name + " " + order.getVersion());
                     node.version = order.getVersion();
                     node.phase = NodePhase.STARTING;
-                    node.since = clock.getAsLong();
+                    node.phaseSinceMs = clock.getAsLong();
                     node.incarnation = clock.getAsLong() * 1000;
-                    node.taken = 0;
-                    node.rounds = 0;
+                    node.requests = 0;
+                    node.reportCount = 0;
                 }
             }
         }
@@ -114,8 +114,8 @@
                 .setZone("z" + name.hashCode() % 2)
                 .setVersion(node.version)
                 .setPhase(node.phase.name())
-                .setSinceMs(node.since)
-                .setOrderNumber(node.number)
+                .setSinceMs(node.phaseSinceMs)
+                .setOrderNumber(node.orderNumber)
                 .build();
         MachineReport report = MachineReport.newBuilder()
                 .setMachine("m-" + name)
@@ -124,22 +124,22 @@
                 .setAtMs(clock.getAsLong())
                 .build();
         List<Write> writes = new ArrayList<>();
-        writes.add(new Write(StoreKeys.MACHINE + "m-" + name, report.toByteArray(), null, node.lease.session()));
+        writes.add(new Write(StoreKeys.MACHINE_PREFIX + "m-" + name, report.toByteArray(), null, node.lease.session()));
         if (node.phase == NodePhase.READY) {
-            node.taken += 40;
-            node.rounds++;
-            ClassCounts counts = new ClassCounts(node.taken, node.taken, 0, 0, 0, 0);
-            NodeMetrics figures = new NodeMetrics(
-                    name, node.version, node.incarnation, node.rounds, Map.of("sign", counts), 0, new long[] {node.taken
+            node.requests += 40;
+            node.reportCount++;
+            ClassCounts counts = new ClassCounts(node.requests, node.requests, 0, 0, 0, 0);
+            NodeMetrics metrics = new NodeMetrics(
+                    name, node.version, node.incarnation, node.reportCount, Map.of("sign", counts), 0, new long[] {node.requests
                     });
             writes.add(Write.put(
-                    StoreKeys.FIGURES + name,
-                    RolloutCodec.figures(figures, clock.getAsLong()).toByteArray()));
+                    StoreKeys.METRICS_PREFIX + name,
+                    RolloutCodec.convertMetrics(metrics, clock.getAsLong()).toByteArray()));
         }
         store.write(writes, List.of(node.lease.fence()));
     }
 
-    private void lease(String name, Node node) throws StoreException {
+    private void renewLease(String name, Node node) throws StoreException {
         if (node.lease != null) {
             try {
                 store.renew(node.lease);
@@ -151,7 +151,7 @@
         node.lease = store.acquire("machine/m-" + name, "m-" + name, TTL);
     }
 
-    static Order read(Store.Entry entry) {
+    static Order parseOrder(Store.Entry entry) {
         try {
             return Order.parseFrom(entry.value());
         } catch (InvalidProtocolBufferException e) {
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -56,55 +56,55 @@
                 .build();
     }
 
-    private static NodeMetrics figures(String node, String version, int sequence) {
+    private static NodeMetrics metrics(String node, String version, int sequence) {
         Map<String, ClassCounts> classes = new LinkedHashMap<>();
         classes.put(
                 "sign",
                 new ClassCounts(100L * sequence, 90L * sequence, 5L * sequence, 3L * sequence, sequence, sequence));
-        long[] delay = new long[olivechute.metrics.DelayBuckets.BOUNDS.size()];
-        for (int i = 0; i < delay.length; i++) {
-            delay[i] = sequence * (long) (delay.length - i);
+        long[] delayCounts = new long[olivechute.metrics.DelayBuckets.BOUNDS.size()];
+        for (int i = 0; i < delayCounts.length; i++) {
+            delayCounts[i] = sequence * (long) (delayCounts.length - i);
         }
-        return new NodeMetrics(node, version, 7, sequence, classes, 0, delay);
+        return new NodeMetrics(node, version, 7, sequence, classes, 0, delayCounts);
     }
 
     /** A change that has learned from some reports and moved its first node. */
-    private static RolloutState progress() throws Exception {
-        RolloutState progress = RolloutState.proposed(RolloutCodec.change(spec()), NOW_MS);
+    private static RolloutState stateAfterBaseline() throws Exception {
+        RolloutState state = RolloutState.proposed(RolloutCodec.toSpec(spec()), NOW_MS);
         for (int s = 1; s <= 30; s++) {
             List<NodeStatus> nodes = List.of(
                     new NodeStatus("n1", "z1", "v1", NodePhase.READY, NOW_MS, 0, "", true, "v1"),
                     new NodeStatus("n2", "z2", "v1", NodePhase.READY, NOW_MS, 0, "", true, "v1"));
             RolloutDecision decision = Rollout.step(
-                    progress,
+                    state,
                     nodes,
-                    List.of(figures("n1", "v1", s), figures("n2", "v1", s)),
-                    PriorityWeights.alike(olivechute.metrics.DelayBuckets.BOUNDS),
+                    List.of(metrics("n1", "v1", s), metrics("n2", "v1", s)),
+                    PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.BOUNDS),
                     NOW_MS + 1000L * s);
-            progress = decision.next();
+            state = decision.nextState();
         }
-        return progress;
+        return state;
     }
 
-    private static ChangeRecord record(RolloutState progress) {
-        return RolloutCodec.record(
+    private static ChangeRecord record(RolloutState state) {
+        return RolloutCodec.toRecord(
                 ChangeRecord.newBuilder()
                         .setSpec(spec())
-                        .addAtStageStart(RolloutCodec.figures(figures("n1", "v1", 1), NOW_MS))
+                        .addAtStageStart(RolloutCodec.convertMetrics(metrics("n1", "v1", 1), NOW_MS))
                         .build(),
-                progress,
+                state,
                 NOW_MS + 30_000,
                 42);
     }
 
     private static Map<String, MessageLite> values() throws Exception {
         Map<String, MessageLite> values = new LinkedHashMap<>();
-        values.put(StoreKeys.BASE, BaseVersion.newBuilder().setVersion("v1").build());
-        values.put(StoreKeys.CURRENT, record(progress()));
+        values.put(StoreKeys.BASE_VERSION, BaseVersion.newBuilder().setVersion("v1").build());
+        values.put(StoreKeys.CURRENT_CHANGE, record(stateAfterBaseline()));
         values.put(
-                StoreKeys.PAST + "c1",
+                StoreKeys.PAST_CHANGE_PREFIX + "c1",
                 record(new RolloutState(
-                        RolloutCodec.change(spec()),
+                        RolloutCodec.toSpec(spec()),
                         RolloutPhase.STOPPED,
                         0,
                         NOW_MS,
@@ -112,7 +112,7 @@
                         new TreeSet<>(Set.of("n1")),
                         new byte[0])));
         values.put(
-                StoreKeys.VERSION + "v2",
+                StoreKeys.VERSION_PREFIX + "v2",
                 VersionSpec.newBuilder()
                         .setId("v2")
                         .setProgram("/p.jar")
@@ -120,7 +120,7 @@
                         .setSettings("{}")
                         .build());
         values.put(
-                StoreKeys.ORDER + "n1",
+                StoreKeys.ORDER_PREFIX + "n1",
                 Order.newBuilder()
                         .setNode("n1")
                         .setVersion("v2")
@@ -129,7 +129,7 @@
                         .setGivenMs(NOW_MS)
                         .build());
         values.put(
-                StoreKeys.MACHINE + "m1",
+                StoreKeys.MACHINE_PREFIX + "m1",
                 MachineReport.newBuilder()
                         .setMachine("m1")
                         .setFence(5)
@@ -144,8 +144,8 @@
                                 .setCrashes(1)
                                 .setTrouble("none"))
                         .build());
-        values.put(StoreKeys.FIGURES + "n1", RolloutCodec.figures(figures("n1", "v2", 3), NOW_MS));
-        values.put(StoreKeys.LEASE, BaseVersion.getDefaultInstance());
+        values.put(StoreKeys.METRICS_PREFIX + "n1", RolloutCodec.convertMetrics(metrics("n1", "v2", 3), NOW_MS));
+        values.put(StoreKeys.LEADER_LEASE, BaseVersion.getDefaultInstance());
         return values;
     }
 
@@ -168,7 +168,7 @@
             BaseVersion.parser());
 
     @Test
-    void everyValueIsWrittenAndReadUnderItsKeyAsBefore() throws Exception {
+    void storedFormatsAreUnchanged() throws Exception {
         Map<String, MessageLite> values = values();
         assertEquals(PARSERS.keySet(), values.keySet());
         for (Map.Entry<String, MessageLite> each : values.entrySet()) {
@@ -179,16 +179,16 @@
 
     /** The comparison's sums lie in the record as bytes: they must go on, not begin anew. */
     @Test
-    void aStoredChangeGoesOnWithItsEvidence() throws Exception {
+    void storedChangeContinuesWithItsEvidence() throws Exception {
         ChangeRecord read = ChangeRecord.parseFrom(StoredForms.recorded("change/current"));
-        RolloutState progress = RolloutCodec.progress(read);
+        RolloutState state = RolloutCodec.toState(read);
         RolloutState next = Rollout.step(
-                        progress,
+                        state,
                         List.of(new NodeStatus("n1", "z1", "v1", NodePhase.READY, NOW_MS, 0, "", true, "v1")),
                         List.of(),
-                        PriorityWeights.alike(olivechute.metrics.DelayBuckets.BOUNDS),
+                        PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.BOUNDS),
                         NOW_MS + 31_000)
-                .next();
+                .nextState();
         assertEquals(false, next.reason().contains("begins anew"), next.reason());
     }
 }
--- a/src/test/java/olivechute/controller/TestClock.java
+++ b/src/test/java/olivechute/controller/TestClock.java
@@ -4,14 +4,14 @@
 
 /** Virtual time, ms. */
 final class TestClock implements LongSupplier {
-    private long now = 1_000_000;
+    private long nowMs = 1_000_000;
 
     @Override
     public long getAsLong() {
-        return now;
+        return nowMs;
     }
 
-    void pass(long ms) {
-        now += ms;
+    void advance(long ms) {
+        nowMs += ms;
     }
 }
--- a/src/test/java/olivechute/rollout/FleetSimulationTest.java
+++ b/src/test/java/olivechute/rollout/FleetSimulationTest.java
@@ -19,102 +19,102 @@
     private static List<SimFleet> run(int seeds, Effect effect) {
         return LongStream.range(0, seeds)
                 .parallel()
-                .mapToObj(seed -> end(new SimFleet(20261202 + seed, effect)))
+                .mapToObj(seed -> runToEnd(new SimFleet(20261202 + seed, effect)))
                 .toList();
     }
 
-    private static void told(String what, List<SimFleet> fleets) {
+    private static void printSummary(String title, List<SimFleet> fleets) {
         long stopped = fleets.stream()
-                .filter(fleet -> fleet.progress.phase() == RolloutPhase.STOPPED)
+                .filter(fleet -> fleet.state.phase() == RolloutPhase.STOPPED)
                 .count();
         System.out.println(String.format(
                 Locale.ROOT,
                 "%s: seeds %d from 20261202, stopped %d, done %d, before half %d, mean stage %.2f, "
                         + "mean nodes at most %.1f, seconds %.0f, held %.2f a rollout, jobs at new nodes %.0f against %.0f had all changed at once",
-                what,
+                title,
                 fleets.size(),
                 stopped,
                 fleets.stream()
-                        .filter(fleet -> fleet.progress.phase() == RolloutPhase.DONE)
+                        .filter(fleet -> fleet.state.phase() == RolloutPhase.DONE)
                         .count(),
-                early(fleets),
+                stoppedBeforeHalf(fleets),
                 fleets.stream()
-                        .mapToInt(fleet -> fleet.progress.stage() + 1)
+                        .mapToInt(fleet -> fleet.state.stage() + 1)
                         .average()
                         .orElse(0),
-                fleets.stream().mapToInt(fleet -> fleet.most).average().orElse(0),
+                fleets.stream().mapToInt(fleet -> fleet.maxMoved).average().orElse(0),
                 fleets.stream()
-                        .mapToLong(fleet -> (fleet.now - SimFleet.BEGIN) / 1000)
+                        .mapToLong(fleet -> (fleet.nowMs - SimFleet.START_MS) / 1000)
                         .average()
                         .orElse(0),
-                fleets.stream().mapToInt(fleet -> fleet.held).average().orElse(0),
-                fleets.stream().mapToLong(fleet -> fleet.jobsAtNew).average().orElse(0),
+                fleets.stream().mapToInt(fleet -> fleet.holdCount).average().orElse(0),
+                fleets.stream().mapToLong(fleet -> fleet.newRequests).average().orElse(0),
                 fleets.stream()
-                        .mapToLong(fleet -> fleet.jobsSinceMove)
+                        .mapToLong(fleet -> fleet.requestsSinceMove)
                         .average()
                         .orElse(0)));
         fleets.stream()
                 .limit(3)
-                .forEach(fleet -> System.out.println("  " + fleet.progress.phase() + ": " + fleet.progress.reason()));
+                .forEach(fleet -> System.out.println("  " + fleet.state.phase() + ": " + fleet.state.reason()));
     }
 
-    private static long early(List<SimFleet> fleets) {
+    private static long stoppedBeforeHalf(List<SimFleet> fleets) {
         return fleets.stream()
-                .filter(fleet -> fleet.progress.phase() == RolloutPhase.STOPPED && fleet.most < 20)
+                .filter(fleet -> fleet.state.phase() == RolloutPhase.STOPPED && fleet.maxMoved < 20)
                 .count();
     }
 
     @Test
     void anEqualVersionIsNotStopped() {
         List<SimFleet> fleets = run(SEEDS, Effect.NONE);
-        told("equal version", fleets);
+        printSummary("equal version", fleets);
         List<SimFleet> stopped = fleets.stream()
-                .filter(fleet -> fleet.progress.phase() != RolloutPhase.DONE)
+                .filter(fleet -> fleet.state.phase() != RolloutPhase.DONE)
                 .toList();
         stopped.stream()
                 .limit(5)
                 .forEach(fleet ->
-                        System.out.println("  " + fleet.progress.change().id() + " " + fleet.progress.reason()));
+                        System.out.println("  " + fleet.state.spec().id() + " " + fleet.state.reason()));
         assertTrue(stopped.size() < 0.01 * SEEDS, stopped.size() + " of " + SEEDS);
-        assertTrue(fleets.stream().allMatch(fleet -> fleet.mostAwaySeen <= 2));
+        assertTrue(fleets.stream().allMatch(fleet -> fleet.maxUnavailableSeen <= 2));
     }
 
     /** Old and new go alike, so it neither stops nor passes a stage; it goes on when they are back. */
     @Test
-    void aZoneLostInTheMiddleOfAStageNeitherStopsNorAdvances() {
+    void zoneOutageDuringAStageNeitherStopsNorAdvances() {
         List<SimFleet> fleets = LongStream.range(0, Math.max(20, SEEDS / 20))
                 .parallel()
                 .mapToObj(seed -> {
                     SimFleet fleet = new SimFleet(20261202 + seed, Effect.NONE);
                     for (int s = 0;
                             s < 3000
-                                    && (fleet.progress.phase() != RolloutPhase.WATCHING || fleet.progress.stage() != 1);
+                                    && (fleet.state.phase() != RolloutPhase.WATCHING || fleet.state.stage() != 1);
                             s++) {
-                        second(fleet);
+                        runOneSecond(fleet);
                     }
                     for (int s = 0; s < 20; s++) {
-                        fleet.second();
+                        fleet.runSecond();
                     }
-                    fleet.zone("b", true);
+                    fleet.setZoneLost("b", true);
                     for (int s = 0; s < 400; s++) {
-                        fleet.second();
+                        fleet.runSecond();
                         assertTrue(
-                                fleet.progress.phase() == RolloutPhase.HELD && fleet.progress.stage() == 1,
-                                fleet.progress.reason());
+                                fleet.state.phase() == RolloutPhase.HELD && fleet.state.stage() == 1,
+                                fleet.state.reason());
                     }
-                    fleet.zone("b", false);
-                    return end(fleet);
+                    fleet.setZoneLost("b", false);
+                    return runToEnd(fleet);
                 })
                 .toList();
-        told("zone lost for 400 s", fleets);
-        assertTrue(fleets.stream().allMatch(fleet -> fleet.progress.phase() == RolloutPhase.DONE));
+        printSummary("zone lost for 400 s", fleets);
+        assertTrue(fleets.stream().allMatch(fleet -> fleet.state.phase() == RolloutPhase.DONE));
     }
 
-    private static SimFleet end(SimFleet fleet) {
+    private static SimFleet runToEnd(SimFleet fleet) {
         return run(fleet, 9000);
     }
 
-    private static void second(SimFleet fleet) {
+    private static void runOneSecond(SimFleet fleet) {
         run(fleet, 1);
     }
 
@@ -126,35 +126,35 @@
         }
     }
 
-    private static void harm(String what, Effect effect, double least) {
+    private static void assertStopped(String title, Effect effect, double minFraction) {
         List<SimFleet> fleets = run(Math.max(50, SEEDS / 4), effect);
-        told(what, fleets);
-        assertTrue(early(fleets) >= least * fleets.size(), early(fleets) + " of " + fleets.size());
-        assertTrue(fleets.stream().allMatch(fleet -> fleet.mostAwaySeen <= 2));
+        printSummary(title, fleets);
+        assertTrue(stoppedBeforeHalf(fleets) >= minFraction * fleets.size(), stoppedBeforeHalf(fleets) + " of " + fleets.size());
+        assertTrue(fleets.stream().allMatch(fleet -> fleet.maxUnavailableSeen <= 2));
     }
 
     @Test
-    void fivePercentLessOfAllIsStoppedBeforeHalf() {
-        harm("5 % less of all", new Effect(0.95, 0.95, 0, 0, true), 0.95);
+    void servingFivePercentLessIsStoppedBeforeHalf() {
+        assertStopped("5 % less of all", new Effect(0.95, 0.95, 0, 0, true), 0.95);
     }
 
     @Test
-    void tenPercentLessOfSignIsStoppedBeforeHalf() {
-        harm("10 % less of sign", new Effect(1, 0.9, 0, 0, true), 0.95);
+    void servingTenPercentLessOfOneClassIsStoppedBeforeHalf() {
+        assertStopped("10 % less of sign", new Effect(1, 0.9, 0, 0, true), 0.95);
     }
 
     @Test
     void aSlowerVersionIsStopped() {
-        harm("30 ms slower", new Effect(1, 1, 30, 0, true), 0.99);
+        assertStopped("30 ms slower", new Effect(1, 1, 30, 0, true), 0.99);
     }
 
     @Test
     void aVersionThatCrashesIsStopped() {
-        harm("crashes after 20 s", new Effect(1, 1, 0, 20, true), 0.99);
+        assertStopped("crashes after 20 s", new Effect(1, 1, 0, 20, true), 0.99);
     }
 
     @Test
     void aVersionThatIsNeverReadyIsStopped() {
-        harm("never ready", new Effect(1, 1, 0, 0, false), 0.99);
+        assertStopped("never ready", new Effect(1, 1, 0, 0, false), 0.99);
     }
 }
--- a/src/test/java/olivechute/rollout/RolloutTest.java
+++ b/src/test/java/olivechute/rollout/RolloutTest.java
@@ -22,206 +22,206 @@
 
 /** Each way from one phase to another, and each order of an operator in each phase. */
 class RolloutTest {
-    private static Arguments way(
+    private static Arguments transition(
             String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason) {
         return Arguments.of(name, from, event, to, reason);
     }
 
-    private static void lost(SmallFleet fleet, String zone, boolean lost) {
+    private static void setZoneLost(SmallFleet fleet, String zone, boolean lost) {
         fleet.nodes.stream().filter(node -> node.zone.equals(zone)).forEach(node -> {
             node.reachable = !lost;
-            node.broken = lost;
+            node.frozen = lost;
         });
     }
 
-    static Stream<Arguments> ways() {
+    static Stream<Arguments> transitions() {
         return Stream.of(
-                way(
+                transition(
                         "learns first",
                         RolloutPhase.PROPOSED,
                         fleet -> fleet.run(10),
                         RolloutPhase.PROPOSED,
                         "learns how the nodes usually differ"),
-                way(
+                transition(
                         "moves after it",
                         RolloutPhase.PROPOSED,
                         fleet -> fleet.run(20),
                         RolloutPhase.MOVING,
                         "stage 1: brings 1 of 6 nodes"),
-                way(
+                transition(
                         "no figures at all",
                         RolloutPhase.PROPOSED,
-                        fleet -> silent(fleet).run(121),
+                        fleet -> withoutTraffic(fleet).run(121),
                         RolloutPhase.HELD,
                         "no node told figures"),
-                way(
+                transition(
                         "figures at last",
                         RolloutPhase.PROPOSED,
                         fleet -> {
-                            silent(fleet).run(121);
-                            fleet.traffic = true;
+                            withoutTraffic(fleet).run(121);
+                            fleet.trafficOn = true;
                             fleet.run(12);
                         },
                         RolloutPhase.MOVING,
                         "stage 1"),
-                way(
+                transition(
                         "all of the stage there",
                         RolloutPhase.MOVING,
                         fleet -> fleet.run(6),
                         RolloutPhase.WATCHING,
                         "stage 1"),
-                way(
+                transition(
                         "a zone lost while it moves",
                         RolloutPhase.PROPOSED,
                         fleet -> {
                             fleet.run(20);
-                            lost(fleet, "b", true);
+                            setZoneLost(fleet, "b", true);
                             fleet.run(2);
                         },
                         RolloutPhase.HELD,
                         "3 nodes are away, 1 may be"),
-                way(
+                transition(
                         "the zone is back",
                         RolloutPhase.PROPOSED,
                         fleet -> {
                             fleet.run(20);
-                            lost(fleet, "b", true);
+                            setZoneLost(fleet, "b", true);
                             fleet.run(60);
-                            lost(fleet, "b", false);
+                            setZoneLost(fleet, "b", false);
                             fleet.run(8);
                         },
                         RolloutPhase.WATCHING,
                         "stage 1"),
-                way(
+                transition(
                         "not yet",
                         RolloutPhase.WATCHING,
                         fleet -> fleet.run(18),
                         RolloutPhase.WATCHING,
                         "of at least 20 s"),
-                way(
+                transition(
                         "passes",
                         RolloutPhase.WATCHING,
-                        fleet -> fleet.run(21).until(RolloutPhase.MOVING),
+                        fleet -> fleet.run(21).runUntil(RolloutPhase.MOVING),
                         RolloutPhase.MOVING,
                         "stage 1 passed"),
-                way(
+                transition(
                         "silence",
                         RolloutPhase.WATCHING,
-                        fleet -> silent(fleet).run(121),
+                        fleet -> withoutTraffic(fleet).run(121),
                         RolloutPhase.HELD,
                         "too little evidence"),
-                way(
+                transition(
                         "evidence at last",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            silent(fleet).run(121);
-                            fleet.traffic = true;
-                            fleet.run(20).until(RolloutPhase.MOVING);
+                            withoutTraffic(fleet).run(121);
+                            fleet.trafficOn = true;
+                            fleet.run(20).runUntil(RolloutPhase.MOVING);
                         },
                         RolloutPhase.MOVING,
                         "stage 1 passed"),
-                way(
+                transition(
                         "worse",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            fleet.goodAtNew = 70;
+                            fleet.servedPercentAtNew = 70;
                             fleet.run(60);
                         },
                         RolloutPhase.STOPPED,
                         "served 0.700 at new nodes against 0.900 at old ones"),
-                way(
+                transition(
                         "breaks a rule",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            fleet.newNode().rulesBroken = 1;
+                            fleet.firstMovedNode().ruleViolations = 1;
                             fleet.run(1);
                         },
                         RolloutPhase.ROLLING_BACK,
                         "broke 1 rules under the new version"),
-                way(
+                transition(
                         "crashes once",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            fleet.newNode().crashes = 1;
+                            fleet.firstMovedNode().crashes = 1;
                             fleet.run(1);
                         },
                         RolloutPhase.WATCHING,
                         "stage 1"),
-                way(
+                transition(
                         "crashes twice",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            fleet.newNode().crashes = 2;
+                            fleet.firstMovedNode().crashes = 2;
                             fleet.run(1);
                         },
                         RolloutPhase.ROLLING_BACK,
                         "crashed 2 times"),
-                way(
+                transition(
                         "refused",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            fleet.newNode().phase = NodePhase.REFUSED;
-                            fleet.newNode().broken = true;
-                            fleet.newNode().trouble = "key x";
+                            fleet.firstMovedNode().phase = NodePhase.REFUSED;
+                            fleet.firstMovedNode().frozen = true;
+                            fleet.firstMovedNode().lastError = "key x";
                             fleet.run(1);
                         },
                         RolloutPhase.ROLLING_BACK,
                         "refused the new version: key x"),
-                way(
+                transition(
                         "not ready",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            stuck(fleet);
+                            freezeWhileStarting(fleet);
                             fleet.run(12);
                         },
                         RolloutPhase.ROLLING_BACK,
                         "is not ready 11 s after it was to be, 10 s are allowed"),
-                way(
+                transition(
                         "not ready where none can reach it",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            stuck(fleet);
-                            fleet.newNode().reachable = false;
+                            freezeWhileStarting(fleet);
+                            fleet.firstMovedNode().reachable = false;
                             fleet.run(200);
                         },
                         RolloutPhase.HELD,
                         "1 nodes are away, 1 may be"),
-                way(
+                transition(
                         "a zone lost while it watches",
                         RolloutPhase.WATCHING,
                         fleet -> {
-                            lost(fleet, fleet.newNode().zone, true);
+                            setZoneLost(fleet, fleet.firstMovedNode().zone, true);
                             fleet.run(300);
                         },
                         RolloutPhase.HELD,
                         "3 nodes are away"),
-                way(
+                transition(
                         "taken back",
                         RolloutPhase.ROLLING_BACK,
                         fleet -> fleet.run(30),
                         RolloutPhase.STOPPED,
                         "stopped by an operator"),
-                way(
+                transition(
                         "taken back but not ready",
                         RolloutPhase.ROLLING_BACK,
                         fleet -> {
                             fleet.run(1);
                             fleet.nodes.stream()
-                                    .filter(node -> node.ordered != null)
+                                    .filter(node -> node.orderedVersion != null)
                                     .findFirst()
                                     .orElseThrow()
-                                    .broken = true;
+                                    .frozen = true;
                             fleet.run(9);
                         },
                         RolloutPhase.ROLLING_BACK,
                         "stopped by an operator"),
-                way(
+                transition(
                         "an ended one stays",
                         RolloutPhase.DONE,
                         fleet -> fleet.run(5),
                         RolloutPhase.DONE,
                         "all 6 nodes run the new version"),
-                way(
+                transition(
                         "a stopped one stays",
                         RolloutPhase.STOPPED,
                         fleet -> fleet.run(5),
@@ -229,48 +229,48 @@
                         "stopped by an operator"));
     }
 
-    private static SmallFleet silent(SmallFleet fleet) {
-        fleet.traffic = false;
+    private static SmallFleet withoutTraffic(SmallFleet fleet) {
+        fleet.trafficOn = false;
         return fleet;
     }
 
-    private static void stuck(SmallFleet fleet) {
-        fleet.newNode().phase = NodePhase.STARTING;
-        fleet.newNode().broken = true;
+    private static void freezeWhileStarting(SmallFleet fleet) {
+        fleet.firstMovedNode().phase = NodePhase.STARTING;
+        fleet.firstMovedNode().frozen = true;
     }
 
     /** A fleet in a phase, reached as a change would. */
-    private static SmallFleet at(RolloutPhase phase) throws RolloutException {
-        SmallFleet fleet = SmallFleet.usual();
+    private static SmallFleet fleetInPhase(RolloutPhase phase) throws RolloutException {
+        SmallFleet fleet = SmallFleet.withThreeStages();
         switch (phase) {
             case PROPOSED -> fleet.run(0);
-            case MOVING, WATCHING, DONE -> fleet.until(phase);
+            case MOVING, WATCHING, DONE -> fleet.runUntil(phase);
             case HELD -> {
-                fleet.until(RolloutPhase.WATCHING);
-                silent(fleet).until(RolloutPhase.HELD);
+                fleet.runUntil(RolloutPhase.WATCHING);
+                withoutTraffic(fleet).runUntil(RolloutPhase.HELD);
             }
-            case PAUSED -> fleet.progress = Rollout.pause(fleet.until(RolloutPhase.WATCHING).progress, fleet.now);
+            case PAUSED -> fleet.state = Rollout.pause(fleet.runUntil(RolloutPhase.WATCHING).state, fleet.nowMs);
             case ROLLING_BACK ->
-                fleet.progress = Rollout.stop(fleet.until(RolloutPhase.WATCHING, 1).progress, fleet.now);
+                fleet.state = Rollout.stop(fleet.runUntil(RolloutPhase.WATCHING, 1).state, fleet.nowMs);
             default -> {
-                fleet.progress = Rollout.stop(fleet.until(RolloutPhase.WATCHING).progress, fleet.now);
-                fleet.until(RolloutPhase.STOPPED);
+                fleet.state = Rollout.stop(fleet.runUntil(RolloutPhase.WATCHING).state, fleet.nowMs);
+                fleet.runUntil(RolloutPhase.STOPPED);
             }
         }
-        assertEquals(phase, fleet.progress.phase(), fleet.progress.reason());
+        assertEquals(phase, fleet.state.phase(), fleet.state.reason());
         return fleet;
     }
 
     @ParameterizedTest(name = "{1}: {0}")
     @MethodSource("ways")
-    void aPhaseLeadsToTheNext(
+    void phaseTransitions(
             String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason)
             throws RolloutException {
-        SmallFleet fleet = at(from);
+        SmallFleet fleet = fleetInPhase(from);
         event.accept(fleet);
-        assertEquals(to, fleet.progress.phase(), fleet.progress.reason());
-        assertTrue(fleet.progress.reason().contains(reason), fleet.progress.reason());
-        assertTrue(fleet.mostAtOnce <= 1);
+        assertEquals(to, fleet.state.phase(), fleet.state.reason());
+        assertTrue(fleet.state.reason().contains(reason), fleet.state.reason());
+        assertTrue(fleet.maxUnavailableSeen <= 1);
     }
 
     @ParameterizedTest
@@ -285,113 +285,113 @@
         "DONE, pause, CHANGE_UNKNOWN", "DONE, resume, CHANGE_UNKNOWN", "DONE, stop, CHANGE_UNKNOWN",
         "STOPPED, pause, CHANGE_UNKNOWN", "STOPPED, resume, CHANGE_UNKNOWN", "STOPPED, stop, CHANGE_UNKNOWN"
     })
-    void anOrderIsDefinedInEachPhase(RolloutPhase phase, String order, String outcome) throws RolloutException {
-        SmallFleet fleet = at(phase);
+    void operatorActionsAreDefinedInEachPhase(RolloutPhase phase, String action, String outcome) throws RolloutException {
+        SmallFleet fleet = fleetInPhase(phase);
         if (outcome.startsWith("CHANGE_")) {
-            RolloutException fault = assertThrows(RolloutException.class, () -> give(order, fleet));
-            assertEquals(ErrorCode.valueOf(outcome), fault.kind());
+            RolloutException error = assertThrows(RolloutException.class, () -> applyAction(action, fleet));
+            assertEquals(ErrorCode.valueOf(outcome), error.kind());
         } else {
-            assertEquals(RolloutPhase.valueOf(outcome), give(order, fleet).phase());
+            assertEquals(RolloutPhase.valueOf(outcome), applyAction(action, fleet).phase());
         }
     }
 
-    private static RolloutState give(String order, SmallFleet fleet) throws RolloutException {
-        return switch (order) {
-            case "pause" -> Rollout.pause(fleet.progress, fleet.now);
-            case "resume" -> Rollout.resume(fleet.progress, fleet.now);
-            default -> Rollout.stop(fleet.progress, fleet.now);
+    private static RolloutState applyAction(String action, SmallFleet fleet) throws RolloutException {
+        return switch (action) {
+            case "pause" -> Rollout.pause(fleet.state, fleet.nowMs);
+            case "resume" -> Rollout.resume(fleet.state, fleet.nowMs);
+            default -> Rollout.stop(fleet.state, fleet.nowMs);
         };
     }
 
     @Test
     void aPausedChangeMovesNothingAndGoesOnWhereItWas() throws RolloutException {
-        SmallFleet fleet = at(RolloutPhase.PAUSED);
-        Set<String> moved = fleet.progress.moved();
+        SmallFleet fleet = fleetInPhase(RolloutPhase.PAUSED);
+        Set<String> moved = fleet.state.moved();
         fleet.run(300);
-        assertEquals(moved, fleet.progress.moved());
-        fleet.progress = Rollout.resume(fleet.progress, fleet.now);
-        fleet.until(RolloutPhase.DONE);
-        assertEquals(RolloutPhase.DONE, fleet.progress.phase(), fleet.progress.reason());
+        assertEquals(moved, fleet.state.moved());
+        fleet.state = Rollout.resume(fleet.state, fleet.nowMs);
+        fleet.runUntil(RolloutPhase.DONE);
+        assertEquals(RolloutPhase.DONE, fleet.state.phase(), fleet.state.reason());
     }
 
     @Test
     void anOperatorLetsAHeldStagePass() throws RolloutException {
-        SmallFleet fleet = at(RolloutPhase.HELD);
+        SmallFleet fleet = fleetInPhase(RolloutPhase.HELD);
         fleet.run(600);
-        assertEquals(RolloutPhase.HELD, fleet.progress.phase());
-        fleet.progress = Rollout.resume(fleet.progress, fleet.now);
+        assertEquals(RolloutPhase.HELD, fleet.state.phase());
+        fleet.state = Rollout.resume(fleet.state, fleet.nowMs);
         fleet.run(1);
-        assertEquals(1, fleet.progress.stage());
-        assertTrue(fleet.progress.reason().contains("by an operator's word"), fleet.progress.reason());
+        assertEquals(1, fleet.state.stage());
+        assertTrue(fleet.state.reason().contains("by an operator's word"), fleet.state.reason());
     }
 
     @Test
     void theSameInputsGiveTheSameDecision() {
-        SmallFleet fleet = SmallFleet.usual();
+        SmallFleet fleet = SmallFleet.withThreeStages();
         for (int s = 0; s < 300; s++) {
-            fleet.now += 1000;
-            fleet.nodes.forEach(fleet::live);
+            fleet.nowMs += 1000;
+            fleet.nodes.forEach(fleet::advanceNode);
             RolloutDecision one =
-                    Rollout.step(fleet.progress, fleet.known(), fleet.figures(), SimFleet.WORTHS, fleet.now);
+                    Rollout.step(fleet.state, fleet.statuses(), fleet.metrics(), SimFleet.WEIGHTS, fleet.nowMs);
             RolloutDecision two =
-                    Rollout.step(fleet.progress, fleet.known(), fleet.figures(), SimFleet.WORTHS, fleet.now);
+                    Rollout.step(fleet.state, fleet.statuses(), fleet.metrics(), SimFleet.WEIGHTS, fleet.nowMs);
             assertEquals(one.orders(), two.orders());
-            assertEquals(one.next().reason(), two.next().reason());
-            assertArrayEquals(one.next().evidence(), two.next().evidence());
+            assertEquals(one.nextState().reason(), two.nextState().reason());
+            assertArrayEquals(one.nextState().evidence(), two.nextState().evidence());
             RolloutDecision again =
-                    Rollout.step(one.next(), fleet.known(), fleet.figures(), SimFleet.WORTHS, fleet.now);
-            if (fleet.progress.phase() == RolloutPhase.WATCHING && one.next().phase() == RolloutPhase.WATCHING) {
-                assertArrayEquals(one.next().evidence(), again.next().evidence(), "figures count once");
+                    Rollout.step(one.nextState(), fleet.statuses(), fleet.metrics(), SimFleet.WEIGHTS, fleet.nowMs);
+            if (fleet.state.phase() == RolloutPhase.WATCHING && one.nextState().phase() == RolloutPhase.WATCHING) {
+                assertArrayEquals(one.nextState().evidence(), again.nextState().evidence(), "figures count once");
             }
             fleet.step();
         }
-        assertEquals(RolloutPhase.DONE, fleet.progress.phase(), fleet.progress.reason());
+        assertEquals(RolloutPhase.DONE, fleet.state.phase(), fleet.state.reason());
     }
 
     @Test
     void aNodeThatJoinsGetsTheVersionItsStageNames() {
-        SmallFleet fleet = SmallFleet.usual().until(RolloutPhase.WATCHING);
+        SmallFleet fleet = SmallFleet.withThreeStages().runUntil(RolloutPhase.WATCHING);
         SimNode joins = new SimNode("n9", "a");
         joins.version = "";
         joins.phase = NodePhase.DOWN;
         fleet.nodes.add(joins);
         fleet.step();
         assertEquals(Map.of("n9", "v1"), fleet.orders);
-        fleet.until(RolloutPhase.DONE);
+        fleet.runUntil(RolloutPhase.DONE);
         assertEquals("v2", joins.version);
     }
 
     @Test
-    void nodesThatCannotBeReachedFindTheirOrderBack() throws RolloutException {
-        SmallFleet fleet = at(RolloutPhase.WATCHING);
-        SimNode node = fleet.newNode();
+    void unreachableNodesAreOrderedBack() throws RolloutException {
+        SmallFleet fleet = fleetInPhase(RolloutPhase.WATCHING);
+        SimNode node = fleet.firstMovedNode();
         node.reachable = false;
-        fleet.progress = Rollout.stop(fleet.progress, fleet.now);
+        fleet.state = Rollout.stop(fleet.state, fleet.nowMs);
         fleet.run(2);
-        assertEquals("v1", node.ordered);
-        assertEquals(RolloutPhase.STOPPED, fleet.progress.phase(), fleet.progress.reason());
+        assertEquals("v1", node.orderedVersion);
+        assertEquals(RolloutPhase.STOPPED, fleet.state.phase(), fleet.state.reason());
     }
 
     @Test
-    void unreadableEvidenceBeginsTheComparisonAnewAndIsTold() {
-        SmallFleet fleet = SmallFleet.usual().until(RolloutPhase.WATCHING);
-        byte[] broken = fleet.progress.evidence().clone();
+    void unreadableEvidenceRestartsTheComparisonAndIsReported() {
+        SmallFleet fleet = SmallFleet.withThreeStages().runUntil(RolloutPhase.WATCHING);
+        byte[] broken = fleet.state.evidence().clone();
         broken[broken.length / 2] ^= 1;
-        RolloutState was = fleet.progress;
-        fleet.progress = new RolloutState(
-                was.change(), was.phase(), was.stage(), was.stageSince(), was.reason(), was.moved(), broken);
+        RolloutState was = fleet.state;
+        fleet.state = new RolloutState(
+                was.spec(), was.phase(), was.stage(), was.stageSinceMs(), was.reason(), was.moved(), broken);
         fleet.step();
-        assertTrue(fleet.progress.reason().contains("evidence could not be read"), fleet.progress.reason());
+        assertTrue(fleet.state.reason().contains("evidence could not be read"), fleet.state.reason());
         fleet.run(150);
-        assertEquals(RolloutPhase.HELD, fleet.progress.phase(), fleet.progress.reason());
+        assertEquals(RolloutPhase.HELD, fleet.state.phase(), fleet.state.reason());
     }
 
     @Test
-    void aChangeThatCannotBeCarriedOutIsRefused() {
+    void invalidChangesAreRejected() {
         RolloutStage all = SmallFleet.LAST;
-        assertTrue(Rollout.check(new RolloutSpec("c", "v1", "v2", List.of(SmallFleet.FIRST, all), 1, 1000), 6)
+        assertTrue(Rollout.validate(new RolloutSpec("c", "v1", "v2", List.of(SmallFleet.FIRST, all), 1, 1000), 6)
                 .isEmpty());
-        List<RolloutSpec> bad = List.of(
+        List<RolloutSpec> invalid = List.of(
                 new RolloutSpec("", "v1", "v2", List.of(all), 1, 1000),
                 new RolloutSpec("c", "v1", "v1", List.of(all), 1, 1000),
                 new RolloutSpec("c", "v1", "", List.of(all), 1, 1000),
@@ -403,10 +403,10 @@
                 new RolloutSpec("c", "v1", "v2", List.of(SmallFleet.SECOND), 1, 1000),
                 new RolloutSpec("c", "v1", "v2", List.of(new RolloutStage(1, 10, 1, 2, 0), all), 1, 1000),
                 new RolloutSpec("c", "v1", "v2", List.of(new RolloutStage(0, 100, 3, 2, 0)), 1, 1000));
-        for (RolloutSpec change : bad) {
-            List<RolloutException> faults = Rollout.check(change, 6);
-            assertFalse(faults.isEmpty(), change.toString());
-            assertTrue(faults.stream().allMatch(fault -> fault.kind() == ErrorCode.CHANGE_INVALID));
+        for (RolloutSpec change : invalid) {
+            List<RolloutException> errors = Rollout.validate(change, 6);
+            assertFalse(errors.isEmpty(), change.toString());
+            assertTrue(errors.stream().allMatch(fault -> fault.kind() == ErrorCode.CHANGE_INVALID));
         }
     }
 
@@ -415,16 +415,16 @@
      * still show.
      */
     @Test
-    void addedDelayIsSeenWhereItIsUsuallyShortAndUneven() {
+    void addedDelayIsDetectedOverAShortVariableBaseline() {
         for (long seed = 1; seed <= 20; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             SmallFleet fleet = new SmallFleet(1, new RolloutStage(1, 0, 60_000, 120_000, 100), SmallFleet.LAST);
-            fleet.delays = node -> node.delay[node.version.equals("v2") ? 21 : random.nextInt(3, 10)] += 20;
-            fleet.until(RolloutPhase.STOPPED);
-            assertEquals(0, fleet.progress.stage(), "seed " + seed + ": " + fleet.progress.reason());
+            fleet.delays = node -> node.delayCounts[node.version.equals("v2") ? 21 : random.nextInt(3, 10)] += 20;
+            fleet.runUntil(RolloutPhase.STOPPED);
+            assertEquals(0, fleet.state.stage(), "seed " + seed + ": " + fleet.state.reason());
             assertTrue(
-                    fleet.progress.reason().startsWith("added delay "),
-                    "seed " + seed + ": " + fleet.progress.reason());
+                    fleet.state.reason().startsWith("added delay "),
+                    "seed " + seed + ": " + fleet.state.reason());
         }
     }
 }
--- a/src/test/java/olivechute/rollout/SimNode.java
+++ b/src/test/java/olivechute/rollout/SimNode.java
@@ -7,25 +7,25 @@
     final String name;
     final String zone;
     /** Jobs a second, and how its served part and its delay stand to others'. */
-    double traffic;
+    double requestsPerSecond;
 
-    double level;
-    double slow;
+    double servedFactor;
+    double delayFactor;
     double drift;
-    double frail;
+    double overloadSensitivity;
     String version = "v1";
-    String ordered;
+    String orderedVersion;
     NodePhase phase = NodePhase.READY;
-    long since;
+    long phaseSinceMs;
     int crashes;
-    String trouble = "";
+    String lastError = "";
     boolean reachable = true;
-    boolean broken;
+    boolean frozen;
     long incarnation = 1;
     long sequence;
     long[][] counts = new long[2][6];
-    long[] delay = new long[SimFleet.BOUNDS.size()];
-    long rulesBroken;
+    long[] delayCounts = new long[SimFleet.DELAY_BOUNDS_US.size()];
+    long ruleViolations;
 
     SimNode(String name, String zone) {
         this.name = name;
@@ -33,16 +33,16 @@
     }
 
     boolean serves() {
-        return phase == NodePhase.READY && !broken;
+        return phase == NodePhase.READY && !frozen;
     }
 
     NodeStatus status() {
-        return new NodeStatus(name, zone, version, phase, since, crashes, trouble, reachable, ordered);
+        return new NodeStatus(name, zone, version, phase, phaseSinceMs, crashes, lastError, reachable, orderedVersion);
     }
 
-    NodeMetrics figures() {
+    NodeMetrics metrics() {
         Map<String, ClassCounts> classes = Map.of("verify", counts(0), "sign", counts(1));
-        return new NodeMetrics(name, version, incarnation, sequence, classes, rulesBroken, delay.clone());
+        return new NodeMetrics(name, version, incarnation, sequence, classes, ruleViolations, delayCounts.clone());
     }
 
     private ClassCounts counts(int c) {
@@ -50,17 +50,17 @@
         return new ClassCounts(row[0], row[1], row[2], row[3], row[4], row[5]);
     }
 
-    void start(String wanted, long now) {
-        if (!wanted.equals(version)) {
+    void start(String newVersion, long nowMs) {
+        if (!newVersion.equals(version)) {
             crashes = 0;
         }
-        version = wanted;
+        version = newVersion;
         phase = NodePhase.STARTING;
-        since = now;
+        phaseSinceMs = nowMs;
         incarnation++;
         sequence = 0;
         counts = new long[2][6];
-        delay = new long[SimFleet.BOUNDS.size()];
-        rulesBroken = 0;
+        delayCounts = new long[SimFleet.DELAY_BOUNDS_US.size()];
+        ruleViolations = 0;
     }
 }
--- a/src/test/java/olivechute/rollout/SmallFleet.java
+++ b/src/test/java/olivechute/rollout/SmallFleet.java
@@ -14,114 +14,114 @@
     static final RolloutStage SECOND = new RolloutStage(0, 50, 20_000, 120_000, 100);
     static final RolloutStage LAST = new RolloutStage(0, 100, 20_000, 120_000, 100);
     final List<SimNode> nodes = new ArrayList<>();
-    RolloutState progress;
-    long now = SimFleet.BEGIN;
-    boolean traffic = true;
+    RolloutState state;
+    long nowMs = SimFleet.START_MS;
+    boolean trafficOn = true;
     /** Of 100 jobs those that a new node serves in time; an old one serves 90. */
-    int goodAtNew = 90;
+    int servedPercentAtNew = 90;
 
     Map<String, String> orders = Map.of();
-    int mostAtOnce;
+    int maxUnavailableSeen;
     /** Counts the added delays of a node's jobs of one second. */
-    Consumer<SimNode> delays = node -> node.delay[20] += 100;
+    Consumer<SimNode> delays = node -> node.delayCounts[20] += 100;
 
-    SmallFleet(int mostAway, RolloutStage... stages) {
+    SmallFleet(int maxUnavailable, RolloutStage... stages) {
         for (int i = 0; i < 6; i++) {
             SimNode node = new SimNode("n" + i, SimFleet.ZONES[i % 2]);
-            node.since = now - 60_000;
+            node.phaseSinceMs = nowMs - 60_000;
             nodes.add(node);
         }
-        progress = RolloutState.proposed(new RolloutSpec("c", "v1", "v2", List.of(stages), mostAway, 10_000), now);
+        state = RolloutState.proposed(new RolloutSpec("c", "v1", "v2", List.of(stages), maxUnavailable, 10_000), nowMs);
     }
 
-    static SmallFleet usual() {
+    static SmallFleet withThreeStages() {
         return new SmallFleet(1, FIRST, SECOND, LAST);
     }
 
     SmallFleet run(int seconds) {
         for (int s = 0; s < seconds; s++) {
-            now += 1000;
-            nodes.forEach(this::live);
+            nowMs += 1000;
+            nodes.forEach(this::advanceNode);
             step();
         }
         return this;
     }
 
     /** Until a phase; fails the caller's assertion by standing elsewhere after ten minutes. */
-    SmallFleet until(RolloutPhase phase) {
-        for (int s = 0; s < 600 && progress.phase() != phase; s++) {
+    SmallFleet runUntil(RolloutPhase phase) {
+        for (int s = 0; s < 600 && state.phase() != phase; s++) {
             run(1);
         }
         return this;
     }
 
-    SmallFleet until(RolloutPhase phase, int stage) {
-        for (int s = 0; s < 600 && (progress.phase() != phase || progress.stage() != stage); s++) {
+    SmallFleet runUntil(RolloutPhase phase, int stage) {
+        for (int s = 0; s < 600 && (state.phase() != phase || state.stage() != stage); s++) {
             run(1);
         }
         return this;
     }
 
-    List<NodeStatus> known() {
+    List<NodeStatus> statuses() {
         return nodes.stream().map(SimNode::status).toList();
     }
 
-    List<NodeMetrics> figures() {
+    List<NodeMetrics> metrics() {
         return nodes.stream()
-                .filter(node -> node.phase == NodePhase.READY && node.reachable && traffic)
-                .map(SimNode::figures)
+                .filter(node -> node.phase == NodePhase.READY && node.reachable && trafficOn)
+                .map(SimNode::metrics)
                 .toList();
     }
 
     void step() {
-        int away = (int) nodes.stream().filter(SmallFleet::away).count();
-        RolloutDecision decision = Rollout.step(progress, known(), figures(), SimFleet.WORTHS, now);
+        int unavailable = (int) nodes.stream().filter(SmallFleet::isUnavailable).count();
+        RolloutDecision decision = Rollout.step(state, statuses(), metrics(), SimFleet.WEIGHTS, nowMs);
         orders = decision.orders();
-        int serving = 0;
+        int newlyUnavailable = 0;
         for (SimNode node : nodes) {
             if (orders.containsKey(node.name)) {
-                serving += away(node) ? 0 : 1;
-                node.ordered = orders.get(node.name);
+                newlyUnavailable += isUnavailable(node) ? 0 : 1;
+                node.orderedVersion = orders.get(node.name);
             }
         }
-        mostAtOnce = Math.max(mostAtOnce, serving == 0 ? 0 : away + serving);
-        progress = decision.next();
+        maxUnavailableSeen = Math.max(maxUnavailableSeen, newlyUnavailable == 0 ? 0 : unavailable + newlyUnavailable);
+        state = decision.nextState();
     }
 
-    static boolean away(SimNode node) {
+    static boolean isUnavailable(SimNode node) {
         return node.phase != NodePhase.READY
                 || !node.reachable
-                || (node.ordered != null && !node.ordered.equals(node.version));
+                || (node.orderedVersion != null && !node.orderedVersion.equals(node.version));
     }
 
-    SimNode newNode() {
+    SimNode firstMovedNode() {
         return nodes.stream()
-                .filter(node -> progress.moved().contains(node.name))
+                .filter(node -> state.moved().contains(node.name))
                 .findFirst()
                 .orElseThrow();
     }
 
-    void live(SimNode node) {
-        if (node.broken) {
+    void advanceNode(SimNode node) {
+        if (node.frozen) {
             return;
         }
-        if (node.phase == NodePhase.READY && traffic) {
-            int good = node.version.equals("v2") ? goodAtNew : 90;
+        if (node.phase == NodePhase.READY && trafficOn) {
+            int servedPercent = node.version.equals("v2") ? servedPercentAtNew : 90;
             for (int c = 0; c < 2; c++) {
-                int jobs = c == 0 ? 80 : 20;
-                node.counts[c][0] += jobs;
-                node.counts[c][1] += jobs * good / 100;
-                node.counts[c][3] += jobs - jobs * good / 100;
+                int requests = c == 0 ? 80 : 20;
+                node.counts[c][0] += requests;
+                node.counts[c][1] += requests * servedPercent / 100;
+                node.counts[c][3] += requests - requests * servedPercent / 100;
             }
             delays.accept(node);
             node.sequence++;
         }
-        boolean other = node.ordered != null && !node.ordered.equals(node.version);
-        if (node.reachable && (other || node.phase == NodePhase.DOWN)) {
-            node.start(node.ordered == null ? node.version : node.ordered, now);
-        } else if (node.phase == NodePhase.STARTING && now - node.since >= 2000) {
+        boolean otherVersionOrdered = node.orderedVersion != null && !node.orderedVersion.equals(node.version);
+        if (node.reachable && (otherVersionOrdered || node.phase == NodePhase.DOWN)) {
+            node.start(node.orderedVersion == null ? node.version : node.orderedVersion, nowMs);
+        } else if (node.phase == NodePhase.STARTING && nowMs - node.phaseSinceMs >= 2000) {
             node.phase = NodePhase.READY;
-            node.since = now;
+            node.phaseSinceMs = nowMs;
         }
     }
 }
