--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -201,7 +201,7 @@
         return new Object[][] {{0}, {20}, {CHANGED_LIST.length - 5}};
     }
 
-    @Test(dataProvider = "beginnings")
+    @Test(dataProvider = "partialAnswers")
     public void silentWatchIsRepeatedOnANewConnection(int bytes) throws Exception {
         StubDiscovery registry = new StubDiscovery();
         watch(registry, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
@@ -356,7 +356,7 @@
         return new Object[][] {{1}, {2}};
     }
 
-    @Test(dataProvider = "silences")
+    @Test(dataProvider = "silentCalls")
     public void moveDuringASilentCallPollsTheNewAddressImmediately(int calls) throws Exception {
         StubDiscovery oldDiscovery = new StubDiscovery();
         StubDiscovery newDiscovery = new StubDiscovery();
--- a/src/test/java/olivechute/proxy/PreSendCheckTest.java
+++ b/src/test/java/olivechute/proxy/PreSendCheckTest.java
@@ -143,7 +143,7 @@
     }
 
     /** The window counts from the first that may have run, to the moment at which the repeat's last byte has come. */
-    @Test(dataProvider = "windows")
+    @Test(dataProvider = "deduplicationWindowCases")
     public void retryStartsOnlyIfItArrivesWithinTheDeduplicationWindow(
             String requestClass, AttemptOutcome outcome, long beforeWindowEndUs, long transitTimeUs, boolean allowed) {
         long earliestSendUs = loop.now();
@@ -197,7 +197,7 @@
     }
 
     /** Late, the end of the first was taken for the end of the second, and a third went out while that ran. */
-    @Test(dataProvider = "doubtfulEnds")
+    @Test(dataProvider = "endStatuses")
     public void endThatMayBeOfAnEarlierAttemptAtTheSameEndpointCancelsTheAttemptInFlight(ProxyEvent.JobStatus status) {
         listOnlyOneEndpoint();
         openRequest("verify");
@@ -225,7 +225,7 @@
     }
 
     /** A call that gets no answer is made again: here while the second is being dialled, which cannot have ended. */
-    @Test(dataProvider = "doubtfulEnds")
+    @Test(dataProvider = "endStatuses")
     public void repeatedStatusIsIgnoredBeforeTheNextAttemptIsWritten(ProxyEvent.JobStatus status) {
         listOnlyOneEndpoint();
         openRequest("verify");
@@ -277,7 +277,7 @@
      * At the deadline: what may have run of a class that is unsafe to repeat fails, and what was never written may be
      * handed in anew.
      */
-    @Test(dataProvider = "deadlines")
+    @Test(dataProvider = "deadlineCases")
     public void requestNeverWrittenIsRejectedAtItsDeadline(String requestClass, boolean written, String answer) {
         hasWrittenBytes = written;
         loop.start(dispatcher);
--- a/src/test/java/olivechute/proxy/RequestMetricsTest.java
+++ b/src/test/java/olivechute/proxy/RequestMetricsTest.java
@@ -141,7 +141,7 @@
         };
     }
 
-    @Test(dataProvider = "lives")
+    @Test(dataProvider = "requestLifecycles")
     public void eachRequestIsCountedOnce(String steps, String expectedEvents, String expectedAnswers) {
         recordedEvents = new ArrayList<>();
         client = new AnswerLog();
@@ -180,7 +180,7 @@
         };
     }
 
-    @Test(dataProvider = "waits")
+    @Test(dataProvider = "objectiveCases")
     public void answerIsLateAfterTheObjectiveAndItsStretch(
             RequestClass requestClass, double estimatedWorkUs, long answeredAfterUs, long runTimeUs, long timeLeftUs, boolean markedRetry, boolean late) {
         Request request = new Request("a", requestClass.name(), null, "k", timeLeftUs, estimatedWorkUs, 1, Double.NaN, markedRetry);
@@ -218,7 +218,7 @@
         };
     }
 
-    @Test(dataProvider = "rules")
+    @Test(dataProvider = "retryRuleCases")
     public void retryAndRejectionFollowTheClassOncePossiblyExecuted(RequestClass requestClass, long executedBeforeUs, boolean mayRetry, boolean mayReject) {
         long nowUs = 77 * S;
         long possiblyExecutedSinceUs = executedBeforeUs < 0 ? RequestRules.NEVER : nowUs - executedBeforeUs;
--- a/src/test/java/olivechute/rig/Versions.java
+++ b/src/test/java/olivechute/rig/Versions.java
@@ -53,7 +53,7 @@
                         DISPATCHER,
                         code -> patch(
                                 code,
-                                "open",
+                                "openRequest",
                                 (method, call) -> {
                                     if (!call.is("olivechute/loadbalancing/LoadBalancer", "onRequest")) {
                                         return call.asIs(method);
@@ -82,7 +82,7 @@
                                 "open",
                                 (method, call) -> {
                                     call.asIs(method);
-                                    if (!call.is(FRONT, "opened")) {
+                                    if (!call.is(FRONT, "requestArrived")) {
                                         return false;
                                     }
                                     call(method, "slow", millis);
--- a/src/test/java/olivechute/rollout/RolloutTest.java
+++ b/src/test/java/olivechute/rollout/RolloutTest.java
@@ -262,7 +262,7 @@
     }
 
     @ParameterizedTest(name = "{1}: {0}")
-    @MethodSource("ways")
+    @MethodSource("transitions")
     void phaseTransitions(
             String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason)
             throws RolloutException {
