--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -143,8 +143,8 @@
         private ShareLoadBalancer loadBalancer;
         private LoadReportFields loadReportFields;
 
-        Instance(String instance) {
-            this.instanceId = instance;
+        Instance(String instanceId) {
+            this.instanceId = instanceId;
         }
 
         /** Runs a call of the module; its failure is reported as the wire's crash action. */
@@ -187,20 +187,20 @@
             }
         }
 
-        private void onListUpdate(long now, JsonFields e) {
+        private void onListUpdate(long nowUs, JsonFields event) {
             ListUpdateKind kind =
-                    switch (e.text("scope")) {
+                    switch (event.text("scope")) {
                         case "update" -> ListUpdateKind.DELTA;
                         case "replace" -> ListUpdateKind.FULL;
                         case "restored" -> ListUpdateKind.RESTORED;
                         case "unavailable" -> ListUpdateKind.FAILED;
-                        default -> throw e.unknown("scope");
+                        default -> throw event.unknown("scope");
                     };
-            List<EndpointInfo> listed = kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(e.integer("ref"));
+            List<EndpointInfo> listed = kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(event.integer("ref"));
             if (listed == null) {
-                throw new InvalidValueException("POOL " + e.integer("ref") + " was never defined");
+                throw new InvalidValueException("POOL " + event.integer("ref") + " was never defined");
             }
-            loadBalancer.onListUpdate(now, kind, listed);
+            loadBalancer.onListUpdate(nowUs, kind, listed);
         }
 
         private Request decodeRequest(JsonFields e) {
@@ -237,18 +237,18 @@
         }
 
         @Override
-        public void send(String id, String worker, long timeout) {
-            writeAction("RELAY", "ref", id, "executor", worker, "limit", timeout > 0 ? timeout / 1e6 : null);
+        public void send(String id, String endpoint, long timeoutUs) {
+            writeAction("RELAY", "ref", id, "executor", endpoint, "limit", timeoutUs > 0 ? timeoutUs / 1e6 : null);
         }
 
         @Override
-        public void reject(String id, long retryAfter) {
+        public void reject(String id, long retryAfterUs) {
             writeAction(
                     "OVERLOAD_REPLY",
                     "ref",
                     id,
                     "not_before_for",
-                    settings.limits().retryAfterAllowed() && retryAfter > 0 ? retryAfter / 1e6 : null);
+                    settings.limits().retryAfterAllowed() && retryAfterUs > 0 ? retryAfterUs / 1e6 : null);
         }
 
         @Override
@@ -262,13 +262,13 @@
         }
 
         @Override
-        public void probe(String worker) {
-            writeAction("SAMPLE", "executor", worker);
+        public void probe(String endpoint) {
+            writeAction("SAMPLE", "executor", endpoint);
         }
 
         @Override
-        public void closeIdleConnections(String worker) {
-            writeAction("DROP_CONNS", "executor", worker);
+        public void closeIdleConnections(String endpoint) {
+            writeAction("DROP_CONNS", "executor", endpoint);
         }
 
         @Override
@@ -277,8 +277,8 @@
         }
 
         @Override
-        public void schedule(long mark, long delay) {
-            writeAction("TIMER", "mark", mark, "span", delay / 1e6);
+        public void schedule(long timerId, long delayUs) {
+            writeAction("TIMER", "mark", timerId, "span", delayUs / 1e6);
         }
 
         private void writeAction(String name, Object... fields) {
--- a/src/test/java/olivechute/loadbalancing/RecordedRun.java
+++ b/src/test/java/olivechute/loadbalancing/RecordedRun.java
@@ -51,14 +51,14 @@
         final Deque<SentAttempt> queue = new ArrayDeque<>();
         int running;
 
-        SimulatedEndpoint(int index, int zones, long startedAt) {
+        SimulatedEndpoint(int index, int zones, long startedAtUs) {
             this.name = "w" + index;
             this.zone = "z" + index % zones;
             this.kind = index % 2 == 0 ? "large" : "small";
             this.cell = index / 4;
             this.slots = index % 2 == 0 ? 4 : 2;
             this.speed = 0.7 + 0.6 * random.nextDouble();
-            this.startedAtUs = startedAt;
+            this.startedAtUs = startedAtUs;
         }
 
         EndpointInfo info() {
@@ -84,8 +84,8 @@
         final long sentAtUs = nowUs;
         boolean ended;
 
-        SentAttempt(ClientRequest client, int number, SimulatedEndpoint endpoint) {
-            this.clientRequest = client;
+        SentAttempt(ClientRequest clientRequest, int number, SimulatedEndpoint endpoint) {
+            this.clientRequest = clientRequest;
             this.number = number;
             this.endpoint = endpoint;
         }
@@ -402,8 +402,8 @@
      */
     private final class CyclingHealthView implements HealthView {
         @Override
-        public EndpointHealth endpoint(String worker) {
-            int number = Integer.parseInt(worker.substring(1));
+        public EndpointHealth endpoint(String endpoint) {
+            int number = Integer.parseInt(endpoint.substring(1));
             return new EndpointHealth() {
                 @Override
                 public boolean admits(long at, int requestClass) {
@@ -418,14 +418,14 @@
         }
 
         @Override
-        public boolean allowsRetry(long at, String tenant, int requestClass, AttemptOutcome last, long left) {
-            return left > 100 * MILLISECOND && (at / SECOND + requestClass) % 5 != 0;
+        public boolean allowsRetry(long atUs, String tenant, int classIndex, AttemptOutcome last, long timeLeftUs) {
+            return timeLeftUs > 100 * MILLISECOND && (atUs / SECOND + classIndex) % 5 != 0;
         }
 
         @Override
-        public long listStaleForUs(long at) {
-            long into = at % (17 * SECOND) - 12 * SECOND;
-            return Math.max(0, into > 2 * SECOND ? 0 : into);
+        public long listStaleForUs(long atUs) {
+            long staleForUs = atUs % (17 * SECOND) - 12 * SECOND;
+            return Math.max(0, staleForUs > 2 * SECOND ? 0 : staleForUs);
         }
     }
 }
--- a/src/test/java/olivechute/loadbalancing/SlowStartTest.java
+++ b/src/test/java/olivechute/loadbalancing/SlowStartTest.java
@@ -54,9 +54,9 @@
         final double[] requestsPerUs;
         int requestCount;
 
-        Node(Harness harness, double[] rates) {
+        Node(Harness harness, double[] requestsPerUs) {
             this.harness = harness;
-            this.requestsPerUs = rates;
+            this.requestsPerUs = requestsPerUs;
         }
     }
 
