--- a/src/main/java/olivechute/controller/ArtifactDigest.java
+++ b/src/main/java/olivechute/controller/ArtifactDigest.java
@@ -36,7 +36,8 @@
     /** PROGRAM_MISSING where the jar's digest is not the one that was said. */
     static void verify(Path jar, String digest, String expected) throws RolloutException {
         if (expected != null && !expected.equalsIgnoreCase(digest)) {
-            throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " has the digest " + digest + ", not " + expected);
+            throw new RolloutException(
+                    ErrorCode.PROGRAM_MISSING, jar + " has the digest " + digest + ", not " + expected);
         }
     }
 }
--- a/src/main/java/olivechute/controller/ControllerSettings.java
+++ b/src/main/java/olivechute/controller/ControllerSettings.java
@@ -26,8 +26,8 @@
      */
     public static ControllerSettings load(Path file, List<Long> delayBoundsUs) throws SettingsException {
         List<String> errors = new ArrayList<>();
-        ControllerSettings settings =
-                read(HoconObject.parse(RolloutClientSettings.readText(file), errors).node("rollout"), delayBoundsUs);
+        ControllerSettings settings = read(
+                HoconObject.parse(RolloutClientSettings.readText(file), errors).node("rollout"), delayBoundsUs);
         if (!errors.isEmpty()) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + ": " + String.join("; ", errors));
         }
--- a/src/main/java/olivechute/controller/FleetState.java
+++ b/src/main/java/olivechute/controller/FleetState.java
@@ -76,7 +76,8 @@
                         RolloutCodec.parse(NodeFigures.parser(), entry.key(), entry.value()));
             }
         } catch (RolloutException e) {
-            reportsByMachine.remove(nameAfterPrefix(entry.key(), StoreKeys.MACHINE_PREFIX)); // out of reach while its report cannot be read
+            reportsByMachine.remove(nameAfterPrefix(
+                    entry.key(), StoreKeys.MACHINE_PREFIX)); // out of reach while its report cannot be read
         }
     }
 
@@ -142,7 +143,9 @@
     /** The least number that an order to a node must exceed: its present one and the one it carried out last. */
     long lastOrderNumber(String node) {
         long current = ordersByNode.containsKey(node) ? ordersByNode.get(node).getNumber() : 0;
-        return Math.max(current, lastStateByNode.containsKey(node) ? lastStateByNode.get(node).getOrderNumber() : 0);
+        return Math.max(
+                current,
+                lastStateByNode.containsKey(node) ? lastStateByNode.get(node).getOrderNumber() : 0);
     }
 
     /** All nodes that are known, by name. */
@@ -153,10 +156,12 @@
         knownNodes.addAll(reportedNodes);
         List<NodeStatus> statuses = new ArrayList<>();
         for (String node : knownNodes) {
-            String orderedVersion = ordersByNode.containsKey(node) ? ordersByNode.get(node).getVersion() : null;
+            String orderedVersion =
+                    ordersByNode.containsKey(node) ? ordersByNode.get(node).getVersion() : null;
             statuses.add(
                     lastStateByNode.containsKey(node)
-                            ? RolloutCodec.toStatus(lastStateByNode.get(node), reportedNodes.contains(node), orderedVersion)
+                            ? RolloutCodec.toStatus(
+                                    lastStateByNode.get(node), reportedNodes.contains(node), orderedVersion)
                             : unreportedNode(node, orderedVersion));
         }
         return statuses;
--- a/src/main/java/olivechute/controller/OutOfDateNodes.java
+++ b/src/main/java/olivechute/controller/OutOfDateNodes.java
@@ -16,7 +16,10 @@
 
     /** Adds to the orders. {@code due}: version by node, null for none; {@code change}: whether one is under way. */
     static void addOrders(
-            Collection<NodeStatus> nodes, Function<String, String> desiredVersion, boolean changeActive, Map<String, String> orders) {
+            Collection<NodeStatus> nodes,
+            Function<String, String> desiredVersion,
+            boolean changeActive,
+            Map<String, String> orders) {
         boolean mayRestart = !changeActive && nodes.stream().noneMatch(OutOfDateNodes::inTransition);
         for (NodeStatus node : nodes) {
             String version = desiredVersion.apply(node.node());
--- a/src/main/java/olivechute/controller/ReconcilePlan.java
+++ b/src/main/java/olivechute/controller/ReconcilePlan.java
@@ -38,7 +38,8 @@
     /**
      * {@code change}: what is written of the change under way, null for nothing. MALFORMED where it cannot be followed.
      */
-    static ReconcilePlan of(FleetState fleet, StepFunction stepFunction, long clockMs, long fence) throws RolloutException {
+    static ReconcilePlan of(FleetState fleet, StepFunction stepFunction, long clockMs, long fence)
+            throws RolloutException {
         List<Write> writes = new ArrayList<>();
         List<NodeStatus> nodes = fleet.nodes();
         Map<String, String> orders = new TreeMap<>();
@@ -59,7 +60,8 @@
             orders.putAll(decision.orders());
             orders.keySet()
                     .retainAll(nodes.stream().map(NodeStatus::node).toList()); // one forgotten meanwhile gets none
-            ChangeRecord nextRecord = withinSizeLimit(RolloutCodec.toRecord(previousRecord, decision.nextState(), nowMs, fence));
+            ChangeRecord nextRecord =
+                    withinSizeLimit(RolloutCodec.toRecord(previousRecord, decision.nextState(), nowMs, fence));
             RolloutState nextState = decision.nextState();
             desiredVersion = node -> nextState.moved().contains(node)
                     ? nextState.spec().toVersion()
@@ -68,7 +70,8 @@
                 archive(fleet, writes, nextRecord, nextState.phase() == RolloutPhase.DONE);
                 updatedChange = nextRecord;
             } else if (!orders.isEmpty() || !sameProgress(previousRecord, nextRecord)) {
-                writes.add(Write.putIf(StoreKeys.CURRENT_CHANGE, nextRecord.toByteArray(), fleet.version(StoreKeys.CURRENT_CHANGE)));
+                writes.add(Write.putIf(
+                        StoreKeys.CURRENT_CHANGE, nextRecord.toByteArray(), fleet.version(StoreKeys.CURRENT_CHANGE)));
                 updatedChange = nextRecord;
             }
         }
@@ -89,7 +92,8 @@
                 .setChange(changeId)
                 .setGivenMs(nowMs)
                 .build();
-        return Write.putIf(StoreKeys.ORDER_PREFIX + node, order.toByteArray(), fleet.version(StoreKeys.ORDER_PREFIX + node));
+        return Write.putIf(
+                StoreKeys.ORDER_PREFIX + node, order.toByteArray(), fleet.version(StoreKeys.ORDER_PREFIX + node));
     }
 
     /**
@@ -115,7 +119,8 @@
     private static void archive(FleetState fleet, List<Write> writes, ChangeRecord endedChange, boolean completed)
             throws RolloutException {
         writes.add(new Write(StoreKeys.CURRENT_CHANGE, null, fleet.version(StoreKeys.CURRENT_CHANGE), 0));
-        writes.add(Write.put(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId(), endedChange.toByteArray()));
+        writes.add(
+                Write.put(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId(), endedChange.toByteArray()));
         String baseVersion = fleet.baseVersion();
         if (completed) {
             baseVersion = endedChange.getSpec().getToVersion();
@@ -124,20 +129,23 @@
                     BaseVersion.newBuilder().setVersion(baseVersion).build().toByteArray(),
                     fleet.version(StoreKeys.BASE_VERSION)));
         }
-        Set<String> referencedVersions = new TreeSet<>(
-                Set.of(endedChange.getSpec().getFromVersion(), endedChange.getSpec().getToVersion()));
+        Set<String> referencedVersions = new TreeSet<>(Set.of(
+                endedChange.getSpec().getFromVersion(), endedChange.getSpec().getToVersion()));
         if (baseVersion != null) {
             referencedVersions.add(baseVersion);
         }
         fleet.ordersByNode().values().forEach(o -> referencedVersions.add(o.getVersion()));
         List<Entry> pastChanges = new ArrayList<>(fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX));
-        pastChanges.removeIf(e -> e.key().equals(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId()));
+        pastChanges.removeIf(e -> e.key()
+                .equals(StoreKeys.PAST_CHANGE_PREFIX + endedChange.getSpec().getId()));
         for (int i = 0; i < pastChanges.size(); i++) {
             if (i < pastChanges.size() - (MAX_PAST_CHANGES - 1)) {
                 writes.add(Write.delete(pastChanges.get(i).key()));
             } else {
                 ChangeRecord retained = RolloutCodec.parse(
-                        ChangeRecord.parser(), pastChanges.get(i).key(), pastChanges.get(i).value());
+                        ChangeRecord.parser(),
+                        pastChanges.get(i).key(),
+                        pastChanges.get(i).value());
                 referencedVersions.add(retained.getSpec().getFromVersion());
                 referencedVersions.add(retained.getSpec().getToVersion());
             }
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -41,7 +41,8 @@
         T run() throws StoreException, RolloutException;
     }
 
-    private static <T> T retryOnConflict(String subject, StoreOperation<T> operation) throws StoreException, RolloutException {
+    private static <T> T retryOnConflict(String subject, StoreOperation<T> operation)
+            throws StoreException, RolloutException {
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
             try {
                 return operation.run();
@@ -120,15 +121,17 @@
                 String errorText = errors.stream().map(RolloutException::what).collect(Collectors.joining("; "));
                 throw new RolloutException(ErrorCode.CHANGE_INVALID, "change " + requested.getId() + ": " + errorText);
             }
-            ChangeRecord record =
-                    RolloutCodec.toRecord(ChangeRecord.newBuilder().setSpec(spec).build(), initialState, nowMs, 0);
-            byte[] baseValue = BaseVersion.newBuilder().setVersion(baseVersion).build().toByteArray();
+            ChangeRecord record = RolloutCodec.toRecord(
+                    ChangeRecord.newBuilder().setSpec(spec).build(), initialState, nowMs, 0);
+            byte[] baseValue =
+                    BaseVersion.newBuilder().setVersion(baseVersion).build().toByteArray();
             store.write(
                     List.of(
                             Write.putIf(StoreKeys.CURRENT_CHANGE, record.toByteArray(), 0),
                             Write.putIf(
                                     StoreKeys.VERSION_PREFIX + version.getId(),
-                                    withBaseDefaults(fleet, baseVersion, version).toByteArray(),
+                                    withBaseDefaults(fleet, baseVersion, version)
+                                            .toByteArray(),
                                     0),
                             Write.putIf(StoreKeys.BASE_VERSION, baseValue, fleet.version(StoreKeys.BASE_VERSION))),
                     List.of()); // the base is still what was read
@@ -136,11 +139,13 @@
         });
     }
 
-    private static VersionSpec withBaseDefaults(FleetState fleet, String baseVersion, VersionSpec version) throws RolloutException {
+    private static VersionSpec withBaseDefaults(FleetState fleet, String baseVersion, VersionSpec version)
+            throws RolloutException {
         Optional<VersionSpec> baseSpec = fleet.versionSpec(baseVersion);
         VersionSpec.Builder builder = version.toBuilder();
         if (baseSpec.isPresent() && version.getProgram().isEmpty()) {
-            builder.setProgram(baseSpec.get().getProgram()).setDigest(baseSpec.get().getDigest());
+            builder.setProgram(baseSpec.get().getProgram())
+                    .setDigest(baseSpec.get().getDigest());
         }
         if (baseSpec.isPresent() && version.getSettings().isEmpty()) {
             builder.setSettings(baseSpec.get().getSettings());
@@ -176,11 +181,13 @@
             ChangeRecord previous = RolloutCodec.parse(
                     ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, entry.get().value());
             long nowMs = Math.max(clockMs.getAsLong(), previous.getUpdatedMs());
-            ChangeRecord updated =
-                    RolloutCodec.toRecord(previous, update.apply(RolloutCodec.toState(previous), nowMs), nowMs, previous.getFence());
+            ChangeRecord updated = RolloutCodec.toRecord(
+                    previous, update.apply(RolloutCodec.toState(previous), nowMs), nowMs, previous.getFence());
             store.write(
                     List.of(Write.putIf(
-                            StoreKeys.CURRENT_CHANGE, updated.toByteArray(), entry.get().version())),
+                            StoreKeys.CURRENT_CHANGE,
+                            updated.toByteArray(),
+                            entry.get().version())),
                     List.of());
             return updated;
         });
--- a/src/main/java/olivechute/controller/RolloutCodec.java
+++ b/src/main/java/olivechute/controller/RolloutCodec.java
@@ -71,7 +71,11 @@
         List<RolloutStage> stages = new ArrayList<>();
         for (StageSpec stage : spec.getStagesList()) {
             stages.add(new RolloutStage(
-                    stage.getNodes(), stage.getPercent(), stage.getLeastMs(), stage.getLongestMs(), stage.getLeastJobs()));
+                    stage.getNodes(),
+                    stage.getPercent(),
+                    stage.getLeastMs(),
+                    stage.getLongestMs(),
+                    stage.getLeastJobs()));
         }
         return new RolloutSpec(
                 spec.getId(),
@@ -128,7 +132,8 @@
                             classMetrics.getFailed(),
                             classMetrics.getGone()));
         }
-        long[] delayCounts = message.getDelayList().stream().mapToLong(Long::longValue).toArray();
+        long[] delayCounts =
+                message.getDelayList().stream().mapToLong(Long::longValue).toArray();
         return new NodeMetrics(
                 message.getNode(),
                 message.getVersion(),
--- a/src/main/java/olivechute/controller/RolloutCommand.java
+++ b/src/main/java/olivechute/controller/RolloutCommand.java
@@ -202,7 +202,8 @@
 
     private static FleetState refresh(Store store, FleetState fleet) throws FleetException {
         FleetState next = fleet == null ? new FleetState() : fleet;
-        next.apply(fleet == null ? store.list("change/") : store.watch("change/", fleet.version(), Duration.ofSeconds(1)));
+        next.apply(
+                fleet == null ? store.list("change/") : store.watch("change/", fleet.version(), Duration.ofSeconds(1)));
         return next;
     }
 
@@ -225,7 +226,9 @@
     }
 
     @Command(name = "forget", mixinStandardHelpOptions = true, description = "Forgets a node that will not come back.")
-    int forget(@Mixin SettingsOption settingsOption, @Parameters(paramLabel = "NODE", description = "The node's name.") String node) {
+    int forget(
+            @Mixin SettingsOption settingsOption,
+            @Parameters(paramLabel = "NODE", description = "The node's name.") String node) {
         return run(settingsOption, (client, settings, store) -> {
             client.forget(node);
             return print(List.of("forgotten: " + node));
--- a/src/main/java/olivechute/controller/RolloutStatusText.java
+++ b/src/main/java/olivechute/controller/RolloutStatusText.java
@@ -51,7 +51,9 @@
         List<String> unavailableLines = new ArrayList<>();
         for (NodeStatus node : fleet.nodes()) {
             if (node.reachable() && node.phase() == NodePhase.READY) {
-                readyByVersion.computeIfAbsent(node.version(), v -> new ArrayList<>()).add(node.node());
+                readyByVersion
+                        .computeIfAbsent(node.version(), v -> new ArrayList<>())
+                        .add(node.node());
             } else {
                 unavailableLines.add("away: " + node.node() + " " + (node.reachable() ? node.phase() : "out of reach")
                         + ", ordered " + (node.orderedVersion() == null ? "nothing" : node.orderedVersion())
--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -72,7 +72,8 @@
     }
 
     private static byte[] encodeRequest(InetSocketAddress target, long sinceVersion, WatchTimeouts.Call callTimeouts) {
-        String query = sinceVersion == FULL_LIST ? "" : "?since=" + sinceVersion + "&timeout_ms=" + callTimeouts.waitMs();
+        String query =
+                sinceVersion == FULL_LIST ? "" : "?since=" + sinceVersion + "&timeout_ms=" + callTimeouts.waitMs();
         String host = target.getAddress().getHostAddress() + ":" + target.getPort();
         return MessageWriter.request("GET", "/registry/instances" + query, host, null);
     }
@@ -104,7 +105,8 @@
     }
 
     /** A socket's own timeout counts from the last byte: an answer that comes in drops would prolong it for ever. */
-    private static HttpResponse exchange(Socket socket, byte[] request, long deadlineNanos) throws DiscoveryCallException {
+    private static HttpResponse exchange(Socket socket, byte[] request, long deadlineNanos)
+            throws DiscoveryCallException {
         ResponseParser parser = new ResponseParser(MAX_LIST_BYTES);
         boolean responseBegun = false;
         try {
--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -47,7 +47,8 @@
     private final ListPlausibilityCheck plausibilityCheck = new ListPlausibilityCheck();
     private final DiscoveryCallCounts callCounts = new DiscoveryCallCounts();
     private final Semaphore watchRequests = new Semaphore(0);
-    private final CountDownLatch firstAnswerLatch = new CountDownLatch(1); // open once requests need not wait for the list
+    private final CountDownLatch firstAnswerLatch =
+            new CountDownLatch(1); // open once requests need not wait for the list
     private final long startedAtNanos = System.nanoTime();
     private volatile Runnable onCallFailure = () -> {};
     private volatile boolean watching;
@@ -91,7 +92,8 @@
         this.currentAddress = address;
         this.lastAnswerAtNanos = startedAtNanos;
         updateKnownEndpoints(lastKnownList);
-        this.heldVersion = lastKnownList.endpoints().isEmpty() ? DiscoveryConnection.FULL_LIST : lastKnownList.version();
+        this.heldVersion =
+                lastKnownList.endpoints().isEmpty() ? DiscoveryConnection.FULL_LIST : lastKnownList.version();
     }
 
     /** Starts the thread; where lists are pushed also the watch. */
@@ -134,7 +136,8 @@
 
     /** Where the list stands and how the calls ended, in one line. */
     public String describe() {
-        return "list version " + heldVersion + ", last answer " + millisSince(lastAnswerAtNanos) + " ms ago, " + callCounts.describe();
+        return "list version " + heldVersion + ", last answer " + millisSince(lastAnswerAtNanos) + " ms ago, "
+                + callCounts.describe();
     }
 
     private static long millisSince(long startNanos) {
@@ -168,7 +171,9 @@
         if (currentAddress != connection.address()) {
             currentAddress = connection.address();
             nextCallMayWait = false;
-            heldVersion = watchTimeouts.pushed() ? DiscoveryConnection.FULL_LIST : heldVersion; // another agent, which answers at no cost
+            heldVersion = watchTimeouts.pushed()
+                    ? DiscoveryConnection.FULL_LIST
+                    : heldVersion; // another agent, which answers at no cost
             connection.close();
         }
         long startNanos = System.nanoTime();
@@ -193,7 +198,8 @@
         nextCallMayWait = true;
         firstAnswerLatch.countDown();
         if (unchanged && System.nanoTime() - startNanos < MIN_POLL_INTERVAL_NANOS) {
-            Thread.sleep(MIN_POLL_INTERVAL_NANOS / 1_000_000); // a service that never waits is not to be asked without end
+            Thread.sleep(
+                    MIN_POLL_INTERVAL_NANOS / 1_000_000); // a service that never waits is not to be asked without end
         }
     }
 
@@ -228,7 +234,9 @@
     /** What is newer than the version held; asked for on a second connection where the first stays silent. */
     private EndpointListUpdate pollWithRetry() throws DiscoveryCallException {
         try {
-            return nextCallMayWait && heldVersion != DiscoveryConnection.FULL_LIST ? call(heldVersion, watchTimeouts.watch()) : pollWithoutWaiting();
+            return nextCallMayWait && heldVersion != DiscoveryConnection.FULL_LIST
+                    ? call(heldVersion, watchTimeouts.watch())
+                    : pollWithoutWaiting();
         } catch (DiscoveryCallException e) {
             if (!e.timedOut() && e.reason() != Reason.INCOMPLETE) {
                 throw e;
@@ -243,7 +251,8 @@
 
     /** The same by a call that waits for no news. */
     private EndpointListUpdate pollWithoutWaiting() throws DiscoveryCallException {
-        WatchTimeouts.Call callTimeouts = heldVersion == DiscoveryConnection.FULL_LIST ? watchTimeouts.fullList() : watchTimeouts.afterFailure();
+        WatchTimeouts.Call callTimeouts =
+                heldVersion == DiscoveryConnection.FULL_LIST ? watchTimeouts.fullList() : watchTimeouts.afterFailure();
         try {
             EndpointListUpdate list = call(heldVersion, watchTimeouts.withBackoff(callTimeouts, consecutiveTimeouts));
             consecutiveTimeouts = 0;
@@ -293,7 +302,12 @@
             } else if (e.reason().hasUnreadContent()) {
                 lease.onUnreadableAnswer(loop.now());
             }
-            Logger.debug("discovery {}: {} after {} ms from version {}", currentAddress, e.reason(), millisSince(startNanos), sinceVersion);
+            Logger.debug(
+                    "discovery {}: {} after {} ms from version {}",
+                    currentAddress,
+                    e.reason(),
+                    millisSince(startNanos),
+                    sinceVersion);
             runFailureCallback();
             throw e;
         }
@@ -318,7 +332,8 @@
                 firstAnswer.endpoints().size());
         // What it says of those that it names is told, whatever becomes of the rest.
         loop.post(new ProxyEvent.ListUpdated(
-                new EndpointListUpdate(firstAnswer.version(), false, firstAnswer.endpoints()), ProxyEvent.ListUpdated.PARTIAL));
+                new EndpointListUpdate(firstAnswer.version(), false, firstAnswer.endpoints()),
+                ProxyEvent.ListUpdated.PARTIAL));
         try {
             return call(DiscoveryConnection.FULL_LIST, new WatchTimeouts.Call(0, CONFIRMATION_TIMEOUT_MS));
         } catch (DiscoveryCallException e) {
@@ -337,7 +352,8 @@
             plausibilityCheck.onFullList(endpointNames(list));
         } else {
             list.endpoints()
-                    .forEach(endpoint -> plausibilityCheck.onChange(endpoint.info().name(), endpoint.info().state() != EndpointState.REMOVED));
+                    .forEach(endpoint -> plausibilityCheck.onChange(
+                            endpoint.info().name(), endpoint.info().state() != EndpointState.REMOVED));
         }
     }
 }
--- a/src/main/java/olivechute/downstream/CodecWarmup.java
+++ b/src/main/java/olivechute/downstream/CodecWarmup.java
@@ -55,7 +55,8 @@
                 "Idempotency-Key",
                 requestId(index)));
         try {
-            eventSink.accept(DownstreamServer.requestArrived(message, requestDecoder.decode(message), new ResponseEncoder(responseSink), nowUs));
+            eventSink.accept(DownstreamServer.requestArrived(
+                    message, requestDecoder.decode(message), new ResponseEncoder(responseSink), nowUs));
         } catch (LocalReply e) {
             throw new IllegalStateException(e);
         }
@@ -97,7 +98,8 @@
     private record ResponseEncoder(Consumer<byte[]> responseSink) implements ClientStream {
         @Override
         public void sendResult(byte[] result) {
-            responseSink.accept(MessageWriter.responseHead(200, result.length, true).array());
+            responseSink.accept(
+                    MessageWriter.responseHead(200, result.length, true).array());
         }
 
         @Override
--- a/src/main/java/olivechute/downstream/ConnectionReader.java
+++ b/src/main/java/olivechute/downstream/ConnectionReader.java
@@ -41,7 +41,9 @@
         try {
             transport.initialize();
             connection.peerIdentity(authenticator.authenticate(transport));
-            for (int read = transport.read(parser.inputBuffer()); read >= 0; read = transport.read(parser.inputBuffer())) {
+            for (int read = transport.read(parser.inputBuffer());
+                    read >= 0;
+                    read = transport.read(parser.inputBuffer())) {
                 parser.onBytesRead(read);
                 if (!processInput()) {
                     discardInput();
@@ -256,7 +258,8 @@
                 finishedHere = connection.beginFinish();
             }
             if (finishedHere) {
-                transport.write(ByteBuffer.wrap(DownstreamServer.textResponse(protocolError.status, protocolError.getMessage(), false)));
+                transport.write(ByteBuffer.wrap(
+                        DownstreamServer.textResponse(protocolError.status, protocolError.getMessage(), false)));
                 transport.shutdownOutput();
             }
             discardInput();
--- a/src/main/java/olivechute/downstream/ConnectionState.java
+++ b/src/main/java/olivechute/downstream/ConnectionState.java
@@ -146,7 +146,8 @@
      * it is between messages and, unless room is needed, its last answer has arrived.
      */
     boolean requestEnd(CloseReason reason, long nowUs) {
-        boolean responseArrived = !used || reason == CloseReason.ROOM_NEEDED || nowUs - lastChangeUs >= RESPONSE_TRANSIT_US;
+        boolean responseArrived =
+                !used || reason == CloseReason.ROOM_NEEDED || nowUs - lastChangeUs >= RESPONSE_TRANSIT_US;
         if (phase != Phase.BETWEEN_MESSAGES || endReason != null || !responseArrived) {
             return false;
         }
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -190,7 +190,8 @@
         try {
             if (mayBlock) {
                 synchronized (this) {
-                    blockingWriteSinceUs = server.loop.now(); // not before: what this node is late with is not its peer's fault
+                    blockingWriteSinceUs =
+                            server.loop.now(); // not before: what this node is late with is not its peer's fault
                 }
             }
             transport.write(head, body);
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -72,7 +72,8 @@
     }
 
     /** Listens on this address, behind this door; returns where, as the port may have been left open. */
-    public InetSocketAddress listen(InetSocketAddress address, PeerIdentity.Authenticator authenticator) throws IOException {
+    public InetSocketAddress listen(InetSocketAddress address, PeerIdentity.Authenticator authenticator)
+            throws IOException {
         ServerSocketChannel listener = bind(address);
         listeners.add(listener);
         acceptors.add(Threads.start("accept", () -> accept(listener, authenticator)));
@@ -130,7 +131,8 @@
 
     /** True if besides that what went out on the last of them had since that moment to arrive. */
     public boolean isQuiescentSince(long latestUs) {
-        return unansweredRequests() == 0 && connections.stream().allMatch(connection -> connection.isFinishedSince(latestUs));
+        return unansweredRequests() == 0
+                && connections.stream().allMatch(connection -> connection.isFinishedSince(latestUs));
     }
 
     /** Lets no more connections in; returns once those that were let in are known, or after so many milliseconds. */
@@ -165,11 +167,13 @@
                 while (retainedCount.get() >= connectionLimit.limitAt(loop.now()) && !shedConnection()) {
                     Thread.sleep(10); // all carry streams or answers, and streams are bounded to half of them
                 }
-                DownstreamConnection connection = new DownstreamConnection(this, authenticator.createTransport(accepted), authenticator);
+                DownstreamConnection connection =
+                        new DownstreamConnection(this, authenticator.createTransport(accepted), authenticator);
                 connections.add(connection);
                 retainedCount.incrementAndGet();
                 connection.start();
-                if (connectionLimit.beginCheckIfDue(retainedCount.get()) && !connectionThreads.canStart(ConnectionLimit.CHECK_THREADS)) {
+                if (connectionLimit.beginCheckIfDue(retainedCount.get())
+                        && !connectionThreads.canStart(ConnectionLimit.CHECK_THREADS)) {
                     onThreadShortage("tried");
                 }
             } catch (ClosedChannelException e) {
@@ -203,7 +207,10 @@
         connectionThreads.shortenKeepAlive();
         int newLimit = connectionLimit.limitAt(loop.now());
         Logger.warn(
-                "accept: the system grants no more threads at {} connections ({}), {} are kept", connectionsBefore, reason, newLimit);
+                "accept: the system grants no more threads at {} connections ({}), {} are kept",
+                connectionsBefore,
+                reason,
+                newLimit);
         for (int i = connectionsBefore; i > newLimit && shedConnection(); i--) {
             // one goes with each turn
         }
@@ -283,7 +290,8 @@
     /** An answer to write at once, and whether the connection goes on after it. */
     record ImmediateResponse(byte[] bytes, boolean keepAlive) {}
 
-    private static final ImmediateResponse JOB_STATUS_ACCEPTED = new ImmediateResponse(MessageWriter.response(204, null, true), true);
+    private static final ImmediateResponse JOB_STATUS_ACCEPTED =
+            new ImmediateResponse(MessageWriter.response(204, null, true), true);
 
     boolean allowsKeepAlive() {
         return !draining;
@@ -296,7 +304,8 @@
             return switch (message.path()) {
                 case "/health/ready" -> {
                     LocalReply.requireMethod(message, "GET");
-                    yield new ImmediateResponse(MessageWriter.response(ready ? 200 : 503, new byte[0], keepAlive), keepAlive);
+                    yield new ImmediateResponse(
+                            MessageWriter.response(ready ? 200 : 503, new byte[0], keepAlive), keepAlive);
                 }
                 case "/_jobs/news" -> {
                     LocalReply.requireMethod(message, "POST");
@@ -306,7 +315,8 @@
             };
         } catch (LocalReply e) {
             // A client that asks for what there is not keeps no connection: by the hundred they would fill the bound.
-            return new ImmediateResponse(textResponse(e.status, e.getMessage(), false, "Allow", e.allowedMethod), false);
+            return new ImmediateResponse(
+                    textResponse(e.status, e.getMessage(), false, "Allow", e.allowedMethod), false);
         } catch (IdentityExpiredException e) {
             throw e;
         } catch (InvalidValueException | IOException e) {
@@ -318,7 +328,8 @@
      * Takes news from who may bring them. On a connection whose identity has run out they get no answer, so that their
      * sender comes again with its new one; from anybody else they get one that says no.
      */
-    private ImmediateResponse receiveJobStatus(ProxyEvent.JobStatusReceived jobStatus, DownstreamConnection connection, boolean keepAlive)
+    private ImmediateResponse receiveJobStatus(
+            ProxyEvent.JobStatusReceived jobStatus, DownstreamConnection connection, boolean keepAlive)
             throws LocalReply, IdentityExpiredException {
         if (!connection.isPeerIdentityValid()) {
             throw new IdentityExpiredException();
--- a/src/main/java/olivechute/downstream/JobStatusDecoder.java
+++ b/src/main/java/olivechute/downstream/JobStatusDecoder.java
@@ -44,7 +44,9 @@
                     case "from" -> endpoint = readText(parser, field);
                     case "state" -> stateText = readText(parser, field);
                     case "share" ->
-                        progress = parser.hasToken(JsonToken.VALUE_NULL) ? 0 : Math.max(0, Math.min(1, readNumber(parser, field)));
+                        progress = parser.hasToken(JsonToken.VALUE_NULL)
+                                ? 0
+                                : Math.max(0, Math.min(1, readNumber(parser, field)));
                     case "result" -> {
                         String text = readText(parser, field);
                         result = text == null ? EMPTY_RESULT : text.getBytes(StandardCharsets.UTF_8);
@@ -61,7 +63,8 @@
         requireField(endpoint, "from");
         requireField(stateText, "state");
         JobStatus state = parseState(stateText);
-        return new JobStatusReceived(id, endpoint, state, progress, state == JobStatus.DONE ? result : null, loadReport);
+        return new JobStatusReceived(
+                id, endpoint, state, progress, state == JobStatus.DONE ? result : null, loadReport);
     }
 
     private static JobStatus parseState(String stateText) {
--- a/src/main/java/olivechute/endpointlist/EndpointListLease.java
+++ b/src/main/java/olivechute/endpointlist/EndpointListLease.java
@@ -46,7 +46,8 @@
     /** Guarded by this. */
     private long lastAnswerAsOfUs;
 
-    private EndpointListLease(boolean nonExpiring, long graceUs, long durationUs, long maxAssumedDownUs, long expiresAtUs) {
+    private EndpointListLease(
+            boolean nonExpiring, long graceUs, long durationUs, long maxAssumedDownUs, long expiresAtUs) {
         this.nonExpiring = nonExpiring;
         this.graceUs = graceUs;
         this.durationUs = durationUs;
--- a/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
+++ b/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
@@ -15,7 +15,8 @@
 
     /** Whether a full list of these endpoints, in whatever state, should be polled once more. */
     public boolean isImplausible(Set<String> listed) {
-        long retainedEndpoints = knownEndpoints.stream().filter(listed::contains).count();
+        long retainedEndpoints =
+                knownEndpoints.stream().filter(listed::contains).count();
         return knownEndpoints.size() >= MIN_KNOWN_ENDPOINTS && 2 * retainedEndpoints < knownEndpoints.size();
     }
 
--- a/src/main/java/olivechute/endpointlist/WatchTimeouts.java
+++ b/src/main/java/olivechute/endpointlist/WatchTimeouts.java
@@ -76,7 +76,8 @@
     public WatchTimeouts(boolean pushed, ServiceRules rules, DoubleSupplier random) {
         this.pushed = pushed;
         long maxWaitForGraceMs = Math.min(MAX_AGENT_WAIT_MS, rules.drainGraceUs() / (4 * MICROS_PER_MS));
-        long maxWaitForPollIntervalMs = rules.cappedPollDelayUs(2L * MICROS_PER_MS * MAX_AGENT_WAIT_MS) / (2 * MICROS_PER_MS);
+        long maxWaitForPollIntervalMs =
+                rules.cappedPollDelayUs(2L * MICROS_PER_MS * MAX_AGENT_WAIT_MS) / (2 * MICROS_PER_MS);
         this.agentWaitMs = (int) Math.max(MIN_WAIT_MS, Math.min(maxWaitForGraceMs, maxWaitForPollIntervalMs));
         long maxCallUs = (long) MICROS_PER_MS * (MAX_POLL_WAIT_MS + ANSWER_MARGIN_MS);
         this.maxPollWaitMs =
--- a/src/main/java/olivechute/health/ConnectionHealth.java
+++ b/src/main/java/olivechute/health/ConnectionHealth.java
@@ -108,7 +108,8 @@
     /** A retry that cannot end in time however well it goes is work for nobody. */
     @Override
     public boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome lastOutcome, long timeLeftUs) {
-        return timeLeftUs > runTimeByClass[classIndex].lowEstimateUs() && retryBudget.tryTake(nowUs, tenant, lastOutcome);
+        return timeLeftUs > runTimeByClass[classIndex].lowEstimateUs()
+                && retryBudget.tryTake(nowUs, tenant, lastOutcome);
     }
 
     @Override
@@ -128,7 +129,8 @@
         }
         boolean allClasses = classIndex == EndpointConnectionHealth.ALL_CLASSES;
         double maxFraction = allClasses ? settings.maxEjectedFraction() : settings.maxClassEjectedFraction();
-        return ejectedCount + 1 <= Math.max(1, (int) (maxFraction * healthByEndpoint.size())) && healthByEndpoint.size() > 1;
+        return ejectedCount + 1 <= Math.max(1, (int) (maxFraction * healthByEndpoint.size()))
+                && healthByEndpoint.size() > 1;
     }
 
     /** The median error rate of the endpoints: where all fail alike the fault is not theirs. */
--- a/src/main/java/olivechute/health/EjectionBackoff.java
+++ b/src/main/java/olivechute/health/EjectionBackoff.java
@@ -23,7 +23,9 @@
     /** Ejects again, for longer; {@code random} is from 0 to 1. */
     void eject(long nowUs, double uniformRandom) {
         double durationUs = initialUs * Math.pow(multiplier, failureLevel++);
-        ejectedUntilUs = nowUs + (long) (Math.min((double) maxUs, durationUs) * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * uniformRandom));
+        ejectedUntilUs = nowUs
+                + (long) (Math.min((double) maxUs, durationUs)
+                        * (1 - JITTER_FRACTION + 2 * JITTER_FRACTION * uniformRandom));
     }
 
     void onSuccess() {
--- a/src/main/java/olivechute/health/EndpointConnectionHealth.java
+++ b/src/main/java/olivechute/health/EndpointConnectionHealth.java
@@ -31,7 +31,8 @@
     private final ConnectionHealth allEndpoints;
     private final AdaptiveTimeout acceptTimeout;
     private final AdaptiveConcurrencyLimit adaptiveLimit = new AdaptiveConcurrencyLimit();
-    private final EjectionBackoff ejection = new EjectionBackoff(INITIAL_EJECTION_US, EJECTION_MULTIPLIER, MAX_EJECTION_US);
+    private final EjectionBackoff ejection =
+            new EjectionBackoff(INITIAL_EJECTION_US, EJECTION_MULTIPLIER, MAX_EJECTION_US);
     private final EjectionBackoff[] classEjections;
     /** By class: attempts that were neither accepted nor have ended. */
     private final int[] unacceptedByClass;
@@ -59,7 +60,8 @@
         this.unacceptedByClass = new int[classCount];
         this.classEjections = new EjectionBackoff[classCount];
         for (int i = 0; i < classCount; i++) {
-            classEjections[i] = new EjectionBackoff(INITIAL_CLASS_EJECTION_US, CLASS_EJECTION_MULTIPLIER, MAX_CLASS_EJECTION_US);
+            classEjections[i] =
+                    new EjectionBackoff(INITIAL_CLASS_EJECTION_US, CLASS_EJECTION_MULTIPLIER, MAX_CLASS_EJECTION_US);
         }
     }
 
@@ -169,7 +171,8 @@
     private void onAcceptTimeout(long nowUs, int classIndex) {
         consecutiveAcceptTimeouts++;
         acceptTimeoutClassMask |= 1 << Math.min(HIGHEST_CLASS_BIT, classIndex);
-        if (Integer.bitCount(acceptTimeoutClassMask) > 1 && consecutiveAcceptTimeouts >= CONSECUTIVE_FAILURES_TO_EJECT) {
+        if (Integer.bitCount(acceptTimeoutClassMask) > 1
+                && consecutiveAcceptTimeouts >= CONSECUTIVE_FAILURES_TO_EJECT) {
             eject(nowUs, consecutiveAcceptTimeouts + " accept timeouts in a row");
         } else if (allEndpoints.mayEject(nowUs, this, classIndex)) {
             classEjections[classIndex].eject(nowUs, allEndpoints.nextRandom());
--- a/src/main/java/olivechute/health/IdleReusePolicy.java
+++ b/src/main/java/olivechute/health/IdleReusePolicy.java
@@ -22,7 +22,8 @@
     /** A connection that had been idle for so long was used again, and broke or did not. */
     public void onReuse(long nowUs, long idleUs, boolean broke) {
         int range = rangeIndex(idleUs);
-        brokenFraction[range] = decayedBrokenFraction(nowUs, range) + SAMPLE_WEIGHT * ((broke ? 1 : 0) - decayedBrokenFraction(nowUs, range));
+        brokenFraction[range] = decayedBrokenFraction(nowUs, range)
+                + SAMPLE_WEIGHT * ((broke ? 1 : 0) - decayedBrokenFraction(nowUs, range));
         updatedAtUs[range] = nowUs;
     }
 
@@ -30,7 +31,8 @@
     public long maxIdleUs(long nowUs) {
         for (int range = 0; range < RANGE_COUNT; range++) {
             // What is kept only fades: most ranges need no power of it.
-            if (brokenFraction[range] > MAX_BROKEN_FRACTION && decayedBrokenFraction(nowUs, range) > MAX_BROKEN_FRACTION) {
+            if (brokenFraction[range] > MAX_BROKEN_FRACTION
+                    && decayedBrokenFraction(nowUs, range) > MAX_BROKEN_FRACTION) {
                 return range == 0 ? 0 : FIRST_RANGE_END_US << (range - 1);
             }
         }
--- a/src/main/java/olivechute/http/Headers.java
+++ b/src/main/java/olivechute/http/Headers.java
@@ -46,7 +46,8 @@
         int length = name.length();
         for (int i = firstIndex; i < count; i++) {
             int nameStart = positions[i * POSITIONS_PER_FIELD];
-            if (positions[i * POSITIONS_PER_FIELD + 1] - nameStart == length && equalsIgnoreCase(name, nameStart, length)) {
+            if (positions[i * POSITIONS_PER_FIELD + 1] - nameStart == length
+                    && equalsIgnoreCase(name, nameStart, length)) {
                 return i;
             }
         }
@@ -68,7 +69,8 @@
 
     private String valueAt(int index) {
         int start = positions[index * POSITIONS_PER_FIELD + 2];
-        return new String(bytes, start, positions[index * POSITIONS_PER_FIELD + 3] - start, StandardCharsets.ISO_8859_1);
+        return new String(
+                bytes, start, positions[index * POSITIONS_PER_FIELD + 3] - start, StandardCharsets.ISO_8859_1);
     }
 
     /** The first value of that name, null without one. */
@@ -87,7 +89,9 @@
     boolean firstValueEquals(String name, String word) {
         int i = find(name, 0);
         int start = i < 0 ? 0 : positions[i * POSITIONS_PER_FIELD + 2];
-        return i >= 0 && positions[i * POSITIONS_PER_FIELD + 3] - start == word.length() && equalsIgnoreCase(word, start, word.length());
+        return i >= 0
+                && positions[i * POSITIONS_PER_FIELD + 3] - start == word.length()
+                && equalsIgnoreCase(word, start, word.length());
     }
 
     /** The whole number that all fields of that name hold, negative without one. */
@@ -130,7 +134,8 @@
                 while (tokenEnd > tokenStart && isBlank(bytes[tokenEnd - 1])) {
                     tokenEnd--;
                 }
-                if (tokenEnd - tokenStart == token.length() && equalsIgnoreCase(token, tokenStart, tokenEnd - tokenStart)) {
+                if (tokenEnd - tokenStart == token.length()
+                        && equalsIgnoreCase(token, tokenStart, tokenEnd - tokenStart)) {
                     return true;
                 }
                 start = comma + 1;
--- a/src/main/java/olivechute/http/HttpRequest.java
+++ b/src/main/java/olivechute/http/HttpRequest.java
@@ -14,7 +14,9 @@
         while (start > 0) {
             int separator = target.indexOf('&', start);
             int end = separator < 0 ? target.length() : separator;
-            if (end - start > name.length() && target.startsWith(name, start) && target.charAt(start + name.length()) == '=') {
+            if (end - start > name.length()
+                    && target.startsWith(name, start)
+                    && target.charAt(start + name.length()) == '=') {
                 return target.substring(start + name.length() + 1, end);
             }
             start = separator + 1;
--- a/src/main/java/olivechute/http/MessageParser.java
+++ b/src/main/java/olivechute/http/MessageParser.java
@@ -93,7 +93,8 @@
     /** Where the next bytes are to be read to: at least one fits. */
     public final ByteBuffer inputBuffer() {
         if (bodyView != null) {
-            return bodyView.limit(Math.min(body.length, bodySize + MAX_READ_BYTES)).position(bodySize);
+            return bodyView.limit(Math.min(body.length, bodySize + MAX_READ_BYTES))
+                    .position(bodySize);
         }
         if (buffer == null) {
             buffer = new byte[INITIAL_BUFFER_BYTES];
@@ -221,7 +222,9 @@
         M message = createMessage(headers, content, keepAlive);
         byte[] messageBuffer = buffer;
         // What follows must not lie in the message's bytes: those are its own from now on.
-        buffer = position < dataEnd ? Arrays.copyOfRange(messageBuffer, position, Math.max(position + INITIAL_BUFFER_BYTES, dataEnd)) : null;
+        buffer = position < dataEnd
+                ? Arrays.copyOfRange(messageBuffer, position, Math.max(position + INITIAL_BUFFER_BYTES, dataEnd))
+                : null;
         dataEnd = buffer == null ? 0 : dataEnd - position;
         position = 0;
         takenBuffer = messageBuffer;
@@ -376,7 +379,9 @@
             throw new HttpException(400, "length and transfer coding");
         }
         long length = headers.parseNumber("Content-Length");
-        if (hasTransferEncoding && (headers.hasSeveral("Transfer-Encoding") || !headers.firstValueEquals("Transfer-Encoding", "chunked"))) {
+        if (hasTransferEncoding
+                && (headers.hasSeveral("Transfer-Encoding")
+                        || !headers.firstValueEquals("Transfer-Encoding", "chunked"))) {
             throw new HttpException(501, "unknown transfer coding");
         }
         if (hasNoBody()) {
--- a/src/main/java/olivechute/http/MessageWriter.java
+++ b/src/main/java/olivechute/http/MessageWriter.java
@@ -66,19 +66,28 @@
 
     /** The head of a response whose body follows apart. */
     public static ByteBuffer responseHead(int status, int contentLength, boolean keepAlive) {
-        ByteBuilder head = new ByteBuilder(96).append("HTTP/1.1 ").append(status).append(" ").append(REASON_PHRASES.getOrDefault(status, "Status"));
+        ByteBuilder head = new ByteBuilder(96)
+                .append("HTTP/1.1 ")
+                .append(status)
+                .append(" ")
+                .append(REASON_PHRASES.getOrDefault(status, "Status"));
         if (!keepAlive) {
             head.append("\r\nConnection: close");
         }
-        return head.append("\r\nContent-Length: ").append(contentLength).append("\r\n\r\n").toByteBuffer();
+        return head.append("\r\nContent-Length: ")
+                .append(contentLength)
+                .append("\r\n\r\n")
+                .toByteBuffer();
     }
 
     /**
      * The head of a job for an upstream host, its body following apart; {@code left} is microseconds, {@code key} may
      * be null.
      */
-    public static ByteBuffer upstreamRequestHead(String target, String host, String requestId, long remainingUs, String idempotencyKey, int contentLength) {
-        ByteBuilder head = new ByteBuilder(192 + target.length() + (idempotencyKey == null ? 0 : idempotencyKey.length()))
+    public static ByteBuffer upstreamRequestHead(
+            String target, String host, String requestId, long remainingUs, String idempotencyKey, int contentLength) {
+        ByteBuilder head = new ByteBuilder(
+                        192 + target.length() + (idempotencyKey == null ? 0 : idempotencyKey.length()))
                 .append("POST ")
                 .append(target)
                 .append(" HTTP/1.1\r\nHost: ")
@@ -91,7 +100,10 @@
         if (idempotencyKey != null) {
             head.append("\r\nIdempotency-Key: ").append(idempotencyKey);
         }
-        return head.append("\r\nContent-Length: ").append(contentLength).append("\r\n\r\n").toByteBuffer();
+        return head.append("\r\nContent-Length: ")
+                .append(contentLength)
+                .append("\r\n\r\n")
+                .toByteBuffer();
     }
 
     /** Latin text as bytes, put together without a text in between. */
--- a/src/main/java/olivechute/http/RequestParser.java
+++ b/src/main/java/olivechute/http/RequestParser.java
@@ -16,14 +16,22 @@
         while (targetEnd < end && bytes[targetEnd] > ' ' && bytes[targetEnd] < 127) {
             targetEnd++;
         }
-        if (methodEnd == from || methodEnd >= end || bytes[methodEnd] != ' ' || targetEnd >= end || bytes[targetEnd] != ' ' || bytes[targetStart] != '/') {
+        if (methodEnd == from
+                || methodEnd >= end
+                || bytes[methodEnd] != ' '
+                || targetEnd >= end
+                || bytes[targetEnd] != ' '
+                || bytes[targetStart] != '/') {
             throw new HttpException(400, "bad request line");
         }
         parseVersion(bytes, targetEnd + 1, end);
-        method =
-                methodEnd - from == 4 && bytes[from] == 'P' && bytes[from + 1] == 'O' && bytes[from + 2] == 'S' && bytes[from + 3] == 'T'
-                        ? "POST"
-                        : decodeLatin1(bytes, from, methodEnd);
+        method = methodEnd - from == 4
+                        && bytes[from] == 'P'
+                        && bytes[from + 1] == 'O'
+                        && bytes[from + 2] == 'S'
+                        && bytes[from + 3] == 'T'
+                ? "POST"
+                : decodeLatin1(bytes, from, methodEnd);
         target = decodeLatin1(bytes, targetStart, targetEnd);
     }
 
--- a/src/main/java/olivechute/loadbalancing/AdmissionControl.java
+++ b/src/main/java/olivechute/loadbalancing/AdmissionControl.java
@@ -24,7 +24,11 @@
     private final long queueCheckIntervalUs;
 
     /** {@code queuePollUs}: how often queued requests are looked at. */
-    AdmissionControl(LoadBalancerSettings settings, TenantQueues queues, QuotaEstimator quotaEstimator, long queueCheckIntervalUs) {
+    AdmissionControl(
+            LoadBalancerSettings settings,
+            TenantQueues queues,
+            QuotaEstimator quotaEstimator,
+            long queueCheckIntervalUs) {
         this.settings = settings;
         this.queues = queues;
         this.quotaEstimator = quotaEstimator;
@@ -40,11 +44,13 @@
         long firstAttemptAtUs = firstAttemptAtUs(nowUs, pending);
         double queueStretch = QUEUE_STRETCH_FRACTION * Math.max(0, requestClass.objectiveStretch() - 1);
         long queueStretchUs = tailCounts ? 0 : (long) (queueStretch * pending.expectedWorkUs());
-        pending.latestStartUs =
-                Math.min(pending.clientDeadlineUs - queueCheckIntervalUs, firstAttemptAtUs + requestClass.latencyObjectiveUs() + queueStretchUs);
+        pending.latestStartUs = Math.min(
+                pending.clientDeadlineUs - queueCheckIntervalUs,
+                firstAttemptAtUs + requestClass.latencyObjectiveUs() + queueStretchUs);
         long queueDeadlineUs = pending.latestStartUs;
         if (tailCounts) {
-            long maxQueueTimeUs = pending.overQuota ? 0 : (long) (QUEUE_TAIL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveUs());
+            long maxQueueTimeUs =
+                    pending.overQuota ? 0 : (long) (QUEUE_TAIL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveUs());
             queueDeadlineUs = Math.min(queueDeadlineUs, firstAttemptAtUs + maxQueueTimeUs);
         }
         pending.queueDeadlineUs = Math.min(pending.clientDeadlineUs - QUEUE_ANSWER_MARGIN_US, queueDeadlineUs);
@@ -57,8 +63,9 @@
     private long firstAttemptAtUs(long nowUs, PendingRequest pending) {
         Request request = pending.clientRequest;
         long maxTimeLeftUs = pending.classStats.maxTimeLeftUs;
-        boolean retry =
-                settings.marksRetries() ? request.retry() : request.timeLeftUs() < maxTimeLeftUs - RETRY_DETECTION_TOLERANCE_US;
+        boolean retry = settings.marksRetries()
+                ? request.retry()
+                : request.timeLeftUs() < maxTimeLeftUs - RETRY_DETECTION_TOLERANCE_US;
         return retry ? nowUs - (maxTimeLeftUs - request.timeLeftUs()) : nowUs;
     }
 }
--- a/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
@@ -58,7 +58,9 @@
                 reportingEndpoints++;
             }
         }
-        stats.meanFreeSlots = reportingEndpoints == 0 ? Double.NaN : (freeSlots + PRIOR_ENDPOINTS) / (reportingEndpoints + PRIOR_ENDPOINTS);
+        stats.meanFreeSlots = reportingEndpoints == 0
+                ? Double.NaN
+                : (freeSlots + PRIOR_ENDPOINTS) / (reportingEndpoints + PRIOR_ENDPOINTS);
     }
 
     /** Whether a request of so many slots may be sent there now. */
@@ -90,7 +92,8 @@
             double assumedFreeSlots = endpoint.inSlowStart(nowUs, settings.rules()) ? 1 : stats.meanFreeSlots;
             return assumedFreeSlots - endpoint.inFlightHistory.slots();
         }
-        return endpoint.loadReportState.slotsAvailableToNode(nowUs, stats.meanRunTimeUs()) - endpoint.inFlightHistory.slots();
+        return endpoint.loadReportState.slotsAvailableToNode(nowUs, stats.meanRunTimeUs())
+                - endpoint.inFlightHistory.slots();
     }
 
     /**
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -28,7 +28,9 @@
     void onStartOverdue(long nowUs, int classIndex) {
         int overdueStarts = ++consecutiveOverdueStarts[classIndex];
         int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - EXCLUSION_THRESHOLD);
-        excludedUntilUs[classIndex] = overdueStarts < EXCLUSION_THRESHOLD ? 0 : nowUs + Math.min(MAX_EXCLUSION_US, FIRST_EXCLUSION_US << doublings);
+        excludedUntilUs[classIndex] = overdueStarts < EXCLUSION_THRESHOLD
+                ? 0
+                : nowUs + Math.min(MAX_EXCLUSION_US, FIRST_EXCLUSION_US << doublings);
     }
 
     void clear() {
--- a/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
@@ -29,7 +29,8 @@
         if (warmedUpEndpoints > 0) {
             sampledIntervals++;
             double sample = (double) warmedUpRunningSlots / warmedUpEndpoints;
-            runningSlotsPerEndpoint = Smoothing.smooth(runningSlotsPerEndpoint, sample, Math.max(minSampleWeight, 1.0 / sampledIntervals));
+            runningSlotsPerEndpoint = Smoothing.smooth(
+                    runningSlotsPerEndpoint, sample, Math.max(minSampleWeight, 1.0 / sampledIntervals));
         }
         warmedUpEndpoints = 0;
         warmedUpRunningSlots = 0;
--- a/src/main/java/olivechute/loadbalancing/EndpointSelector.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointSelector.java
@@ -137,7 +137,8 @@
     private void addCandidate(long nowUs, PendingRequest request, Endpoint endpoint, boolean inSlowStart) {
         if (hasKnownLoad(nowUs, endpoint, inSlowStart)) {
             knownLoadCandidates.add(endpoint);
-        } else if (nowUs - endpoint.lastProbedAtUs > LoadProber.MIN_PROBE_INTERVAL_US || probesUnanswered(nowUs, request, endpoint)) {
+        } else if (nowUs - endpoint.lastProbedAtUs > LoadProber.MIN_PROBE_INTERVAL_US
+                || probesUnanswered(nowUs, request, endpoint)) {
             unknownLoadCandidates.add(endpoint);
         }
     }
--- a/src/main/java/olivechute/loadbalancing/EndpointTable.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointTable.java
@@ -88,7 +88,8 @@
     }
 
     private Endpoint add(EndpointInfo info) {
-        EndpointKindStats kindStats = statsByKind.computeIfAbsent(String.valueOf(info.kind()), k -> new EndpointKindStats());
+        EndpointKindStats kindStats =
+                statsByKind.computeIfAbsent(String.valueOf(info.kind()), k -> new EndpointKindStats());
         boolean inLocalZone = info.zone() == null || info.zone().equals(settings.zone());
         int classCount = settings.classes().size();
         Endpoint endpoint = new Endpoint(info, kindStats, random.nextDouble(), inLocalZone, classCount);
--- a/src/main/java/olivechute/loadbalancing/LatencyStats.java
+++ b/src/main/java/olivechute/loadbalancing/LatencyStats.java
@@ -30,9 +30,13 @@
      */
     boolean onFinished(double relativeRunTime, double relativeTotalTime) {
         recentRelativeRunTime = Smoothing.smooth(recentRelativeRunTime, relativeRunTime, RECENT_SAMPLE_WEIGHT);
-        longTermRelativeRunTime += Math.max(MIN_LONG_TERM_SAMPLE_WEIGHT, 1.0 / (PRIOR_SAMPLES + sampleCount++)) * (relativeRunTime - longTermRelativeRunTime);
-        bestRelativeRunTime = Double.isNaN(bestRelativeRunTime) ? recentRelativeRunTime : Math.min(bestRelativeRunTime * BEST_GROWTH_FACTOR, recentRelativeRunTime);
-        double smoothedTotalTime = (1 - RECENT_SAMPLE_WEIGHT) * recentRelativeRunTime + RECENT_SAMPLE_WEIGHT * relativeTotalTime;
+        longTermRelativeRunTime += Math.max(MIN_LONG_TERM_SAMPLE_WEIGHT, 1.0 / (PRIOR_SAMPLES + sampleCount++))
+                * (relativeRunTime - longTermRelativeRunTime);
+        bestRelativeRunTime = Double.isNaN(bestRelativeRunTime)
+                ? recentRelativeRunTime
+                : Math.min(bestRelativeRunTime * BEST_GROWTH_FACTOR, recentRelativeRunTime);
+        double smoothedTotalTime =
+                (1 - RECENT_SAMPLE_WEIGHT) * recentRelativeRunTime + RECENT_SAMPLE_WEIGHT * relativeTotalTime;
         return Math.max(recentRelativeRunTime, smoothedTotalTime) > CONGESTION_MULTIPLE * bestRelativeRunTime;
     }
 
--- a/src/main/java/olivechute/loadbalancing/LoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancer.java
@@ -24,7 +24,13 @@
      * @param complete whether the request needs no further answer
      */
     void onAttemptEnd(
-            long nowUs, String id, int attemptIndex, AttemptOutcome outcome, long durationUs, boolean complete, LoadReport loadReport);
+            long nowUs,
+            String id,
+            int attemptIndex,
+            AttemptOutcome outcome,
+            long durationUs,
+            boolean complete,
+            LoadReport loadReport);
 
     /** An endpoint reported on an attempt in flight; {@code progress} is the part that is done, from 0 to 1. */
     void onAttemptSignal(long nowUs, String id, int attemptIndex, AttemptSignal signal, double progress);
--- a/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
@@ -88,10 +88,13 @@
         require(requestClass != null && requestClass.name() != null, "classes.name");
         require(requestClass.deadlineUs() > 0, "classes.deadlineUs of " + requestClass.name());
         require(
-                requestClass.latencyObjectiveUs() >= 0 && requestClass.latencyObjectiveUs() <= requestClass.deadlineUs(),
+                requestClass.latencyObjectiveUs() >= 0
+                        && requestClass.latencyObjectiveUs() <= requestClass.deadlineUs(),
                 "classes.latencyObjectiveUs of " + requestClass.name());
         require(requestClass.objectiveStretch() >= 0, "classes.objectiveStretch of " + requestClass.name());
-        require(requestClass.priorityWeight() >= 0 && requestClass.latePriorityWeight() >= 0, "classes.priorityWeight of " + requestClass.name());
+        require(
+                requestClass.priorityWeight() >= 0 && requestClass.latePriorityWeight() >= 0,
+                "classes.priorityWeight of " + requestClass.name());
         require(requestClass.idempotency() != null, "classes.idempotency of " + requestClass.name());
         require(
                 requestClass.idempotency() != Idempotency.KEYED
--- a/src/main/java/olivechute/loadbalancing/LoadProber.java
+++ b/src/main/java/olivechute/loadbalancing/LoadProber.java
@@ -29,11 +29,16 @@
     private final LoadBalancer.Helper helper;
     private double probeBudget;
 
-    LoadProber(LoadBalancerSettings settings, EndpointTable endpoints, WeightedEndpointPicker endpointPicker, LoadBalancer.Helper helper) {
+    LoadProber(
+            LoadBalancerSettings settings,
+            EndpointTable endpoints,
+            WeightedEndpointPicker endpointPicker,
+            LoadBalancer.Helper helper) {
         this.enabled = settings.loadReporting() != LoadReporting.NONE
                 && settings.limits().probesAllowed();
         this.probesPerRequest = Math.min(
-                MAX_PROBES_PER_REQUEST, PROBE_COST_PER_REQUEST / settings.costs().probe());
+                MAX_PROBES_PER_REQUEST,
+                PROBE_COST_PER_REQUEST / settings.costs().probe());
         this.endpoints = endpoints;
         this.endpointPicker = endpointPicker;
         this.helper = helper;
--- a/src/main/java/olivechute/loadbalancing/LoadReportState.java
+++ b/src/main/java/olivechute/loadbalancing/LoadReportState.java
@@ -34,12 +34,15 @@
         lastReportAtUs = nowUs;
         typicalSlots = Smoothing.smooth(typicalSlots, freeSlots + ownSlotsInFlightAtReport, TYPICAL_SAMPLE_WEIGHT);
         fromLoadReport = delayUs > 0;
-        if (reportedFreeSlots >= FREE_SLOT_THRESHOLD) { // else some of this node's attempts may be queued, and occupy no slot
-            endpoint.kindStats.updateMaxSlots(reportedFreeSlots + endpoint.inFlightHistory.minSlotsSince(measuredStep - 1));
+        if (reportedFreeSlots
+                >= FREE_SLOT_THRESHOLD) { // else some of this node's attempts may be queued, and occupy no slot
+            endpoint.kindStats.updateMaxSlots(
+                    reportedFreeSlots + endpoint.inFlightHistory.minSlotsSince(measuredStep - 1));
         }
         fullSinceUs = reportedFreeSlots >= FREE_SLOT_THRESHOLD ? NOT_FULL_US : Math.min(fullSinceUs, nowUs);
         if (freeMemory >= 0) {
-            typicalMemory = Smoothing.smooth(typicalMemory, freeMemory + endpoint.memoryInFlight(), TYPICAL_SAMPLE_WEIGHT);
+            typicalMemory =
+                    Smoothing.smooth(typicalMemory, freeMemory + endpoint.memoryInFlight(), TYPICAL_SAMPLE_WEIGHT);
         }
     }
 
--- a/src/main/java/olivechute/loadbalancing/OutlierDetector.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierDetector.java
@@ -127,8 +127,8 @@
         for (Endpoint endpoint : endpoints) {
             if (endpoint.active()) {
                 OutlierState state = endpoint.outlierState;
-                state.errorRate =
-                        Smoothing.decayAndCollect(state.errorRate, stats.medianErrorRate, RETAINED_PER_UPDATE, errorRates);
+                state.errorRate = Smoothing.decayAndCollect(
+                        state.errorRate, stats.medianErrorRate, RETAINED_PER_UPDATE, errorRates);
                 endpoint.startWait.decay(START_WAIT_RETAINED_PER_UPDATE, startWaits);
                 endpoint.latencyStats.decay(stats.medianRelativeRunTime, RETAINED_PER_UPDATE, runTimes);
             }
@@ -139,7 +139,9 @@
     }
 
     private double slowThreshold(Endpoint endpoint) {
-        double ownBaseline = endpoint.latencyStats.hasLongTermRunTime() ? endpoint.latencyStats.longTermRelativeRunTime() / LONG_TERM_DIVISOR : 0;
+        double ownBaseline = endpoint.latencyStats.hasLongTermRunTime()
+                ? endpoint.latencyStats.longTermRelativeRunTime() / LONG_TERM_DIVISOR
+                : 0;
         return SLOW_MULTIPLE * Math.max(stats.medianRelativeRunTime, ownBaseline);
     }
 
--- a/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
@@ -44,12 +44,14 @@
         double otherTenantsArrivals = countArrival(nowUs, tenantQueue, retry);
         double quotaPerSecond = tenantQueue.tenant.quotaPerSecond();
         double otherTenantsQuotaPerSecond = queues.totalQuotaPerSecond() - quotaPerSecond;
-        double otherTenantsExpectedArrivals =
-                otherTenantsQuotaPerSecond * observedSeconds(nowUs, LONG_TERM_DECAY_US) + PRIOR_REQUESTS * settings.fleetSize();
+        double otherTenantsExpectedArrivals = otherTenantsQuotaPerSecond * observedSeconds(nowUs, LONG_TERM_DECAY_US)
+                + PRIOR_REQUESTS * settings.fleetSize();
         TenantQuota tenantQuota = tenantQueue.quota;
-        tenantQuota.ratePerSecond = (otherTenantsArrivals + PRIOR_REQUESTS) / otherTenantsExpectedArrivals * quotaPerSecond;
+        tenantQuota.ratePerSecond =
+                (otherTenantsArrivals + PRIOR_REQUESTS) / otherTenantsExpectedArrivals * quotaPerSecond;
         double refill = tenantQuota.ratePerSecond * (nowUs - tenantQuota.updatedAtUs) / MICROS_PER_SECOND;
-        tenantQuota.tokens = Math.min(tenantQuota.tokens + refill, Math.max(TenantQuota.BURST_REQUESTS, tenantQuota.ratePerSecond));
+        tenantQuota.tokens =
+                Math.min(tenantQuota.tokens + refill, Math.max(TenantQuota.BURST_REQUESTS, tenantQuota.ratePerSecond));
         tenantQuota.updatedAtUs = nowUs;
         if (otherTenantsQuotaPerSecond <= 0 || quotaPerSecond <= 0 || settings.overQuotaWeight() >= 1) {
             return false;
@@ -110,7 +112,8 @@
             totalRecent += Math.min(recent, 2 * JUMP_FACTOR * baseline); // no one tenant may carry the others along
         }
         boolean mostTrafficJumped = jumpedBaseline > totalBaseline / 2;
-        boolean significant = totalRecent > JUMP_FACTOR * totalBaseline && totalRecent > totalBaseline + JUMP_DEVIATIONS * Math.sqrt(totalBaseline);
+        boolean significant = totalRecent > JUMP_FACTOR * totalBaseline
+                && totalRecent > totalBaseline + JUMP_DEVIATIONS * Math.sqrt(totalBaseline);
         if (mostTrafficJumped && significant) {
             for (TenantQueue queue : queues.all()) {
                 queue.quota.longTermArrivals *= totalRecent / totalBaseline;
--- a/src/main/java/olivechute/loadbalancing/Request.java
+++ b/src/main/java/olivechute/loadbalancing/Request.java
@@ -25,6 +25,7 @@
         boolean retry) {
     /** The same request with another time left. */
     public Request withTimeLeft(long newTimeLeftUs) {
-        return new Request(id, requestClass, tenant, idempotencyKey, newTimeLeftUs, expectedWorkUs, slots, memory, retry);
+        return new Request(
+                id, requestClass, tenant, idempotencyKey, newTimeLeftUs, expectedWorkUs, slots, memory, retry);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/RetryPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/RetryPolicy.java
@@ -23,8 +23,8 @@
 
     /** Whether there may be another attempt after one that ended so; takes it from the retry budget. */
     boolean allowsRetry(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
-        boolean safeToRepeat =
-                request.possiblyExecutedAttempt == null || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+        boolean safeToRepeat = request.possiblyExecutedAttempt == null
+                || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
         return safeToRepeat
                 && lastOutcome != AttemptOutcome.NOT_SENT
                 && lastOutcome != AttemptOutcome.CANCEL_UNCONFIRMED
@@ -69,7 +69,8 @@
         }
         EndpointInfo firstEndpoint = request.possiblyExecutedAttempt.endpoint.info;
         long windowEndUs = request.possiblyExecutedAttempt.sentAtUs + requestClass.deduplicationWindowUs();
-        return nowUs < windowEndUs - DEDUPLICATION_WINDOW_MARGIN_US && sameScope(requestClass.deduplicationScope(), firstEndpoint, endpoint.info);
+        return nowUs < windowEndUs - DEDUPLICATION_WINDOW_MARGIN_US
+                && sameScope(requestClass.deduplicationScope(), firstEndpoint, endpoint.info);
     }
 
     private static boolean sameScope(DeduplicationScope scope, EndpointInfo first, EndpointInfo second) {
@@ -86,6 +87,7 @@
         return request.attemptsInFlight == 0
                 && (request.possiblyExecutedAttempt == null
                         || requestClass.idempotency() == Idempotency.IDEMPOTENT
-                        || (requestClass.idempotency() == Idempotency.KEYED && requestClass.deduplicationScope() == DeduplicationScope.ALL));
+                        || (requestClass.idempotency() == Idempotency.KEYED
+                                && requestClass.deduplicationScope() == DeduplicationScope.ALL));
     }
 }
--- a/src/main/java/olivechute/loadbalancing/ShareController.java
+++ b/src/main/java/olivechute/loadbalancing/ShareController.java
@@ -103,7 +103,8 @@
         double weight = Math.max(1.0 / intervalCount, minIntervalWeight);
         for (TenantQueue tenant : tenants) {
             SlotUsage usage = tenant.slotUsage;
-            usage.averageShare = weight * usage.intervalSlotTimeUs / totalSlotTimeUs + (1 - weight) * usage.averageShare;
+            usage.averageShare =
+                    weight * usage.intervalSlotTimeUs / totalSlotTimeUs + (1 - weight) * usage.averageShare;
             usage.intervalSlotTimeUs = 0;
         }
     }
--- a/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
@@ -76,10 +76,18 @@
         queues = new TenantQueues(settings.tenants(), classesByValue.size(), shareController);
         quotaEstimator = new QuotaEstimator(settings, queues);
         admissionControl = new AdmissionControl(settings, queues, quotaEstimator, queueCheckIntervalUs);
-        retryAfterEstimator =
-                new RetryAfterEstimator(queues, queueCheckIntervalUs, settings.limits().maxRetryAfterUs());
+        retryAfterEstimator = new RetryAfterEstimator(
+                queues, queueCheckIntervalUs, settings.limits().maxRetryAfterUs());
         RetryPolicy retryPolicy = new RetryPolicy(settings, healthView);
-        lifecycle = new RequestLifecycle(settings, helper, stats, queues, quotaEstimator, retryAfterEstimator, retryPolicy, queueCheckIntervalUs);
+        lifecycle = new RequestLifecycle(
+                settings,
+                helper,
+                stats,
+                queues,
+                quotaEstimator,
+                retryAfterEstimator,
+                retryPolicy,
+                queueCheckIntervalUs);
         slowStart = new SlowStart(settings, classesByValue, random);
         workingSet = new WorkingSet(stats);
         capacityEstimator = new CapacityEstimator(settings, stats);
@@ -90,9 +98,17 @@
         WeightedEndpointPicker endpointPicker = new WeightedEndpointPicker(settings.costs(), stats, random);
         loadProber = new LoadProber(settings, endpoints, endpointPicker, helper);
         EndpointSelector selector = new EndpointSelector(
-                settings, endpoints, stats, workingSet, capacityEstimator, slowStart, retryPolicy, loadProber, endpointPicker);
-        dispatcher =
-                new QueueDispatcher(queues, classesByValue, endpoints, selector, workingSet, retryAfterEstimator, lifecycle::send);
+                settings,
+                endpoints,
+                stats,
+                workingSet,
+                capacityEstimator,
+                slowStart,
+                retryPolicy,
+                loadProber,
+                endpointPicker);
+        dispatcher = new QueueDispatcher(
+                queues, classesByValue, endpoints, selector, workingSet, retryAfterEstimator, lifecycle::send);
     }
 
     /** Returns how often queued requests are looked at, in microseconds. */
@@ -104,7 +120,8 @@
             classes.put(requestClass.name(), classStats);
             classesByValue.add(classStats);
             long objectiveCheckIntervalUs = requestClass.latencyObjectiveUs() / QUEUE_CHECKS_PER_OBJECTIVE;
-            checkIntervalUs = Math.max(MIN_QUEUE_CHECK_INTERVAL_US, Math.min(checkIntervalUs, objectiveCheckIntervalUs));
+            checkIntervalUs =
+                    Math.max(MIN_QUEUE_CHECK_INTERVAL_US, Math.min(checkIntervalUs, objectiveCheckIntervalUs));
         }
         return checkIntervalUs;
     }
@@ -164,7 +181,13 @@
 
     @Override
     public void onAttemptEnd(
-            long nowUs, String id, int attemptIndex, AttemptOutcome outcome, long durationUs, boolean complete, LoadReport loadReport) {
+            long nowUs,
+            String id,
+            int attemptIndex,
+            AttemptOutcome outcome,
+            long durationUs,
+            boolean complete,
+            LoadReport loadReport) {
         Attempt attempt = lifecycle.requests().attemptInFlight(id, attemptIndex);
         if (attempt == null) {
             return;
@@ -186,7 +209,8 @@
     }
 
     @Override
-    public void onProbeResult(long nowUs, String endpointName, boolean succeeded, long durationUs, LoadReport loadReport) {
+    public void onProbeResult(
+            long nowUs, String endpointName, boolean succeeded, long durationUs, LoadReport loadReport) {
         Endpoint endpoint = endpoints.get(endpointName);
         if (endpoint != null && succeeded) {
             capacityEstimator.onReport(nowUs, endpoint, loadReport);
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -80,13 +80,19 @@
         double sumOfSquaredWork = 0; // of the work of a call
         for (RequestClassStats requestClass : classes) {
             totalSlotTimeUs += requestClass.totalSlotTimeUs();
-            meanReferenceWorkUs += (requestClass.totalSlotTimeUs() * requestClass.referenceWorkUs() - meanReferenceWorkUs * requestClass.totalSlotTimeUs()) / totalSlotTimeUs;
+            meanReferenceWorkUs += (requestClass.totalSlotTimeUs() * requestClass.referenceWorkUs()
+                            - meanReferenceWorkUs * requestClass.totalSlotTimeUs())
+                    / totalSlotTimeUs;
             sumOfSquaredWork += requestClass.referenceWorkUs() * requestClass.referenceWorkUs();
         }
-        double slotCapacity = rules.overloadMultiple() * capacityFraction * estimatedSlots(endpoint.kindStats) / endpoint.latencyStats.longTermRelativeRunTime();
+        double slotCapacity = rules.overloadMultiple()
+                * capacityFraction
+                * estimatedSlots(endpoint.kindStats)
+                / endpoint.latencyStats.longTermRelativeRunTime();
         double sustainableRequests = slotCapacity * rules.overloadWindowUs() / meanReferenceWorkUs;
         double budgetRequests = fleetBudgetRequests(sustainableRequests, sumOfSquaredWork, meanReferenceWorkUs);
-        double nodeBudgetUs = Math.min(sustainableRequests, trafficWeight() * budgetRequests) * meanReferenceWorkUs / fleetSize;
+        double nodeBudgetUs =
+                Math.min(sustainableRequests, trafficWeight() * budgetRequests) * meanReferenceWorkUs / fleetSize;
         double grantedWorkUs = grantedWorkUs(endpoint, nodeBudgetUs, totalSlotTimeUs);
         double requiredWorkUs = Math.min(1, request.referenceRequests()) * request.classStats.referenceWorkUs();
         return endpoint.slowStartSends.workSinceUs(windowStartUs) + requiredWorkUs <= grantedWorkUs;
@@ -95,9 +101,14 @@
     private double grantedWorkUs(Endpoint endpoint, double nodeBudgetUs, double totalSlotTimeUs) {
         double sumUs = 0;
         for (RequestClassStats requestClass : classes) {
-            double roundingOffset = (endpoint.slowStartSends.roundingDraw(random) + (double) requestClass.index / classes.size()) % 1;
-            sumUs +=
-                    requestClass.referenceWorkUs() * Math.ceil(nodeBudgetUs * requestClass.totalSlotTimeUs() / totalSlotTimeUs / requestClass.referenceWorkUs() - roundingOffset);
+            double roundingOffset =
+                    (endpoint.slowStartSends.roundingDraw(random) + (double) requestClass.index / classes.size()) % 1;
+            sumUs += requestClass.referenceWorkUs()
+                    * Math.ceil(nodeBudgetUs
+                                    * requestClass.totalSlotTimeUs()
+                                    / totalSlotTimeUs
+                                    / requestClass.referenceWorkUs()
+                            - roundingOffset);
         }
         return sumUs;
     }
@@ -117,10 +128,14 @@
     }
 
     /** Calls that all nodes together may send where the endpoint bears so many. */
-    private double fleetBudgetRequests(double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
-        double sqrtArrivalBound = Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4 + sustainableRequests) - MARGIN_DEVIATIONS / 2;
-        double roundingBound = sustainableRequests - MARGIN_DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquaredWork) / meanReferenceWorkUs;
-        return Math.min(USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
+    private double fleetBudgetRequests(
+            double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
+        double sqrtArrivalBound =
+                Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4 + sustainableRequests) - MARGIN_DEVIATIONS / 2;
+        double roundingBound = sustainableRequests
+                - MARGIN_DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquaredWork) / meanReferenceWorkUs;
+        return Math.min(
+                USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
     }
 
     /** This node's part of the budget by its traffic; the mean over all nodes is one. */
--- a/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
+++ b/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
@@ -59,7 +59,8 @@
 
     private double costUs(PendingRequest request, Endpoint endpoint, double latencyBudgetUs) {
         boolean needsConnection = !endpoint.hasIdleConnection();
-        double costWeight = (endpoint.inLocalZone ? 0 : costWeights.crossZone()) + (needsConnection ? costWeights.handshake() : 0);
+        double costWeight =
+                (endpoint.inLocalZone ? 0 : costWeights.crossZone()) + (needsConnection ? costWeights.handshake() : 0);
         return endpoint.latencyStats.longTermRelativeRunTime() * request.expectedWorkUs()
                 + endpoint.startWait.recentUs(stats.medianStartWaitUs)
                 + (needsConnection ? stats.connectDelayUs() : 0)
--- a/src/main/java/olivechute/net/ConnectionThreads.java
+++ b/src/main/java/olivechute/net/ConnectionThreads.java
@@ -22,7 +22,12 @@
     public ConnectionThreads(ThreadFactory threadFactory) {
         this.threadFactory = threadFactory;
         pool = new ThreadPoolExecutor(
-                0, Integer.MAX_VALUE, KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS, new SynchronousQueue<>(), threadFactory);
+                0,
+                Integer.MAX_VALUE,
+                KEEP_ALIVE_MILLIS,
+                TimeUnit.MILLISECONDS,
+                new SynchronousQueue<>(),
+                threadFactory);
     }
 
     /** Whether the system grants so many threads more, all at once: they are started, and end. */
--- a/src/main/java/olivechute/net/FileDescriptors.java
+++ b/src/main/java/olivechute/net/FileDescriptors.java
@@ -25,7 +25,8 @@
         if (index < 0) {
             return Integer.MAX_VALUE;
         }
-        String softLimit = limits.substring(index + OPEN_FILES_LABEL.length()).strip().split("\\s+")[0];
+        String softLimit =
+                limits.substring(index + OPEN_FILES_LABEL.length()).strip().split("\\s+")[0];
         try {
             return (int) Math.min(Integer.MAX_VALUE, Long.parseLong(softLimit));
         } catch (NumberFormatException unlimited) {
--- a/src/main/java/olivechute/net/Threads.java
+++ b/src/main/java/olivechute/net/Threads.java
@@ -3,7 +3,8 @@
 /** Platform threads with small stacks: one for each connection must fit the node's memory. */
 public final class Threads {
     private static final long STACK_BYTES = 192 * 1024;
-    private static final ConnectionThreads CONNECTION_THREADS = new ConnectionThreads(task -> newThread("connection", task));
+    private static final ConnectionThreads CONNECTION_THREADS =
+            new ConnectionThreads(task -> newThread("connection", task));
 
     private Threads() {}
 
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -123,7 +123,8 @@
      * that.
      */
     private ConnectionPools pools(NodeConfig config, int connections) throws IOException {
-        Connector connector = security != null && config.identity().upstream() ? security.dialler() : Connector.PLAINTEXT;
+        Connector connector =
+                security != null && config.identity().upstream() ? security.dialler() : Connector.PLAINTEXT;
         return new ConnectionPools(
                 loop,
                 new WriterThreads(2 * connections),
--- a/src/main/java/olivechute/proxy/ActiveRequest.java
+++ b/src/main/java/olivechute/proxy/ActiveRequest.java
@@ -90,7 +90,8 @@
     }
 
     UpstreamRequest newAttempt(int attemptNumber, String endpoint, long timeLeftUs) {
-        return new UpstreamRequest(id, attemptNumber, endpoint, arrival.payload(), timeLeftUs, needsNewConnection, this);
+        return new UpstreamRequest(
+                id, attemptNumber, endpoint, arrival.payload(), timeLeftUs, needsNewConnection, this);
     }
 
     void onSend(UpstreamRequest attempt, long nowUs) {
--- a/src/main/java/olivechute/proxy/ProxyEvent.java
+++ b/src/main/java/olivechute/proxy/ProxyEvent.java
@@ -17,7 +17,8 @@
     record AttemptAccepted(String requestId, int attemptNumber) implements ProxyEvent {}
 
     /** An attempt ended other than by a job status. */
-    record AttemptEnded(String requestId, int attemptNumber, AttemptOutcome outcome, LoadReport loadReport) implements ProxyEvent {}
+    record AttemptEnded(String requestId, int attemptNumber, AttemptOutcome outcome, LoadReport loadReport)
+            implements ProxyEvent {}
 
     /** What an endpoint says of a request that it accepted. */
     enum JobStatus {
--- a/src/main/java/olivechute/proxy/RequestDispatcher.java
+++ b/src/main/java/olivechute/proxy/RequestDispatcher.java
@@ -125,7 +125,8 @@
     }
 
     private void scheduleDeadline(ActiveRequest request) {
-        request.deadlineTimer = loop.scheduleTimer(request.giveUpAtUs - ActiveRequest.DEADLINE_MARGIN_US, () -> onDeadline(request));
+        request.deadlineTimer =
+                loop.scheduleTimer(request.giveUpAtUs - ActiveRequest.DEADLINE_MARGIN_US, () -> onDeadline(request));
     }
 
     /** Logs no request from now on: they are made up to warm up the code. */
@@ -170,7 +171,8 @@
         health.describeForLog(
                 loop.now(),
                 (endpoint, text) -> Logger.info("endpoint {}: {}, {}", endpoint, endpointList.stateOf(endpoint), text));
-        Logger.info("open requests {} of {}, {}", requestsById.size(), maxOpenRequests, health.describeForLog(loop.now()));
+        Logger.info(
+                "open requests {} of {}, {}", requestsById.size(), maxOpenRequests, health.describeForLog(loop.now()));
     }
 
     private void openRequest(ProxyEvent.RequestArrived arrival) {
@@ -275,7 +277,13 @@
         }
         attemptTracker.reportEndToHealth(request, attempt, outcome, nowUs);
         loadBalancer.onAttemptEnd(
-                nowUs, request.id, attempt.attemptNumber(), outcome, nowUs - request.sentAtUs, request.answered, loadReport);
+                nowUs,
+                request.id,
+                attempt.attemptNumber(),
+                outcome,
+                nowUs - request.sentAtUs,
+                request.answered,
+                loadReport);
         removeIfDone(request);
     }
 
@@ -377,7 +385,8 @@
         long nowUs = loop.now();
         boolean allowed = !request.answered
                 && (request.inFlightAttempt == null || settings.limits().hedgingAllowed())
-                && attemptNumber - request.suppressedAttempts < settings.limits().maxAttempts();
+                && attemptNumber - request.suppressedAttempts
+                        < settings.limits().maxAttempts();
         boolean sendable = allowed && maySend(request, endpoint, nowUs);
         requestAccounting.onAttemptRequested(request, allowed, sendable, nowUs);
         if (!sendable) {
@@ -401,7 +410,9 @@
     }
 
     private boolean maySend(ActiveRequest request, String endpoint, long nowUs) {
-        return request.inFlightAttempt == null && transport.acceptsRequests(endpoint) && request.maySendAttempt(nowUs, 0);
+        return request.inFlightAttempt == null
+                && transport.acceptsRequests(endpoint)
+                && request.maySendAttempt(nowUs, 0);
     }
 
     private void endUnsentAttempt(ActiveRequest request, int attemptNumber) {
--- a/src/main/java/olivechute/rollout/AbortConditions.java
+++ b/src/main/java/olivechute/rollout/AbortConditions.java
@@ -28,15 +28,15 @@
                 return Optional.of(
                         "node " + node.node() + " broke " + metrics.ruleViolations() + " rules under the new version");
             }
-            boolean leftOldVersion =
-                    spec.toVersion().equals(node.orderedVersion()) && !spec.fromVersion().equals(node.version());
+            boolean leftOldVersion = spec.toVersion().equals(node.orderedVersion())
+                    && !spec.fromVersion().equals(node.version());
             if (leftOldVersion && node.phase() == NodePhase.REFUSED) {
                 return Optional.of("node " + node.node() + " refused the new version" + lastErrorSuffix(node));
             }
             if (leftOldVersion && node.crashes() > 0) {
                 crashedNodes++;
-                lastCrash = "node " + node.node() + " crashed " + node.crashes() + (node.crashes() == 1 ? " time" : " times")
-                        + " under the new version" + lastErrorSuffix(node);
+                lastCrash = "node " + node.node() + " crashed " + node.crashes()
+                        + (node.crashes() == 1 ? " time" : " times") + " under the new version" + lastErrorSuffix(node);
                 if (node.crashes() >= 2) {
                     return Optional.of(lastCrash);
                 }
@@ -44,7 +44,8 @@
             Long notReadySinceMs = evidence.notReadySinceMs.get(node.node());
             if (notReadySinceMs != null && node.reachable() && nowMs - notReadySinceMs > spec.readyTimeoutMs()) {
                 return Optional.of("node " + node.node() + " is not ready " + (nowMs - notReadySinceMs) / 1000
-                        + " s after it was to be, " + spec.readyTimeoutMs() / 1000 + " s are allowed" + lastErrorSuffix(node));
+                        + " s after it was to be, " + spec.readyTimeoutMs() / 1000 + " s are allowed"
+                        + lastErrorSuffix(node));
             }
         }
         return crashedNodes >= 2
@@ -55,7 +56,9 @@
     /** Keeps since when nodes are not where they are to be; what cannot be reached is not counted. */
     static void updateNotReadySince(
             RolloutSpec spec, Collection<NodeStatus> nodes, Set<String> moved, Evidence evidence, long nowMs) {
-        evidence.notReadySinceMs.keySet().retainAll(nodes.stream().map(NodeStatus::node).toList());
+        evidence.notReadySinceMs
+                .keySet()
+                .retainAll(nodes.stream().map(NodeStatus::node).toList());
         for (NodeStatus node : nodes) {
             boolean readyAtDesiredVersion = node.phase() == NodePhase.READY
                     && (moved.contains(node.node()) ? spec.toVersion() : spec.fromVersion()).equals(node.version());
--- a/src/main/java/olivechute/rollout/Comparison.java
+++ b/src/main/java/olivechute/rollout/Comparison.java
@@ -31,7 +31,8 @@
     private static final String[] OUTCOME_NAMES = {"served", "not failed", "not refused", "not late"};
 
     /** Shift relative to the level, its variance, and the level and jobs it was found at. */
-    record EffectEstimate(double relativeEffect, double variance, double expectedMean, double observedMean, long sampleSize) {
+    record EffectEstimate(
+            double relativeEffect, double variance, double expectedMean, double observedMean, long sampleSize) {
         /**
          * Half of the interval that holds at all times with this chance of error; {@code scale}: size of the shifts
          * looked for; {@code most}: how far one job can lie off, for what is too rare to be spread as a normal variable
@@ -40,7 +41,8 @@
         double halfWidth(double errorProbability, double effectScale, double maxDeviation) {
             double mixtureVariance = effectScale * effectScale;
             double logBound = Math.log(1 / errorProbability) + 0.5 * Math.log(1 + mixtureVariance / variance);
-            return Math.sqrt(2 * logBound * variance * (variance + mixtureVariance) / mixtureVariance) + maxDeviation * logBound / (3 * sampleSize);
+            return Math.sqrt(2 * logBound * variance * (variance + mixtureVariance) / mixtureVariance)
+                    + maxDeviation * logBound / (3 * sampleSize);
         }
     }
 
@@ -64,12 +66,19 @@
                 double tolerance = outcome == 0 ? 0 : outcome == 1 ? 0.002 : 0.01;
                 EffectEstimate effect = estimateEffect(series, evidence.newRequests[c]);
                 if (effect != null) {
-                    double upperBound = (effect.relativeEffect + effect.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * effect.expectedMean;
+                    double upperBound =
+                            (effect.relativeEffect + effect.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1))
+                                    * effect.expectedMean;
                     if (upperBound < -tolerance) {
                         return Optional.of(format(
                                 "class %s %s %.3f at new nodes against %.3f at old ones, difference at most %.3f, "
                                         + "after %d s",
-                                evidence.classes.get(c), OUTCOME_NAMES[outcome], effect.observedMean, effect.expectedMean, upperBound, secondsSinceFirstMove()));
+                                evidence.classes.get(c),
+                                OUTCOME_NAMES[outcome],
+                                effect.observedMean,
+                                effect.expectedMean,
+                                upperBound,
+                                secondsSinceFirstMove()));
                     }
                 }
             }
@@ -87,23 +96,33 @@
         }
         EffectEstimate delay = estimateEffect(evidence.delaySeries(), evidence.newStreams);
         if (delay != null) {
-            double lowerBound = (delay.relativeEffect - delay.halfWidth(errorProbability, DELAY_EFFECT_SCALE, 10)) * delay.expectedMean;
+            double lowerBound = (delay.relativeEffect - delay.halfWidth(errorProbability, DELAY_EFFECT_SCALE, 10))
+                    * delay.expectedMean;
             if (lowerBound > DelayTailThreshold.SIGNIFICANT_DELAY_MS) {
                 return Optional.of(format(
                         "added delay %.1f ms at new nodes against %.1f ms at old ones, difference at least %.1f ms, "
                                 + "after %d s",
-                        delay.observedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS, delay.expectedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS, lowerBound, secondsSinceFirstMove()));
+                        delay.observedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS,
+                        delay.expectedMean - DelayTailThreshold.SIGNIFICANT_DELAY_MS,
+                        lowerBound,
+                        secondsSinceFirstMove()));
             }
         }
-        EffectEstimate tail =
-                evidence.lastFastBucket < 0 || moved.size() < MIN_TAIL_NODES ? null : estimateEffect(evidence.tailSeries(), evidence.newStreams);
+        EffectEstimate tail = evidence.lastFastBucket < 0 || moved.size() < MIN_TAIL_NODES
+                ? null
+                : estimateEffect(evidence.tailSeries(), evidence.newStreams);
         if (tail != null) {
-            double upperBound = (tail.relativeEffect + tail.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * tail.expectedMean;
+            double upperBound =
+                    (tail.relativeEffect + tail.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * tail.expectedMean;
             if (upperBound < -0.01) {
                 return Optional.of(format(
                         "streams within the old nodes' 99th percentile of added delay and %d ms: %.3f at new nodes against "
                                 + "%.3f at old ones, difference at most %.3f, after %d s",
-                        DelayTailThreshold.SIGNIFICANT_DELAY_MS, tail.observedMean, tail.expectedMean, upperBound, secondsSinceFirstMove()));
+                        DelayTailThreshold.SIGNIFICANT_DELAY_MS,
+                        tail.observedMean,
+                        tail.expectedMean,
+                        upperBound,
+                        secondsSinceFirstMove()));
             }
         }
         return Optional.empty();
@@ -127,7 +146,8 @@
             if (effect == null) {
                 return Optional.of("no figures of class " + name + " to compare");
             }
-            double lowerBound = effect.relativeEffect - effect.halfWidth(FALSE_PASS_PROBABILITY / evidence.classes.size(), SHARE_EFFECT_SCALE, 1);
+            double lowerBound = effect.relativeEffect
+                    - effect.halfWidth(FALSE_PASS_PROBABILITY / evidence.classes.size(), SHARE_EFFECT_SCALE, 1);
             if (lowerBound < -SIGNIFICANT_LOSS) {
                 return Optional.of(format(
                         "class %s served %.3f at new nodes against %.3f at old ones may still be %.1f %% worse, "
@@ -153,15 +173,24 @@
             if (moved.contains(entry.getKey()) && node.stageExpected[series] > 0) {
                 residual += node.stageResidual[series];
                 expected += node.stageExpected[series];
-                baselineVariance += (double) node.stageExpected[series] * node.stageExpected[series] * (varianceRate / node.baselineExpected[series] + driftVariance);
+                baselineVariance += (double) node.stageExpected[series]
+                        * node.stageExpected[series]
+                        * (varianceRate / node.baselineExpected[series] + driftVariance);
             }
         }
         if (expected <= 0) {
             return null;
         }
         double relativeEffect = residual / expected;
-        double variance = Math.max(varianceRate * expected, estimator.blockVariance(relativeEffect)) + baselineVariance + estimator.controlVariance(varianceRate, driftVariance);
-        return new EffectEstimate(relativeEffect, variance / expected / expected, expected / sampleSize, (expected + residual) / sampleSize, sampleSize);
+        double variance = Math.max(varianceRate * expected, estimator.blockVariance(relativeEffect))
+                + baselineVariance
+                + estimator.controlVariance(varianceRate, driftVariance);
+        return new EffectEstimate(
+                relativeEffect,
+                variance / expected / expected,
+                expected / sampleSize,
+                (expected + residual) / sampleSize,
+                sampleSize);
     }
 
     /** Variance of old nodes' standing against what it was before, beyond what chance makes of it. */
@@ -172,11 +201,15 @@
             NodeEvidence node = entry.getValue();
             if (!moved.contains(entry.getKey()) && node.stageExpected[series] > 0 && node.hasBaseline(series)) {
                 double relativeResidual = node.stageResidual[series] / (double) node.stageExpected[series];
-                sum += relativeResidual * relativeResidual - varianceRate / node.stageExpected[series] - varianceRate / node.baselineExpected[series];
+                sum += relativeResidual * relativeResidual
+                        - varianceRate / node.stageExpected[series]
+                        - varianceRate / node.baselineExpected[series];
                 count++;
             }
         }
-        return count < 5 ? MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV : Math.max(MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV, sum / count);
+        return count < 5
+                ? MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV
+                : Math.max(MIN_DRIFT_STDDEV * MIN_DRIFT_STDDEV, sum / count);
     }
 
     private long secondsSinceFirstMove() {
--- a/src/main/java/olivechute/rollout/DelayTailThreshold.java
+++ b/src/main/java/olivechute/rollout/DelayTailThreshold.java
@@ -33,7 +33,8 @@
             remaining -= bucketCounts[p99Bucket++];
         }
         int fastBucket = p99Bucket;
-        while (fastBucket < boundsUs.length - 1 && boundsUs[fastBucket] - boundsUs[p99Bucket] < SIGNIFICANT_DELAY_MS * 1000) {
+        while (fastBucket < boundsUs.length - 1
+                && boundsUs[fastBucket] - boundsUs[p99Bucket] < SIGNIFICANT_DELAY_MS * 1000) {
             fastBucket++;
         }
         return fastBucket;
--- a/src/main/java/olivechute/rollout/EvidenceCodec.java
+++ b/src/main/java/olivechute/rollout/EvidenceCodec.java
@@ -57,8 +57,12 @@
                     .putDouble(estimator.baselineExpected)
                     .putDouble(estimator.stageSquares)
                     .putDouble(estimator.stageExpected);
-            buffer.putDouble(estimator.residualSquares).putDouble(estimator.residualTimesExpected).putDouble(estimator.expectedSquares);
-            buffer.putDouble(estimator.controlBlockSum).putDouble(estimator.controlBaselineSum).putDouble(estimator.controlDriftSum);
+            buffer.putDouble(estimator.residualSquares)
+                    .putDouble(estimator.residualTimesExpected)
+                    .putDouble(estimator.expectedSquares);
+            buffer.putDouble(estimator.controlBlockSum)
+                    .putDouble(estimator.controlBaselineSum)
+                    .putDouble(estimator.controlDriftSum);
             varint(buffer, estimator.baselineCount);
             varint(buffer, estimator.stageCount);
             varint(buffer, estimator.blockCount);
@@ -82,7 +86,8 @@
         for (int i = 0; node.blockStartTotals != null && i < node.blockStartTotals.length; i++) {
             varint(buffer, node.blockStartTotals[i]);
         }
-        for (float[] sums : new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
+        for (float[] sums :
+                new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
             for (float sum : sums) {
                 buffer.putFloat(sum);
             }
@@ -164,7 +169,8 @@
                 node.blockStartTotals[i] = varint(buffer);
             }
         }
-        for (float[] sums : new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
+        for (float[] sums :
+                new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
             for (int series = 0; series < sums.length; series++) {
                 sums[series] = buffer.getFloat();
             }
--- a/src/main/java/olivechute/rollout/EvidenceLimits.java
+++ b/src/main/java/olivechute/rollout/EvidenceLimits.java
@@ -25,7 +25,9 @@
         }
         List<NodeStatus> updateOrder = NodeSelection.updateOrder(spec.id(), nodes, Set.of());
         updateOrder.subList(0, maxNodes / 2).forEach(node -> names.add(node.node()));
-        updateOrder.subList(updateOrder.size() - maxNodes / 2, updateOrder.size()).forEach(node -> names.add(node.node()));
+        updateOrder
+                .subList(updateOrder.size() - maxNodes / 2, updateOrder.size())
+                .forEach(node -> names.add(node.node()));
         return names;
     }
 }
--- a/src/main/java/olivechute/rollout/MetricsAggregator.java
+++ b/src/main/java/olivechute/rollout/MetricsAggregator.java
@@ -29,7 +29,11 @@
     }
 
     /** Whether a block ended. {@code proposed}: all run the old version, what is usual is being learnt. */
-    boolean collect(Collection<NodeStatus> nodes, Map<String, NodeMetrics> metricsByNode, boolean learningBaseline, long nowMs) {
+    boolean collect(
+            Collection<NodeStatus> nodes,
+            Map<String, NodeMetrics> metricsByNode,
+            boolean learningBaseline,
+            long nowMs) {
         long block = Math.floorDiv(nowMs, Evidence.BLOCK_MS);
         if (block == evidence.currentBlock) {
             return false;
@@ -73,7 +77,8 @@
     private void prepare(Map<String, NodeMetrics> metricsByNode, boolean learningBaseline) {
         if (learningBaseline || evidence.classes.isEmpty()) {
             Set<String> classNames = new TreeSet<>(evidence.classes);
-            metricsByNode.values()
+            metricsByNode
+                    .values()
                     .forEach(metrics -> metrics.classes().forEach((name, counts) -> {
                         if (counts.received() > 0 && classNames.size() < Evidence.MAX_CLASSES) {
                             classNames.add(name);
@@ -96,8 +101,10 @@
         }
     }
 
-    private void addSample(NodeStatus status, NodeMetrics metrics, long nowMs, Map<String, List<BlockSample>> samplesByZone) {
-        NodeEvidence node = evidence.nodes.computeIfAbsent(status.node(), name -> new NodeEvidence(evidence.seriesCount()));
+    private void addSample(
+            NodeStatus status, NodeMetrics metrics, long nowMs, Map<String, List<BlockSample>> samplesByZone) {
+        NodeEvidence node =
+                evidence.nodes.computeIfAbsent(status.node(), name -> new NodeEvidence(evidence.seriesCount()));
         boolean isNew = moved.contains(status.node());
         String version = isNew ? spec.toVersion() : spec.fromVersion();
         boolean comparable = metrics != null
@@ -115,7 +122,9 @@
         if (node.blockStartTotals != null && node.incarnation == metrics.incarnation()) {
             long[] delta = MetricsSample.difference(node.blockStartTotals, totals);
             if (delta != null) {
-                samplesByZone.computeIfAbsent(status.zone(), zone -> new ArrayList<>()).add(new BlockSample(node, delta, isNew));
+                samplesByZone
+                        .computeIfAbsent(status.zone(), zone -> new ArrayList<>())
+                        .add(new BlockSample(node, delta, isNew));
                 addTotals(delta, isNew);
             }
         }
@@ -170,11 +179,16 @@
         }
         VarianceEstimator estimator = evidence.estimators[series];
         for (BlockSample sample : samples) {
-            if (sample.isNew || !sample.node.hasBaseline(series) || sampleSize(sample, series) == 0 || total == sampleSize(sample, series)) {
+            if (sample.isNew
+                    || !sample.node.hasBaseline(series)
+                    || sampleSize(sample, series) == 0
+                    || total == sampleSize(sample, series)) {
                 continue;
             }
-            double otherNodesRate = (observed - observedValue(sample, series) / sample.node.baselineRatio(series)) / (total - sampleSize(sample, series));
-            double expected = sampleSize(sample, series) * Math.max(0, otherNodesRate) * sample.node.baselineRatio(series);
+            double otherNodesRate = (observed - observedValue(sample, series) / sample.node.baselineRatio(series))
+                    / (total - sampleSize(sample, series));
+            double expected =
+                    sampleSize(sample, series) * Math.max(0, otherNodesRate) * sample.node.baselineRatio(series);
             double residual = observedValue(sample, series) - expected;
             if (learningBaseline) {
                 estimator.baselineSquares += residual * residual;
--- a/src/main/java/olivechute/rollout/MetricsSample.java
+++ b/src/main/java/olivechute/rollout/MetricsSample.java
@@ -77,7 +77,9 @@
         int outcome = series % Evidence.SERIES_PER_CLASS;
         if (classIndex >= classes.size()) {
             int offset = classes.size() * COUNTS_PER_CLASS;
-            return outcome == 0 ? counts[offset + 1] / 1000.0 + counts[offset] * (double) DelayTailThreshold.SIGNIFICANT_DELAY_MS : counts[offset + 2];
+            return outcome == 0
+                    ? counts[offset + 1] / 1000.0 + counts[offset] * (double) DelayTailThreshold.SIGNIFICANT_DELAY_MS
+                    : counts[offset + 2];
         }
         int offset = classIndex * COUNTS_PER_CLASS;
         return switch (outcome) {
--- a/src/main/java/olivechute/rollout/NodeSelection.java
+++ b/src/main/java/olivechute/rollout/NodeSelection.java
@@ -32,7 +32,9 @@
             if (moved.contains(node.node())) {
                 count[0]++;
             } else {
-                remainingByZone.computeIfAbsent(node.zone(), zone -> new ArrayList<>()).add(node);
+                remainingByZone
+                        .computeIfAbsent(node.zone(), zone -> new ArrayList<>())
+                        .add(node);
             }
         }
         Comparator<NodeStatus> byHash = Comparator.comparingLong(node -> hash(changeId, node.node()));
@@ -41,7 +43,8 @@
         Set<String> openZones = new HashSet<>(remainingByZone.keySet());
         while (!openZones.isEmpty()) {
             String zone = openZones.stream()
-                    .min(Comparator.<String>comparingDouble(name -> countsByZone.get(name)[0] / (double) countsByZone.get(name)[1])
+                    .min(Comparator.<String>comparingDouble(name -> countsByZone.get(name)[0]
+                                    / (double) countsByZone.get(name)[1])
                             .thenComparingLong(name -> hash(changeId, name))
                             .thenComparing(Comparator.naturalOrder()))
                     .orElseThrow();
--- a/src/main/java/olivechute/rollout/OperatorActions.java
+++ b/src/main/java/olivechute/rollout/OperatorActions.java
@@ -43,7 +43,8 @@
     private static RolloutState approveHeldStage(RolloutState state, long nowMs) {
         Evidence evidence = decodeEvidence(state);
         if (evidence.holdReason == Evidence.HoldReason.NO_METRICS) {
-            return withPhase(state, RolloutPhase.MOVING, nowMs, "goes on without figures by an operator's word", evidence);
+            return withPhase(
+                    state, RolloutPhase.MOVING, nowMs, "goes on without figures by an operator's word", evidence);
         }
         if (evidence.holdReason != Evidence.HoldReason.INSUFFICIENT_EVIDENCE) {
             return state;
--- a/src/main/java/olivechute/rollout/PriorityWeights.java
+++ b/src/main/java/olivechute/rollout/PriorityWeights.java
@@ -8,7 +8,8 @@
  * is served late, nothing otherwise. Classes that are not named count 1 and 0.2. {@code delayBoundsUs}: upper ends of
  * the buckets of {@link NodeMetrics#delay()} in us, growing; the last bucket may lie above them all.
  */
-public record PriorityWeights(Map<String, Double> weightByClass, Map<String, Double> lateFractionByClass, long[] delayBoundsUs) {
+public record PriorityWeights(
+        Map<String, Double> weightByClass, Map<String, Double> lateFractionByClass, long[] delayBoundsUs) {
     /** Copies its arguments. */
     public PriorityWeights {
         weightByClass = Map.copyOf(weightByClass);
--- a/src/main/java/olivechute/rollout/RollbackStep.java
+++ b/src/main/java/olivechute/rollout/RollbackStep.java
@@ -32,7 +32,9 @@
                 if (node == null && unavailable) {
                     orders.put(name, spec.fromVersion());
                     remaining.remove(name);
-                } else if (node != null && unavailable == DisruptionBudget.unavailable(node) && budget.tryOrder(node, spec.fromVersion())) {
+                } else if (node != null
+                        && unavailable == DisruptionBudget.unavailable(node)
+                        && budget.tryOrder(node, spec.fromVersion())) {
                     remaining.remove(name);
                 }
             }
@@ -66,6 +68,7 @@
 
     /** How far it is, to follow the cause. */
     String progressText() {
-        return (remaining.isEmpty() ? "" : "; " + remaining.size() + " nodes are still to be taken back") + notReadyText;
+        return (remaining.isEmpty() ? "" : "; " + remaining.size() + " nodes are still to be taken back")
+                + notReadyText;
     }
 }
--- a/src/main/java/olivechute/rollout/Rollout.java
+++ b/src/main/java/olivechute/rollout/Rollout.java
@@ -123,7 +123,8 @@
     /** Learns for as long as the first stage is watched at least how the nodes usually differ. */
     private RolloutDecision learnBaseline() {
         long elapsedMs = nowMs - state.stageSinceMs();
-        boolean hasMetrics = evidence.nodes.values().stream().anyMatch(node -> evidence.seriesCount() > 0 && node.hasBaseline(0));
+        boolean hasMetrics =
+                evidence.nodes.values().stream().anyMatch(node -> evidence.seriesCount() > 0 && node.hasBaseline(0));
         if (elapsedMs >= currentStage().minDurationMs() && hasMetrics) {
             return decide(
                     RolloutPhase.MOVING,
@@ -137,7 +138,8 @@
                     state.stageSinceMs(),
                     "no node told figures for " + elapsedMs / 1000 + " s, nothing has moved");
         }
-        return keepPhase("learns how the nodes usually differ, for " + currentStage().minDurationMs() / 1000 + " s");
+        return keepPhase(
+                "learns how the nodes usually differ, for " + currentStage().minDurationMs() / 1000 + " s");
     }
 
     private RolloutDecision moveNodes() {
@@ -146,7 +148,11 @@
         boolean inTransition = false;
         for (NodeStatus node : nodes) {
             boolean isMoved = moved.contains(node.node());
-            serving += isMoved && !DisruptionBudget.unavailable(node) && spec.toVersion().equals(node.version()) ? 1 : 0;
+            serving += isMoved
+                            && !DisruptionBudget.unavailable(node)
+                            && spec.toVersion().equals(node.version())
+                    ? 1
+                    : 0;
             inTransition |= isMoved && DisruptionBudget.unavailable(node);
         }
         for (NodeStatus node : NodeSelection.updateOrder(spec.id(), nodes, moved)) {
@@ -158,8 +164,8 @@
                 inTransition = true;
             }
         }
-        String progressText =
-                "stage " + (state.stage() + 1) + ": " + serving + " of " + targetNodeCount() + " nodes serve the new version";
+        String progressText = "stage " + (state.stage() + 1) + ": " + serving + " of " + targetNodeCount()
+                + " nodes serve the new version";
         if (moved.size() >= targetNodeCount() && !inTransition) {
             return decide(RolloutPhase.WATCHING, nowMs, progressText + ", compares them with the old ones");
         }
@@ -167,7 +173,10 @@
             evidence.holdReason = Evidence.HoldReason.NODES_UNAVAILABLE;
             return decide(RolloutPhase.HELD, state.stageSinceMs(), progressText + ", " + unavailableText());
         }
-        return keepPhase(progressText + (budget.exhausted() ? ", " + budget.unavailable() + " away of at most " + spec.maxUnavailable() : ""));
+        return keepPhase(progressText
+                + (budget.exhausted()
+                        ? ", " + budget.unavailable() + " away of at most " + spec.maxUnavailable()
+                        : ""));
     }
 
     private void recordMove(String nodeName) {
@@ -184,7 +193,8 @@
     }
 
     private String unavailableText() {
-        return budget.unavailable() + " nodes are away, " + spec.maxUnavailable() + " may be: nothing moves until they are back";
+        return budget.unavailable() + " nodes are away, " + spec.maxUnavailable()
+                + " may be: nothing moves until they are back";
     }
 
     private RolloutDecision watchStage() {
@@ -201,7 +211,8 @@
             return decide(
                     RolloutPhase.HELD,
                     state.stageSinceMs(),
-                    "too little evidence after " + currentStage().maxDurationMs() / 1000 + " s: " + missingEvidence.get());
+                    "too little evidence after " + currentStage().maxDurationMs() / 1000 + " s: "
+                            + missingEvidence.get());
         }
         return keepPhase("stage " + (state.stage() + 1) + " watches: " + missingEvidence.get());
     }
@@ -209,12 +220,12 @@
     /** What the stage lacks to pass, as a clause. */
     private Optional<String> findMissingEvidence() {
         if (nowMs - state.stageSinceMs() < currentStage().minDurationMs()) {
-            return Optional.of(
-                    (nowMs - state.stageSinceMs()) / 10_000 * 10 + " of at least " + currentStage().minDurationMs() / 1000 + " s");
+            return Optional.of((nowMs - state.stageSinceMs()) / 10_000 * 10 + " of at least "
+                    + currentStage().minDurationMs() / 1000 + " s");
         }
         if (evidence.totalNewRequests() < currentStage().minRequests() || evidence.totalNewRequests() == 0) {
-            return Optional.of(
-                    evidence.totalNewRequests() + " of at least " + Math.max(1, currentStage().minRequests()) + " jobs ended at new nodes");
+            return Optional.of(evidence.totalNewRequests() + " of at least "
+                    + Math.max(1, currentStage().minRequests()) + " jobs ended at new nodes");
         }
         boolean noOldNodes = state.stage() > 0 && nodes.stream().allMatch(node -> moved.contains(node.node()));
         return noOldNodes ? Optional.empty() : comparison().findInconclusiveClass();
@@ -227,7 +238,8 @@
         }
         if (evidence.holdReason != Evidence.HoldReason.INSUFFICIENT_EVIDENCE) {
             boolean noneAvailable = moved.size() < targetNodeCount()
-                    && NodeSelection.updateOrder(spec.id(), nodes, moved).stream().allMatch(DisruptionBudget::unavailable);
+                    && NodeSelection.updateOrder(spec.id(), nodes, moved).stream()
+                            .allMatch(DisruptionBudget::unavailable);
             return budget.exhausted() || noneAvailable
                     ? keepPhase(unavailableText())
                     : decide(RolloutPhase.MOVING, state.stageSinceMs(), "the nodes are back, goes on");
@@ -243,15 +255,16 @@
     }
 
     private RolloutDecision advance(String qualifier) {
-        String passedText =
-                "stage " + (state.stage() + 1) + " passed" + qualifier + " with " + evidence.totalNewRequests() + " jobs at new nodes";
+        String passedText = "stage " + (state.stage() + 1) + " passed" + qualifier + " with "
+                + evidence.totalNewRequests() + " jobs at new nodes";
         if (!isLastStage()) {
             evidence.nextStage(moved);
             return decide(state.stage() + 1, RolloutPhase.MOVING, nowMs, passedText);
         }
         if (nodes.stream().allMatch(node -> moved.contains(node.node()))) {
             evidence.resetComparison();
-            return decide(RolloutPhase.DONE, nowMs, passedText + ", all " + moved.size() + " nodes run the new version");
+            return decide(
+                    RolloutPhase.DONE, nowMs, passedText + ", all " + moved.size() + " nodes run the new version");
         }
         return decide(RolloutPhase.MOVING, nowMs, passedText + ", nodes that joined are left");
     }
@@ -267,7 +280,11 @@
                     nextState(state.stage(), RolloutPhase.STOPPED, nowMs, cause + rollback.progressText()), Map.of());
         }
         return new RolloutDecision(
-                nextState(state.stage(), RolloutPhase.ROLLING_BACK, state.stageSinceMs(), cause + rollback.progressText()),
+                nextState(
+                        state.stage(),
+                        RolloutPhase.ROLLING_BACK,
+                        state.stageSinceMs(),
+                        cause + rollback.progressText()),
                 rollback.orders());
     }
 
@@ -291,8 +308,9 @@
     }
 
     private RolloutState nextState(int stage, RolloutPhase phase, long stageSinceMs, String reason) {
-        String fullReason =
-                evidenceLost ? reason + " (the evidence could not be read, the comparison of this stage begins anew)" : reason;
+        String fullReason = evidenceLost
+                ? reason + " (the evidence could not be read, the comparison of this stage begins anew)"
+                : reason;
         return new RolloutState(
                 spec, phase, stage, stageSinceMs, fullReason, new HashSet<>(moved), EvidenceCodec.encode(evidence));
     }
--- a/src/main/java/olivechute/rollout/RolloutSpec.java
+++ b/src/main/java/olivechute/rollout/RolloutSpec.java
@@ -7,7 +7,12 @@
  * it at once.
  */
 public record RolloutSpec(
-        String id, String fromVersion, String toVersion, List<RolloutStage> stages, int maxUnavailable, long readyTimeoutMs) {
+        String id,
+        String fromVersion,
+        String toVersion,
+        List<RolloutStage> stages,
+        int maxUnavailable,
+        long readyTimeoutMs) {
     public RolloutSpec {
         stages = List.copyOf(stages);
     }
--- a/src/main/java/olivechute/rollout/RolloutSpecValidator.java
+++ b/src/main/java/olivechute/rollout/RolloutSpecValidator.java
@@ -15,8 +15,12 @@
     static List<RolloutException> validate(RolloutSpec spec, int nodeCount) {
         RolloutSpecValidator validator = new RolloutSpecValidator();
         validator.require(!spec.id().isEmpty(), "the change has no id");
-        validator.require(!spec.fromVersion().isEmpty() && !spec.toVersion().isEmpty(), "it lacks the version that it goes from or to");
-        validator.require(!spec.fromVersion().equals(spec.toVersion()), "it goes from version " + spec.fromVersion() + " to the same");
+        validator.require(
+                !spec.fromVersion().isEmpty() && !spec.toVersion().isEmpty(),
+                "it lacks the version that it goes from or to");
+        validator.require(
+                !spec.fromVersion().equals(spec.toVersion()),
+                "it goes from version " + spec.fromVersion() + " to the same");
         validator.require(nodeCount > 0, "no node is known");
         validator.require(spec.maxUnavailable() > 0, "mostAway is " + spec.maxUnavailable() + ", nothing could move");
         validator.require(
@@ -37,7 +41,9 @@
                             && (stage.nodes() > 0) != (stage.percent() > 0),
                     stageName + " names neither or both of a number of nodes and a percentage of 1 to 100");
             validator.require(
-                    stage.minDurationMs() >= 0 && stage.maxDurationMs() >= stage.minDurationMs() && stage.maxDurationMs() > 0,
+                    stage.minDurationMs() >= 0
+                            && stage.maxDurationMs() >= stage.minDurationMs()
+                            && stage.maxDurationMs() > 0,
                     stageName + " lasts from " + stage.minDurationMs() + " to " + stage.maxDurationMs() + " ms");
             validator.require(stage.minRequests() >= 0, stageName + " wants " + stage.minRequests() + " jobs");
             int size = NodeSelection.targetNodeCount(stage, nodeCount);
--- a/src/main/java/olivechute/rollout/VarianceEstimator.java
+++ b/src/main/java/olivechute/rollout/VarianceEstimator.java
@@ -35,7 +35,9 @@
      */
     double varianceRate() {
         double pooledRate = (baselineSquares + stageSquares + 3) / (baselineExpected + stageExpected);
-        return stageCount < MIN_SAMPLES || stageExpected <= 0 ? pooledRate : Math.max(pooledRate, stageSquares / stageExpected);
+        return stageCount < MIN_SAMPLES || stageExpected <= 0
+                ? pooledRate
+                : Math.max(pooledRate, stageSquares / stageExpected);
     }
 
     /** Variance of the new nodes' summed rest as they show it themselves, given the shift found. */
@@ -43,12 +45,19 @@
         if (blockCount < 2) {
             return 0;
         }
-        return Math.max(0, residualSquares - 2 * relativeEffect * residualTimesExpected + relativeEffect * relativeEffect * expectedSquares) * blockCount / (blockCount - 1);
+        return Math.max(
+                        0,
+                        residualSquares
+                                - 2 * relativeEffect * residualTimesExpected
+                                + relativeEffect * relativeEffect * expectedSquares)
+                * blockCount
+                / (blockCount - 1);
     }
 
     /** Variance that the old nodes add to the new nodes' summed rest. */
     double controlVariance(double varianceRate, double driftVariance) {
-        return varianceRate * (controlBlockSum + controlBaselineSum * controlBaselineSum) + driftVariance * controlDriftSum * controlDriftSum;
+        return varianceRate * (controlBlockSum + controlBaselineSum * controlBaselineSum)
+                + driftVariance * controlDriftSum * controlDriftSum;
     }
 
     void nextStage() {
--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -196,7 +196,8 @@
                         case "unavailable" -> ListUpdateKind.FAILED;
                         default -> throw event.unknown("scope");
                     };
-            List<EndpointInfo> listed = kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(event.integer("ref"));
+            List<EndpointInfo> listed =
+                    kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(event.integer("ref"));
             if (listed == null) {
                 throw new InvalidValueException("POOL " + event.integer("ref") + " was never defined");
             }
@@ -220,7 +221,8 @@
             long topic = e.integer("topic");
             if (topic == TOPIC_STARTED || topic == TOPIC_PROGRESS) {
                 AttemptSignal signal = topic == TOPIC_STARTED ? AttemptSignal.STARTED : AttemptSignal.PROGRESS;
-                loadBalancer.onAttemptSignal(now, e.text("ref"), (int) e.integerOr("n", 0), signal, e.numberOr("amount", 0));
+                loadBalancer.onAttemptSignal(
+                        now, e.text("ref"), (int) e.integerOr("n", 0), signal, e.numberOr("amount", 0));
             }
         }
 
--- a/src/main/java/olivechute/upstream/ConnectionPools.java
+++ b/src/main/java/olivechute/upstream/ConnectionPools.java
@@ -188,14 +188,18 @@
         if (!exchange.isCancellation()) {
             connectionsByRequestId.remove(exchange.request().requestId());
         }
-        long reuseLimitUs = Math.min(maxIdleUs, exchange.request().requiresNewConnection() ? FRESH_IDLE_US : pool.maxReuseIdleUs(nowUs));
+        long reuseLimitUs = Math.min(
+                maxIdleUs, exchange.request().requiresNewConnection() ? FRESH_IDLE_US : pool.maxReuseIdleUs(nowUs));
         // One that settles sooner than a new one would have its answer is waited for; until then nothing is written.
-        long maxWaitUs = reuseLimitUs < UpstreamConnection.SETTLE_TIME_US ? 0 : Math.max(0, connectTimeEstimator.extraConnectTimeUs() - EventLoop.TICK_US);
+        long maxWaitUs = reuseLimitUs < UpstreamConnection.SETTLE_TIME_US
+                ? 0
+                : Math.max(0, connectTimeEstimator.extraConnectTimeUs() - EventLoop.TICK_US);
         for (UpstreamConnection idleConnection = pool.takeIdle(nowUs, nowUs - reuseLimitUs, maxWaitUs);
                 idleConnection != null;
                 idleConnection = pool.takeIdle(nowUs, nowUs - reuseLimitUs, maxWaitUs)) {
             long settledAtUs = idleConnection.settledAtUs();
-            if (idleConnection.begin(exchange, settledAtUs <= nowUs + maxWaitUs ? Math.max(nowUs, settledAtUs) : nowUs)) {
+            if (idleConnection.begin(
+                    exchange, settledAtUs <= nowUs + maxWaitUs ? Math.max(nowUs, settledAtUs) : nowUs)) {
                 return;
             }
         }
@@ -213,7 +217,9 @@
     }
 
     private int openConnections() {
-        return pools.values().stream().mapToInt(EndpointConnectionPool::openConnections).sum();
+        return pools.values().stream()
+                .mapToInt(EndpointConnectionPool::openConnections)
+                .sum();
     }
 
     private boolean closeOneIdle() {
@@ -291,7 +297,9 @@
     }
 
     void onFailed(Exchange exchange, AttemptOutcome outcome) {
-        if (exchange.retriesIfBroken() && outcome != AttemptOutcome.CONNECT_FAILED && loop.now() < exchange.responseDeadlineUs()) {
+        if (exchange.retriesIfBroken()
+                && outcome != AttemptOutcome.CONNECT_FAILED
+                && loop.now() < exchange.responseDeadlineUs()) {
             loop.post(new ProxyEvent.Task(() -> submit(exchange.request().endpoint(), exchange.withoutRetry())));
             return;
         }
--- a/src/main/java/olivechute/upstream/EndpointConnectionPool.java
+++ b/src/main/java/olivechute/upstream/EndpointConnectionPool.java
@@ -115,7 +115,8 @@
         if (firstSettling > 0 && idleConnections.get(firstSettling - 1).idleSinceUs() >= idleAfterUs) {
             return idleConnections.remove(firstSettling - 1);
         }
-        boolean settlingIsRecent = firstSettling < idleConnections.size() && idleConnections.get(firstSettling).idleSinceUs() >= idleAfterUs;
+        boolean settlingIsRecent = firstSettling < idleConnections.size()
+                && idleConnections.get(firstSettling).idleSinceUs() >= idleAfterUs;
         return settlingIsRecent
                         && (idleConnections.size() - firstSettling >= MAX_SETTLING
                                 || idleConnections.get(firstSettling).settledAtUs() <= nowUs + maxWaitUs)
@@ -156,7 +157,8 @@
     void closeIdle(long beforeUs) {
         List<UpstreamConnection> expired = new ArrayList<>(0);
         synchronized (this) {
-            while (!idleConnections.isEmpty() && (beforeUs == 0 || idleConnections.get(0).idleSinceUs() < beforeUs)) {
+            while (!idleConnections.isEmpty()
+                    && (beforeUs == 0 || idleConnections.get(0).idleSinceUs() < beforeUs)) {
                 expired.add(idleConnections.remove(0));
             }
         }
--- a/src/main/java/olivechute/upstream/Exchange.java
+++ b/src/main/java/olivechute/upstream/Exchange.java
@@ -9,7 +9,12 @@
  * What one connection carries at a time: an upstream request, or the word that gives one up. {@code ends}: its own end
  * is the upstream request's. {@code again}: should its connection break, it is said once more, on another one.
  */
-record Exchange(UpstreamRequest request, boolean isCancellation, boolean reportsEnd, boolean retriesIfBroken, long createdAtUs) {
+record Exchange(
+        UpstreamRequest request,
+        boolean isCancellation,
+        boolean reportsEnd,
+        boolean retriesIfBroken,
+        long createdAtUs) {
     private static final byte[] EMPTY_BODY = new byte[0];
     private static final long CANCEL_TIMEOUT_US = 1_000_000;
     private static final long CONFIRMED_CANCEL_TIMEOUT_US = 400_000;
@@ -32,13 +37,17 @@
 
     /** When an answer is no longer waited for; the loop has given the request up by then. */
     long responseDeadlineUs() {
-        return createdAtUs + (!isCancellation ? request.timeoutUs() + RESPONSE_GRACE_US : reportsEnd ? CONFIRMED_CANCEL_TIMEOUT_US : CANCEL_TIMEOUT_US);
+        return createdAtUs
+                + (!isCancellation
+                        ? request.timeoutUs() + RESPONSE_GRACE_US
+                        : reportsEnd ? CONFIRMED_CANCEL_TIMEOUT_US : CANCEL_TIMEOUT_US);
     }
 
     /** The head of its message, for {@link #body} to follow. */
     ByteBuffer head(String hostHeader, long nowUs) {
         if (isCancellation) {
-            return ByteBuffer.wrap(MessageWriter.request("DELETE", "/jobs/" + request.requestId(), hostHeader, EMPTY_BODY));
+            return ByteBuffer.wrap(
+                    MessageWriter.request("DELETE", "/jobs/" + request.requestId(), hostHeader, EMPTY_BODY));
         }
         Payload payload = request.payload();
         return MessageWriter.upstreamRequestHead(
@@ -52,6 +61,8 @@
 
     ByteBuffer body() {
         Payload payload = request.payload();
-        return isCancellation ? ByteBuffer.wrap(EMPTY_BODY) : ByteBuffer.wrap(payload.bytes(), payload.offset(), payload.length());
+        return isCancellation
+                ? ByteBuffer.wrap(EMPTY_BODY)
+                : ByteBuffer.wrap(payload.bytes(), payload.offset(), payload.length());
     }
 }
--- a/src/main/java/olivechute/upstream/UpstreamConnection.java
+++ b/src/main/java/olivechute/upstream/UpstreamConnection.java
@@ -49,7 +49,8 @@
     private boolean written;
     private long exchangeStartUs;
     private long idleSinceUs;
-    private long idleBeforeExchangeUs = -1; // how long it had stood idle before the current exchange; negative on its first
+    private long idleBeforeExchangeUs =
+            -1; // how long it had stood idle before the current exchange; negative on its first
     private boolean closed;
     private volatile boolean inputPending; // the reader has bytes in hand
 
@@ -165,7 +166,8 @@
      * written.
      */
     private boolean hasUnsolicitedInput() {
-        return transport.hasUnreadInput() || inputPending; // in this order: what is no longer in the one is in the other
+        return transport.hasUnreadInput()
+                || inputPending; // in this order: what is no longer in the one is in the other
     }
 
     /**
@@ -175,7 +177,10 @@
     private boolean mayWrite(Exchange exchange) {
         UpstreamRequest request = exchange.request();
         return exchange.isCancellation()
-                || (isReusable() && request.preSendCheck().maySendFirstByte(request, pools.now(), responseReceived ? 0 : pools.handshakeTimeoutUs()));
+                || (isReusable()
+                        && request.preSendCheck()
+                                .maySendFirstByte(
+                                        request, pools.now(), responseReceived ? 0 : pools.handshakeTimeoutUs()));
     }
 
     private boolean isReusable() {
@@ -207,7 +212,9 @@
             } else {
                 write(firstExchange);
             }
-            for (int read = transport.read(parser.inputBuffer()); read >= 0; read = transport.read(parser.inputBuffer())) {
+            for (int read = transport.read(parser.inputBuffer());
+                    read >= 0;
+                    read = transport.read(parser.inputBuffer())) {
                 inputPending = true;
                 parser.onBytesRead(read);
                 processInput();
@@ -379,7 +386,9 @@
             // A machine that is cut off says nothing: neither a write, which may have to wait for its dial, nor a wait
             // may last for good.
             stalled = currentExchange != null
-                    && ((!written && nowUs - exchangeStartUs > WRITE_TIMEOUT_US + (responseReceived ? 0 : pools.handshakeTimeoutUs()))
+                    && ((!written
+                                    && nowUs - exchangeStartUs
+                                            > WRITE_TIMEOUT_US + (responseReceived ? 0 : pools.handshakeTimeoutUs()))
                             || nowUs > currentExchange.responseDeadlineUs());
         }
         if (stalled) {
--- a/src/test/java/olivechute/LateNodeTest.java
+++ b/src/test/java/olivechute/LateNodeTest.java
@@ -36,7 +36,8 @@
                 opened.accept(e);
             }
         });
-        return front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), PeerIdentity.Authenticator.PLAINTEXT);
+        return front.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), PeerIdentity.Authenticator.PLAINTEXT);
     }
 
     private static void beLate() {
--- a/src/test/java/olivechute/controller/ControllerRig.java
+++ b/src/test/java/olivechute/controller/ControllerRig.java
@@ -32,8 +32,10 @@
     }
 
     ControllerRig(int nodes, ReconcilePlan.StepFunction stepFunction) throws FleetException {
-        firstController = new RolloutController(firstStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r1");
-        secondController = new RolloutController(secondStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r2");
+        firstController =
+                new RolloutController(firstStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r1");
+        secondController =
+                new RolloutController(secondStore, () -> true, clock, Duration.ofSeconds(1), stepFunction, "r2");
         fleet = new ScriptedFleet(store, clock, nodes);
         client.setBaseVersion(VersionSpec.newBuilder()
                 .setId("v1")
--- a/src/test/java/olivechute/controller/OutOfDateNodesTest.java
+++ b/src/test/java/olivechute/controller/OutOfDateNodesTest.java
@@ -11,7 +11,8 @@
 
 /** Which nodes get an order that no change gave. */
 class OutOfDateNodesTest {
-    private static NodeStatus node(String name, String version, NodePhase phase, boolean reachable, String orderedVersion) {
+    private static NodeStatus node(
+            String name, String version, NodePhase phase, boolean reachable, String orderedVersion) {
         return new NodeStatus(name, "z", version, phase, 0, 0, "", reachable, orderedVersion);
     }
 
--- a/src/test/java/olivechute/controller/RolloutClientTest.java
+++ b/src/test/java/olivechute/controller/RolloutClientTest.java
@@ -85,7 +85,8 @@
         assertFails(
                 ErrorCode.CHANGE_UNDER_WAY,
                 () -> client.propose(
-                        ControllerRig.changeSpec("v2"), VersionSpec.newBuilder().setId("v2").build()));
+                        ControllerRig.changeSpec("v2"),
+                        VersionSpec.newBuilder().setId("v2").build()));
         assertEquals("v3", rig.currentChange().getSpec().getId());
         assertTrue(rig.store.get(StoreKeys.VERSION_PREFIX + "v2").isEmpty());
     }
@@ -134,7 +135,8 @@
         });
         new RolloutClient(store, rig.clock)
                 .propose(
-                        ControllerRig.changeSpec("v3"), VersionSpec.newBuilder().setId("v3").build());
+                        ControllerRig.changeSpec("v3"),
+                        VersionSpec.newBuilder().setId("v3").build());
         assertEquals("v2", rig.currentChange().getSpec().getFromVersion());
     }
 
--- a/src/test/java/olivechute/controller/RolloutCommandTest.java
+++ b/src/test/java/olivechute/controller/RolloutCommandTest.java
@@ -131,7 +131,14 @@
                 "--id",
                 "v2");
         assertRun(0, "to: v2", "propose", "--program", jar.toString(), "--id", "v2");
-        assertEquals(64, rig.client.fleetState().versionSpec("v2").orElseThrow().getDigest().length());
+        assertEquals(
+                64,
+                rig.client
+                        .fleetState()
+                        .versionSpec("v2")
+                        .orElseThrow()
+                        .getDigest()
+                        .length());
     }
 
     @Test
--- a/src/test/java/olivechute/controller/RolloutControllerTest.java
+++ b/src/test/java/olivechute/controller/RolloutControllerTest.java
@@ -163,7 +163,8 @@
         }
         rig.fleet.setDisconnected("n1", true);
         rig.rounds(8);
-        assertTrue(rig.client.fleetState().nodes().stream().anyMatch(n -> n.node().equals("n1") && !n.reachable()));
+        assertTrue(
+                rig.client.fleetState().nodes().stream().anyMatch(n -> n.node().equals("n1") && !n.reachable()));
         rig.client.stop();
         rig.runUntilEnded();
         assertEquals("v2", rig.fleet.version("n1"));
@@ -180,19 +181,22 @@
             rig.runUntilEnded();
         }
         FleetState fleet = rig.client.fleetState();
-        assertEquals(ReconcilePlan.MAX_PAST_CHANGES, fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX).size());
+        assertEquals(
+                ReconcilePlan.MAX_PAST_CHANGES,
+                fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX).size());
         assertEquals(0, fleet.version(StoreKeys.PAST_CHANGE_PREFIX + "v5"));
         assertTrue(fleet.version(StoreKeys.PAST_CHANGE_PREFIX + "v25") > 0);
         assertTrue(
-                fleet.entriesUnder(StoreKeys.VERSION_PREFIX).size() <= ReconcilePlan.MAX_PAST_CHANGES + 1, "versions nothing names are gone");
+                fleet.entriesUnder(StoreKeys.VERSION_PREFIX).size() <= ReconcilePlan.MAX_PAST_CHANGES + 1,
+                "versions nothing names are gone");
         assertTrue(fleet.version(StoreKeys.VERSION_PREFIX + "v25") > 0);
     }
 
     @Test
     void onlyTheLeaderActs() throws FleetException {
         AtomicBoolean isLeader = new AtomicBoolean();
-        RolloutController controller =
-                new RolloutController(rig.store, isLeader::get, rig.clock, RolloutController.LEASE_TTL, new SequentialStepFunction(), "r9");
+        RolloutController controller = new RolloutController(
+                rig.store, isLeader::get, rig.clock, RolloutController.LEASE_TTL, new SequentialStepFunction(), "r9");
         rig.propose("v2");
         assertFalse(controller.tick());
         isLeader.set(true);
@@ -202,7 +206,9 @@
         controller.tick();
         assertEquals(
                 "r8",
-                rig.store.acquire(StoreKeys.LEADER_LEASE, "r8", RolloutController.LEASE_TTL).owner());
+                rig.store
+                        .acquire(StoreKeys.LEADER_LEASE, "r8", RolloutController.LEASE_TTL)
+                        .owner());
     }
 
     /** The store is gone for a while: nothing is done, and then it goes on. */
--- a/src/test/java/olivechute/controller/ScriptedFleet.java
+++ b/src/test/java/olivechute/controller/ScriptedFleet.java
@@ -130,7 +130,8 @@
             node.reportCount++;
             ClassCounts counts = new ClassCounts(node.requests, node.requests, 0, 0, 0, 0);
             NodeMetrics metrics = new NodeMetrics(
-                    name, node.version, node.incarnation, node.reportCount, Map.of("sign", counts), 0, new long[] {node.requests
+                    name, node.version, node.incarnation, node.reportCount, Map.of("sign", counts), 0, new long[] {
+                        node.requests
                     });
             writes.add(Write.put(
                     StoreKeys.METRICS_PREFIX + name,
--- a/src/test/java/olivechute/controller/SequentialStepFunction.java
+++ b/src/test/java/olivechute/controller/SequentialStepFunction.java
@@ -26,9 +26,11 @@
         nodes.forEach(n -> nodesByName.put(n.node(), n));
         Set<String> moved = new TreeSet<>(state.moved());
         RolloutStage stage = state.spec().stages().get(state.stage());
-        int target = stage.nodes() > 0 ? Math.min(stage.nodes(), nodesByName.size()) : (nodesByName.size() * stage.percent() + 99) / 100;
-        boolean settled =
-                moved.stream().allMatch(n -> serves(nodesByName.get(n), state.spec().toVersion()));
+        int target = stage.nodes() > 0
+                ? Math.min(stage.nodes(), nodesByName.size())
+                : (nodesByName.size() * stage.percent() + 99) / 100;
+        boolean settled = moved.stream()
+                .allMatch(n -> serves(nodesByName.get(n), state.spec().toVersion()));
         return switch (state.phase()) {
             case PROPOSED -> withoutOrders(state, RolloutPhase.MOVING, 0, nowMs, moved);
             case MOVING -> {
@@ -88,7 +90,8 @@
                 && node.version().equals(version);
     }
 
-    private static RolloutDecision withoutOrders(RolloutState p, RolloutPhase phase, int stage, long since, Set<String> moved) {
+    private static RolloutDecision withoutOrders(
+            RolloutState p, RolloutPhase phase, int stage, long since, Set<String> moved) {
         return new RolloutDecision(
                 new RolloutState(p.spec(), phase, stage, since, phase.name(), moved, p.evidence()), Map.of());
     }
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -99,7 +99,9 @@
 
     private static Map<String, MessageLite> values() throws Exception {
         Map<String, MessageLite> values = new LinkedHashMap<>();
-        values.put(StoreKeys.BASE_VERSION, BaseVersion.newBuilder().setVersion("v1").build());
+        values.put(
+                StoreKeys.BASE_VERSION,
+                BaseVersion.newBuilder().setVersion("v1").build());
         values.put(StoreKeys.CURRENT_CHANGE, record(stateAfterBaseline()));
         values.put(
                 StoreKeys.PAST_CHANGE_PREFIX + "c1",
--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -151,11 +151,13 @@
      * Starts a watch. Where a version is known its first call, which asks for news without a wait, is answered with
      * none.
      */
-    private void watch(StubDiscovery discovery, EndpointListUpdate lastKnownList, WatchTimeouts timeouts) throws Exception {
+    private void watch(StubDiscovery discovery, EndpointListUpdate lastKnownList, WatchTimeouts timeouts)
+            throws Exception {
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(loop, discovery.address(), lastKnownList, timeouts, EndpointListLease.nonExpiring());
+        watch = new EndpointListWatcher(
+                loop, discovery.address(), lastKnownList, timeouts, EndpointListLease.nonExpiring());
         watch.start();
         watch.watch();
         if (!lastKnownList.endpoints().isEmpty()) {
@@ -225,7 +227,8 @@
         Call first = registry.nextCall();
         Call second = registry.nextCall();
         long waitMs = Long.parseLong(first.target().replaceAll(".*timeout_ms=", ""));
-        assertTrue((second.receivedAtNanos() - first.receivedAtNanos()) / 1_000_000 < Math.max(NOTIFIED_AFTER_MS, waitMs + 2000));
+        assertTrue((second.receivedAtNanos() - first.receivedAtNanos()) / 1_000_000
+                < Math.max(NOTIFIED_AFTER_MS, waitMs + 2000));
     }
 
     @Test
@@ -446,7 +449,8 @@
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(loop, agent.address(), knownList(), pushedTimeouts(), EndpointListLease.nonExpiring());
+        watch = new EndpointListWatcher(
+                loop, agent.address(), knownList(), pushedTimeouts(), EndpointListLease.nonExpiring());
         watch.start();
     }
 
--- a/src/test/java/olivechute/downstream/ConnectionLimitTest.java
+++ b/src/test/java/olivechute/downstream/ConnectionLimitTest.java
@@ -44,7 +44,9 @@
         assertEquals(limit.limitAt(2_000), 260 - ConnectionLimit.CHECK_THREADS);
         assertEquals(limit.limitAt(2_000 + ConnectionLimit.REDUCTION_US - 1), 260 - ConnectionLimit.CHECK_THREADS);
         assertEquals(limit.limitAt(2_000 + ConnectionLimit.REDUCTION_US), MAX_CONNECTIONS);
-        assertTrue(limit.beginCheckIfDue(260 - ConnectionLimit.CHECK_THREADS + 1), "what the system refused is to be proven again");
+        assertTrue(
+                limit.beginCheckIfDue(260 - ConnectionLimit.CHECK_THREADS + 1),
+                "what the system refused is to be proven again");
     }
 
     @Test
--- a/src/test/java/olivechute/downstream/IdleConnectionsTest.java
+++ b/src/test/java/olivechute/downstream/IdleConnectionsTest.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import olivechute.downstream.IdleConnections.Kind;
 import olivechute.downstream.IdleConnections.Entry;
+import olivechute.downstream.IdleConnections.Kind;
 import org.testng.annotations.Test;
 
 /** The order in which connections go when room is short, against the plain rule. */
--- a/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
+++ b/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
@@ -14,6 +14,7 @@
 
     @Test
     public void aClientIsCheckedSeveralTimesBeforeItCountsAsGone() {
-        assertTrue(ConnectionReader.PEER_CHECK_INTERVAL_US > 0 && 3 * ConnectionReader.PEER_CHECK_INTERVAL_US < CLIENT_GONE_US);
+        assertTrue(ConnectionReader.PEER_CHECK_INTERVAL_US > 0
+                && 3 * ConnectionReader.PEER_CHECK_INTERVAL_US < CLIENT_GONE_US);
     }
 }
--- a/src/test/java/olivechute/endpointlist/EndpointListLeaseTest.java
+++ b/src/test/java/olivechute/endpointlist/EndpointListLeaseTest.java
@@ -18,7 +18,8 @@
     private static final long POLL_INTERVAL_US = 10 * SECOND_US;
 
     private static EndpointListLease lease(long pollIntervalUs, long drainGraceUs) {
-        return EndpointListLease.forPolledList(new ServiceRules(0, pollIntervalUs, drainGraceUs, 0.3, 8_900_000, 3, SECOND_US, false));
+        return EndpointListLease.forPolledList(
+                new ServiceRules(0, pollIntervalUs, drainGraceUs, 0.3, 8_900_000, 3, SECOND_US, false));
     }
 
     @DataProvider
@@ -38,8 +39,12 @@
         for (long atUs = START_US; atUs < bindsAtUs + SECOND_US; atUs += 10_000) {
             lastHeldUs = lease.holds(atUs) ? atUs : lastHeldUs;
         }
-        assertTrue(lastHeldUs + Math.min(MAX_STALL_US, drainGraceUs) <= bindsAtUs, "held " + (bindsAtUs - lastHeldUs) + " us before");
-        assertTrue(lastHeldUs > START_US + NOTIFIED_AFTER_US - 20_000, "and no shorter than needs be: " + (bindsAtUs - lastHeldUs));
+        assertTrue(
+                lastHeldUs + Math.min(MAX_STALL_US, drainGraceUs) <= bindsAtUs,
+                "held " + (bindsAtUs - lastHeldUs) + " us before");
+        assertTrue(
+                lastHeldUs > START_US + NOTIFIED_AFTER_US - 20_000,
+                "and no shorter than needs be: " + (bindsAtUs - lastHeldUs));
     }
 
     @Test
@@ -92,7 +97,10 @@
         EndpointListLease lease = lease(POLL_INTERVAL_US, SECOND_US / 2);
         lease.onRenewed(START_US);
         lease.onRejected(START_US + SECOND_US, START_US + SECOND_US + IMMEDIATE_REJECTION_US);
-        rejectAfterDelays(lease, START_US + 2 * SECOND_US, START_US + 30 * SECOND_US); // known to be up: these waited in its queue
+        rejectAfterDelays(
+                lease,
+                START_US + 2 * SECOND_US,
+                START_US + 30 * SECOND_US); // known to be up: these waited in its queue
         assertFalse(lease.holds(START_US + NOTIFIED_AFTER_US + SECOND_US / 2));
         lease.onRenewed(START_US + 30 * SECOND_US);
         rejectAfterDelays(lease, START_US + 31 * SECOND_US, START_US + 40 * SECOND_US);
@@ -140,7 +148,12 @@
 
     @DataProvider
     public Object[][] everies() {
-        return new Object[][] {{0L, NOTIFIED_AFTER_US}, {POLL_INTERVAL_US, NOTIFIED_AFTER_US}, {2 * SECOND_US, 2 * SECOND_US}, {SECOND_US, SECOND_US}};
+        return new Object[][] {
+            {0L, NOTIFIED_AFTER_US},
+            {POLL_INTERVAL_US, NOTIFIED_AFTER_US},
+            {2 * SECOND_US, 2 * SECOND_US},
+            {SECOND_US, SECOND_US}
+        };
     }
 
     @Test(dataProvider = "everies")
--- a/src/test/java/olivechute/endpointlist/ListPlausibilityCheckTest.java
+++ b/src/test/java/olivechute/endpointlist/ListPlausibilityCheckTest.java
@@ -21,7 +21,8 @@
     }
 
     @Test(dataProvider = "answers")
-    public void listThatLacksMoreThanHalfOfTheKnownEndpointsIsImplausible(Set<String> known, Set<String> listed, boolean implausible) {
+    public void listThatLacksMoreThanHalfOfTheKnownEndpointsIsImplausible(
+            Set<String> known, Set<String> listed, boolean implausible) {
         ListPlausibilityCheck check = new ListPlausibilityCheck();
         check.onFullList(known);
         assertEquals(check.isImplausible(listed), implausible);
--- a/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
+++ b/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
@@ -19,10 +19,12 @@
     private static final long POLL_INTERVAL_US = 10_000_000;
     private static final int NOTIFIED_AFTER_MS = 6000; // after discovery had a change, whatever became of calls
     private static final int DRAIN_GRACE_MS = 500;
-    private static final int MAX_RETRY_PAUSE_MS = 500; // the module's longest before it asks again after a first failure
+    private static final int MAX_RETRY_PAUSE_MS =
+            500; // the module's longest before it asks again after a first failure
     private static final int CALL_TIME_MS = 500; // dial, queue and answer of a call, with room
     private static final int REJECTED_AFTER_MS = 2000; // after so long a busy discovery refuses
-    private static final int MAX_BUSY_ANSWER_TIME_MS = 3034; // the longest after which a crowded discovery was seen to answer
+    private static final int MAX_BUSY_ANSWER_TIME_MS =
+            3034; // the longest after which a crowded discovery was seen to answer
     private static final int NODES = 100;
     private static final int SEEDS = 20;
     private static final double SYNCHRONIZED_CALLS_PER_SECOND = 47; // calls that discovery answers
@@ -68,7 +70,10 @@
                 REJECTED_AFTER_MS < timeouts.afterFailure().timeoutMs(),
                 "a refusal is waited for, so that the place in the queue is not given up");
         assertTrue(call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS < NOTIFIED_AFTER_MS, call.toString());
-        assertTrue(call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS < NOTIFIED_AFTER_MS + DRAIN_GRACE_MS, call.toString());
+        assertTrue(
+                call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS
+                        < NOTIFIED_AFTER_MS + DRAIN_GRACE_MS,
+                call.toString());
     }
 
     /**
@@ -106,7 +111,8 @@
     public void silentFullListCallIsRepeatedInTimeEvenIfTheFirstRetryIsRejected() {
         WatchTimeouts timeouts = polled(0);
         assertEquals(timeouts.fullList().waitMs(), 0);
-        assertTrue(timeouts.fullList().timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS < NOTIFIED_AFTER_MS);
+        assertTrue(timeouts.fullList().timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS
+                < NOTIFIED_AFTER_MS);
     }
 
     /** Milliseconds of the settings, and the longest wait that they leave where discovery is asked. */
@@ -126,9 +132,12 @@
         assertEquals(longest.timeoutMs() - longest.waitMs(), shortest.timeoutMs() - shortest.waitMs());
         assertTrue(pollIntervalMs == 0 || longest.timeoutMs() <= pollIntervalMs, longest.toString());
         for (Object[] grace : graces()) {
-            WatchTimeouts agent = new WatchTimeouts(true, rules(1000L * pollIntervalMs, 1000L * (int) grace[0]), () -> 0.5);
+            WatchTimeouts agent =
+                    new WatchTimeouts(true, rules(1000L * pollIntervalMs, 1000L * (int) grace[0]), () -> 0.5);
             assertTrue(
-                    pollIntervalMs == 0 || (agent.watch().timeoutMs() <= pollIntervalMs && agent.agentRetryPauseMs() <= pollIntervalMs),
+                    pollIntervalMs == 0
+                            || (agent.watch().timeoutMs() <= pollIntervalMs
+                                    && agent.agentRetryPauseMs() <= pollIntervalMs),
                     agent.watch().toString());
         }
     }
@@ -176,7 +185,8 @@
     private record ScheduledCall(double atMs, int node, boolean afterSilentWatch) {}
 
     private static PriorityQueue<ScheduledCall> callQueue() {
-        return new PriorityQueue<>(Comparator.comparingDouble(ScheduledCall::atMs).thenComparing(ScheduledCall::node));
+        return new PriorityQueue<>(
+                Comparator.comparingDouble(ScheduledCall::atMs).thenComparing(ScheduledCall::node));
     }
 
     private static WatchTimeouts[] randomizedFleet(long seed) {
@@ -222,7 +232,8 @@
      * A change at 0 that all silent watches miss. Discovery answers {@code perSecond} calls in turn and refuses what
      * has waited for 2 s; an answer with news leads to another call.
      */
-    private static FleetCalls simulateMinute(WatchTimeouts[] timeouts, double[] timedOutAtMs, double callsPerSecond, long seed) {
+    private static FleetCalls simulateMinute(
+            WatchTimeouts[] timeouts, double[] timedOutAtMs, double callsPerSecond, long seed) {
         int calls = 0;
         int rejected = 0;
         int late = 0;
@@ -238,12 +249,21 @@
             double startMs = Math.max(scheduled.atMs, discoveryFreeAtMs);
             if (startMs > scheduled.atMs + REJECTED_AFTER_MS) {
                 rejected++;
-                queue.add(new ScheduledCall(scheduled.atMs + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS * (1 + random.nextDouble()) / 2, scheduled.node, scheduled.afterSilentWatch));
+                queue.add(new ScheduledCall(
+                        scheduled.atMs + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS * (1 + random.nextDouble()) / 2,
+                        scheduled.node,
+                        scheduled.afterSilentWatch));
                 continue;
             }
             discoveryFreeAtMs = startMs + 1000 / callsPerSecond;
             late += scheduled.afterSilentWatch && discoveryFreeAtMs > NOTIFIED_AFTER_MS + DRAIN_GRACE_MS ? 1 : 0;
-            queue.add(new ScheduledCall(discoveryFreeAtMs + (scheduled.afterSilentWatch ? 0 : timeouts[scheduled.node].watch().waitMs()), scheduled.node, false));
+            queue.add(new ScheduledCall(
+                    discoveryFreeAtMs
+                            + (scheduled.afterSilentWatch
+                                    ? 0
+                                    : timeouts[scheduled.node].watch().waitMs()),
+                    scheduled.node,
+                    false));
         }
         return new FleetCalls(calls, rejected, late);
     }
@@ -257,14 +277,16 @@
         System.out.println("seeds " + SEED + " to " + (SEED + SEEDS - 1));
         for (long seed = SEED; seed < SEED + SEEDS; seed++) {
             WatchTimeouts[] timeouts = randomizedFleet(seed);
-            FleetCalls randomized = simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, seed);
+            FleetCalls randomized =
+                    simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, seed);
             assertEquals(randomized.rejected, 0, seed + ": " + randomized);
             assertEquals(randomized.late, 0, seed + ": " + randomized);
             assertTrue(randomized.calls <= NODES * 60 / 2, seed + ": " + randomized);
         }
         for (Object[] random : chances()) {
             WatchTimeouts[] timeouts = uniformFleet((double) random[0]);
-            FleetCalls uniform = simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, SEED);
+            FleetCalls uniform =
+                    simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, SEED);
             System.out.println("without chance, " + random[0] + ": " + uniform);
             assertTrue(
                     uniform.late > 0,
@@ -285,12 +307,17 @@
             long seed = SEED + i;
             int silentFromMs = 60_000 + i * MAX_ROUND_MS / SEEDS; // anywhere in a round
             WatchTimeouts[] timeouts = randomizedFleet(seed);
-            FleetCalls randomized = simulateMinute(timeouts, timeoutsAfterIdlePeriodMs(timeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
+            FleetCalls randomized = simulateMinute(
+                    timeouts, timeoutsAfterIdlePeriodMs(timeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
             assertEquals(randomized.rejected, 0, seed + ": " + randomized);
             assertEquals(randomized.late, 0, seed + ": " + randomized);
             for (int c = 0; c < late.length; c++) {
                 WatchTimeouts[] uniformTimeouts = uniformFleet((double) chances()[c][0]);
-                FleetCalls uniform = simulateMinute(uniformTimeouts, timeoutsAfterIdlePeriodMs(uniformTimeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
+                FleetCalls uniform = simulateMinute(
+                        uniformTimeouts,
+                        timeoutsAfterIdlePeriodMs(uniformTimeouts, silentFromMs),
+                        LATER_CALLS_PER_SECOND,
+                        seed);
                 rejected[c] += uniform.rejected;
                 late[c] += uniform.late;
             }
--- a/src/test/java/olivechute/health/ConnectionHealthTest.java
+++ b/src/test/java/olivechute/health/ConnectionHealthTest.java
@@ -23,7 +23,8 @@
     @BeforeMethod
     public void listNineEndpoints() {
         nowUs = 100 * S;
-        health = new ConnectionHealth(HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.nonExpiring());
+        health = new ConnectionHealth(
+                HealthSettings.DEFAULT, 2, List.of("t"), () -> 0.5, EndpointListLease.nonExpiring());
         for (int i = 0; i < 9; i++) {
             health.onListed("s" + i, 0);
         }
@@ -51,7 +52,10 @@
     private String describe(String endpoint) {
         List<String> lines = new ArrayList<>();
         health.describeForLog(nowUs, (name, description) -> lines.add(name + ": " + description));
-        return lines.stream().filter(t -> t.startsWith(endpoint + ":")).findFirst().orElseThrow();
+        return lines.stream()
+                .filter(t -> t.startsWith(endpoint + ":"))
+                .findFirst()
+                .orElseThrow();
     }
 
     @Test
@@ -232,15 +236,21 @@
                 for (int k = 0; k < 2; k++) {
                     int ejectedForClass = 0;
                     for (int h = 0; h < 9; h++) {
-                        ejectedForClass += ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, k) ? 1 : 0;
+                        ejectedForClass +=
+                                ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, k) ? 1 : 0;
                     }
-                    assertTrue(ejectedForClass <= 3 + 4, "seed " + seed + " step " + i + ": " + ejectedForClass + " alone");
+                    assertTrue(
+                            ejectedForClass <= 3 + 4,
+                            "seed " + seed + " step " + i + ": " + ejectedForClass + " alone");
                 }
                 int ejectedForAllClasses = 0;
                 for (int h = 0; h < 9; h++) {
-                    ejectedForAllClasses += ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, -1) ? 1 : 0;
+                    ejectedForAllClasses +=
+                            ((EndpointConnectionHealth) health.endpoint("s" + h)).isEjected(nowUs, -1) ? 1 : 0;
                 }
-                assertTrue(ejectedForAllClasses <= 3, "seed " + seed + " step " + i + ": " + ejectedForAllClasses + " alone with all");
+                assertTrue(
+                        ejectedForAllClasses <= 3,
+                        "seed " + seed + " step " + i + ": " + ejectedForAllClasses + " alone with all");
             }
             nowUs += 30 * S;
             for (int h = 0; h < 9; h++) {
--- a/src/test/java/olivechute/http/ParserPropertyTest.java
+++ b/src/test/java/olivechute/http/ParserPropertyTest.java
@@ -85,7 +85,11 @@
                 if (released) {
                     Body releasedBody = message.content();
                     parser.releaseMessage(true);
-                    Arrays.fill(releasedBody.bytes(), releasedBody.offset(), releasedBody.offset() + releasedBody.length(), (byte) 0xDD);
+                    Arrays.fill(
+                            releasedBody.bytes(),
+                            releasedBody.offset(),
+                            releasedBody.offset() + releasedBody.length(),
+                            (byte) 0xDD);
                 } else {
                     parser.releaseMessage(false);
                     inUse.add(message.content());
--- a/src/test/java/olivechute/http/ParserTableTest.java
+++ b/src/test/java/olivechute/http/ParserTableTest.java
@@ -80,7 +80,8 @@
             {"HTTP/1.1 200\r\nContent-Length: 2" + HEAD_END + "ok", "200 'ok' keep"},
             {"HTTP/1.1 100 Continue" + HEAD_END, "100 '' keep"},
             {
-                "HTTP/1.1 503 Busy\r\nConnection: close\r\nTransfer-Encoding: chunked" + HEAD_END + "1\r\na\r\n0" + HEAD_END,
+                "HTTP/1.1 503 Busy\r\nConnection: close\r\nTransfer-Encoding: chunked" + HEAD_END + "1\r\na\r\n0"
+                        + HEAD_END,
                 "503 'a' close"
             },
             {"HTTP/1.1 500 Oops" + HEAD_END + "rest", "500 'rest' close"},
@@ -99,7 +100,8 @@
             }
             if (actual.isEmpty()) {
                 HttpResponse response = parser.take();
-                actual = response.status() + " '" + text(response.body()) + "' " + (response.keepAlive() ? "keep" : "close");
+                actual = response.status() + " '" + text(response.body()) + "' "
+                        + (response.keepAlive() ? "keep" : "close");
             }
             assertEquals(actual, expected);
         }
--- a/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
+++ b/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
@@ -38,7 +38,8 @@
     void sameSeedRepeatsTheRunAndAnotherSeedDoesNot() {
         String first = RecordedRun.execute(plans(1).get(0));
         assertEquals(first, RecordedRun.execute(plans(1).get(0)));
-        assertTrue(!first.split(" ")[2].equals(RecordedRun.execute(plans(2).get(0)).split(" ")[2]));
+        assertTrue(
+                !first.split(" ")[2].equals(RecordedRun.execute(plans(2).get(0)).split(" ")[2]));
     }
 
     private static List<RecordedRun.Plan> plans(long seed) {
@@ -80,7 +81,18 @@
             Idempotency idempotency,
             DeduplicationScope deduplicationScope,
             long deduplicationWindowUs) {
-        return new RequestClass(name, deadlineUs, latencyObjectiveUs, 2, priorityWeight, 0.25 * priorityWeight, idempotency, deduplicationScope, deduplicationWindowUs, null, 0);
+        return new RequestClass(
+                name,
+                deadlineUs,
+                latencyObjectiveUs,
+                2,
+                priorityWeight,
+                0.25 * priorityWeight,
+                idempotency,
+                deduplicationScope,
+                deduplicationWindowUs,
+                null,
+                0);
     }
 
     private static List<Tenant> tenants() {
@@ -90,14 +102,42 @@
     private static LoadBalancerSettings harbourStamps() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("inspect", 4 * SECOND, 200 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
                         requestClass(
-                                "stamp", 4 * SECOND, 200 * MILLISECOND, 6, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0),
-                        requestClass("register", 6 * SECOND, 300 * MILLISECOND, 4, Idempotency.KEYED, DeduplicationScope.ALL, 4 * SECOND)),
+                                "inspect",
+                                4 * SECOND,
+                                200 * MILLISECOND,
+                                1,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0),
+                        requestClass(
+                                "stamp",
+                                4 * SECOND,
+                                200 * MILLISECOND,
+                                6,
+                                Idempotency.NOT_IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0),
+                        requestClass(
+                                "register",
+                                6 * SECOND,
+                                300 * MILLISECOND,
+                                4,
+                                Idempotency.KEYED,
+                                DeduplicationScope.ALL,
+                                4 * SECOND)),
                 tenants(),
                 "z0",
                 6,
-                new ServiceRules(10 * MILLISECOND, 2 * SECOND, 800 * MILLISECOND, 0.3, 6 * SECOND, 3.5, 1500 * MILLISECOND, false),
+                new ServiceRules(
+                        10 * MILLISECOND,
+                        2 * SECOND,
+                        800 * MILLISECOND,
+                        0.3,
+                        6 * SECOND,
+                        3.5,
+                        1500 * MILLISECOND,
+                        false),
                 new DispatchLimits(false, true, false, true, 2, 1500 * MILLISECOND, 8 * SECOND),
                 LoadReporting.WITH_RESPONSES,
                 true,
@@ -111,14 +151,35 @@
     private static LoadBalancerSettings quarryScans() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("preview", 3 * SECOND, 200 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
-                        requestClass("index", 3 * SECOND, 200 * MILLISECOND, 5, Idempotency.KEYED, DeduplicationScope.ALL, 1500 * MILLISECOND),
                         requestClass(
-                                "archive", 9 * SECOND, 300 * MILLISECOND, 8, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0)),
+                                "preview",
+                                3 * SECOND,
+                                200 * MILLISECOND,
+                                1,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0),
+                        requestClass(
+                                "index",
+                                3 * SECOND,
+                                200 * MILLISECOND,
+                                5,
+                                Idempotency.KEYED,
+                                DeduplicationScope.ALL,
+                                1500 * MILLISECOND),
+                        requestClass(
+                                "archive",
+                                9 * SECOND,
+                                300 * MILLISECOND,
+                                8,
+                                Idempotency.NOT_IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0)),
                 tenants(),
                 "z0",
                 6,
-                new ServiceRules(10 * MILLISECOND, 0, 1200 * MILLISECOND, 0.3, 6 * SECOND, 3, 1500 * MILLISECOND, false),
+                new ServiceRules(
+                        10 * MILLISECOND, 0, 1200 * MILLISECOND, 0.3, 6 * SECOND, 3, 1500 * MILLISECOND, false),
                 new DispatchLimits(false, true, false, true, 3, 1500 * MILLISECOND, 20 * SECOND),
                 LoadReporting.NONE,
                 true,
@@ -132,8 +193,22 @@
     private static LoadBalancerSettings probed() {
         return new LoadBalancerSettings(
                 List.of(
-                        requestClass("sign", 5 * SECOND, 300 * MILLISECOND, 3, Idempotency.KEYED, DeduplicationScope.ZONE, 2 * SECOND),
-                        requestClass("verify", 4 * SECOND, 150 * MILLISECOND, 1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0),
+                        requestClass(
+                                "sign",
+                                5 * SECOND,
+                                300 * MILLISECOND,
+                                3,
+                                Idempotency.KEYED,
+                                DeduplicationScope.ZONE,
+                                2 * SECOND),
+                        requestClass(
+                                "verify",
+                                4 * SECOND,
+                                150 * MILLISECOND,
+                                1,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.ALL,
+                                0),
                         new RequestClass(
                                 "large-only",
                                 5 * SECOND,
--- a/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
+++ b/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
@@ -51,8 +51,19 @@
 
     private void startFleet(int nodeCount, double requestRate, int endpointCount) {
         RequestClass requestClass = new RequestClass(
-                "c", 5 * SECOND, 150 * MILLISECOND, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * SECOND, null, 0);
-        LoadBalancerSettings base = Harness.settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false);
+                "c",
+                5 * SECOND,
+                150 * MILLISECOND,
+                2,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                2 * SECOND,
+                null,
+                0);
+        LoadBalancerSettings base =
+                Harness.settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false);
         settings = Harness.withoutProbes(base, nodeCount);
         initialList = new EndpointInfo[endpointCount];
         for (int w = 0; w < endpointCount; w++) {
@@ -128,13 +139,24 @@
             if (entry.getValue() <= nowUs) {
                 endpoint.runningUntilUs.remove(entry.getKey());
                 Harness node = entry.getKey().node();
-                if (node.requests.get(entry.getKey().requestId()).outcomes.get(entry.getKey().attempt()) == null) {
+                if (node.requests
+                                .get(entry.getKey().requestId())
+                                .outcomes
+                                .get(entry.getKey().attempt())
+                        == null) {
                     node.endAttempt(
                             entry.getKey().requestId(),
                             entry.getKey().attempt(),
                             AttemptOutcome.OK,
                             new LoadReport(
-                                    Math.max(0, SLOTS_PER_ENDPOINT - endpoint.runningUntilUs.size() - endpoint.queue.size()), Double.NaN, 0.5, 10));
+                                    Math.max(
+                                            0,
+                                            SLOTS_PER_ENDPOINT
+                                                    - endpoint.runningUntilUs.size()
+                                                    - endpoint.queue.size()),
+                                    Double.NaN,
+                                    0.5,
+                                    10));
                 }
             }
         }
@@ -167,8 +189,9 @@
     private static int maxInWindow(List<Long> timesUs, long windowUs) {
         int most = 0;
         for (long from : timesUs) {
-            most = Math.max(most, (int)
-                    timesUs.stream().filter(t -> t >= from && t < from + windowUs).count());
+            most = Math.max(most, (int) timesUs.stream()
+                    .filter(t -> t >= from && t < from + windowUs)
+                    .count());
         }
         return most;
     }
@@ -181,7 +204,9 @@
         startFleet(20, 7, 10); // 70 % of what ten workers bear
         runUntil(3 * SECOND);
         for (int i = 0; i < 6; i++) {
-            updateList(endpointInfo("new" + i, 0, EndpointState.ACTIVE, nowUs), endpointInfo("w" + i, 0, EndpointState.DRAINING, 0));
+            updateList(
+                    endpointInfo("new" + i, 0, EndpointState.ACTIVE, nowUs),
+                    endpointInfo("w" + i, 0, EndpointState.DRAINING, 0));
             runUntil(3 * SECOND + (i + 1) * 1100L * MILLISECOND);
         }
         long replacedAtUs = nowUs;
@@ -189,14 +214,20 @@
         for (int i = 0; i < 6; i++) {
             List<Long> arrivalsUs = endpoints.get("new" + i).arrivalsUs;
             long startedAtUs = 3 * SECOND + i * 1100L * MILLISECOND;
-            assertTrue(!arrivalsUs.isEmpty() && arrivalsUs.get(0) < startedAtUs + 2 * SECOND, "new" + i + " idle, seed " + SEED);
-            List<Long> earlyArrivalsUs = arrivalsUs.stream().filter(t -> t < startedAtUs + 2 * SECOND).toList();
+            assertTrue(
+                    !arrivalsUs.isEmpty() && arrivalsUs.get(0) < startedAtUs + 2 * SECOND,
+                    "new" + i + " idle, seed " + SEED);
+            List<Long> earlyArrivalsUs = arrivalsUs.stream()
+                    .filter(t -> t < startedAtUs + 2 * SECOND)
+                    .toList();
             assertTrue(
                     maxInWindow(earlyArrivalsUs, SECOND) * RUN_TIME_US <= 3 * 0.28 * SLOTS_PER_ENDPOINT * SECOND,
                     maxInWindow(earlyArrivalsUs, SECOND) + " at new" + i + " in a second, seed " + SEED);
         }
         runUntil(nowUs + 6 * SECOND);
-        assertTrue(countAnswers("served") > 0.75 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
+        assertTrue(
+                countAnswers("served") > 0.75 * requestCount(),
+                countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /** zone: three in ten vanish for 5 s; what all nodes lose by trying them is bounded, and they are used again. */
@@ -277,7 +308,9 @@
                             .orElse(0));
         }
         assertTrue(longestQueue <= 2 * SLOTS_PER_ENDPOINT, longestQueue + " in one queue, seed " + SEED);
-        assertTrue(countAnswers("served") > 0.85 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
+        assertTrue(
+                countAnswers("served") > 0.85 * requestCount(),
+                countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /** zone: one of ten fails all it gets; a hundred nodes find out one by one, and next to no job is lost for it. */
@@ -286,9 +319,13 @@
         startFleet(100, 1.5, 10);
         endpoints.get("w0").failsRequests = true;
         runUntil(12 * SECOND);
-        assertTrue(countOutcomes(AttemptOutcome.ERROR) > 20, countOutcomes(AttemptOutcome.ERROR) + " errors, seed " + SEED);
+        assertTrue(
+                countOutcomes(AttemptOutcome.ERROR) > 20,
+                countOutcomes(AttemptOutcome.ERROR) + " errors, seed " + SEED);
         // 31 of 1,751 as it is, for want of room; 59 where nothing is repeated.
-        assertTrue(countAnswers("refused") + countAnswers("failed") <= 45, countAnswers("refused") + " refused, seed " + SEED);
+        assertTrue(
+                countAnswers("refused") + countAnswers("failed") <= 45,
+                countAnswers("refused") + " refused, seed " + SEED);
     }
 
     /**
@@ -304,7 +341,9 @@
         assertTrue(
                 countOutcomes(AttemptOutcome.CONNECT_FAILED) <= 12,
                 countOutcomes(AttemptOutcome.CONNECT_FAILED) + " failed dials, seed " + SEED);
-        assertTrue(countAnswers("served") > 0.9 * requestCount(), countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
+        assertTrue(
+                countAnswers("served") > 0.9 * requestCount(),
+                countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /**
@@ -338,7 +377,9 @@
             callsUs.add(node.nowUs);
             latestUs = Math.max(latestUs, node.nowUs);
         }
-        assertTrue(maxInWindow(callsUs, 100 * MILLISECOND) <= 20, maxInWindow(callsUs, 100 * MILLISECOND) + " calls in a tenth of a second, seed " + SEED);
+        assertTrue(
+                maxInWindow(callsUs, 100 * MILLISECOND) <= 20,
+                maxInWindow(callsUs, 100 * MILLISECOND) + " calls in a tenth of a second, seed " + SEED);
         assertTrue(latestUs <= 3 * SECOND + 4 * SECOND, "the last one after " + latestUs + " us, seed " + SEED);
     }
 }
--- a/src/test/java/olivechute/loadbalancing/Harness.java
+++ b/src/test/java/olivechute/loadbalancing/Harness.java
@@ -64,7 +64,8 @@
     }
 
     static RequestClass requestClass(String name, Idempotency idempotency, DeduplicationScope deduplicationScope) {
-        return new RequestClass(name, 5 * SECOND, 300 * MILLISECOND, 2, 1, 0, idempotency, deduplicationScope, 2 * SECOND, null, 0);
+        return new RequestClass(
+                name, 5 * SECOND, 300 * MILLISECOND, 2, 1, 0, idempotency, deduplicationScope, 2 * SECOND, null, 0);
     }
 
     static LoadBalancerSettings settings(
@@ -89,7 +90,8 @@
                 true);
     }
 
-    static LoadBalancerSettings withDrainRuleAndTail(LoadBalancerSettings base, boolean onlyDrainingBinds, TailObjective tail) {
+    static LoadBalancerSettings withDrainRuleAndTail(
+            LoadBalancerSettings base, boolean onlyDrainingBinds, TailObjective tail) {
         ServiceRules rules = base.rules();
         return new LoadBalancerSettings(
                 base.classes(),
@@ -191,7 +193,8 @@
             listedEndpoints.put(endpoint.name(), endpoint);
             if (endpoint.state() == EndpointState.ACTIVE) {
                 drainedAtUs.remove(endpoint.name());
-            } else if (endpoint.state() == EndpointState.DRAINING || !settings.rules().keepsUnlistedEndpoints()) {
+            } else if (endpoint.state() == EndpointState.DRAINING
+                    || !settings.rules().keepsUnlistedEndpoints()) {
                 drainedAtUs.putIfAbsent(endpoint.name(), nowUs);
             }
         }
@@ -240,7 +243,8 @@
         if (outcome == AttemptOutcome.OK && tracked.answer == null) {
             tracked.answer = "served";
         }
-        loadBalancer.onAttemptEnd(nowUs, id, attempt, outcome, nowUs - tracked.sentAtUs.get(attempt), tracked.answer != null, load);
+        loadBalancer.onAttemptEnd(
+                nowUs, id, attempt, outcome, nowUs - tracked.sentAtUs.get(attempt), tracked.answer != null, load);
     }
 
     /**
@@ -281,7 +285,11 @@
             }
             if (overdue != null) {
                 nowUs = Math.max(nowUs, overdue.arrivedAtUs + overdue.request.timeLeftUs());
-                endAttempt(overdue.request.id(), overdue.outcomes.lastIndexOf(null), AttemptOutcome.TIMEOUT, LoadReport.NONE);
+                endAttempt(
+                        overdue.request.id(),
+                        overdue.outcomes.lastIndexOf(null),
+                        AttemptOutcome.TIMEOUT,
+                        LoadReport.NONE);
                 continue;
             }
             if (nextTimer == null) {
@@ -292,7 +300,9 @@
             loadBalancer.onTimer(nowUs, nextTimer[1]);
             for (TrackedRequest tracked : requests.values()) {
                 assertTrue(
-                        tracked.answer != null || tracked.attemptsInFlight() > 0 || nowUs <= tracked.arrivedAtUs + tracked.request.timeLeftUs() + 8 * MILLISECOND,
+                        tracked.answer != null
+                                || tracked.attemptsInFlight() > 0
+                                || nowUs <= tracked.arrivedAtUs + tracked.request.timeLeftUs() + 8 * MILLISECOND,
                         "no answer in time for " + tracked.request.id());
             }
         }
@@ -315,7 +325,8 @@
         assertEquals(null, tracked.answer, "sent after the final answer");
         assertTrue(listedEndpoints.containsKey(endpoint), "never listed");
         assertTrue(
-                drainedAtUs.get(endpoint) == null || nowUs <= drainedAtUs.get(endpoint) + 500 * MILLISECOND, "sent to a drained worker");
+                drainedAtUs.get(endpoint) == null || nowUs <= drainedAtUs.get(endpoint) + 500 * MILLISECOND,
+                "sent to a drained worker");
         assertTrue(tracked.endpoints.size() < settings.limits().maxAttempts(), "too many attempts");
         if (!settings.limits().hedgingAllowed()) {
             assertEquals(0, tracked.attemptsInFlight(), "two attempts out");
@@ -329,13 +340,16 @@
             if (mayHaveRun && tracked.requestClass.idempotency() == Idempotency.KEYED) {
                 EndpointInfo first = listedEndpoints.get(tracked.endpoints.get(i));
                 EndpointInfo next = listedEndpoints.get(endpoint);
-                assertTrue(nowUs <= tracked.sentAtUs.get(i) + tracked.requestClass.deduplicationWindowUs(), "repeat after the window");
+                assertTrue(
+                        nowUs <= tracked.sentAtUs.get(i) + tracked.requestClass.deduplicationWindowUs(),
+                        "repeat after the window");
                 assertTrue(
                         tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL
                                 || first.zone().equals(next.zone()),
                         "repeat outside the zone");
                 assertTrue(
-                        tracked.requestClass.deduplicationScope() != DeduplicationScope.CELL || first.cell() == next.cell(),
+                        tracked.requestClass.deduplicationScope() != DeduplicationScope.CELL
+                                || first.cell() == next.cell(),
                         "repeat outside the cell");
             }
         }
@@ -348,7 +362,8 @@
     @Override
     public void reject(String id, long retryAfterUs) {
         TrackedRequest tracked = requests.get(id);
-        boolean neverExecuted = tracked.outcomes.stream().allMatch(outcome -> outcome != null && outcome.neverExecuted());
+        boolean neverExecuted =
+                tracked.outcomes.stream().allMatch(outcome -> outcome != null && outcome.neverExecuted());
         assertTrue(
                 tracked.requestClass.idempotency() == Idempotency.IDEMPOTENT
                         || neverExecuted
--- a/src/test/java/olivechute/loadbalancing/RecordedRun.java
+++ b/src/test/java/olivechute/loadbalancing/RecordedRun.java
@@ -97,7 +97,13 @@
             ended = true;
             clientRequest.served |= outcome == AttemptOutcome.OK;
             loadBalancer.onAttemptEnd(
-                    nowUs, clientRequest.request.id(), number, outcome, nowUs - sentAtUs, clientRequest.served || clientRequest.disconnected, load);
+                    nowUs,
+                    clientRequest.request.id(),
+                    number,
+                    outcome,
+                    nowUs - sentAtUs,
+                    clientRequest.served || clientRequest.disconnected,
+                    load);
         }
     }
 
@@ -115,8 +121,8 @@
     private final Plan plan;
     private final SplittableRandom random;
     private final MessageDigest digest;
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((x, y) -> x.atUs != y.atUs ? Long.compare(x.atUs, y.atUs) : Long.compare(x.sequence, y.sequence));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (x, y) -> x.atUs != y.atUs ? Long.compare(x.atUs, y.atUs) : Long.compare(x.sequence, y.sequence));
     private final Map<String, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, ClientRequest> clientRequests = new LinkedHashMap<>();
     private final ShareLoadBalancer loadBalancer;
@@ -175,7 +181,8 @@
     }
 
     private void updateList(ListUpdateKind kind) {
-        loadBalancer.onListUpdate(nowUs, discoveryDown ? ListUpdateKind.FAILED : kind, discoveryDown ? List.of() : endpointInfos());
+        loadBalancer.onListUpdate(
+                nowUs, discoveryDown ? ListUpdateKind.FAILED : kind, discoveryDown ? List.of() : endpointInfos());
     }
 
     private void submitNextRequest() {
@@ -205,7 +212,9 @@
         ClientRequest clientRequest = new ClientRequest(request);
         clientRequests.put(request.id(), clientRequest);
         long deadlineUs = nowUs + request.timeLeftUs();
-        runAt(deadlineUs, () -> clientRequest.attempts.forEach(attempt -> attempt.end(AttemptOutcome.TIMEOUT, LoadReport.NONE)));
+        runAt(
+                deadlineUs,
+                () -> clientRequest.attempts.forEach(attempt -> attempt.end(AttemptOutcome.TIMEOUT, LoadReport.NONE)));
         if (random.nextInt(50) == 0) {
             runAt(nowUs + random.nextLong(request.timeLeftUs()), () -> {
                 clientRequest.disconnected = true;
@@ -305,7 +314,8 @@
             endpoint.running++;
             long endpointStartedAtUs = endpoint.startedAtUs;
             if (plan.settings().notifiesStart() && random.nextInt(100) > 0) {
-                loadBalancer.onAttemptSignal(nowUs, attempt.clientRequest.request.id(), attempt.number, AttemptSignal.STARTED, 0);
+                loadBalancer.onAttemptSignal(
+                        nowUs, attempt.clientRequest.request.id(), attempt.number, AttemptSignal.STARTED, 0);
             }
             double meanRunTimeUs = plan.settings().classes().get(0).latencyObjectiveUs() * 0.6 / endpoint.speed;
             long runTimeUs = Math.max(MILLISECOND, (long) (-Math.log(1 - random.nextDouble()) * meanRunTimeUs));
@@ -376,7 +386,14 @@
     public void probe(String endpointName) {
         recordAction("SAMPLE executor " + endpointName);
         SimulatedEndpoint endpoint = endpoints.get(endpointName);
-        runAt(nowUs + 2 * MILLISECOND, () -> loadBalancer.onProbeResult(nowUs, endpointName, !endpoint.down && !endpoint.unresponsive, 2 * MILLISECOND, endpoint.loadReport()));
+        runAt(
+                nowUs + 2 * MILLISECOND,
+                () -> loadBalancer.onProbeResult(
+                        nowUs,
+                        endpointName,
+                        !endpoint.down && !endpoint.unresponsive,
+                        2 * MILLISECOND,
+                        endpoint.loadReport()));
     }
 
     @Override
--- a/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
@@ -14,7 +14,8 @@
     private final List<TenantQueue> tenants = new ArrayList<>();
     private final List<Endpoint> endpoints = new ArrayList<>();
 
-    private ShareController newController(int initialInstances, double leastIntervalWeight, int endpointCount, double... targetShares) {
+    private ShareController newController(
+            int initialInstances, double leastIntervalWeight, int endpointCount, double... targetShares) {
         ShareController controller = new ShareController(initialInstances, 0.02, leastIntervalWeight);
         for (int i = 0; i < targetShares.length; i++) {
             TenantQueue tenant = new TenantQueue(new Tenant("t" + i, targetShares[i], 1), i, 0);
