--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -2,10 +2,10 @@
 
 import static olivechute.loadbalancing.Harness.MILLISECOND;
 import static olivechute.loadbalancing.Harness.SECOND;
-import static olivechute.loadbalancing.Harness.withPollInterval;
 import static olivechute.loadbalancing.Harness.endpointInfo;
 import static olivechute.loadbalancing.Harness.requestClass;
 import static olivechute.loadbalancing.Harness.settings;
+import static olivechute.loadbalancing.Harness.withPollInterval;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -28,7 +28,14 @@
     private static final List<Tenant> TWO_TENANTS = List.of(new Tenant("a", 0.5, 100), new Tenant("b", 0.5, 100));
 
     private static Harness newHarness(Idempotency idempotency, DeduplicationScope deduplicationScope) {
-        return new Harness(settings(List.of(requestClass("c", idempotency, deduplicationScope)), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
+        return new Harness(
+                settings(
+                        List.of(requestClass("c", idempotency, deduplicationScope)),
+                        TWO_TENANTS,
+                        LoadReporting.NONE,
+                        true,
+                        false),
+                1);
     }
 
     @ParameterizedTest
@@ -67,7 +74,8 @@
         h.advance(20 * MILLISECOND);
         h.endAttempt("r", outcome);
         h.advance(20 * MILLISECOND);
-        assertEquals(expected.equals("resent") ? 2 : 1, h.requests.get("r").endpoints.size());
+        assertEquals(
+                expected.equals("resent") ? 2 : 1, h.requests.get("r").endpoints.size());
         assertEquals(expected.equals("resent") ? null : expected, h.answerOf("r"));
     }
 
@@ -95,7 +103,10 @@
         Harness h = newHarness(Idempotency.KEYED, DeduplicationScope.CELL);
         h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0));
         h.submit("r", "c", "a", 5 * SECOND);
-        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.DRAINING, 0), endpointInfo("w2", 2, EndpointState.ACTIVE, 0));
+        h.updateList(
+                ListUpdateKind.FULL,
+                endpointInfo("w0", 0, EndpointState.DRAINING, 0),
+                endpointInfo("w2", 2, EndpointState.ACTIVE, 0));
         h.advance(50 * MILLISECOND);
         h.endAttempt("r", AttemptOutcome.RESET);
         h.advance(100 * MILLISECOND);
@@ -130,7 +141,10 @@
                 endpointInfo("w0", 0, EndpointState.ACTIVE, 0),
                 endpointInfo("w1", 0, EndpointState.ACTIVE, 0),
                 endpointInfo("w2", 0, EndpointState.ACTIVE, 0));
-        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0), endpointInfo("w1", 0, EndpointState.ACTIVE, 0));
+        h.updateList(
+                ListUpdateKind.FULL,
+                endpointInfo("w0", 0, EndpointState.ACTIVE, 0),
+                endpointInfo("w1", 0, EndpointState.ACTIVE, 0));
         h.updateList(ListUpdateKind.DELTA, endpointInfo("w0", 0, EndpointState.DRAINING, 0));
         h.advance(600 * MILLISECOND);
         for (int i = 0; i < 20; i++) {
@@ -173,9 +187,14 @@
                     h.endAttempt("r" + i, AttemptOutcome.OK);
                 }
             }
-            assertEquals(onlyDrainingBinds, h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w0")));
-            assertEquals(onlyDrainingBinds, h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w2")));
-            assertTrue(h.requests.values().stream().noneMatch(request -> request.endpoints.contains("w1") || request.endpoints.contains("w9")));
+            assertEquals(
+                    onlyDrainingBinds,
+                    h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w0")));
+            assertEquals(
+                    onlyDrainingBinds,
+                    h.requests.values().stream().anyMatch(request -> request.endpoints.contains("w2")));
+            assertTrue(h.requests.values().stream()
+                    .noneMatch(request -> request.endpoints.contains("w1") || request.endpoints.contains("w9")));
         }
     }
 
@@ -230,9 +249,13 @@
                 LoadReporting.NONE,
                 false,
                 false);
-        List<Long> pausesUs = pausesAfterFailures(new Harness(withPollInterval(settings, pollIntervalMs * MILLISECOND), 1));
+        List<Long> pausesUs =
+                pausesAfterFailures(new Harness(withPollInterval(settings, pollIntervalMs * MILLISECOND), 1));
         assertTrue(
-                pausesUs.stream().allMatch(pauseUs -> pauseUs >= minMs * MILLISECOND && pauseUs <= maxMs * MILLISECOND + 10 * MILLISECOND), pausesUs.toString());
+                pausesUs.stream()
+                        .allMatch(pauseUs ->
+                                pauseUs >= minMs * MILLISECOND && pauseUs <= maxMs * MILLISECOND + 10 * MILLISECOND),
+                pausesUs.toString());
     }
 
     @Test
@@ -244,7 +267,10 @@
         assertTrue(pausesUs.get(0) >= 250 * MILLISECOND && pausesUs.get(0) <= 510 * MILLISECOND, pausesUs.toString());
         // However many failed: 6 s after discovery had a change and could be reached it counts as told.
         assertTrue(
-                pausesUs.stream().skip(1).allMatch(pauseUs -> pauseUs >= 500 * MILLISECOND - 10 * MILLISECOND && pauseUs <= SECOND + 10 * MILLISECOND),
+                pausesUs.stream()
+                        .skip(1)
+                        .allMatch(pauseUs -> pauseUs >= 500 * MILLISECOND - 10 * MILLISECOND
+                                && pauseUs <= SECOND + 10 * MILLISECOND),
                 pausesUs.toString());
         h.submit("r", "c", "a", 5 * SECOND);
         assertEquals("w0", h.lastEndpointOf("r"));
@@ -310,7 +336,8 @@
     @Test
     void slowStartAllowanceHoldsInEveryWindow() {
         RequestClass requestClass = requestClass("c", Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
-        Harness h = Harness.withLearnedRunTime(settings(List.of(requestClass), TWO_TENANTS, LoadReporting.NONE, false, false), 1, 5 * MILLISECOND);
+        Harness h = Harness.withLearnedRunTime(
+                settings(List.of(requestClass), TWO_TENANTS, LoadReporting.NONE, false, false), 1, 5 * MILLISECOND);
         List<Long> sentAtUs = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             h.submit("r" + i, "c", "a", 5 * SECOND);
@@ -325,7 +352,9 @@
         // One slot known, 0.2 to 0.36 of it, 3 times that for a second, halved for slack and again for two nodes.
         double maxRunTimeUs = 3 * 0.36 * SECOND / 2 / 2;
         for (long fromUs : sentAtUs) {
-            long sends = sentAtUs.stream().filter(t -> t > fromUs && t < fromUs + SECOND).count();
+            long sends = sentAtUs.stream()
+                    .filter(t -> t > fromUs && t < fromUs + SECOND)
+                    .count();
             assertTrue(sends * 5 * MILLISECOND <= maxRunTimeUs, sends + " sends in a second");
         }
     }
@@ -436,8 +465,10 @@
             h.advance(50 * MILLISECOND);
             h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        long used =
-                h.requests.values().stream().map(request -> request.endpoints.get(0)).distinct().count();
+        long used = h.requests.values().stream()
+                .map(request -> request.endpoints.get(0))
+                .distinct()
+                .count();
         assertTrue(used <= 10, used + " workers used");
     }
 
@@ -451,7 +482,10 @@
                         true,
                         false),
                 1);
-        h.updateList(ListUpdateKind.FULL, endpointInfo("w0", 0, EndpointState.ACTIVE, 0), endpointInfo("w1", 1, EndpointState.ACTIVE, 0));
+        h.updateList(
+                ListUpdateKind.FULL,
+                endpointInfo("w0", 0, EndpointState.ACTIVE, 0),
+                endpointInfo("w1", 1, EndpointState.ACTIVE, 0));
         Map<String, Integer> placed = new LinkedHashMap<>();
         for (int i = 0; i < 40; i++) {
             h.submit("r" + i, "c", "a", 5 * SECOND);
@@ -479,7 +513,10 @@
         for (int i = 0; i < 40; i++) {
             h.submit("r" + i, "c", "a", 5 * SECOND);
             String endpoint = h.lastEndpointOf("r" + i);
-            h.advance(placed.containsKey(endpoint) ? MILLISECOND : 300 * MILLISECOND); // the first job to each has to dial
+            h.advance(
+                    placed.containsKey(endpoint)
+                            ? MILLISECOND
+                            : 300 * MILLISECOND); // the first job to each has to dial
             h.reportStarted("r" + i);
             h.advance(10 * MILLISECOND);
             h.endAttempt("r" + i, AttemptOutcome.OK);
@@ -508,17 +545,24 @@
         }
         for (int i = 0; i < 8; i++) {
             h.advance(100 * MILLISECOND);
-            h.requests.values().stream().filter(s -> s.attemptsInFlight() > 0).findFirst().ifPresent(s -> {
-                h.loadBalancer.onAttemptSignal(h.nowUs, s.request.id(), 0, AttemptSignal.STARTED, 0);
-                h.endAttempt(s.request.id(), AttemptOutcome.OK); // one finishes every 100 ms
-            });
+            h.requests.values().stream()
+                    .filter(s -> s.attemptsInFlight() > 0)
+                    .findFirst()
+                    .ifPresent(s -> {
+                        h.loadBalancer.onAttemptSignal(h.nowUs, s.request.id(), 0, AttemptSignal.STARTED, 0);
+                        h.endAttempt(s.request.id(), AttemptOutcome.OK); // one finishes every 100 ms
+                    });
         }
         List<Long> retryAftersUs = h.requests.values().stream()
                 .filter(s -> s.retryAfterUs > 0 && s.request.timeLeftUs() < SECOND)
                 .map(s -> s.retryAfterUs)
                 .toList();
-        assertTrue(retryAftersUs.size() > 1 && retryAftersUs.stream().allMatch(a -> a >= 50 * MILLISECOND && a <= SECOND), retryAftersUs.toString());
-        assertTrue(Collections.max(retryAftersUs) > Collections.min(retryAftersUs), "those behind more wait longer " + retryAftersUs);
+        assertTrue(
+                retryAftersUs.size() > 1 && retryAftersUs.stream().allMatch(a -> a >= 50 * MILLISECOND && a <= SECOND),
+                retryAftersUs.toString());
+        assertTrue(
+                Collections.max(retryAftersUs) > Collections.min(retryAftersUs),
+                "those behind more wait longer " + retryAftersUs);
     }
 
     @Test
@@ -599,7 +643,8 @@
         h.advance(10 * MILLISECOND);
         h.endAttempt("r", AttemptOutcome.OK);
         h.advance(2 * SECOND); // 200 jobs a second are told: soon worth it
-        assertEquals(1, h.actionLog.stream().filter(l -> l.endsWith(" close w0")).count());
+        assertEquals(
+                1, h.actionLog.stream().filter(l -> l.endsWith(" close w0")).count());
     }
 
     @Test
@@ -636,7 +681,9 @@
         }
         assertTrue(sentAtUs.size() > 3, sentAtUs.size() + " sends to a cold worker");
         for (long fromUs : sentAtUs) { // 3 times 0.2 of one slot for a second
-            long sends = sentAtUs.stream().filter(t -> t >= fromUs && t < fromUs + SECOND).count();
+            long sends = sentAtUs.stream()
+                    .filter(t -> t >= fromUs && t < fromUs + SECOND)
+                    .count();
             assertTrue(sends * 20 * MILLISECOND <= 3 * 0.24 * SECOND, sends + " sends in a second");
         }
     }
@@ -748,12 +795,14 @@
                         false),
                 1);
         h.listActiveEndpoints(1);
-        h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(6, Double.NaN, 0.1, 10)); // it has so many
+        h.loadBalancer.onProbeResult(
+                h.nowUs, "w0", true, MILLISECOND, new LoadReport(6, Double.NaN, 0.1, 10)); // it has so many
         return h;
     }
 
     /** Jobs of each tenant at an even pace, one free slot for each; how many were left waiting as surplus. */
-    private static int countQueued(Harness h, String idPrefix, long durationUs, Map<String, Integer> requestsPerSecond) {
+    private static int countQueued(
+            Harness h, String idPrefix, long durationUs, Map<String, Integer> requestsPerSecond) {
         int queued = 0;
         for (int i = 0; i < durationUs / (10 * MILLISECOND); i++) {
             for (Map.Entry<String, Integer> tenantRate : requestsPerSecond.entrySet()) {
@@ -849,9 +898,21 @@
     @Test
     void newEndpointIsNotAssumedToBeAsBusyAsTheOthers() {
         RequestClass requestClass = new RequestClass(
-                "c", 5 * SECOND, 50 * MILLISECOND, 2, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 2 * SECOND, null, 0);
+                "c",
+                5 * SECOND,
+                50 * MILLISECOND,
+                2,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                2 * SECOND,
+                null,
+                0);
         Harness h = new Harness(
-                Harness.withoutProbes(settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false), 1), 1);
+                Harness.withoutProbes(
+                        settings(List.of(requestClass), List.of(), LoadReporting.WITH_RESPONSES, true, false), 1),
+                1);
         h.listActiveEndpoints(6);
         for (int i = 0; i < 6; i++) {
             reportNoFreeSlots(h, "w" + i);
@@ -903,7 +964,8 @@
             latency.longTermRelativeRunTime = latency.recentRelativeRunTime;
             latency.sampleCount = finishedRequests;
             for (int n = 0; n < 20; n++) {
-                h.loadBalancer.onProbeResult(h.nowUs, "w" + i, true, MILLISECOND, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
+                h.loadBalancer.onProbeResult(
+                        h.nowUs, "w" + i, true, MILLISECOND, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
             }
         }
         h.advance(150 * MILLISECOND); // it is looked at
@@ -1057,7 +1119,8 @@
                     h.reportStarted("r" + i);
                     h.advance(5 * MILLISECOND);
                     // the bad fail most of their jobs, several in a row
-                    h.endAttempt("r" + i, (allFail || index == 0) && i % 7 != 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
+                    h.endAttempt(
+                            "r" + i, (allFail || index == 0) && i % 7 != 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
                 }
                 h.advance(5 * MILLISECOND);
             }
@@ -1150,7 +1213,9 @@
                 }
                 h.advance(10 * MILLISECOND);
             }
-            assertTrue(fleetBusy ? sentToFull == 0 : sentToFull > 2, sentToFull + " of 400 to the one that reports no room");
+            assertTrue(
+                    fleetBusy ? sentToFull == 0 : sentToFull > 2,
+                    sentToFull + " of 400 to the one that reports no room");
         }
     }
 
@@ -1290,7 +1355,8 @@
                 "short", 4 * SECOND, 3 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
         RequestClass longClass = new RequestClass(
                 "long", 40 * SECOND, 30 * SECOND, 0, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, null, 0);
-        Harness h = new Harness(settings(List.of(longClass, shortClass), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
+        Harness h =
+                new Harness(settings(List.of(longClass, shortClass), TWO_TENANTS, LoadReporting.NONE, true, false), 1);
         h.listActiveEndpoints(1);
         h.submit("x", "long", "a", 40 * SECOND);
         h.advance(100 * MILLISECOND);
@@ -1358,7 +1424,8 @@
             h.submit("r" + i, "c", i % 3 == 0 ? null : "nobody", 5 * SECOND);
             h.advance(250 * MILLISECOND); // asks first, and nobody answers
             assertNotEquals(null, h.lastEndpointOf("r" + i), "request " + i);
-            h.endAttempt("r" + i, 0, AttemptOutcome.OK, new LoadReport(invalidValues[i % 5], Double.NaN, Double.NaN, -1));
+            h.endAttempt(
+                    "r" + i, 0, AttemptOutcome.OK, new LoadReport(invalidValues[i % 5], Double.NaN, Double.NaN, -1));
         }
     }
 
@@ -1383,13 +1450,18 @@
     @Test
     void contradictorySettingsAreRejectedByName() {
         assertTrue(assertThrows(
-                        IllegalArgumentException.class, () -> settings(List.of(), TWO_TENANTS, LoadReporting.NONE, true, false))
+                        IllegalArgumentException.class,
+                        () -> settings(List.of(), TWO_TENANTS, LoadReporting.NONE, true, false))
                 .getMessage()
                 .startsWith("classes"));
         assertTrue(assertThrows(
                         IllegalArgumentException.class,
                         () -> settings(
-                                List.of(requestClass("c", null, DeduplicationScope.ALL)), TWO_TENANTS, LoadReporting.NONE, true, false))
+                                List.of(requestClass("c", null, DeduplicationScope.ALL)),
+                                TWO_TENANTS,
+                                LoadReporting.NONE,
+                                true,
+                                false))
                 .getMessage()
                 .startsWith("classes.idempotency of c"));
         assertThrows(IllegalArgumentException.class, () -> new ShareLoadBalancer(null, 1, null));
@@ -1420,8 +1492,8 @@
                 requestClass("all", Idempotency.KEYED, DeduplicationScope.ALL),
                 requestClass("zone", Idempotency.KEYED, DeduplicationScope.ZONE),
                 requestClass("cell", Idempotency.KEYED, DeduplicationScope.CELL));
-        LoadBalancerSettings base =
-                settings(classes, TWO_TENANTS, LoadReporting.values()[random.nextInt(3)], random.nextBoolean(), hedgingAllowed);
+        LoadBalancerSettings base = settings(
+                classes, TWO_TENANTS, LoadReporting.values()[random.nextInt(3)], random.nextBoolean(), hedgingAllowed);
         Harness h = new Harness(
                 Harness.withDrainRuleAndTail(
                         base,
@@ -1436,7 +1508,9 @@
                             "r" + i,
                             classes.get(random.nextInt(5)).name(),
                             random.nextBoolean() ? "a" : "b",
-                            random.nextInt(8) == 0 ? random.nextLong(20 * MILLISECOND) : random.nextLong(5 * SECOND) + 1);
+                            random.nextInt(8) == 0
+                                    ? random.nextLong(20 * MILLISECOND)
+                                    : random.nextLong(5 * SECOND) + 1);
                 case 2 -> {
                     EndpointInfo[] endpoints = new EndpointInfo[random.nextInt(6)];
                     for (int k = 0; k < endpoints.length; k++) {
@@ -1463,7 +1537,8 @@
                                     outcomes[random.nextInt(8)],
                                     new LoadReport(random.nextInt(6), Double.NaN, 0.5, 10));
                         } else if (random.nextInt(3) == 0) {
-                            h.loadBalancer.onAttemptSignal(h.nowUs, request.request.id(), attempt, AttemptSignal.STARTED, 0);
+                            h.loadBalancer.onAttemptSignal(
+                                    h.nowUs, request.request.id(), attempt, AttemptSignal.STARTED, 0);
                         }
                     }
                 }
--- a/src/test/java/olivechute/loadbalancing/SlowStartTest.java
+++ b/src/test/java/olivechute/loadbalancing/SlowStartTest.java
@@ -96,7 +96,9 @@
             classes.add(new RequestClass(
                     "c" + c,
                     5 * SECOND,
-                    Math.min(SECOND, 150 * MILLISECOND + newScenario.meanRunTimesUs().get(c)),
+                    Math.min(
+                            SECOND,
+                            150 * MILLISECOND + newScenario.meanRunTimesUs().get(c)),
                     2,
                     1,
                     0,
@@ -106,8 +108,8 @@
                     null,
                     0));
         }
-        LoadBalancerSettings base =
-                Harness.withoutProbes(Harness.settings(classes, List.of(), newScenario.loadReporting(), true, false), newScenario.nodes());
+        LoadBalancerSettings base = Harness.withoutProbes(
+                Harness.settings(classes, List.of(), newScenario.loadReporting(), true, false), newScenario.nodes());
         ServiceRules rules = base.rules();
         settings = Harness.withRules(
                 base,
@@ -173,7 +175,10 @@
     private double capacityPart(SimulatedEndpoint endpoint, long atUs) {
         return endpoint.startedAtUs == 0 || atUs - endpoint.startedAtUs >= scenario.slowStartDurationUs()
                 ? 1
-                : scenario.slowStartCapacity() + (1 - scenario.slowStartCapacity()) * Math.max(0, atUs - endpoint.startedAtUs) / scenario.slowStartDurationUs();
+                : scenario.slowStartCapacity()
+                        + (1 - scenario.slowStartCapacity())
+                                * Math.max(0, atUs - endpoint.startedAtUs)
+                                / scenario.slowStartDurationUs();
     }
 
     private void runUntil(long endUs) {
@@ -182,7 +187,9 @@
             for (Node node : nodes) {
                 node.harness.advance(nowUs - node.harness.nowUs);
                 for (int c = 0; c < node.requestsPerUs.length; c++) {
-                    for (double expected = trafficMultiple * node.requestsPerUs[c] * STEP_US; expected > 0 && random.nextDouble() < expected; expected--) {
+                    for (double expected = trafficMultiple * node.requestsPerUs[c] * STEP_US;
+                            expected > 0 && random.nextDouble() < expected;
+                            expected--) {
                         node.harness.submit("r" + node.requestCount++, "c" + c, "a", 5 * SECOND);
                     }
                 }
@@ -201,7 +208,9 @@
                 deliver(node, request, attempt);
             }
         }
-        for (Iterator<Harness.TrackedRequest> iterator = harness.requests.values().iterator(); iterator.hasNext(); ) {
+        for (Iterator<Harness.TrackedRequest> iterator =
+                        harness.requests.values().iterator();
+                iterator.hasNext(); ) {
             Harness.TrackedRequest request = iterator.next();
             if (request.answer != null && request.attemptsInFlight() == 0) {
                 iterator.remove();
@@ -219,7 +228,8 @@
         } else if (!deliveredAttempts.containsKey(sent)) {
             deliveredAttempts.put(sent, attempt);
             endpoint.queue.add(sent);
-            endpoint.arrivals.add(new Arrival(request.sentAtUs.get(attempt), scenario.meanRunTimesUs().get(classIndex)));
+            endpoint.arrivals.add(new Arrival(
+                    request.sentAtUs.get(attempt), scenario.meanRunTimesUs().get(classIndex)));
         }
     }
 
@@ -232,7 +242,8 @@
                 endpoint.runningUntilUs.remove(entry.getKey());
                 deliveredAttempts.remove(entry.getKey());
                 Harness harness = entry.getKey().node().harness;
-                Harness.TrackedRequest request = harness.requests.get(entry.getKey().requestId());
+                Harness.TrackedRequest request =
+                        harness.requests.get(entry.getKey().requestId());
                 if (request != null && request.outcomes.get(entry.getKey().attempt()) == null) {
                     harness.endAttempt(
                             entry.getKey().requestId(),
@@ -244,17 +255,31 @@
                 }
             }
         }
-        int availableSlots = endpoint.saturated ? 1 : (int) Math.max(1, Math.floor(capacityPart(endpoint, nowUs) * scenario.slots()));
+        int availableSlots = endpoint.saturated
+                ? 1
+                : (int) Math.max(1, Math.floor(capacityPart(endpoint, nowUs) * scenario.slots()));
         while (endpoint.runningUntilUs.size() < availableSlots && !endpoint.queue.isEmpty()) {
             SentAttempt next = endpoint.queue.poll();
             Harness.TrackedRequest request = next.node().harness.requests.get(next.requestId());
             if (request != null && request.outcomes.get(next.attempt()) == null) {
-                endpoint.runningUntilUs.put(next, nowUs + (long) (scenario.meanRunTimesUs().get(next.classIndex()) * (0.5 + random.nextDouble())));
-                next.node().harness.loadBalancer.onAttemptSignal(nowUs, next.requestId(), next.attempt(), AttemptSignal.STARTED, 0);
+                endpoint.runningUntilUs.put(
+                        next,
+                        nowUs
+                                + (long) (scenario.meanRunTimesUs().get(next.classIndex())
+                                        * (0.5 + random.nextDouble())));
+                next.node()
+                        .harness
+                        .loadBalancer
+                        .onAttemptSignal(nowUs, next.requestId(), next.attempt(), AttemptSignal.STARTED, 0);
             }
         }
         endpoint.freeSlotReports.addLast(
-                endpoint.saturated ? 0 : endpoint.reportsAllSlotsFree ? scenario.slots() : Math.max(0, scenario.slots() - endpoint.runningUntilUs.size() - endpoint.queue.size()));
+                endpoint.saturated
+                        ? 0
+                        : endpoint.reportsAllSlotsFree
+                                ? scenario.slots()
+                                : Math.max(
+                                        0, scenario.slots() - endpoint.runningUntilUs.size() - endpoint.queue.size()));
         if (endpoint.freeSlotReports.size() > REPORT_LAG_US / STEP_US) {
             endpoint.freeSlotReports.removeFirst();
         }
@@ -266,12 +291,22 @@
         double max = 0;
         int last = 0;
         double sumUs = 0;
-        for (int first = 0; first < endpoint.arrivals.size() && endpoint.arrivals.get(first).atUs() < endpoint.startedAtUs + scenario.slowStartDurationUs(); first++) {
+        for (int first = 0;
+                first < endpoint.arrivals.size()
+                        && endpoint.arrivals.get(first).atUs() < endpoint.startedAtUs + scenario.slowStartDurationUs();
+                first++) {
             long fromUs = endpoint.arrivals.get(first).atUs();
-            for (; last < endpoint.arrivals.size() && endpoint.arrivals.get(last).atUs() < fromUs + scenario.overloadWindowUs(); last++) {
+            for (;
+                    last < endpoint.arrivals.size()
+                            && endpoint.arrivals.get(last).atUs() < fromUs + scenario.overloadWindowUs();
+                    last++) {
                 sumUs += endpoint.arrivals.get(last).runTimeUs();
             }
-            double allowedCalls = scenario.overloadMultiple() * capacityPart(endpoint, fromUs) * scenario.slots() * scenario.overloadWindowUs() / meanRunTimeUs;
+            double allowedCalls = scenario.overloadMultiple()
+                    * capacityPart(endpoint, fromUs)
+                    * scenario.slots()
+                    * scenario.overloadWindowUs()
+                    / meanRunTimeUs;
             max = Math.max(max, sumUs / meanRunTimeUs / (allowedCalls + 2 * Math.sqrt(allowedCalls) + 2));
             sumUs -= endpoint.arrivals.get(first).runTimeUs();
         }
@@ -287,9 +322,14 @@
         double availableUs = 0;
         for (SimulatedEndpoint endpoint : endpoints.values()) {
             if (endpoint.startedAtUs > 0) {
-                receivedUs += endpoint.arrivals.stream().mapToDouble(Arrival::runTimeUs).sum();
+                receivedUs += endpoint.arrivals.stream()
+                        .mapToDouble(Arrival::runTimeUs)
+                        .sum();
                 for (long atUs = endpoint.startedAtUs; atUs < nowUs; atUs += STEP_US) {
-                    availableUs += STEP_US * capacityPart(endpoint, atUs) * scenario.slots() * Math.min(1, scenario.overloadMultiple());
+                    availableUs += STEP_US
+                            * capacityPart(endpoint, atUs)
+                            * scenario.slots()
+                            * Math.min(1, scenario.overloadMultiple());
                 }
             }
         }
@@ -340,7 +380,9 @@
         runUntil(LISTED_AT_US);
         addNewEndpoints();
         long windowUs = newScenario.overloadWindowUs();
-        for (long windowStartUs = LISTED_AT_US; windowStartUs < LISTED_AT_US + newScenario.slowStartDurationUs() / 2; windowStartUs += 2 * windowUs) {
+        for (long windowStartUs = LISTED_AT_US;
+                windowStartUs < LISTED_AT_US + newScenario.slowStartDurationUs() / 2;
+                windowStartUs += 2 * windowUs) {
             trafficMultiple = 0;
             runUntil(windowStartUs + windowUs * 8 / 10);
             trafficMultiple = 3;
@@ -355,7 +397,8 @@
         runAllPatterns(newScenario, 0.1, 0.1, 0.1);
     }
 
-    private void runAllPatterns(Scenario newScenario, double minUsedSteady, double minUsedSaturated, double minUsedWaves) {
+    private void runAllPatterns(
+            Scenario newScenario, double minUsedSteady, double minUsedSaturated, double minUsedWaves) {
         runSteady(newScenario, SEED, minUsedSteady);
         runSaturated(newScenario, SEED, minUsedSaturated);
         runWaves(newScenario, SEED, minUsedWaves);
@@ -381,7 +424,18 @@
     void typicalSettings() {
         for (int fleetSize : FLEET_SIZES) {
             runAllPatterns(new Scenario(
-                    "usual", fleetSize, 10, 4, 8, 0.3, 8 * SECOND, 3, SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES));
+                    "usual",
+                    fleetSize,
+                    10,
+                    4,
+                    8,
+                    0.3,
+                    8 * SECOND,
+                    3,
+                    SECOND,
+                    List.of(100 * MILLISECOND),
+                    0.9,
+                    LoadReporting.WITH_RESPONSES));
         }
     }
 
@@ -389,7 +443,18 @@
     void manyNewEndpointsOfLowCapacityAmongManyOthers() {
         for (int fleetSize : FLEET_SIZES) {
             Scenario wide = new Scenario(
-                    "wide", fleetSize, 60, 10, 4, 0.1, 8 * SECOND, 1.2, SECOND, List.of(100 * MILLISECOND), 0.5, LoadReporting.WITH_RESPONSES);
+                    "wide",
+                    fleetSize,
+                    60,
+                    10,
+                    4,
+                    0.1,
+                    8 * SECOND,
+                    1.2,
+                    SECOND,
+                    List.of(100 * MILLISECOND),
+                    0.5,
+                    LoadReporting.WITH_RESPONSES);
             runSaturated(wide, SEED, 0.1);
         }
     }
@@ -398,7 +463,18 @@
     void overloadWindowThatIsLongAgainstSlowStart() {
         for (int fleetSize : FLEET_SIZES) {
             runAllPatterns(new Scenario(
-                    "long", fleetSize, 10, 4, 8, 0.1, 8 * SECOND, 1.2, 4 * SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES));
+                    "long",
+                    fleetSize,
+                    10,
+                    4,
+                    8,
+                    0.1,
+                    8 * SECOND,
+                    1.2,
+                    4 * SECOND,
+                    List.of(100 * MILLISECOND),
+                    0.9,
+                    LoadReporting.WITH_RESPONSES));
         }
     }
 
@@ -425,7 +501,18 @@
     void reportsOfNoLoadDoNotCauseOverload() {
         for (int fleetSize : FLEET_SIZES) {
             Scenario falseReports = new Scenario(
-                    "boasting", fleetSize, 10, 2, 8, 0.1, 16 * SECOND, 1, SECOND, List.of(100 * MILLISECOND), 0.9, LoadReporting.WITH_RESPONSES);
+                    "boasting",
+                    fleetSize,
+                    10,
+                    2,
+                    8,
+                    0.1,
+                    16 * SECOND,
+                    1,
+                    SECOND,
+                    List.of(100 * MILLISECOND),
+                    0.9,
+                    LoadReporting.WITH_RESPONSES);
             setUp(falseReports, SEED);
             endpoints.values().forEach(endpoint -> endpoint.reportsAllSlotsFree = true);
             runUntil(LISTED_AT_US);
@@ -440,7 +527,19 @@
     void noLoadReports() {
         for (int fleetSize : FLEET_SIZES) {
             runSaturated(
-                    new Scenario("unheard", fleetSize, 20, 4, 4, 0.3, 8 * SECOND, 2, SECOND, List.of(150 * MILLISECOND), 0.7, LoadReporting.NONE),
+                    new Scenario(
+                            "unheard",
+                            fleetSize,
+                            20,
+                            4,
+                            4,
+                            0.3,
+                            8 * SECOND,
+                            2,
+                            SECOND,
+                            List.of(150 * MILLISECOND),
+                            0.7,
+                            LoadReporting.NONE),
                     SEED,
                     0.1);
         }
@@ -457,7 +556,19 @@
     }
 
     private static Scenario unreported(int nodes) {
-        return new Scenario("unreported", nodes, 30, 10, 4, 0.3, 8 * SECOND, 3, SECOND, List.of(200 * MILLISECOND), 0.7, LoadReporting.NONE);
+        return new Scenario(
+                "unreported",
+                nodes,
+                30,
+                10,
+                4,
+                0.3,
+                8 * SECOND,
+                3,
+                SECOND,
+                List.of(200 * MILLISECOND),
+                0.7,
+                LoadReporting.NONE);
     }
 
     /**
@@ -577,7 +688,8 @@
         Endpoint endpoint = harness.loadBalancer.endpoints().get("w0");
         OutlierState ejection = endpoint.outlierState;
         for (int i = 0; i < 8; i++) {
-            harness.advance(Math.max(0, ejection.ejectedUntilUs - harness.nowUs) + SECOND); // and a stretch, as each try counts
+            harness.advance(
+                    Math.max(0, ejection.ejectedUntilUs - harness.nowUs) + SECOND); // and a stretch, as each try counts
             harness.submit("b" + i, "c", "a", 60 * SECOND);
             for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
                 if (request.attemptsInFlight() > 0) {
@@ -603,7 +715,9 @@
             deliveredAttempts.remove(attempt);
             Harness.TrackedRequest request = attempt.node().harness.requests.get(attempt.requestId());
             if (request != null && request.outcomes.get(attempt.attempt()) == null) {
-                attempt.node().harness.endAttempt(attempt.requestId(), attempt.attempt(), AttemptOutcome.RESET, LoadReport.NONE);
+                attempt.node()
+                        .harness
+                        .endAttempt(attempt.requestId(), attempt.attempt(), AttemptOutcome.RESET, LoadReport.NONE);
             }
         }
     }
@@ -671,7 +785,9 @@
             harness.advance(STEP_US);
             for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
                 if (request.attemptsInFlight() > 0) {
-                    count += "w0".equals(request.endpoints.get(0)) && request.sentAtUs.get(0) >= listedAtUs + delayUs ? 1 : 0;
+                    count += "w0".equals(request.endpoints.get(0)) && request.sentAtUs.get(0) >= listedAtUs + delayUs
+                            ? 1
+                            : 0;
                     harness.endAttempt(request.request.id(), AttemptOutcome.OK);
                 }
             }
--- a/src/test/java/olivechute/proxy/DelegatingLockTest.java
+++ b/src/test/java/olivechute/proxy/DelegatingLockTest.java
@@ -45,7 +45,8 @@
         @Validate
         public void everyItemIsHandledByOneHolderAtATime() {
             if (twoHoldersSeen || handledCount != postedCount.get()) {
-                throw new IllegalStateException("two " + twoHoldersSeen + ", posted " + postedCount + ", done " + handledCount);
+                throw new IllegalStateException(
+                        "two " + twoHoldersSeen + ", posted " + postedCount + ", done " + handledCount);
             }
         }
     }
--- a/src/test/java/olivechute/proxy/PreSendCheckTest.java
+++ b/src/test/java/olivechute/proxy/PreSendCheckTest.java
@@ -51,7 +51,17 @@
         RequestClass verify =
                 new RequestClass("verify", 5 * S, S / 5, 2, 1, 0, Idempotency.IDEMPOTENT, null, 0, null, 0);
         RequestClass sign = new RequestClass(
-                "sign", 5 * S, S / 5, 0, 1, 0, Idempotency.KEYED, DeduplicationScope.ALL, DEDUPLICATION_WINDOW, null, 0);
+                "sign",
+                5 * S,
+                S / 5,
+                0,
+                1,
+                0,
+                Idempotency.KEYED,
+                DeduplicationScope.ALL,
+                DEDUPLICATION_WINDOW,
+                null,
+                0);
         RequestClass pay = new RequestClass("pay", 5 * S, S / 5, 0, 1, 0, Idempotency.NOT_IDEMPOTENT, null, 0, null, 0);
         LoadBalancerSettings settings = new LoadBalancerSettings(
                 List.of(verify, sign, pay),
@@ -92,8 +102,8 @@
     }
 
     private void reportStatus(ProxyEvent.JobStatus status) {
-        dispatcher.accept(
-                new ProxyEvent.JobStatusReceived("a", lastAttempt().endpoint(), status, 1, new byte[0], LoadReport.NONE));
+        dispatcher.accept(new ProxyEvent.JobStatusReceived(
+                "a", lastAttempt().endpoint(), status, 1, new byte[0], LoadReport.NONE));
     }
 
     private static boolean maySend(UpstreamRequest attempt, long nowUs, long transitTimeUs) {
@@ -152,7 +162,12 @@
         endLastAttempt(outcome);
         assertEquals(sentAttempts.size(), 2);
         // Between these two the first was sent: what is allowed is so for the earlier, what is not for the later one.
-        assertEquals(maySend(lastAttempt(), (allowed ? earliestSendUs : latestSendUs) + DEDUPLICATION_WINDOW - beforeWindowEndUs, transitTimeUs), allowed);
+        assertEquals(
+                maySend(
+                        lastAttempt(),
+                        (allowed ? earliestSendUs : latestSendUs) + DEDUPLICATION_WINDOW - beforeWindowEndUs,
+                        transitTimeUs),
+                allowed);
     }
 
     @Test
--- a/src/test/java/olivechute/proxy/RequestMetricsTest.java
+++ b/src/test/java/olivechute/proxy/RequestMetricsTest.java
@@ -99,7 +99,10 @@
     private void openRequest(String id, String requestClass, long ageUs, int bodyBytes) {
         Request request = new Request(id, requestClass, null, "k", 5 * S, Double.NaN, 1, Double.NaN, false);
         dispatcher.accept(new ProxyEvent.RequestArrived(
-                request, new Payload("/" + requestClass, null, new byte[bodyBytes], 0, bodyBytes), client, loop.now() - ageUs));
+                request,
+                new Payload("/" + requestClass, null, new byte[bodyBytes], 0, bodyBytes),
+                client,
+                loop.now() - ageUs));
     }
 
     private void reportStatus(ProxyEvent.JobStatus status) {
@@ -182,13 +185,24 @@
 
     @Test(dataProvider = "objectiveCases")
     public void answerIsLateAfterTheObjectiveAndItsStretch(
-            RequestClass requestClass, double estimatedWorkUs, long answeredAfterUs, long runTimeUs, long timeLeftUs, boolean markedRetry, boolean late) {
-        Request request = new Request("a", requestClass.name(), null, "k", timeLeftUs, estimatedWorkUs, 1, Double.NaN, markedRetry);
+            RequestClass requestClass,
+            double estimatedWorkUs,
+            long answeredAfterUs,
+            long runTimeUs,
+            long timeLeftUs,
+            boolean markedRetry,
+            boolean late) {
+        Request request = new Request(
+                "a", requestClass.name(), null, "k", timeLeftUs, estimatedWorkUs, 1, Double.NaN, markedRetry);
         long receivedAtUs = 77 * S;
         ProxyEvent.RequestArrived arrival = new ProxyEvent.RequestArrived(request, null, client, receivedAtUs);
         assertEquals(
                 RequestRules.missesLatencyObjective(
-                        settings(true), requestClass, arrival, runTimeUs < 0 ? -1 : receivedAtUs + answeredAfterUs - runTimeUs, receivedAtUs + answeredAfterUs),
+                        settings(true),
+                        requestClass,
+                        arrival,
+                        runTimeUs < 0 ? -1 : receivedAtUs + answeredAfterUs - runTimeUs,
+                        receivedAtUs + answeredAfterUs),
                 late);
     }
 
@@ -219,7 +233,8 @@
     }
 
     @Test(dataProvider = "retryRuleCases")
-    public void retryAndRejectionFollowTheClassOncePossiblyExecuted(RequestClass requestClass, long executedBeforeUs, boolean mayRetry, boolean mayReject) {
+    public void retryAndRejectionFollowTheClassOncePossiblyExecuted(
+            RequestClass requestClass, long executedBeforeUs, boolean mayRetry, boolean mayReject) {
         long nowUs = 77 * S;
         long possiblyExecutedSinceUs = executedBeforeUs < 0 ? RequestRules.NEVER : nowUs - executedBeforeUs;
         assertEquals(RequestRules.mayRetry(requestClass, possiblyExecutedSinceUs, nowUs), mayRetry);
--- a/src/test/java/olivechute/rollout/FleetSimulationTest.java
+++ b/src/test/java/olivechute/rollout/FleetSimulationTest.java
@@ -73,8 +73,7 @@
                 .toList();
         stopped.stream()
                 .limit(5)
-                .forEach(fleet ->
-                        System.out.println("  " + fleet.state.spec().id() + " " + fleet.state.reason()));
+                .forEach(fleet -> System.out.println("  " + fleet.state.spec().id() + " " + fleet.state.reason()));
         assertTrue(stopped.size() < 0.01 * SEEDS, stopped.size() + " of " + SEEDS);
         assertTrue(fleets.stream().allMatch(fleet -> fleet.maxUnavailableSeen <= 2));
     }
@@ -87,8 +86,7 @@
                 .mapToObj(seed -> {
                     SimFleet fleet = new SimFleet(20261202 + seed, Effect.NONE);
                     for (int s = 0;
-                            s < 3000
-                                    && (fleet.state.phase() != RolloutPhase.WATCHING || fleet.state.stage() != 1);
+                            s < 3000 && (fleet.state.phase() != RolloutPhase.WATCHING || fleet.state.stage() != 1);
                             s++) {
                         runOneSecond(fleet);
                     }
@@ -129,7 +127,9 @@
     private static void assertStopped(String title, Effect effect, double minFraction) {
         List<SimFleet> fleets = run(Math.max(50, SEEDS / 4), effect);
         printSummary(title, fleets);
-        assertTrue(stoppedBeforeHalf(fleets) >= minFraction * fleets.size(), stoppedBeforeHalf(fleets) + " of " + fleets.size());
+        assertTrue(
+                stoppedBeforeHalf(fleets) >= minFraction * fleets.size(),
+                stoppedBeforeHalf(fleets) + " of " + fleets.size());
         assertTrue(fleets.stream().allMatch(fleet -> fleet.maxUnavailableSeen <= 2));
     }
 
--- a/src/test/java/olivechute/rollout/RolloutTest.java
+++ b/src/test/java/olivechute/rollout/RolloutTest.java
@@ -263,8 +263,7 @@
 
     @ParameterizedTest(name = "{1}: {0}")
     @MethodSource("transitions")
-    void phaseTransitions(
-            String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason)
+    void phaseTransitions(String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason)
             throws RolloutException {
         SmallFleet fleet = fleetInPhase(from);
         event.accept(fleet);
@@ -285,13 +284,15 @@
         "DONE, pause, CHANGE_UNKNOWN", "DONE, resume, CHANGE_UNKNOWN", "DONE, stop, CHANGE_UNKNOWN",
         "STOPPED, pause, CHANGE_UNKNOWN", "STOPPED, resume, CHANGE_UNKNOWN", "STOPPED, stop, CHANGE_UNKNOWN"
     })
-    void operatorActionsAreDefinedInEachPhase(RolloutPhase phase, String action, String outcome) throws RolloutException {
+    void operatorActionsAreDefinedInEachPhase(RolloutPhase phase, String action, String outcome)
+            throws RolloutException {
         SmallFleet fleet = fleetInPhase(phase);
         if (outcome.startsWith("CHANGE_")) {
             RolloutException error = assertThrows(RolloutException.class, () -> applyAction(action, fleet));
             assertEquals(ErrorCode.valueOf(outcome), error.kind());
         } else {
-            assertEquals(RolloutPhase.valueOf(outcome), applyAction(action, fleet).phase());
+            assertEquals(
+                    RolloutPhase.valueOf(outcome), applyAction(action, fleet).phase());
         }
     }
 
@@ -422,9 +423,7 @@
             fleet.delays = node -> node.delayCounts[node.version.equals("v2") ? 21 : random.nextInt(3, 10)] += 20;
             fleet.runUntil(RolloutPhase.STOPPED);
             assertEquals(0, fleet.state.stage(), "seed " + seed + ": " + fleet.state.reason());
-            assertTrue(
-                    fleet.state.reason().startsWith("added delay "),
-                    "seed " + seed + ": " + fleet.state.reason());
+            assertTrue(fleet.state.reason().startsWith("added delay "), "seed " + seed + ": " + fleet.state.reason());
         }
     }
 }
--- a/src/test/java/olivechute/rollout/SchedulePropertyTest.java
+++ b/src/test/java/olivechute/rollout/SchedulePropertyTest.java
@@ -29,7 +29,8 @@
         for (int s = 0; s < 400 && !fleet.state.phase().ended(); s++) {
             injectEvent(fleet, random);
             fleet.run(1);
-            assertTrue(fleet.maxUnavailableSeen <= maxUnavailable, fleet.state.reason() + ": " + fleet.maxUnavailableSeen);
+            assertTrue(
+                    fleet.maxUnavailableSeen <= maxUnavailable, fleet.state.reason() + ": " + fleet.maxUnavailableSeen);
             byte[] bytes = fleet.state.evidence();
             assertTrue(bytes.length <= EvidenceLimits.MAX_BYTES);
             assertArrayEquals(
@@ -69,8 +70,7 @@
                         previous.moved(),
                         new byte[] {9});
             }
-            case 8 ->
-                fleet.state = random.nextInt(5) == 0 ? Rollout.stop(fleet.state, fleet.nowMs) : fleet.state;
+            case 8 -> fleet.state = random.nextInt(5) == 0 ? Rollout.stop(fleet.state, fleet.nowMs) : fleet.state;
             default -> fleet.nodes.forEach(each -> each.reachable |= random.nextInt(20) == 0);
         }
     }
@@ -93,7 +93,8 @@
             int size = i + 1;
             zones.values().forEach(of -> assertTrue(of <= size / 3 + 1, zones.toString()));
         }
-        assertEquals(NodeSelection.targetNodeCount(new RolloutStage(0, 10, 0, 1, 0), count), (int) Math.ceil(count / 10.0));
+        assertEquals(
+                NodeSelection.targetNodeCount(new RolloutStage(0, 10, 0, 1, 0), count), (int) Math.ceil(count / 10.0));
     }
 
     @Property(tries = 2000, seed = "20261202")
--- a/src/test/java/olivechute/rollout/SimFleet.java
+++ b/src/test/java/olivechute/rollout/SimFleet.java
@@ -30,7 +30,8 @@
      * What the new version does to a fleet: factors on the part served of verify and sign, ms slower, s until it
      * crashes, if ready.
      */
-    record Effect(double verifyFactor, double signFactor, double addedDelayMs, int crashAfterSeconds, boolean becomesReady) {
+    record Effect(
+            double verifyFactor, double signFactor, double addedDelayMs, int crashAfterSeconds, boolean becomesReady) {
         static final Effect NONE = new Effect(1, 1, 0, 0, true);
     }
 
@@ -93,7 +94,8 @@
                 .filter(node -> node.serves() && node.reachable)
                 .map(SimNode::metrics)
                 .toList();
-        long unavailable = statuses.stream().filter(DisruptionBudget::unavailable).count();
+        long unavailable =
+                statuses.stream().filter(DisruptionBudget::unavailable).count();
         RolloutDecision decision = Rollout.step(state, statuses, metrics, WEIGHTS, nowMs);
         int moving = 0;
         for (SimNode node : nodes) {
@@ -103,7 +105,8 @@
                 node.orderedVersion = order;
             }
         }
-        maxUnavailableSeen = moving == 0 ? maxUnavailableSeen : Math.max(maxUnavailableSeen, (int) unavailable + moving);
+        maxUnavailableSeen =
+                moving == 0 ? maxUnavailableSeen : Math.max(maxUnavailableSeen, (int) unavailable + moving);
         state = decision.nextState();
         maxMoved = Math.max(maxMoved, state.moved().size());
     }
@@ -111,7 +114,9 @@
     private void simulateTraffic() {
         for (int zone = 0; zone < 3; zone++) {
             zoneDrift[zone] = 0.95 * zoneDrift[zone] + 0.004 * gaussian.nextGaussian();
-            overloadSecondsLeft[zone] = overloadSecondsLeft[zone] > 0 ? overloadSecondsLeft[zone] - 1 : random.nextInt(200) == 0 ? 10 + random.nextInt(30) : 0;
+            overloadSecondsLeft[zone] = overloadSecondsLeft[zone] > 0
+                    ? overloadSecondsLeft[zone] - 1
+                    : random.nextInt(200) == 0 ? 10 + random.nextInt(30) : 0;
         }
         for (int i = 0; i < nodes.size(); i++) {
             SimNode node = nodes.get(i);
@@ -121,11 +126,20 @@
             boolean onNewVersion = node.version.equals("v2");
             double zoneLevel = (overloadSecondsLeft[i % 3] > 0 ? 0.65 : 0.93) + zoneDrift[i % 3];
             node.drift = 0.99 * node.drift + 0.0006 * gaussian.nextGaussian();
-            double noise = 1 + node.drift + (overloadSecondsLeft[i % 3] > 0 ? node.overloadSensitivity : 0) + 0.02 * gaussian.nextGaussian();
+            double noise = 1
+                    + node.drift
+                    + (overloadSecondsLeft[i % 3] > 0 ? node.overloadSensitivity : 0)
+                    + 0.02 * gaussian.nextGaussian();
             int requests = poisson(node.requestsPerSecond);
             int signRequests = binomial(requests, 0.2);
-            count(node.counts[0], requests - signRequests, zoneLevel * node.servedFactor * noise * (onNewVersion ? effect.verifyFactor : 1));
-            count(node.counts[1], signRequests, zoneLevel * node.servedFactor * noise * (onNewVersion ? effect.signFactor : 1));
+            count(
+                    node.counts[0],
+                    requests - signRequests,
+                    zoneLevel * node.servedFactor * noise * (onNewVersion ? effect.verifyFactor : 1));
+            count(
+                    node.counts[1],
+                    signRequests,
+                    zoneLevel * node.servedFactor * noise * (onNewVersion ? effect.signFactor : 1));
             countDelays(node, onNewVersion, zoneLevel);
             node.sequence++;
             newRequests += onNewVersion ? requests : 0;
@@ -174,7 +188,9 @@
                 if (otherVersionOrdered) {
                     node.phase = NodePhase.DRAINING;
                     node.phaseSinceMs = nowMs;
-                } else if (node.version.equals("v2") && effect.crashAfterSeconds > 0 && phaseAgeMs >= effect.crashAfterSeconds * 1000L) {
+                } else if (node.version.equals("v2")
+                        && effect.crashAfterSeconds > 0
+                        && phaseAgeMs >= effect.crashAfterSeconds * 1000L) {
                     node.phase = NodePhase.DOWN;
                     node.phaseSinceMs = nowMs;
                     node.crashes++;
