--- a/src/main/java/olivechute/loadbalancing/AdmissionControl.java
+++ b/src/main/java/olivechute/loadbalancing/AdmissionControl.java
@@ -1,21 +1,24 @@
 package olivechute.loadbalancing;
 
 /**
- * Decides how long an arriving request may be queued and by when it must be sent. A request that is still queued then
- * is answered, so that its client can try another node while there is time.
+ * Sets the send deadline and the queue deadline of an arriving request. A request that is still queued at its queue
+ * deadline is rejected or failed, so that its client can try another node in the time that is left. Called by
+ * {@link ShareLoadBalancer} on the event loop.
  */
 final class AdmissionControl {
-    /** Queued requests are answered this long before their client gives up. */
+    /** A queued request is answered this long before its client gives up. */
     static final long QUEUE_ANSWER_MARGIN_US = 30_000;
-    /** Requests are queued until the endpoint list has been out of date for this long; then they are rejected. */
+    /**
+     * Requests stay queued until the endpoint list has been out of date for this long; after that they are rejected.
+     */
     static final long STALE_LIST_GRACE_US = 300_000;
 
-    /** Part of the stretch of the latency objective that may be spent in the queue. */
+    /** Fraction of the latency objective's stretch that a request may spend in the queue. */
     private static final double QUEUE_STRETCH_FRACTION = 0.5;
-    /** Part of the fixed latency objective for which a request is queued where the tail of the latency counts. */
+    /** Fraction of the fixed latency objective for which a request is queued if tail latency counts. */
     private static final double QUEUE_TAIL_OBJECTIVE_FRACTION = 0.5;
 
-    /** A client's time left may vary by this much between two first tries. */
+    /** Tolerated variation of the client's remaining time between two first attempts of a class. */
     private static final long RETRY_DETECTION_TOLERANCE_US = 20_000;
 
     private final LoadBalancerSettings settings;
@@ -23,7 +26,7 @@
     private final QuotaEstimator quotaEstimator;
     private final long queueCheckIntervalUs;
 
-    /** {@code queuePollUs}: how often queued requests are looked at. */
+    /** @param queueCheckIntervalUs interval between checks of the queued requests, in microseconds */
     AdmissionControl(
             LoadBalancerSettings settings,
             TenantQueues queues,
@@ -35,7 +38,7 @@
         this.queueCheckIntervalUs = queueCheckIntervalUs;
     }
 
-    /** Sets the request's times and the queue that it belongs to. */
+    /** Sets the request's deadlines, its quota status and the queue that it belongs to. */
     void admit(long nowUs, PendingRequest pending) {
         RequestClass requestClass = pending.requestClass;
         pending.overQuota = quotaEstimator.onArrival(nowUs, pending.tenantQueue, pending.clientRequest.retry());
@@ -57,8 +60,8 @@
     }
 
     /**
-     * When the client first tried: the latency objective counts from there. Unless clients mark their retries, one with
-     * less time left than others of its class is taken for one.
+     * Returns the time of the client's first attempt, from which the latency objective counts. If clients do not mark
+     * their retries, a request with less time left than other requests of its class is taken for a retry.
      */
     private long firstAttemptAtUs(long nowUs, PendingRequest pending) {
         Request request = pending.clientRequest;
--- a/src/main/java/olivechute/loadbalancing/Attempt.java
+++ b/src/main/java/olivechute/loadbalancing/Attempt.java
@@ -1,17 +1,17 @@
 package olivechute.loadbalancing;
 
-/** One attempt at a request at one endpoint. Times are microseconds. */
+/** One attempt to serve a request at one endpoint. Times are microseconds. */
 final class Attempt {
     private static final long NOT_STARTED = -1;
 
     final PendingRequest request;
     final Endpoint endpoint;
     final long sentAtUs;
-    /** Whether no idle connection was there to carry it. */
+    /** Whether there was no idle connection to the endpoint, so that the attempt needs a new one. */
     final boolean usesNewConnection;
 
     boolean inFlight = true;
-    /** Whether its start has been overdue; see {@link ClassExclusion}. */
+    /** Whether its start was overdue at some time; see {@link ClassExclusion}. */
     boolean startOverdue;
 
     private long startedAtUs = NOT_STARTED;
@@ -27,17 +27,17 @@
         startedAtUs = nowUs;
     }
 
-    /** Whether the endpoint reported that it runs. */
+    /** Whether the endpoint has reported that the request runs. */
     boolean started() {
         return startedAtUs != NOT_STARTED;
     }
 
-    /** When it began to run, as far as that is known. */
+    /** Returns the reported start time, or the send time if no start was reported. */
     long runningSinceUs() {
         return started() ? startedAtUs : sentAtUs;
     }
 
-    /** How long its start may take: the latency objective, with the stretch of a mean request. */
+    /** Returns how long the start may take: the latency objective, stretched by the mean running time of the class. */
     double startTimeoutUs() {
         RequestClass requestClass = request.requestClass;
         return requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * request.classStats.meanRunTimeUs();
--- a/src/main/java/olivechute/loadbalancing/AttemptObserver.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptObserver.java
@@ -1,6 +1,9 @@
 package olivechute.loadbalancing;
 
-/** Draws from the course of each attempt what it tells of its endpoint, and passes it to the parts that keep it. */
+/**
+ * Derives statistics from the events of each attempt and passes them to the components that keep them. Called by
+ * {@link ShareLoadBalancer} on the event loop.
+ */
 final class AttemptObserver {
     private static final double KIND_RUN_TIME_SAMPLE_WEIGHT = 0.02;
 
@@ -14,7 +17,7 @@
         this.outlierDetector = outlierDetector;
     }
 
-    /** The endpoint reported that the attempt runs. */
+    /** Handles the endpoint's report that the request runs. */
     void onStarted(long nowUs, Attempt attempt) {
         Endpoint endpoint = attempt.endpoint;
         endpoint.classExclusion.onStarted(attempt.request.classStats.index);
@@ -49,12 +52,12 @@
             }
             case ERROR -> outlierDetector.onError(nowUs, endpoint);
             case ACCEPT_TIMEOUT, STALE_CONNECTION, CANCEL_UNCONFIRMED, SUPPRESSED -> {
-                // Not the endpoint's fault but its connection's, which HealthView judges.
+                // These outcomes are faults of the connection, not of the endpoint; HealthView evaluates them.
                 endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
                 endpoint.startWait.resetToMin();
             }
             case TIMEOUT, CANCELLED, NOT_SENT -> {
-                // tells nothing of the endpoint
+                // These outcomes say nothing about the endpoint.
             }
         }
     }
--- a/src/main/java/olivechute/loadbalancing/AttemptOutcome.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptOutcome.java
@@ -1,36 +1,36 @@
 package olivechute.loadbalancing;
 
 /**
- * How an attempt ended. Those after {@link #NOT_SENT} come from a node on sockets alone, never over the simulator's
- * wire, whose codes are the ordinals of the others plus one.
+ * The result of an attempt. On the simulator's wire protocol an outcome's code is its ordinal plus one. The outcomes
+ * after {@link #NOT_SENT} are produced only by a node that uses sockets and are never sent over that protocol.
  */
 public enum AttemptOutcome {
-    /** The endpoint answered with a result. */
+    /** The endpoint returned a result. */
     OK(false),
-    /** The endpoint answered that the request failed. */
+    /** The endpoint reported that the request failed. */
     ERROR(false),
-    /** The endpoint had no capacity and did not take the request. */
+    /** The endpoint had no capacity and did not accept the request. */
     REJECTED(true),
-    /** Nothing came before the deadline. */
+    /** No response arrived before the deadline. */
     TIMEOUT(false),
-    /** No connection could be made. */
+    /** No connection could be established. */
     CONNECT_FAILED(true),
-    /** The connection broke while the request was out. */
+    /** The connection broke while the request was in flight. */
     RESET(false),
-    /** The attempt was cancelled, as the client has gone. */
+    /** The attempt was cancelled because the client disconnected. */
     CANCELLED(false),
-    /** The node itself did not send the attempt, as it would have broken a rule. */
+    /** The node did not send the attempt because sending it would have broken a rule. */
     NOT_SENT(true),
-    /** The endpoint did not accept the request in the time in which it usually does, and confirmed the cancellation. */
+    /** The endpoint did not accept the request within its usual time, and confirmed the cancellation. */
     ACCEPT_TIMEOUT(false),
-    /** A reused idle connection broke at this request. */
+    /** A reused idle connection broke when the request was sent on it. */
     STALE_CONNECTION(false),
     /**
-     * As {@link #ACCEPT_TIMEOUT}, but the endpoint did not confirm the cancellation: the attempt may run on, and
-     * another one would be a duplicate.
+     * As {@link #ACCEPT_TIMEOUT}, but the endpoint did not confirm the cancellation: the attempt may still run, and
+     * another attempt would be a duplicate.
      */
     CANCEL_UNCONFIRMED(false),
-    /** The check before the first byte held the attempt back: nothing of it was written. */
+    /** The check before the first byte stopped the attempt, and nothing of it was written. */
     SUPPRESSED(true);
 
     private final boolean neverExecuted;
@@ -39,7 +39,7 @@
         this.neverExecuted = neverExecuted;
     }
 
-    /** Whether this outcome proves that the attempt never ran at its endpoint. */
+    /** Returns whether this outcome proves that the endpoint never executed the attempt. */
     public boolean neverExecuted() {
         return neverExecuted;
     }
--- a/src/main/java/olivechute/loadbalancing/AttemptSignal.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptSignal.java
@@ -1,9 +1,9 @@
 package olivechute.loadbalancing;
 
-/** What an endpoint reports of an attempt that is in flight. */
+/** A report from an endpoint about an attempt in flight. */
 public enum AttemptSignal {
-    /** The request left the endpoint's queue and runs. */
+    /** The request left the endpoint's queue and started to run. */
     STARTED,
-    /** The request still runs. */
+    /** The request is still running. */
     PROGRESS
 }
--- a/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
@@ -2,15 +2,22 @@
 
 import java.util.Collection;
 
-/** Estimates the free slots of endpoints from their load reports and from what this node has in flight there. */
+/**
+ * Estimates the free slots of each endpoint from its load reports and from the attempts that this node has in flight
+ * there. Called on the event loop.
+ */
 final class CapacityEstimator {
     /**
-     * Endpoints with one free slot that the mean counts beside those heard: two that are full tell little of a hundred.
+     * Number of assumed endpoints with one free slot each that are added to the mean: reports of two full endpoints say
+     * little about a fleet of a hundred.
      */
     private static final double PRIOR_ENDPOINTS = 2;
-    /** An endpoint that reported no free slot for longer gets a request all the same, while the fleet has capacity. */
+    /**
+     * An endpoint that has reported no free slot for longer than this is sent a request anyway while the fleet has
+     * capacity.
+     */
     private static final long FULL_ENDPOINT_RETRY_US = 2 * LoadReportState.MAX_REPORT_AGE_US;
-    /** Reports of more free slots than this are taken for wrong. */
+    /** Reports of at least this many free slots are ignored as invalid. */
     private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
     private static final double HALF_SLOT = 0.5;
@@ -34,14 +41,14 @@
         }
     }
 
-    /** An endpoint that reports its load rejected a request: that counts as a report of no free slot. */
+    /** Counts a rejection by an endpoint that reports its load as a report of no free slot. */
     void onRejected(long nowUs, Endpoint endpoint) {
         if (endpoint.loadReportState.hasReported()) {
             endpoint.loadReportState.onReport(nowUs, 0, Double.NaN, 0, endpoint);
         }
     }
 
-    /** An endpoint reported that a request runs. */
+    /** Handles an endpoint's report that a request runs. */
     void onStarted(Endpoint endpoint) {
         int running = endpoint.runningSlots();
         stats.updateMaxSlots(running);
@@ -63,7 +70,7 @@
                 : (freeSlots + PRIOR_ENDPOINTS) / (reportingEndpoints + PRIOR_ENDPOINTS);
     }
 
-    /** Whether a request of so many slots may be sent there now. */
+    /** Returns whether a request that needs this many slots and this much memory may be sent to the endpoint now. */
     boolean hasCapacity(long nowUs, Endpoint endpoint, int slots, double memory) {
         int attempts = endpoint.attempts.size();
         boolean busy = endpoint.inFlightHistory.slots() > 0;
@@ -79,10 +86,11 @@
     }
 
     /**
-     * Free slots as far as known. An endpoint not heard of lately counts as the mean of the others; one in slow start
-     * is not as full as they are, as nobody has sent to it, and counts as one slot: {@link SlowStart} bounds what all
-     * nodes send. One that has reported no free slot for long gets a request while the fleet has capacity, as its
-     * report may be untrue and its answer will tell.
+     * Returns the estimated number of free slots. An endpoint without a fresh report is assumed to have the mean of the
+     * other endpoints. An endpoint in slow start is not as full as the others, because no node has sent to it yet, and
+     * is assumed to have one free slot; {@link SlowStart} limits what all nodes send. An endpoint that has reported no
+     * free slot for a long time is sent a request while the fleet has capacity: its report may be wrong, and its
+     * response will show.
      */
     private double freeSlots(long nowUs, Endpoint endpoint) {
         boolean retryFullEndpoint = endpoint.attempts.isEmpty()
@@ -97,10 +105,11 @@
     }
 
     /**
-     * Whether a request sent there has not started yet and is not overdue: the endpoint is full, stalled, slow or cut
-     * off, and the next request should not queue behind it. Costs throughput where a round trip is long against a
-     * request: a fast endpoint far away gets one request a round trip. The first is given up after its start time-out,
-     * the second after twice that and so on, so that lost notices block nobody.
+     * Returns whether a request sent to the endpoint has not started yet and is not overdue. The endpoint is then full,
+     * stalled, slow or unreachable, and the next request should not queue behind it. This costs throughput where a
+     * round trip is long compared with the running time of a request: a fast, distant endpoint gets one request per
+     * round trip. The first pending start blocks for its start timeout, the second for twice that and so on, so that
+     * lost start reports do not block the endpoint forever.
      */
     private boolean hasPendingStart(long nowUs, Endpoint endpoint) {
         if (!settings.notifiesStart()) {
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Excludes one class of requests from one endpoint where their starts are never reported, while other classes go on
- * there. Guards against endpoints that leave one class unanswered, or take requests and answer none. A single start may
- * be lost on the network, so the second in a row excludes the class, and each further one for twice as long.
+ * Excludes one request class from one endpoint that never reports the starts of that class, while other classes are
+ * still sent there. Guards against endpoints that do not answer one class, or that accept requests and answer none. A
+ * single start report may be lost on the network, so the second overdue start in a row excludes the class, and each
+ * further one doubles the exclusion.
  */
 final class ClassExclusion {
     private static final long FIRST_EXCLUSION_US = 8_000_000;
@@ -42,7 +43,7 @@
         return nowUs < excludedUntilUs[classIndex];
     }
 
-    /** Whether the last start of this class that was due was not reported. */
+    /** Returns whether the last start of this class that was due was not reported. */
     boolean lastStartOverdue(int classIndex) {
         return consecutiveOverdueStarts[classIndex] > 0;
     }
--- a/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
+++ b/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
@@ -1,8 +1,9 @@
 package olivechute.loadbalancing;
 
 /**
- * The most attempts in flight at one endpoint that reports no load, by additive increase and multiplicative decrease:
- * one more for each request that finishes while half of the window is in use, a quarter fewer when requests queue.
+ * Limits the attempts in flight at one endpoint that does not report its load. Additive increase and multiplicative
+ * decrease: the window grows by one for each request that finishes while at least half of the window is in use, and
+ * shrinks by a quarter when requests queue at the endpoint.
  */
 final class ConcurrencyWindow {
     private static final double MAX_SIZE = 64;
--- a/src/main/java/olivechute/loadbalancing/ConnectionCount.java
+++ b/src/main/java/olivechute/loadbalancing/ConnectionCount.java
@@ -1,11 +1,11 @@
 package olivechute.loadbalancing;
 
-/** How many connections to one endpoint are open, as far as this node's attempts show it. */
+/** Number of open connections to one endpoint, derived from this node's attempts. */
 final class ConnectionCount {
     private int openConnections;
     private long allLastInUseAtUs;
 
-    /** So many attempts are in flight, each on a connection of its own. */
+    /** Handles a send; {@code attemptsInFlight} includes it, and each attempt uses a connection of its own. */
     void onSend(long nowUs, int attemptsInFlight) {
         if (attemptsInFlight >= openConnections) {
             openConnections = attemptsInFlight;
@@ -13,7 +13,7 @@
         }
     }
 
-    /** All connections but those of the attempts in flight are gone. */
+    /** Handles the closing of all connections that no attempt in flight uses. */
     void onIdleClosed(int attemptsInFlight) {
         openConnections = attemptsInFlight;
     }
@@ -22,7 +22,7 @@
         return openConnections > attemptsInFlight;
     }
 
-    /** When all of them were last in use, in microseconds. */
+    /** Returns when all open connections were last in use at once, in microseconds. */
     long allLastInUseAtUs() {
         return allLastInUseAtUs;
     }
--- a/src/main/java/olivechute/loadbalancing/CostWeights.java
+++ b/src/main/java/olivechute/loadbalancing/CostWeights.java
@@ -1,11 +1,11 @@
 package olivechute.loadbalancing;
 
 /**
- * What actions cost, each as a part of the value of one request.
+ * Costs of actions, each as a fraction of the value of one request.
  *
- * @param crossZone an attempt at an endpoint of another zone
- * @param probe a probe
- * @param handshake a new connection
- * @param connection keeping connections open; due in full at a mean of 100 open connections for each endpoint
+ * @param crossZone cost of an attempt at an endpoint in another zone
+ * @param probe cost of a probe
+ * @param handshake cost of a new connection
+ * @param connection cost of open connections; charged in full at a mean of 100 open connections per endpoint
  */
 public record CostWeights(double crossZone, double probe, double handshake, double connection) {}
--- a/src/main/java/olivechute/loadbalancing/DeduplicationScope.java
+++ b/src/main/java/olivechute/loadbalancing/DeduplicationScope.java
@@ -1,7 +1,8 @@
 package olivechute.loadbalancing;
 
 /**
- * Which endpoints share the memory of idempotency keys, and so drop the repeats of a {@link Idempotency#KEYED} request.
+ * The set of endpoints that share a record of idempotency keys and therefore drop repeats of a
+ * {@link Idempotency#KEYED} request.
  */
 public enum DeduplicationScope {
     /** All endpoints. */
--- a/src/main/java/olivechute/loadbalancing/DispatchLimits.java
+++ b/src/main/java/olivechute/loadbalancing/DispatchLimits.java
@@ -1,15 +1,16 @@
 package olivechute.loadbalancing;
 
 /**
- * What the deployment allows a node to do.
+ * Limits that the deployment sets on a node's actions.
  *
  * @param probesAllowed whether endpoints may be probed for their load
  * @param cancelAllowed whether attempts may be cancelled
- * @param hedgingAllowed whether two attempts at one request may be in flight at once
+ * @param hedgingAllowed whether two attempts of one request may be in flight at once
  * @param retryAfterAllowed whether a rejection may carry a Retry-After
- * @param maxAttempts the most attempts at one request, the first included
- * @param maxRetryAfterUs the longest Retry-After, in microseconds
- * @param connectionIdleTimeoutUs after how many microseconds an idle connection closes by itself; 0: at once
+ * @param maxAttempts maximum number of attempts per request, including the first
+ * @param maxRetryAfterUs maximum Retry-After, in microseconds
+ * @param connectionIdleTimeoutUs idle time after which a connection closes by itself, in microseconds; 0 closes it at
+ *     once
  */
 public record DispatchLimits(
         boolean probesAllowed,
--- a/src/main/java/olivechute/loadbalancing/Endpoint.java
+++ b/src/main/java/olivechute/loadbalancing/Endpoint.java
@@ -4,20 +4,24 @@
 import java.util.List;
 
 /**
- * One endpoint as this node knows it: what the list says of it, what is in flight there, and what was learned of it.
+ * State of one endpoint on this node: its entry in the endpoint list, the attempts in flight, and the statistics and
+ * exclusions derived from earlier attempts. Used on the event loop only.
  */
 final class Endpoint {
     final EndpointKindStats kindStats;
-    /** Drawn once: the endpoints of lowest rank are this node's working set. */
+    /** Random number drawn once per endpoint; the endpoints of lowest rank form this node's working set. */
     final double rank;
     /** Whether it is in this node's zone. */
     final boolean inLocalZone;
 
     EndpointInfo info;
     EndpointHealth health = EndpointHealth.HEALTHY;
-    /** Whether the list has lost it without saying that it drains, where only draining binds. */
+    /**
+     * Whether it is missing from the list without having been listed as draining; set only if
+     * {@link ServiceRules#keepsUnlistedEndpoints()}.
+     */
     boolean unlisted;
-    /** Instances of each tenant on it; the weights of the share controller. */
+    /** Instances of each tenant, by tenant index; the weights that {@link ShareController} maintains. */
     int[] tenantInstances = new int[0];
 
     final List<Attempt> attempts = new ArrayList<>();
@@ -30,7 +34,7 @@
     final OutlierState outlierState = new OutlierState();
     final ClassExclusion classExclusion;
     final SlowStartSends slowStartSends = new SlowStartSends();
-    /** When it was last probed, in microseconds. */
+    /** Time of the last probe, in microseconds. */
     long lastProbedAtUs = Long.MIN_VALUE / 2;
 
     private double memoryInFlight;
@@ -63,7 +67,7 @@
                 info.startedAtUs());
     }
 
-    /** Its process started anew: recent observations are forgotten; the long-term running time is kept. */
+    /** Handles a restart of its process: clears recent observations and keeps the long-term running time. */
     void onRestart() {
         concurrencyWindow.clear();
         latencyStats.clear();
@@ -91,7 +95,7 @@
         memoryInFlight = attempts.isEmpty() ? 0 : memoryInFlight - attempt.request.memory;
     }
 
-    /** The part of its capacity that it has for certain by the rules of slow start, from 0 to 1. */
+    /** Returns the fraction of its capacity that the slow start rules guarantee at this time, from 0 to 1. */
     double slowStartCapacity(long nowUs, ServiceRules rules) {
         long startedAtUs = Math.max(info.startedAtUs(), outlierState.assumedStartUs);
         if (startedAtUs <= 0 || nowUs - startedAtUs >= rules.slowStartDurationUs()) {
@@ -113,7 +117,7 @@
         return memoryInFlight;
     }
 
-    /** Slots of this node's requests that are known to run. */
+    /** Returns the slots of this node's requests that are known to run. */
     int runningSlots() {
         int running = 0;
         for (int i = 0; i < attempts.size(); i++) {
--- a/src/main/java/olivechute/loadbalancing/EndpointHealth.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointHealth.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
-/** The health of one endpoint as seen from its sockets; asked whenever a request looks for an endpoint. */
+/** Health of one endpoint as seen on its sockets; read on the event loop each time a request looks for an endpoint. */
 public interface EndpointHealth {
-    /** Admits every request without a limit. */
+    /** Accepts every request and has no concurrency limit. */
     EndpointHealth HEALTHY = new EndpointHealth() {
         @Override
         public boolean admits(long nowUs, int classIndex) {
@@ -15,9 +15,9 @@
         }
     };
 
-    /** False while the endpoint is ejected, as a whole or for requests of the class of this index. */
+    /** Returns false while the endpoint is ejected, either for all requests or for the class with this index. */
     boolean admits(long nowUs, int classIndex);
 
-    /** The most attempts that should be in flight there at once. */
+    /** Returns the maximum number of attempts that should be in flight to the endpoint at once. */
     int concurrencyLimit();
 }
--- a/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
@@ -1,10 +1,10 @@
 package olivechute.loadbalancing;
 
-/** What a node has learned of all endpoints of one kind. */
+/** Statistics over all endpoints of one kind. */
 final class EndpointKindStats {
-    /** The most slots that one of them was seen to have. */
+    /** Largest number of slots observed at one endpoint of the kind. */
     double maxSlots = 1;
-    /** Running time there as a multiple of the class's mean, smoothed. */
+    /** Smoothed running time at this kind, as a multiple of the request class's mean. */
     double relativeRunTime = 1;
 
     private double runningSlotsPerEndpoint = Double.NaN;
@@ -16,14 +16,15 @@
         maxSlots = Math.max(maxSlots, observedSlots);
     }
 
-    /** Counts an endpoint that has finished its slow start in the present interval. */
+    /** Counts an endpoint that has finished its slow start towards the current interval. */
     void countWarmedUp(int slots) {
         warmedUpEndpoints++;
         warmedUpRunningSlots += slots;
     }
 
     /**
-     * Takes the interval's count into the smoothed one: a plain mean at first, then one in which it has this weight.
+     * Adds the interval's mean to the smoothed one. The first intervals form a plain mean; later ones are weighted by
+     * at least {@code minSampleWeight}.
      */
     void endInterval(double minSampleWeight) {
         if (warmedUpEndpoints > 0) {
@@ -36,7 +37,10 @@
         warmedUpRunningSlots = 0;
     }
 
-    /** Slots that this node's requests run in at a warm one of them, smoothed; NaN while not known. */
+    /**
+     * Returns the smoothed number of this node's running slots per endpoint that has finished its slow start; NaN while
+     * unknown.
+     */
     double runningSlotsPerEndpoint() {
         return runningSlotsPerEndpoint;
     }
--- a/src/main/java/olivechute/loadbalancing/EndpointSelector.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointSelector.java
@@ -4,19 +4,23 @@
 import java.util.List;
 
 /**
- * Selects the endpoint of an attempt: of the endpoints in the working set that are in health, may run the request and
- * have capacity, one of those that cost least. The reasons for which one endpoint gets nothing are in {@link #collect},
- * {@link #available}, {@link #suitable} and {@link #addCandidate}; {@link EndpointDraw} chooses among the rest.
+ * Selects the endpoint of an attempt. Candidates are the endpoints of the working set that are healthy, may run the
+ * request and have capacity; {@link WeightedEndpointPicker} picks one of the cheapest. The conditions that rule out an
+ * endpoint are in {@link #collectCandidates}, {@link #isAvailable}, {@link #isSuitable} and {@link #addCandidate}.
+ * Called on the event loop.
  */
 final class EndpointSelector {
     /** Slots that a request over its quota must leave free. */
     private static final int OVER_QUOTA_RESERVED_SLOTS = 2;
 
-    /** The same in quiet times. */
+    /** Slots that it must leave free at low load. */
     private static final int LOW_LOAD_OVER_QUOTA_RESERVED_SLOTS = 1;
-    /** Times are quiet while the mean endpoint has more than the slots over this number free. */
+    /** The load is low while the mean number of free slots exceeds the largest observed slot count divided by this. */
     private static final double LOW_LOAD_DIVISOR = 3;
-    /** If no start was reported for so long, endpoints that start requests late are tried again. */
+    /**
+     * Waits for a start are ignored if no endpoint has reported a start for this long, so that endpoints that start
+     * requests late are tried again.
+     */
     private static final long MAX_START_REPORT_AGE_US = 1_000_000;
 
     private final LoadBalancerSettings settings;
@@ -28,7 +32,7 @@
     private final RetryPolicy retryPolicy;
     private final LoadProber loadProber;
     private final WeightedEndpointPicker endpointPicker;
-    /** Candidates of one selection; fields so that selections allocate nothing. */
+    /** Candidates of one selection; fields to avoid allocations per selection. */
     private final List<Endpoint> knownLoadCandidates = new ArrayList<>();
 
     private final List<Endpoint> unknownLoadCandidates = new ArrayList<>();
@@ -54,7 +58,7 @@
         this.endpointPicker = endpointPicker;
     }
 
-    /** Returns {@code null} if no endpoint has capacity, or while the answers to probes are awaited. */
+    /** Returns {@code null} if no endpoint has capacity, or while the request waits for probe responses. */
     Endpoint select(long nowUs, PendingRequest request) {
         knownLoadCandidates.clear();
         unknownLoadCandidates.clear();
@@ -87,7 +91,10 @@
         }
     }
 
-    /** A request over its quota leaves some slots free; yet one as wide as an endpoint still fits on an idle one. */
+    /**
+     * Returns the number of free slots that the request needs. A request over its quota leaves some slots free, but one
+     * that needs a whole endpoint still fits on an idle one.
+     */
     private int requiredSlots(PendingRequest request) {
         if (!request.overQuota) {
             return request.slots;
@@ -98,12 +105,15 @@
         return Math.max(request.slots, Math.min(request.slots + reservedSlots, (int) stats.maxSlotsObserved));
     }
 
-    /** Whether so few endpoints may run the request that the working set is too small a choice. */
+    /** Returns whether so few endpoints may run the request that the choice must not be limited to the working set. */
     private static boolean hasFewEligibleEndpoints(PendingRequest request) {
         return request.requestClass.endpointKind() != null || request.possiblyExecutedAttempt != null;
     }
 
-    /** How far the recent wait for a start still holds: reports of load tell more, the longer requests run. */
+    /**
+     * Returns the weight of the recent wait for a start, from 0 to 1. It decreases with the running time of requests,
+     * because load reports are then more informative.
+     */
     private double startWaitWeight() {
         return settings.loadReporting() == LoadReporting.NONE
                 ? 1
@@ -111,10 +121,10 @@
     }
 
     /**
-     * Whether an endpoint gets requests of this class at all now: it is listed as active, not ejected, and does not
-     * start requests later than this one can wait. When all are behind, requests are queued and rejected rather than
-     * queued too long at endpoints; a node that is late itself must find that out, so the wait is trusted for a while
-     * only.
+     * Returns whether the endpoint may get requests of this class now: it is listed as active, not ejected or excluded,
+     * and does not start requests later than this one can wait. If all endpoints start requests too late, requests are
+     * queued and rejected instead of queueing too long at the endpoints. The wait is trusted only for a limited time,
+     * so that a node that is itself late can detect that.
      */
     private boolean isAvailable(long nowUs, PendingRequest request, Endpoint endpoint, double startWaitWeight) {
         int classIndex = request.classStats.index;
@@ -147,7 +157,10 @@
         return inSlowStart || settings.loadReporting() == LoadReporting.NONE || endpoint.loadReportState.isFresh(nowUs);
     }
 
-    /** An endpoint that never reports is used without, once the request has waited for the answers. */
+    /**
+     * Returns whether the endpoint has never reported its load and the request has waited long enough for responses to
+     * its probes; the endpoint is then used without a report.
+     */
     private static boolean probesUnanswered(long nowUs, PendingRequest request, Endpoint endpoint) {
         return !endpoint.loadReportState.hasReported()
                 && nowUs - request.arrivedAtUs > LoadProber.MAX_ROUNDS * LoadProber.answerWaitUs(request);
--- a/src/main/java/olivechute/loadbalancing/EndpointState.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointState.java
@@ -1,11 +1,11 @@
 package olivechute.loadbalancing;
 
-/** What discovery's endpoint list says of an endpoint. */
+/** State of an endpoint in the endpoint list of the discovery service. */
 public enum EndpointState {
-    /** Takes new requests. */
+    /** Accepts new requests. */
     ACTIVE,
-    /** Shuts down gracefully: nothing new may be sent to it once the grace has passed. */
+    /** Shuts down gracefully; nothing new may be sent to it after the drain grace period. */
     DRAINING,
-    /** No longer on the list. */
+    /** No longer listed. */
     REMOVED
 }
--- a/src/main/java/olivechute/loadbalancing/EndpointStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointStats.java
@@ -1,24 +1,24 @@
 package olivechute.loadbalancing;
 
 /**
- * What this node believes of its endpoints as a whole, and of its own traffic. Each figure is kept by the class that
- * measures it and read by the others. Times are microseconds.
+ * Statistics over all endpoints and over this node's own traffic. Each value is written by the class that measures it
+ * and read by the others, on the event loop. Times are microseconds.
  */
 final class EndpointStats {
     private static final double CONNECT_DELAY_SAMPLE_WEIGHT = 0.2;
     private static final double RUN_TIME_SAMPLE_WEIGHT = 0.02;
     private static final double IN_FLIGHT_SAMPLE_WEIGHT = 0.1;
 
-    /** Mean free slots of the endpoints whose reports are fresh; NaN while none is. */
+    /** Mean free slots of the endpoints with a fresh load report; NaN if there is none. */
     double meanFreeSlots = Double.NaN;
-    /** The most slots that one endpoint was seen to have. */
+    /** Largest number of slots observed at one endpoint. */
     double maxSlotsObserved = 1;
 
     double medianRelativeRunTime = 1;
     double medianStartWaitUs;
     double medianErrorRate;
 
-    /** When an endpoint last reported that a request started. */
+    /** Time of the last report from any endpoint that a request started. */
     long lastStartReportAtUs;
 
     private double meanRunTimeUs = LoadReportState.REPORT_DELAY_US;
@@ -34,7 +34,7 @@
         meanRunTimeUs += RUN_TIME_SAMPLE_WEIGHT * (runTimeUs - meanRunTimeUs);
     }
 
-    /** Running time of requests lately, of all classes. */
+    /** Returns the smoothed running time of recent requests of all classes. */
     double meanRunTimeUs() {
         return meanRunTimeUs;
     }
@@ -43,7 +43,7 @@
         connectDelayUs += CONNECT_DELAY_SAMPLE_WEIGHT * (delayUs - connectDelayUs);
     }
 
-    /** What a new connection lately added to the wait of its first request. */
+    /** Returns the smoothed delay that new connections recently added to the start of their first request. */
     double connectDelayUs() {
         return connectDelayUs;
     }
@@ -56,12 +56,12 @@
         attemptsInFlight--;
     }
 
-    /** Once an interval. */
+    /** Called once per {@link ShareController#INTERVAL_US}. */
     void sampleAttemptsInFlight() {
         meanAttemptsInFlight += IN_FLIGHT_SAMPLE_WEIGHT * (attemptsInFlight - meanAttemptsInFlight);
     }
 
-    /** Attempts of this node in flight, smoothed. */
+    /** Returns the smoothed number of this node's attempts in flight. */
     double meanAttemptsInFlight() {
         return meanAttemptsInFlight;
     }
--- a/src/main/java/olivechute/loadbalancing/EndpointTable.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointTable.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** The endpoints that a node knows, kept by the updates of the endpoint list. */
+/** The endpoints known to a node, updated from the endpoint list. Used on the event loop only. */
 final class EndpointTable {
-    /** An endpoint that the list has lost is forgotten after so many failures in a row. */
+    /** An endpoint that is no longer listed is removed after this many failures in a row. */
     private static final int FAILURES_TO_REMOVE = 3;
 
     private static final Comparator<Endpoint> BY_RANK = Comparator.comparingDouble(e -> e.rank);
@@ -33,7 +33,7 @@
         this.random = random;
     }
 
-    /** Returns {@code null} if the endpoint is not known. */
+    /** Returns {@code null} if the endpoint is unknown. */
     Endpoint get(String name) {
         return byName.get(name);
     }
@@ -46,17 +46,17 @@
         return byName.size();
     }
 
-    /** The endpoints of this node's zone, by rank. */
+    /** Returns the endpoints of this node's zone, ordered by rank. */
     List<Endpoint> local() {
         return local;
     }
 
-    /** The endpoints of other zones, by rank. */
+    /** Returns the endpoints of other zones, ordered by rank. */
     List<Endpoint> remote() {
         return remote;
     }
 
-    /** Takes an update of the list; a failed one is none. */
+    /** Applies an update of the endpoint list; must not be called for a failed one. */
     void update(ListUpdateKind updateKind, List<EndpointInfo> listed) {
         Set<String> listedNames = new HashSet<>();
         for (EndpointInfo info : listed) {
@@ -109,10 +109,10 @@
     }
 
     /**
-     * Whether an endpoint that is removed or missing from the list stays a target. Where only draining binds, a removal
-     * proves nothing of an endpoint that was not seen draining: it is used until its own outcomes say otherwise. Guards
-     * against lists that lose endpoints, or a whole zone, that still serve; costs some failed connects where they are
-     * gone indeed.
+     * Returns whether an endpoint that was removed or is missing from the list remains in use. If
+     * {@link ServiceRules#keepsUnlistedEndpoints()}, a removal proves nothing about an endpoint that was never listed
+     * as draining, and it is used until its own outcomes show otherwise. Guards against lists that lose endpoints, or a
+     * whole zone, that still serve; costs some failed connects if the endpoints are really gone.
      */
     private boolean staysAfterRemoval(Endpoint endpoint) {
         return settings.rules().keepsUnlistedEndpoints() && endpoint.active();
--- a/src/main/java/olivechute/loadbalancing/HealthView.java
+++ b/src/main/java/olivechute/loadbalancing/HealthView.java
@@ -1,11 +1,11 @@
 package olivechute.loadbalancing;
 
 /**
- * What the node sees on its sockets and the load balancer cannot know. It advises, the load balancer decides. Times are
- * microseconds on the node's clock; called on the event loop.
+ * Advice from the sockets that the load balancer cannot derive itself; the load balancer makes the decision. Times are
+ * microseconds on the node's clock. Called on the event loop.
  */
 public interface HealthView {
-    /** All endpoints are healthy, all retries allowed, the list is always up to date. */
+    /** All endpoints are healthy, all retries are allowed, and the list is always up to date. */
     HealthView NONE = new HealthView() {
         @Override
         public EndpointHealth endpoint(String name) {
@@ -23,20 +23,20 @@
         }
     };
 
-    /** The health of an endpoint; the same object as long as the endpoint is on the list. */
+    /** Returns the health of an endpoint; the same object for as long as the endpoint is listed. */
     EndpointHealth endpoint(String name);
 
     /**
-     * Takes a retry from the budget, if there is one and the time that is left suffices.
+     * Takes a retry from the budget if the budget and the remaining time suffice.
      *
-     * @param last how the attempt before ended
+     * @param lastOutcome outcome of the previous attempt
      * @param timeLeftUs microseconds until the client gives up
      */
     boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome lastOutcome, long timeLeftUs);
 
     /**
-     * For how long the endpoint list may have lacked endpoints that drain, so that nothing may be sent by it; 0 while
-     * it is up to date, {@link Long#MAX_VALUE} if it never was.
+     * Returns for how long the endpoint list may have failed to show draining endpoints, so that nothing may be sent by
+     * it; 0 while it is up to date, {@link Long#MAX_VALUE} if it never was.
      */
     long listStaleForUs(long nowUs);
 }
--- a/src/main/java/olivechute/loadbalancing/Idempotency.java
+++ b/src/main/java/olivechute/loadbalancing/Idempotency.java
@@ -1,11 +1,11 @@
 package olivechute.loadbalancing;
 
-/** What a further attempt at a request of a class may do. */
+/** Whether a request class may be attempted more than once. */
 public enum Idempotency {
     /** Any number of attempts has the effect of one. */
     IDEMPOTENT,
-    /** Carries an idempotency key; the endpoints of one {@link DeduplicationScope} drop repeats for a while. */
+    /** Carries an idempotency key; the endpoints of one {@link DeduplicationScope} drop repeats for a limited time. */
     KEYED,
-    /** Must never run twice. */
+    /** Must not be executed twice. */
     NOT_IDEMPOTENT
 }
--- a/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
@@ -2,10 +2,14 @@
 
 import java.util.Collection;
 
-/** Closes connections that have been idle for so long that a new one costs less than keeping them open. */
+/**
+ * Closes connections that have been idle for so long that a new connection costs less than keeping them open. Called by
+ * {@link ShareLoadBalancer} on the event loop.
+ */
 final class IdleConnectionPolicy {
     /**
-     * {@link CostWeights#connection()} is due at a mean of 100 connections for each endpoint, in microseconds of one.
+     * Connection time that costs {@link CostWeights#connection()} in full, in microseconds of one connection: a mean of
+     * 100 open connections per endpoint.
      */
     private static final double CONNECTION_COST_UNIT_US = 1e8;
 
@@ -37,7 +41,10 @@
                 > Math.min(economicIdleTimeUs(endpointCount), (double) idleTimeoutUs);
     }
 
-    /** For how long an idle connection is worth keeping; the tenants' quotas tell how often it is needed. */
+    /**
+     * Returns for how long an idle connection is cheaper than a new one. The tenants' quotas give the expected rate of
+     * use.
+     */
     private double economicIdleTimeUs(int endpointCount) {
         if (costWeights.connection() == 0) {
             return Double.MAX_VALUE;
--- a/src/main/java/olivechute/loadbalancing/InFlightHistory.java
+++ b/src/main/java/olivechute/loadbalancing/InFlightHistory.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
 /**
- * How many slots of one endpoint this node's attempts occupy, now and at steps of the recent past: a load report is
- * late, and has to be compared with what was in flight when it was made.
+ * Number of slots of one endpoint that this node's attempts occupy, now and at steps of the recent past. A load report
+ * arrives late and has to be compared with what was in flight when it was made.
  */
 final class InFlightHistory {
     static final long STEP_US = 100_000;
@@ -16,12 +16,12 @@
         return timeUs / STEP_US;
     }
 
-    /** Slots in flight now. */
+    /** Returns the slots in flight now. */
     int slots() {
         return slots;
     }
 
-    /** So many more slots are in flight from now on; a negative number ends some. */
+    /** Changes the number of slots in flight from now on; negative when an attempt ends. */
     void add(long nowUs, int slotDelta) {
         long nowStep = stepOf(nowUs);
         for (long pastStep = Math.max(currentStep, nowStep - STEP_COUNT); pastStep < nowStep; pastStep++) {
@@ -31,12 +31,12 @@
         slots += slotDelta;
     }
 
-    /** Slots in flight at the end of a step, which must not lie further back than the history. */
+    /** Returns the slots in flight at the end of a step, which must be within the history. */
     int slotsAt(long pastStep) {
         return pastStep >= currentStep ? slots : slotsAtStep[(int) Math.floorMod(pastStep, (long) STEP_COUNT)];
     }
 
-    /** Slots that were in flight all the time since a step, as far as the history's steps show it. */
+    /** Returns the slots that were in flight all the time since a step, at the resolution of the history's steps. */
     int minSlotsSince(long pastStep) {
         int minSlots = slots;
         for (long laterStep = pastStep; laterStep < currentStep; laterStep++) {
--- a/src/main/java/olivechute/loadbalancing/LatencyStats.java
+++ b/src/main/java/olivechute/loadbalancing/LatencyStats.java
@@ -1,6 +1,6 @@
 package olivechute.loadbalancing;
 
-/** Running times at one endpoint, each as a multiple of its class's mean. */
+/** Running times of requests at one endpoint, each as a multiple of its request class's mean. */
 final class LatencyStats {
     private static final double RECENT_SAMPLE_WEIGHT = 0.25;
     private static final double MIN_LONG_TERM_SAMPLE_WEIGHT = 0.05;
@@ -11,22 +11,22 @@
 
     private double bestRelativeRunTime = Double.NaN;
 
-    // Set by tests that need an endpoint with a past.
+    // Package-private so that tests can set up an endpoint with a history.
     double recentRelativeRunTime = Double.NaN;
     double longTermRelativeRunTime;
     int sampleCount;
 
-    /** Starts with what is usual for endpoints of this kind. */
+    /** Starts with the typical running time at endpoints of this kind. */
     LatencyStats(double longTermRelativeRunTime) {
         this.longTermRelativeRunTime = longTermRelativeRunTime;
     }
 
     /**
-     * A request finished.
+     * Handles the end of a request.
      *
-     * @param running its running time
-     * @param total the time from its send to its end
-     * @return whether times have grown so far over the best ones that requests must be queueing
+     * @param relativeRunTime its running time
+     * @param relativeTotalTime the time from its send to its end
+     * @return whether times have grown so far above the best ones that requests must be queueing at the endpoint
      */
     boolean onFinished(double relativeRunTime, double relativeTotalTime) {
         recentRelativeRunTime = Smoothing.smooth(recentRelativeRunTime, relativeRunTime, RECENT_SAMPLE_WEIGHT);
@@ -40,7 +40,7 @@
         return Math.max(recentRelativeRunTime, smoothedTotalTime) > CONGESTION_MULTIPLE * bestRelativeRunTime;
     }
 
-    /** The recent running time moves towards its peers'. */
+    /** Moves the recent running time towards the median of its peers. */
     void decay(double median, double retainedFraction, java.util.List<Double> peerValues) {
         recentRelativeRunTime = Smoothing.decayAndCollect(recentRelativeRunTime, median, retainedFraction, peerValues);
     }
@@ -54,12 +54,12 @@
         return Double.isNaN(recentRelativeRunTime) ? ifUnknown : recentRelativeRunTime;
     }
 
-    /** Over many requests. */
+    /** Returns the running time averaged over many requests. */
     double longTermRelativeRunTime() {
         return longTermRelativeRunTime;
     }
 
-    /** Whether enough requests finished to tell the endpoint from others of its kind. */
+    /** Returns whether enough requests have finished to distinguish the endpoint from others of its kind. */
     boolean hasLongTermRunTime() {
         return sampleCount > MIN_LONG_TERM_SAMPLES;
     }
--- a/src/main/java/olivechute/loadbalancing/ListUpdateKind.java
+++ b/src/main/java/olivechute/loadbalancing/ListUpdateKind.java
@@ -1,12 +1,12 @@
 package olivechute.loadbalancing;
 
-/** Kinds of update of the endpoint list. */
+/** Kind of an update of the endpoint list. */
 public enum ListUpdateKind {
-    /** Only the endpoints that changed. */
+    /** Contains only the endpoints that changed. */
     DELTA,
-    /** All endpoints. */
+    /** Contains all endpoints. */
     FULL,
-    /** All endpoints as an earlier process last knew them; may be old. */
+    /** Contains all endpoints as last known to an earlier process; may be out of date. */
     RESTORED,
     /** The call for the list failed. */
     FAILED
--- a/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
+++ b/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** Starts the watch on the endpoint list anew after it failed, with a random delay that keeps nodes out of step. */
+/**
+ * Restarts the watch on the endpoint list after it failed, with a random delay so that nodes do not retry in step.
+ * Called by {@link ShareLoadBalancer} on the event loop.
+ */
 final class ListWatchRetry {
     private static final long FIRST_DELAY_US = 500_000;
     private static final long LATER_DELAY_US = 1_000_000;
@@ -19,7 +22,10 @@
         this.helper = helper;
     }
 
-    /** A watch that was started from outside may fail while the next one is scheduled already. */
+    /**
+     * Schedules the next watch, unless one is scheduled already: a watch that was started elsewhere may fail in the
+     * meantime.
+     */
     void onFailed() {
         consecutiveFailures++;
         if (!scheduled) {
--- a/src/main/java/olivechute/loadbalancing/LoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancer.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * Decides which request goes to which endpoint and when, what is retried and what is rejected. It does no I/O and has
- * no clock: the node passes events in order, with a time in microseconds that never falls, and carries out what the
- * {@link Helper} is asked for. All calls come on the event loop.
+ * Decides which request is sent to which endpoint and when, what is retried and what is rejected. An implementation
+ * does no I/O and has no clock. The node passes it events in order, with a time in microseconds that never decreases,
+ * and executes its calls to the {@link Helper}. All calls are made on the event loop.
  */
 public interface LoadBalancer {
-    /** Comes once, before all other events. */
+    /** Called once, before all other events. */
     void start(long nowUs);
 
-    /** The endpoint list changed, or a call for it failed. */
+    /** Handles a change of the endpoint list or a failed call for it. */
     void onListUpdate(long nowUs, ListUpdateKind updateKind, List<EndpointInfo> endpoints);
 
-    /** A request arrived. Exactly one final answer is owed until the client gives up. */
+    /** Handles the arrival of a request, which must get exactly one final answer before its client gives up. */
     void onRequest(long nowUs, Request request);
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
-     * @param tookUs microseconds since it was sent
+     * @param durationUs microseconds since it was sent
      * @param complete whether the request needs no further answer
      */
     void onAttemptEnd(
@@ -32,30 +32,35 @@
             boolean complete,
             LoadReport loadReport);
 
-    /** An endpoint reported on an attempt in flight; {@code progress} is the part that is done, from 0 to 1. */
+    /**
+     * Handles an endpoint's report on an attempt in flight; {@code progress} is the completed fraction, from 0 to 1.
+     */
     void onAttemptSignal(long nowUs, String id, int attemptIndex, AttemptSignal signal, double progress);
 
-    /** The answer to a probe, or its failure. */
+    /** Handles the response to a probe, or the probe's failure. */
     void onProbeResult(long nowUs, String endpoint, boolean succeeded, long durationUs, LoadReport loadReport);
 
-    /** The client closed or cancelled: no answer is owed any more. */
+    /** Handles a client that disconnected or cancelled its request, which no longer needs an answer. */
     void onClientDisconnected(long nowUs, String id);
 
-    /** A timer that {@link Helper#schedule} started is due. */
+    /** Handles the expiry of a timer that {@link Helper#schedule} started. */
     void onTimer(long nowUs, long timerId);
 
-    /** The Retry-After in microseconds for a request that the node itself rejects now. */
+    /** Returns the Retry-After, in microseconds, for a request that the node itself rejects now. */
     long retryAfterUs(long nowUs);
 
-    /** What a load balancer asks of its node. */
+    /** Actions that a load balancer requests from its node. */
     interface Helper {
-        /** Starts the next attempt at a request; a {@code timeoutUs} of 0 lasts until the client gives up. */
+        /** Starts the next attempt of a request; with a {@code timeoutUs} of 0 it lasts until the client gives up. */
         void send(String id, String endpoint, long timeoutUs);
 
-        /** Final answer: rejected, a retry by the client is harmless. A {@code retryAfterUs} of 0 gives no advice. */
+        /**
+         * Final answer: rejects a request that its client may safely retry. A {@code retryAfterUs} of 0 sends no
+         * Retry-After.
+         */
         void reject(String id, long retryAfterUs);
 
-        /** Final answer: failed; whether the request took effect is not known. */
+        /** Final answer: fails a request of which it is unknown whether it took effect. */
         void fail(String id);
 
         /** Stops waiting for an attempt. */
@@ -70,7 +75,7 @@
         /** Subscribes to the endpoint list. */
         void watchEndpointList();
 
-        /** Calls {@link LoadBalancer#onTimer} with this id after so many microseconds. */
+        /** Schedules a call of {@link LoadBalancer#onTimer} with this id after a delay in microseconds. */
         void schedule(long timerId, long delayUs);
     }
 }
--- a/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancerSettings.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * Everything that a load balancer is configured with.
+ * Configuration of a load balancer.
  *
- * @param classes the classes of requests
+ * @param classes the request classes
  * @param tenants the tenants; may be empty
- * @param zone the zone that this node is in
- * @param fleetSize how many nodes share the endpoints
- * @param rules the figures behind the operators' rules
- * @param limits what the deployment allows
+ * @param zone zone of this node
+ * @param fleetSize number of nodes that share the endpoints
+ * @param rules parameters of the service rules
+ * @param limits limits that the deployment sets
  * @param loadReporting how load reports reach the node
  * @param notifiesStart whether endpoints report when a request starts to run
- * @param pollsList whether the endpoint list comes only in answer to a call
- * @param overQuotaWeight value of a request over its tenant's quota, as a part of that of one within it
- * @param costs what actions cost
- * @param tail how the tail of the latency counts
- * @param marksRetries whether clients mark the requests that they repeat
+ * @param pollsList whether the endpoint list is sent only in response to a call
+ * @param overQuotaWeight value of a request over its tenant's quota, as a fraction of that of one within the quota
+ * @param costs costs of actions
+ * @param tail weight of tail latency
+ * @param marksRetries whether clients mark their retries
  */
 public record LoadBalancerSettings(
         List<RequestClass> classes,
@@ -34,7 +34,7 @@
         TailObjective tail,
         boolean marksRetries) {
     /**
-     * Checks that nothing is missing or contradicts itself.
+     * Checks that no setting is missing or contradicts another.
      *
      * @throws IllegalArgumentException with a message that begins with the name of the wrong value
      */
--- a/src/main/java/olivechute/loadbalancing/LoadProber.java
+++ b/src/main/java/olivechute/loadbalancing/LoadProber.java
@@ -3,23 +3,24 @@
 import java.util.List;
 
 /**
- * Probes endpoints that were not heard of lately before a request is sent there, and has the request wait for the
- * answers: a load report is worth most just before a send. An endpoint that does not answer is left out for a while, be
- * it full, stalled or dead, unless it never reports. Costs latency where probes take long to answer.
+ * Probes endpoints without a fresh load report before a request is sent to one, and makes the request wait for the
+ * responses: a load report is most valuable just before a send. An endpoint that does not respond is not used for a
+ * while, whether it is full, stalled or dead, unless it never reports its load. Costs latency where probe responses are
+ * slow. Called by {@link EndpointSelector} on the event loop.
  */
 final class LoadProber {
-    /** An endpoint is not probed twice within this time. */
+    /** Minimum time between two probes of an endpoint. */
     static final long MIN_PROBE_INTERVAL_US = 600_000;
-    /** Rounds of probes for one request. */
+    /** Maximum number of probe rounds per request. */
     static final int MAX_ROUNDS = 2;
 
     private static final int PROBES_PER_ROUND = 3;
     private static final long MAX_ANSWER_WAIT_US = 50_000;
-    /** Part of a request's value that may be spent on probes. */
+    /** Fraction of a request's value that may be spent on probes. */
     private static final double PROBE_COST_PER_REQUEST = 0.01;
-    /** The most probes that a request adds to the budget if they are free. */
+    /** Maximum number of probes that a request adds to the budget, even if probes are free. */
     private static final double MAX_PROBES_PER_REQUEST = 8;
-    /** The budget holds at most so many probes for each endpoint. */
+    /** The budget is limited to this many probes per endpoint. */
     private static final double MAX_PROBES_PER_ENDPOINT = 4;
 
     private final boolean enabled;
@@ -48,7 +49,10 @@
         probeBudget = Math.min(probeBudget + probesPerRequest, MAX_PROBES_PER_ENDPOINT * endpoints.size());
     }
 
-    /** Probes some of the endpoints, which are taken from the list; true while the request should wait for answers. */
+    /**
+     * Probes some of the candidates and removes them from the list. Returns true while the request should wait for
+     * responses.
+     */
     boolean probe(long nowUs, PendingRequest request, List<Endpoint> candidates) {
         if (!enabled) {
             return false;
@@ -70,7 +74,10 @@
         return request.lastProbedAtUs == nowUs;
     }
 
-    /** However short its time in the queue, a request probes and still finds an endpoint before it is answered. */
+    /**
+     * Returns how long a request waits for probe responses, in microseconds; short enough for all its probe rounds and
+     * a send before its queue deadline.
+     */
     static long answerWaitUs(PendingRequest request) {
         return Math.min(MAX_ANSWER_WAIT_US, (request.queueDeadlineUs - request.arrivedAtUs) / (MAX_ROUNDS + 1));
     }
--- a/src/main/java/olivechute/loadbalancing/LoadReportState.java
+++ b/src/main/java/olivechute/loadbalancing/LoadReportState.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
-/** The last load report of one endpoint and what is usual there. Times are microseconds. */
+/** The last load report of one endpoint and its typical values. Times are microseconds. */
 final class LoadReportState {
-    /** A report shows an endpoint as it was about this long ago. */
+    /** Approximate age of a load report's content on arrival. */
     static final long REPORT_DELAY_US = 500_000;
     /** Older reports are not used. */
     static final long MAX_REPORT_AGE_US = 2_500_000;
@@ -21,10 +21,10 @@
     private long fullSinceUs = NOT_FULL_US;
 
     /**
-     * Takes a report. What other nodes leave free is what is free and what this node's attempts occupied when the
-     * report was made.
+     * Applies a report. The slots that other nodes leave available are the free ones plus those that this node's
+     * attempts occupied when the report was made.
      *
-     * @param delayUs how old the report's content is; 0 for a rejection, which counts as a report of no free slot
+     * @param delayUs age of the report's content; 0 for a rejection, which counts as a report of no free slot
      * @param freeMemory NaN if not reported
      */
     void onReport(long nowUs, double reportedFreeSlots, double freeMemory, long delayUs, Endpoint endpoint) {
@@ -35,7 +35,8 @@
         typicalSlots = Smoothing.smooth(typicalSlots, freeSlots + ownSlotsInFlightAtReport, TYPICAL_SAMPLE_WEIGHT);
         fromLoadReport = delayUs > 0;
         if (reportedFreeSlots
-                >= FREE_SLOT_THRESHOLD) { // else some of this node's attempts may be queued, and occupy no slot
+                >= FREE_SLOT_THRESHOLD) { // with no slot free, some of this node's attempts may be queued at the
+            // endpoint and occupy no slot
             endpoint.kindStats.updateMaxSlots(
                     reportedFreeSlots + endpoint.inFlightHistory.minSlotsSince(measuredStep - 1));
         }
@@ -50,7 +51,7 @@
         fullSinceUs = Math.max(fullSinceUs, nowUs);
     }
 
-    /** So many of this node's requests were seen to run at once. */
+    /** Handles an observation of how many slots this node's requests occupy at once. */
     void onRunningSlots(int runningSlots) {
         typicalSlots = Math.max(typicalSlots, runningSlots);
     }
@@ -69,24 +70,27 @@
         return nowUs - lastReportAtUs <= MAX_REPORT_AGE_US;
     }
 
-    /** Free slots as last reported. */
+    /** Returns the free slots of the last report. */
     double freeSlots() {
         return freeSlots;
     }
 
-    /** Whether it reported no free slot since {@code forUs} ago and longer, with nothing sent there since. */
+    /**
+     * Returns whether the endpoint has reported no free slot for longer than {@code durationUs}, and nothing was sent
+     * there in that time.
+     */
     boolean isReportedFullFor(long nowUs, long durationUs) {
         return nowUs - fullSinceUs > durationUs;
     }
 
-    /** Free memory as usual there, with what this node's attempts use; NaN while not known. */
+    /** Returns the endpoint's typical free memory, including what this node's attempts use; NaN while unknown. */
     double typicalMemory() {
         return typicalMemory;
     }
 
     /**
-     * Slots that others leave to this node: the last report, which fades to what is usual with the time in which a
-     * request runs.
+     * Returns the slots that other nodes leave available to this node: the last report, which decays to the typical
+     * value over the running time of a request.
      */
     double slotsAvailableToNode(long nowUs, double meanRunTimeUs) {
         double ageUs = nowUs - lastReportAtUs + (fromLoadReport ? REPORT_DELAY_US : 0);
--- a/src/main/java/olivechute/loadbalancing/LoadReporting.java
+++ b/src/main/java/olivechute/loadbalancing/LoadReporting.java
@@ -2,10 +2,10 @@
 
 /** How load reports reach the node. */
 public enum LoadReporting {
-    /** Never. */
+    /** There are no load reports. */
     NONE,
-    /** Only as the answer to a probe. */
+    /** Only in the response to a probe. */
     ON_PROBE,
-    /** With the responses of the endpoints. */
+    /** With the endpoints' responses. */
     WITH_RESPONSES
 }
--- a/src/main/java/olivechute/loadbalancing/OutlierDetector.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierDetector.java
@@ -6,45 +6,49 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejects endpoints by the outcomes of their attempts: after failures, for a backoff that doubles with each; for a rate
- * of errors far over its peers'; and while requests run far slower than at its peers and than is usual there. Where
- * most endpoints are slow or fail alike, the fault is not theirs and none would be left, so the median is what counts.
- * Guards against endpoints that are dead, cut off, at their connection limit, reject everything or report slots that
- * they do not have.
+ * Ejects endpoints by the outcomes of their attempts: after failures, with a backoff that doubles for each; for an
+ * error rate far above that of its peers; and while requests run far slower than at its peers and than typical for the
+ * endpoint. Comparisons use the median: if most endpoints are slow or fail alike, the fault is not theirs, and ejecting
+ * them would leave none. Guards against endpoints that are dead, unreachable, at their connection limit, reject
+ * everything or report slots that they do not have. Called on the event loop.
  *
- * <p>Independent of the ejections in {@code olivechute.health}, which go by connections: an endpoint gets requests only
- * if neither ejects it.
+ * <p>Independent of the ejections in {@code olivechute.health}, which are based on connections: an endpoint gets
+ * requests only if neither of the two ejects it.
  */
 final class OutlierDetector {
     private static final long MAX_EJECTION_US = 4_000_000;
     private static final int MAX_DOUBLINGS = 6;
     /**
-     * First ejection after a failed connect, or a rejection without load reports; one for errors starts three doublings
-     * later, as the errors count as failures before it.
+     * First ejection after a failed connect, or after a rejection where there are no load reports. An ejection for
+     * errors starts three doublings later, because the earlier errors count as failures.
      */
     private static final long FAILURE_EJECTION_US = 250_000;
-    /** First ejection where the failure may be one request's or one connection's. */
+    /** First ejection where the failure may concern only one request or one connection. */
     private static final long BRIEF_EJECTION_US = 20_000;
 
     private static final double ERROR_SAMPLE_WEIGHT = 0.1;
-    /** Errors over the median rate at which an endpoint is ejected, as a part of its responses. */
+    /**
+     * An endpoint is ejected if its error rate, as a fraction of its responses, exceeds the median by more than this.
+     */
     private static final double ERROR_RATE_MARGIN = 0.3;
-    /** Failures held against it before errors eject it. */
+    /** Failure count of an endpoint before errors eject it. */
     private static final int TOLERATED_FAILURES = 2;
 
-    /** An endpoint is slow at this multiple of its peers' running time. */
+    /** An endpoint is slow if its running time exceeds that of its peers by this factor. */
     private static final double SLOW_MULTIPLE = 2.5;
-    /** And only if also slow against its own long-term running time, reduced by this factor. */
+    /** It must also be slow compared with its own long-term running time divided by this. */
     private static final double LONG_TERM_DIVISOR = 1.5;
-    /** A request still running counts with its age over this factor. */
+    /** A request that still runs counts with its age divided by this. */
     private static final double RUNNING_AGE_DIVISOR = 1.5;
 
-    /** Running times and error rates halve their distance to the median in 4 s. */
+    /**
+     * Per update, running times and error rates keep this fraction of their distance to the median, halving it in 4 s.
+     */
     private static final double RETAINED_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 4e6);
-    /** Waits for a start halve their distance to the least one in 2 s. */
+    /** Per update, waits for a start keep this fraction of their distance to the minimum, halving it in 2 s. */
     private static final double START_WAIT_RETAINED_PER_UPDATE = Math.pow(0.5, InFlightHistory.STEP_US / 2e6);
 
-    /** A start that is awaited for longer says nothing of the usual wait. */
+    /** A start that has been pending for longer than this says nothing about the typical wait. */
     private static final long MAX_COUNTED_START_WAIT_US = 4_000_000;
 
     private final LoadBalancerSettings settings;
@@ -57,7 +61,7 @@
         this.random = random;
     }
 
-    /** A request succeeded: each success halves the failures held against the endpoint. */
+    /** Handles a success, which halves the endpoint's failure count. */
     void onSuccess(Endpoint endpoint) {
         OutlierState state = endpoint.outlierState;
         state.failureCount /= 2;
@@ -79,7 +83,10 @@
         eject(nowUs, endpoint, reportsLoad ? BRIEF_EJECTION_US : FAILURE_EJECTION_US);
     }
 
-    /** One reset may be the connection's alone; two in a row are not. */
+    /**
+     * Ejects the endpoint briefly after one reset, which may concern only that connection, and for longer after two in
+     * a row.
+     */
     void onReset(long nowUs, Endpoint endpoint) {
         OutlierState state = endpoint.outlierState;
         long ejectionUs = state.connectionReset ? FAILURE_EJECTION_US : BRIEF_EJECTION_US;
@@ -87,7 +94,10 @@
         eject(nowUs, endpoint, ejectionUs);
     }
 
-    /** After a reset this shows that the process ended: it is taken to start anew when the ejection ends. */
+    /**
+     * Handles a failed connect. After a reset it shows that the process ended, which is assumed to restart when the
+     * ejection ends.
+     */
     void onConnectFailed(long nowUs, Endpoint endpoint) {
         OutlierState state = endpoint.outlierState;
         eject(nowUs, endpoint, FAILURE_EJECTION_US);
@@ -96,7 +106,10 @@
         }
     }
 
-    /** Doubles the ejection with each failure, and draws from its second half so that nodes return out of step. */
+    /**
+     * Doubles the ejection with each failure, and picks a random duration from its second half so that nodes do not
+     * return in step.
+     */
     private void eject(long nowUs, Endpoint endpoint, long firstEjectionUs) {
         OutlierState state = endpoint.outlierState;
         endpoint.concurrencyWindow.decrease();
@@ -104,7 +117,7 @@
         state.ejectedUntilUs = nowUs + backoffUs / 2 + random.nextLong(backoffUs / 2 + 1);
     }
 
-    /** Called at each step of {@link InFlightHistory#STEP_US}. */
+    /** Called every {@link InFlightHistory#STEP_US}. */
     void update(long nowUs, Collection<Endpoint> endpoints) {
         updateMedians(endpoints);
         int activeCount = 0;
@@ -145,7 +158,10 @@
         return SLOW_MULTIPLE * Math.max(stats.medianRelativeRunTime, ownBaseline);
     }
 
-    /** The endpoint's recent running time, with the age of what still runs; starts that are overdue are noted. */
+    /**
+     * Returns the endpoint's recent running time, including the age of requests that still run, and records overdue
+     * starts.
+     */
     private double examineAttempts(long nowUs, Endpoint endpoint) {
         double relativeRunTime = endpoint.latencyStats.recentRelativeRunTime(stats.medianRelativeRunTime);
         for (Attempt attempt : endpoint.attempts) {
--- a/src/main/java/olivechute/loadbalancing/OutlierState.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierState.java
@@ -1,24 +1,24 @@
 package olivechute.loadbalancing;
 
-/** Failures at one endpoint and the ejections that follow from them. Times are microseconds. */
+/** Failures at one endpoint and the resulting ejections. Times are microseconds. */
 final class OutlierState {
-    /** Part of the recent responses that were errors; NaN while there was none. */
+    /** Smoothed fraction of recent responses that were errors; NaN if there were none. */
     double errorRate = Double.NaN;
-    /** Whether it runs far slower than its peers. */
+    /** Whether requests run far slower than at its peers. */
     boolean slow;
     /** Failures in a row; halved by each success. */
     int failureCount;
-    /** Whether a connection broke and nothing has succeeded since. */
+    /** Whether a connection broke and no request has succeeded since. */
     boolean connectionReset;
-    /** When the present ejection ends. */
+    /** End of the current ejection. */
     long ejectedUntilUs;
     /**
-     * End of the last ejection that followed a broken connection and a failed connect. The process is taken to start at
-     * that moment, whatever the endpoint list says; 0 if there was none.
+     * End of the last ejection that followed a broken connection and a failed connect. The process is assumed to start
+     * at that time, whatever the endpoint list says; 0 if there was no such ejection.
      */
     long assumedStartUs;
 
-    /** The endpoint started anew; what is held against the process before says nothing of it. */
+    /** Handles a restart of the endpoint: the failures of the earlier process say nothing about the new one. */
     void clear() {
         errorRate = Double.NaN;
         slow = false;
--- a/src/main/java/olivechute/loadbalancing/PendingRequest.java
+++ b/src/main/java/olivechute/loadbalancing/PendingRequest.java
@@ -11,16 +11,16 @@
     final RequestClass requestClass;
     final TenantQueue tenantQueue;
     final int slots;
-    /** Memory that it needs; 0 if not known. */
+    /** Memory that the request needs; 0 if unknown. */
     final double memory;
 
     final long arrivedAtUs;
     final long clientDeadlineUs;
-    /** When it must have been sent to be worth sending. */
+    /** Time after which sending the request is no longer useful. */
     long latestStartUs;
-    /** When it is answered if it is still queued. */
+    /** Time at which the request is answered if it is still queued. */
     long queueDeadlineUs;
-    /** The queue of its tenant that it waits in. */
+    /** The queue of its tenant to which the request belongs. */
     ArrayDeque<PendingRequest> classQueue;
     /** Whether it exceeds its tenant's quota. */
     boolean overQuota;
@@ -29,10 +29,10 @@
     int attemptsInFlight;
     /** The first attempt that may have been executed, or {@code null}. */
     Attempt possiblyExecutedAttempt;
-    /** Whether it needs no further answer. */
+    /** Whether no further answer is needed. */
     boolean answered;
 
-    /** Rounds of probes that were sent for it. */
+    /** Number of probe rounds made for the request. */
     int probeRounds;
 
     long lastProbedAtUs;
@@ -48,17 +48,20 @@
         this.clientDeadlineUs = arrivedAtUs + clientRequest.timeLeftUs();
     }
 
-    /** Expected running time in each of its slots. */
+    /** Returns the expected running time in each of its slots. */
     double expectedWorkUs() {
         return clientRequest.expectedWorkUs() > 0 ? clientRequest.expectedWorkUs() : classStats.meanRunTimeUs();
     }
 
-    /** Expected slot time, in calls of its class; see {@link RequestClassStats#callWorkUs()}. */
+    /**
+     * Returns the expected slot time in reference requests of its class; see
+     * {@link RequestClassStats#referenceWorkUs()}.
+     */
     double referenceRequests() {
         return slots * expectedWorkUs() / classStats.referenceWorkUs();
     }
 
-    /** How long after its latency objective begins to count a wait for it is acceptable. */
+    /** Returns how long the request may wait after the start of its latency objective. */
     double latencyBudgetUs() {
         return requestClass.latencyObjectiveUs() + Math.max(0, requestClass.objectiveStretch() - 1) * expectedWorkUs();
     }
--- a/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
+++ b/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
@@ -4,9 +4,12 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Takes queued requests in their order and finds an endpoint for each, until no tenant's requests find one. */
+/**
+ * Takes requests from the queues and finds an endpoint for each, until no tenant has a request that finds one. Called
+ * by {@link ShareLoadBalancer} on the event loop.
+ */
 final class QueueDispatcher {
-    /** Queued requests of one class that are tried for an endpoint in each turn. */
+    /** Number of queued requests of one class for which an endpoint is looked for in each turn. */
     private static final int LOOKAHEAD_REQUESTS = 4;
 
     /** Sends a request to an endpoint. */
@@ -22,7 +25,9 @@
     private final RetryAfterEstimator retryAfterEstimator;
     private final Sender sender;
 
-    /** {@code classOrder} is the caller's list of all classes, the most valuable for their work first. */
+    /**
+     * @param classesByValue all classes, ordered by value for their work, the most valuable first; the caller's list
+     */
     QueueDispatcher(
             TenantQueues queues,
             List<RequestClassStats> classesByValue,
@@ -52,9 +57,9 @@
     }
 
     /**
-     * A tenant's classes go by value for their work, not first come: under overload its long requests wait, whose
-     * latency objective is longest, and short ones meet theirs. Those over the quota come last. A long class may
-     * starve.
+     * Takes a request of one tenant, classes ordered by value for their work and not by arrival. Under overload the
+     * tenant's long requests wait, which have the longest latency objective, and short ones meet theirs. Requests over
+     * the quota come last. A class of long requests may starve.
      */
     private boolean dispatchTenant(long nowUs, TenantQueue tenant) {
         return dispatchClasses(nowUs, tenant, false) || dispatchClasses(nowUs, tenant, true);
@@ -71,9 +76,9 @@
     }
 
     /**
-     * Once the oldest request has used half of its time in the queue, the newest goes first: in the order of arrival
-     * every request would be served at the very end of its time, too late for its latency objective. Acts under any
-     * overload.
+     * Takes a request of one queue. Once the oldest request has spent half of its time in the queue, the newest is
+     * tried first: in the order of arrival, under any overload, every request would be served at the end of its time,
+     * too late for its latency objective.
      */
     private boolean dispatchFromQueue(long nowUs, ArrayDeque<PendingRequest> queue) {
         PendingRequest oldest = queue.peekFirst();
--- a/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
@@ -1,24 +1,25 @@
 package olivechute.loadbalancing;
 
 /**
- * Decides which requests exceed their tenant's quota at this node. The quota holds for the whole fleet; a node takes
- * its part of all traffic from the other tenants' arrivals against their quotas, an equal part of the fleet being the
- * first estimate. Requests over the quota are sent only where free capacity is known. Guards against floods and retry
- * storms of one tenant; a tenant whose clients all come to one node loses by it.
+ * Decides which requests exceed their tenant's quota on this node. The quota applies to the whole fleet. The node
+ * estimates its fraction of all traffic from the arrivals of the other tenants relative to their quotas, starting from
+ * an equal fraction per node. Requests over the quota are sent only where free capacity is known. Guards against floods
+ * and retry storms of one tenant; a tenant whose clients all use one node is at a disadvantage. Called on the event
+ * loop.
  *
- * <p>Marked retries are not counted as arrivals but use a token, and a rejected request gives its token back: otherwise
- * retries would use the quota up and inflate the node's part.
+ * <p>A marked retry does not count as an arrival but uses a token, and a rejected request returns its token; otherwise
+ * retries would use up the quota and inflate the node's estimated fraction.
  */
 final class QuotaEstimator {
-    /** Arrivals are forgotten over this time. */
+    /** Time constant of the decay of the long-term arrival count. */
     private static final double LONG_TERM_DECAY_US = 10e6;
-    /** And over this one, to see all traffic of this node jump. */
+    /** Time constant of the short-term arrival count, which detects jumps of this node's whole traffic. */
     private static final double SHORT_TERM_DECAY_US = 1.5e6;
-    /** Traffic has jumped if it grew by this factor at least. */
+    /** Minimum growth factor of a traffic jump. */
     private static final double JUMP_FACTOR = 1.3;
-    /** And if it lies so many standard deviations above what was expected. */
+    /** Minimum excess of a traffic jump over the expected arrivals, in standard deviations. */
     private static final double JUMP_DEVIATIONS = 4;
-    /** Requests that the first estimate of the node's part weighs. */
+    /** Weight of the initial estimate of the node's fraction, in requests. */
     private static final double PRIOR_REQUESTS = 2;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -39,7 +40,7 @@
         }
     }
 
-    /** Counts an arrival; true if it exceeds the quota. */
+    /** Counts an arrival. Returns true if it exceeds the quota. */
     boolean onArrival(long nowUs, TenantQueue tenantQueue, boolean retry) {
         double otherTenantsArrivals = countArrival(nowUs, tenantQueue, retry);
         double quotaPerSecond = tenantQueue.tenant.quotaPerSecond();
@@ -61,12 +62,12 @@
         return overQuota;
     }
 
-    /** The request was rejected: its place in the quota is free again. */
+    /** Returns the rejected request's token to the quota. */
     void onRejected(PendingRequest request) {
         request.tenantQueue.quota.tokens += request.overQuota ? 0 : 1;
     }
 
-    /** Returns the arrivals of the other tenants. */
+    /** Counts an arrival and returns the long-term arrivals of the other tenants. */
     private double countArrival(long nowUs, TenantQueue tenantQueue, boolean retry) {
         double otherTenantsArrivals = 0;
         for (TenantQueue queue : queues.all()) {
@@ -81,7 +82,7 @@
         return otherTenantsArrivals;
     }
 
-    /** What is left of the long-term arrivals since they were last updated, from 0 to 1. */
+    /** Returns the fraction of the long-term arrivals that remains since their last update, from 0 to 1. */
     private static double longTermDecay(long nowUs, TenantQuota quota) {
         return Math.exp(-(nowUs - quota.updatedAtUs) / LONG_TERM_DECAY_US);
     }
@@ -90,14 +91,15 @@
         return quota.shortTermArrivals * Math.exp(-(nowUs - quota.updatedAtUs) / SHORT_TERM_DECAY_US);
     }
 
-    /** Seconds of traffic that a forgetting count holds; less of it shortly after the start. */
+    /** Returns the seconds of traffic that a decaying count covers; less shortly after the start. */
     private double observedSeconds(long nowUs, double decayUs) {
         return decayUs / MICROS_PER_SECOND * (1 - Math.exp(-(nowUs - startedAtUs) / decayUs));
     }
 
     /**
-     * Where the traffic of most tenants jumps at once, this node takes over another one's: what is remembered of all
-     * jumps too. A flood is one tenant's. Guards against taking the restart of another node for floods by everybody.
+     * Scales the long-term arrivals if the traffic of most tenants jumps at once, as this node then takes over the
+     * traffic of another one. A flood comes from one tenant. Guards against mistaking the restart of another node for
+     * floods by all tenants.
      */
     void adjustToTrafficShift(long nowUs) {
         double scale = observedSeconds(nowUs, SHORT_TERM_DECAY_US) / observedSeconds(nowUs, LONG_TERM_DECAY_US);
@@ -109,7 +111,8 @@
             double recent = shortTermArrivals(nowUs, queue.quota);
             totalBaseline += baseline;
             jumpedBaseline += recent > JUMP_FACTOR * baseline ? baseline : 0;
-            totalRecent += Math.min(recent, 2 * JUMP_FACTOR * baseline); // no one tenant may carry the others along
+            totalRecent += Math.min(
+                    recent, 2 * JUMP_FACTOR * baseline); // limits how much one tenant can contribute to the sum
         }
         boolean mostTrafficJumped = jumpedBaseline > totalBaseline / 2;
         boolean significant = totalRecent > JUMP_FACTOR * totalBaseline
--- a/src/main/java/olivechute/loadbalancing/Request.java
+++ b/src/main/java/olivechute/loadbalancing/Request.java
@@ -3,15 +3,15 @@
 /**
  * A client's request.
  *
- * @param id names the request within the node
+ * @param id unique id of the request within the node
  * @param requestClass name of its {@link RequestClass}
  * @param tenant name of its {@link Tenant}; may be {@code null}
- * @param idempotencyKey the key that endpoints recognise repeats by; may be {@code null}
+ * @param idempotencyKey key by which endpoints recognise repeats; may be {@code null}
  * @param timeLeftUs microseconds until its client gives up
- * @param expectedWorkUs expected running time in microseconds, NaN if not known
- * @param slots how many slots of an endpoint it occupies
- * @param memory what it needs of an endpoint's memory, in the endpoints' unit; NaN if not known
- * @param retry whether the client marked it as a retry of an earlier one
+ * @param expectedWorkUs expected running time in microseconds, NaN if unknown
+ * @param slots number of slots of an endpoint that it occupies
+ * @param memory memory that it needs, in the endpoints' unit; NaN if unknown
+ * @param retry whether the client marked it as a retry of an earlier request
  */
 public record Request(
         String id,
@@ -23,7 +23,7 @@
         int slots,
         double memory,
         boolean retry) {
-    /** The same request with another time left. */
+    /** Returns the same request with another remaining time, in microseconds. */
     public Request withTimeLeft(long newTimeLeftUs) {
         return new Request(
                 id, requestClass, tenant, idempotencyKey, newTimeLeftUs, expectedWorkUs, slots, memory, retry);
--- a/src/main/java/olivechute/loadbalancing/RequestClassStats.java
+++ b/src/main/java/olivechute/loadbalancing/RequestClassStats.java
@@ -1,6 +1,6 @@
 package olivechute.loadbalancing;
 
-/** What a node has learned of the running time of one class of requests. */
+/** Running time statistics of one request class. */
 final class RequestClassStats {
     private static final double MIN_MEAN_RUN_TIME_US = 1000;
     private static final double MIN_SAMPLE_WEIGHT = 0.02;
@@ -8,16 +8,16 @@
     final RequestClass requestClass;
     /** Position of the class in the settings. */
     final int index;
-    /** The most slots that a request of the class occupied. */
+    /** Largest number of slots that a request of the class occupied. */
     int maxSlots = 1;
-    /** The longest time that a client left for a request, which is that of a first try. */
+    /** Longest remaining time of a request at its arrival; that of a first attempt by the client. */
     long maxTimeLeftUs;
 
     private double meanRunTimeUs;
     private int finishedRequests;
     private double totalSlotTimeUs;
 
-    /** Counts as having seen one request of {@code expectedRunTimeUs}. */
+    /** Starts as if one request of {@code expectedRunTimeUs} had been observed. */
     RequestClassStats(RequestClass requestClass, int index, double expectedRunTimeUs) {
         this.requestClass = requestClass;
         this.index = index;
@@ -40,12 +40,15 @@
         return Math.max(MIN_MEAN_RUN_TIME_US, meanRunTimeUs);
     }
 
-    /** Slot time of a mean request that is as wide as the widest; the unit in which slow start counts. */
+    /**
+     * Returns the slot time of a reference request: mean running time, and as many slots as the widest request of the
+     * class. Slow start counts in this unit.
+     */
     double referenceWorkUs() {
         return maxSlots * meanRunTimeUs();
     }
 
-    /** Slot time of all requests that finished, and of the one first expected. */
+    /** Returns the slot time of all finished requests plus that of the request initially expected. */
     double totalSlotTimeUs() {
         return totalSlotTimeUs;
     }
--- a/src/main/java/olivechute/loadbalancing/RequestLifecycle.java
+++ b/src/main/java/olivechute/loadbalancing/RequestLifecycle.java
@@ -3,8 +3,9 @@
 import java.util.function.Predicate;
 
 /**
- * The course of each request after its admission: queued, sent, retried, and answered exactly once. Keeps the counts of
- * attempts in flight, and the timer that looks at queued requests.
+ * Manages each request after its admission: it is queued, sent, retried, and answered exactly once. Keeps the counts of
+ * attempts in flight and the timer that checks queued requests. Called by {@link ShareLoadBalancer} and
+ * {@link QueueDispatcher} on the event loop.
  */
 final class RequestLifecycle {
     private final LoadBalancerSettings settings;
@@ -18,7 +19,7 @@
     private final RequestTable requests = new RequestTable();
     private boolean queueTimerScheduled;
 
-    /** {@code queuePollUs}: how often queued requests are looked at. */
+    /** @param queueCheckIntervalUs interval between checks of the queued requests, in microseconds */
     RequestLifecycle(
             LoadBalancerSettings settings,
             LoadBalancer.Helper helper,
@@ -42,7 +43,7 @@
         return requests;
     }
 
-    /** Queues a request, a retry ahead of the others. */
+    /** Queues a request; a retry goes to the head of its queue. */
     void enqueue(PendingRequest request, boolean retry) {
         queues.enqueue(request, retry);
         if (!queueTimerScheduled) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** To be called when the queue's timer was due and what could be dispatched has left the queues. */
+    /** Schedules the next check after the queue timer expired, unless dispatching has emptied the queues. */
     void rescheduleQueueTimer() {
         queueTimerScheduled = false;
         if (!queues.isEmpty()) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /** The attempt is no longer in flight. */
+    /** Removes an attempt that has ended from the counts of attempts in flight. */
     void onAttemptEnd(long nowUs, Attempt attempt) {
         PendingRequest request = attempt.request;
         attempt.inFlight = false;
@@ -94,7 +95,7 @@
         }
     }
 
-    /** What follows for the request of an attempt that has ended. */
+    /** Continues the request of an attempt that has ended: retries or answers it if necessary. */
     void continueAfterAttempt(long nowUs, Attempt attempt, AttemptOutcome outcome, boolean complete) {
         PendingRequest request = attempt.request;
         request.answered |= complete;
@@ -118,12 +119,15 @@
         }
     }
 
-    /** Answers those queued requests that match. */
+    /** Rejects or fails the queued requests that match. */
     void rejectOrFailQueuedIf(long nowUs, Predicate<PendingRequest> condition) {
         queues.removeIf(condition, request -> rejectOrFail(nowUs, request));
     }
 
-    /** The final answer of a request that was not served: a rejection where its client may safely try again. */
+    /**
+     * Sends the final answer of a request that was not served: a rejection if its client may safely retry, a failure
+     * otherwise.
+     */
     void rejectOrFail(long nowUs, PendingRequest request) {
         request.answered = true;
         String id = request.clientRequest.id();
@@ -136,7 +140,7 @@
         requests.removeIfDone(request);
     }
 
-    /** The client has gone: no answer is owed, and what is in flight is only waited for. */
+    /** Handles the client's disconnect or cancellation: no answer is sent, and attempts in flight run to their end. */
     void onClientDisconnected(PendingRequest request) {
         request.answered = true;
         queues.remove(request);
--- a/src/main/java/olivechute/loadbalancing/RequestTable.java
+++ b/src/main/java/olivechute/loadbalancing/RequestTable.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are not answered yet or have an attempt in flight. */
+/** The requests that are unanswered or have an attempt in flight, by id. */
 final class RequestTable {
     private final Map<String, PendingRequest> byId = new HashMap<>();
 
@@ -11,12 +11,12 @@
         byId.put(request.clientRequest.id(), request);
     }
 
-    /** Returns {@code null} if the request is not known. */
+    /** Returns {@code null} if the request is unknown. */
     PendingRequest get(String id) {
         return byId.get(id);
     }
 
-    /** The attempt that an event names, or {@code null} if it is unknown or has ended. */
+    /** Returns the attempt that an event refers to, or {@code null} if it is unknown or has ended. */
     Attempt attemptInFlight(String id, int attemptIndex) {
         PendingRequest request = byId.get(id);
         if (request == null || attemptIndex < 0 || attemptIndex >= request.attempts.size()) {
--- a/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
@@ -1,10 +1,10 @@
 package olivechute.loadbalancing;
 
 /**
- * Estimates the Retry-After of a rejection: when the request would likely find capacity. What is queued goes first,
- * each after the gap that releases of queued requests lately took; but after the longest time in the queue all that is
- * queued now has left it. A request over its quota comes within it no sooner than the quota has a token again. An
- * estimate from this node's view, not a promise. Times are microseconds.
+ * Estimates the Retry-After of a rejection: the delay until the request would probably find capacity. Queued requests
+ * go first, one per recent interval between releases from the queue; but after the maximum queue time all requests
+ * queued now have left the queue. A request over its quota must also wait until the quota has a token again. The
+ * estimate is this node's view and not a guarantee. Times are microseconds. Called on the event loop.
  */
 final class RetryAfterEstimator {
     private static final double INTERVAL_SAMPLE_WEIGHT = 0.1;
@@ -22,7 +22,10 @@
         this.maxRetryAfterUs = maxRetryAfterUs;
     }
 
-    /** A queued request was sent. One that was sent at its arrival tells the clients' gap, not the endpoints'. */
+    /**
+     * Handles the send of a request. One sent on arrival does not update the interval, which would measure the clients'
+     * arrivals and not the endpoints' capacity.
+     */
     void onRelease(long nowUs, PendingRequest request) {
         if (nowUs > request.arrivedAtUs) {
             double waitedUs = nowUs - Math.max(lastReleaseAtUs, request.arrivedAtUs);
@@ -31,7 +34,7 @@
         lastReleaseAtUs = nowUs;
     }
 
-    /** For a request that is rejected from the queue. */
+    /** Returns the estimate for a request that is rejected from the queue. */
     long forRequest(long nowUs, PendingRequest request) {
         double waitedUs = nowUs - Math.max(lastReleaseAtUs, request.arrivedAtUs);
         double estimateUs = queueDelayUs(waitedUs, (double) Math.max(0, request.queueDeadlineUs - request.arrivedAtUs));
@@ -42,7 +45,7 @@
         return clamp(estimateUs);
     }
 
-    /** For a request that is rejected before it was queued. */
+    /** Returns the estimate for a request that is rejected before it was queued. */
     long forNewRequest() {
         return clamp(queueDelayUs(0, Double.MAX_VALUE));
     }
--- a/src/main/java/olivechute/loadbalancing/RetryBudget.java
+++ b/src/main/java/olivechute/loadbalancing/RetryBudget.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * How many retries a node may make: a part of the first attempts and a few a second besides, for each tenant and for
- * all together, in token buckets. A fleet that fails everything is then not sent everything twice. A retry after a
- * failed connect or a rejection costs half a token; after a stale connection or a suppressed attempt, nothing. Tenants
- * that the settings do not name share one bucket. Times are microseconds.
+ * Limits the retries of a node by token buckets, one per tenant and one for the node. A bucket is filled by a fraction
+ * of a token per first attempt and by some tokens per second, so that the load does not double when all requests of the
+ * fleet fail. A retry after a failed connect or a rejection costs half a token; after a stale connection or a
+ * suppressed attempt it is free. Tenants that the settings do not name share one bucket. Times are microseconds. Not
+ * thread-safe.
  */
 public final class RetryBudget {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -16,11 +17,11 @@
     private static final double NOT_EXECUTED_COST = 0.5;
 
     /**
-     * How a token bucket fills.
+     * Fill rate and size of a token bucket.
      *
-     * @param perFirstAttempt tokens for each first attempt
-     * @param perSecond tokens a second besides
-     * @param capacity the most tokens that are saved up
+     * @param perFirstAttempt tokens added per first attempt
+     * @param perSecond tokens added per second
+     * @param capacity maximum number of tokens
      */
     public record BucketRate(double perFirstAttempt, double perSecond, double capacity) {}
 
@@ -28,20 +29,20 @@
     private final Map<String, Bucket> tenantBuckets = new HashMap<>();
     private final Bucket otherTenantsBucket;
 
-    /** Makes half-full buckets, one for each of these tenants. */
+    /** Creates half-full buckets, one for each of these tenants. */
     public RetryBudget(Collection<String> tenants, BucketRate tenantRate, BucketRate nodeRate) {
         tenants.forEach(tenant -> tenantBuckets.put(tenant, new Bucket(tenantRate)));
         this.otherTenantsBucket = new Bucket(tenantRate);
         this.nodeBucket = new Bucket(nodeRate);
     }
 
-    /** A request of this tenant was sent for the first time. */
+    /** Adds tokens for a request of this tenant that was sent for the first time. */
     public void onFirstAttempt(long nowUs, String tenant) {
         nodeBucket.onFirstAttempt(nowUs);
         bucketOf(tenant).onFirstAttempt(nowUs);
     }
 
-    /** Takes what a retry costs after such an outcome; false if the tenant or the node has not that much. */
+    /** Takes the cost of a retry after this outcome. Returns false if the tenant or the node has too few tokens. */
     public boolean tryTake(long nowUs, String tenant, AttemptOutcome lastOutcome) {
         double cost = cost(lastOutcome);
         Bucket tenantBucket = bucketOf(tenant);
@@ -53,7 +54,7 @@
         return true;
     }
 
-    /** Tokens that the node has left. */
+    /** Returns the number of tokens available to the node. */
     public double availableTokens(long nowUs) {
         return nodeBucket.refill(nowUs);
     }
--- a/src/main/java/olivechute/loadbalancing/RetryPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/RetryPolicy.java
@@ -1,13 +1,14 @@
 package olivechute.loadbalancing;
 
 /**
- * Decides whether a request gets another attempt, and where it may run. The bounds: a class that must not run twice is
- * retried only if no attempt may have been executed; none after {@link AttemptOutcome#NOT_SENT} or
- * {@link AttemptOutcome#CANCEL_UNCONFIRMED}; at most {@code limits.maxAttempts} attempts; none in the last
- * {@link AdmissionControl#QUEUE_ANSWER_MARGIN_US} before the client gives up; none if the time left is shorter than a
- * quick run of the class; and the node's {@link RetryBudget}. The last two are asked of {@link HealthView#allowsRetry}.
+ * Decides whether a request gets another attempt, and where that may run. Limits: a class that must not be executed
+ * twice is retried only if no attempt may have been executed; no retry after {@link AttemptOutcome#NOT_SENT} or
+ * {@link AttemptOutcome#CANCEL_UNCONFIRMED}; at most {@code limits.maxAttempts} attempts; no retry in the last
+ * {@link AdmissionControl#QUEUE_ANSWER_MARGIN_US} before the client gives up, or if the remaining time is shorter than
+ * a quick run of the class, or if the node's {@link RetryBudget} is used up. {@link HealthView#allowsRetry} checks the
+ * last two.
  *
- * <p>The retry itself waits in the queue like any other request, at its head.
+ * <p>The retry itself waits at the head of the queue for an endpoint, as any other request does.
  */
 final class RetryPolicy {
     /** Nothing is sent within this time before the end of the deduplication window. */
@@ -21,7 +22,7 @@
         this.healthView = healthView;
     }
 
-    /** Whether there may be another attempt after one that ended so; takes it from the retry budget. */
+    /** Returns whether another attempt is allowed after one with this outcome, and takes it from the retry budget. */
     boolean allowsRetry(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
         boolean safeToRepeat = request.possiblyExecutedAttempt == null
                 || request.requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
@@ -39,8 +40,8 @@
     }
 
     /**
-     * Sets the times of a request that waits for a retry. After an outcome that is no sign of load it gets more time to
-     * find an endpoint.
+     * Extends the deadlines of a request that waits for a retry, if the outcome is no sign of overload, so that it has
+     * more time to find an endpoint.
      */
     void extendQueueTime(long nowUs, PendingRequest request, AttemptOutcome lastOutcome) {
         boolean connectionFailed = lastOutcome == AttemptOutcome.ACCEPT_TIMEOUT
@@ -56,8 +57,8 @@
     }
 
     /**
-     * Whether an attempt may run at an endpoint: it must be of the kind that the class needs and, for a keyed request
-     * that may have been executed, one that still drops the repeat.
+     * Returns whether an attempt may run at an endpoint. It must be of the kind that the class needs and, for a keyed
+     * request that may have been executed, one that still drops the repeat.
      */
     boolean mayRunAt(long nowUs, PendingRequest request, Endpoint endpoint) {
         RequestClass requestClass = request.requestClass;
@@ -81,7 +82,7 @@
         };
     }
 
-    /** Whether the client may be told to try again itself, at whatever node. */
+    /** Returns whether the request may be rejected, so that its client may retry it at any node. */
     static boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         return request.attemptsInFlight == 0
--- a/src/main/java/olivechute/loadbalancing/ServiceRules.java
+++ b/src/main/java/olivechute/loadbalancing/ServiceRules.java
@@ -1,16 +1,16 @@
 package olivechute.loadbalancing;
 
 /**
- * The figures behind the operators' rules. All times are microseconds.
+ * Parameters of the service rules. All times are microseconds.
  *
  * @param answerSlackUs how long after the client's deadline an answer still counts
- * @param listPollIntervalUs the longest time without a call for the endpoint list; 0 for no bound
- * @param drainGraceUs how long after a drain was notified requests may still be sent there
- * @param slowStartCapacity part of its capacity that an endpoint has when it starts, from 0 to 1
- * @param slowStartDurationUs how long it takes to reach its whole capacity
- * @param overloadMultiple multiple of its present capacity at which a starting endpoint falls over
- * @param overloadWindowUs the time over which that overload is counted
- * @param onlyDrainingBinds whether an endpoint may still be sent to that left the list without having drained
+ * @param listPollIntervalUs maximum time between two calls for the endpoint list; 0 for no limit
+ * @param drainGraceUs how long after the notification of a drain requests may still be sent to the endpoint
+ * @param slowStartCapacity fraction of its capacity that an endpoint has when it starts, from 0 to 1
+ * @param slowStartDurationUs how long it takes to reach its full capacity
+ * @param overloadMultiple multiple of its current capacity at which a starting endpoint fails from overload
+ * @param overloadWindowUs time window over which that overload is counted
+ * @param keepsUnlistedEndpoints whether requests may still be sent to an endpoint that left the list without draining
  */
 public record ServiceRules(
         long answerSlackUs,
@@ -21,10 +21,10 @@
         double overloadMultiple,
         long overloadWindowUs,
         boolean keepsUnlistedEndpoints) {
-    /** Calls for the list that follow each other more closely would poll without end. */
+    /** Lower limit of the delay between calls for the list; a shorter one would poll continuously. */
     private static final long MIN_POLL_DELAY_US = 50_000;
 
-    /** The given delay in microseconds, or less of it where the list has to be polled sooner. */
+    /** Returns the given delay in microseconds, or a shorter one if the list has to be polled sooner. */
     public long cappedPollDelayUs(long delayUs) {
         return listPollIntervalUs > 0 ? Math.min(delayUs, Math.max(MIN_POLL_DELAY_US, listPollIntervalUs)) : delayUs;
     }
--- a/src/main/java/olivechute/loadbalancing/ShareController.java
+++ b/src/main/java/olivechute/loadbalancing/ShareController.java
@@ -6,21 +6,22 @@
 import java.util.List;
 
 /**
- * Steers each tenant's share of the slot time. Every endpoint carries a number of instances of each tenant, which are
- * weights: requests of a tenant go to an endpoint with a chance in proportion to its instances there, and its queue's
- * turn comes by their total. Twice a second an instance is taken from tenants above their share and given to those
- * below, after the third modification in M. Habib's thesis on provisioning; see docs/design.md.
+ * Controls each tenant's share of the slot time. Every endpoint has a number of instances of each tenant, which are
+ * weights: a tenant's requests are sent to an endpoint with a probability proportional to its instances there, and the
+ * total of its instances sets how often its queue is served. Twice a second instances are taken from tenants above
+ * their share and given to those below it, after the third modification in M. Habib's thesis on provisioning; see
+ * docs/design.md. Called on the event loop.
  */
 final class ShareController {
-    /** How often {@link #onInterval} is to be called. */
+    /** Interval between calls of {@link #onInterval}. */
     static final long INTERVAL_US = 500_000;
 
     private static final int INITIAL_INSTANCES = 10;
-    /** A tenant within this distance of its share is left as it is. */
+    /** A tenant whose share deviates by no more than this is not adjusted. */
     private static final double SHARE_TOLERANCE = 0.02;
-    /** The running mean gives the last interval at least this weight, or it would answer no late change. */
+    /** Minimum weight of the last interval in the running mean; without it late changes would have no effect. */
     private static final double MIN_INTERVAL_WEIGHT = 0.05;
-    /** A tenant keeps at least one instance wherever it has some. */
+    /** A tenant keeps at least one instance on every endpoint where it has any. */
     private static final int MIN_INSTANCES_TO_TAKE = 2;
 
     private final List<TenantQueue> tenants = new ArrayList<>();
@@ -42,13 +43,13 @@
         this.minIntervalWeight = minIntervalWeight;
     }
 
-    /** A tenant that was not known before. */
+    /** Adds a tenant that was not known before. */
     void addTenant(TenantQueue tenant) {
         tenants.add(tenant);
         setEndpoints(new ArrayList<>(endpoints));
     }
 
-    /** The endpoints listed now; those that stay keep their instances. */
+    /** Sets the endpoints listed now; those that remain keep their instances. */
     void setEndpoints(Iterable<Endpoint> listed) {
         endpoints.clear();
         for (Endpoint endpoint : listed) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Instances of a tenant on all active endpoints. */
+    /** Returns a tenant's instances on all active endpoints. */
     int totalInstances(TenantQueue tenant) {
         int sum = 0;
         for (Endpoint endpoint : endpoints) {
@@ -70,12 +71,15 @@
         return sum;
     }
 
-    /** Instances taken from tenants and not given to others yet. */
+    /** Returns the instances that were taken from tenants and not given to others yet. */
     int unassignedInstances() {
         return unassignedInstances;
     }
 
-    /** Moves instances by the slot time that the tenants used since the last call; nothing moves if none was used. */
+    /**
+     * Moves instances according to the slot time that the tenants used since the last call; does nothing if none was
+     * used.
+     */
     void onInterval() {
         double totalSlotTimeUs = 0;
         for (TenantQueue tenant : tenants) {
--- a/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
@@ -7,23 +7,23 @@
 import java.util.SplittableRandom;
 
 /**
- * The load balancer of a node. It passes events to the policies, each in a class of its own, and decides nothing
- * itself. A request is admitted by {@link AdmissionControl}, queued in {@link TenantQueues}, taken from there by
- * {@link QueueDispatcher} and sent to what {@link EndpointSelector} selects; {@link RequestLifecycle} keeps its course,
- * in which {@link RetryPolicy} decides on retries.
+ * The load balancer of a node. It passes events to the policies, each implemented by a class of its own, and makes no
+ * decisions itself. {@link AdmissionControl} admits a request, {@link TenantQueues} queue it, {@link QueueDispatcher}
+ * takes it from the queue and {@link EndpointSelector} selects its endpoint; {@link RequestLifecycle} manages it after
+ * admission and {@link RetryPolicy} decides on retries.
  *
- * <p>Not safe for use by several threads; all calls come on the event loop.
+ * <p>Not thread-safe; all calls are made on the event loop.
  */
 public final class ShareLoadBalancer implements LoadBalancer {
-    /** Queued requests are looked at this often at least. */
+    /** Maximum interval between checks of the queued requests. */
     private static final long MAX_QUEUE_CHECK_INTERVAL_US = 20_000;
 
     private static final long MIN_QUEUE_CHECK_INTERVAL_US = 1_000;
-    /** And so many times within the shortest latency objective. */
+    /** Minimum number of checks within the shortest latency objective. */
     private static final long QUEUE_CHECKS_PER_OBJECTIVE = 8;
-    /** How often endpoints are examined. */
+    /** Interval between examinations of the endpoints. */
     private static final long EXAMINATION_INTERVAL_US = InFlightHistory.STEP_US;
-    /** A class of which no request finished yet is taken to run for so many times its latency objective. */
+    /** Assumed running time of a class before its first request finishes, as a multiple of its latency objective. */
     private static final double EXPECTED_RUN_TIME_MULTIPLE = 4;
 
     static final long EXAMINATION_TIMER = 1;
@@ -34,7 +34,7 @@
     private final Helper helper;
     private final HealthView healthView;
     private final Map<String, RequestClassStats> classes = new HashMap<>();
-    /** The same, the most valuable for their work first. */
+    /** The same classes ordered by value for their work, the most valuable first. */
     private final List<RequestClassStats> classesByValue = new ArrayList<>();
 
     private final EndpointStats stats = new EndpointStats();
@@ -57,12 +57,12 @@
 
     private long nextIntervalAtUs;
 
-    /** Makes a load balancer that knows nothing of its sockets; {@code seed} feeds its only source of randomness. */
+    /** Creates a load balancer without a view of its connections; {@code seed} feeds its only source of randomness. */
     public ShareLoadBalancer(LoadBalancerSettings settings, long seed, Helper helper) {
         this(settings, seed, helper, HealthView.NONE);
     }
 
-    /** The same with a view on the health of its connections. */
+    /** Creates a load balancer with a view of the health of its connections. */
     public ShareLoadBalancer(LoadBalancerSettings settings, long seed, Helper helper, HealthView healthView) {
         if (settings == null || helper == null) {
             throw new IllegalArgumentException((settings == null ? "settings" : "helper") + ": missing");
@@ -111,7 +111,7 @@
                 queues, classesByValue, endpoints, selector, workingSet, retryAfterEstimator, lifecycle::send);
     }
 
-    /** Returns how often queued requests are looked at, in microseconds. */
+    /** Returns the interval between checks of the queued requests, in microseconds. */
     private long addClasses() {
         long checkIntervalUs = MAX_QUEUE_CHECK_INTERVAL_US;
         for (RequestClass requestClass : settings.classes()) {
@@ -126,7 +126,7 @@
         return checkIntervalUs;
     }
 
-    /** The endpoints that the load balancer knows. */
+    /** Returns the endpoints known to the load balancer. */
     EndpointTable endpoints() {
         return endpoints;
     }
@@ -168,7 +168,7 @@
         classStats.onArrival(request, pending.slots);
         admissionControl.admit(nowUs, pending);
         loadProber.onRequest();
-        if (nowUs >= pending.latestStartUs) { // next to no time left: no timer may come before
+        if (nowUs >= pending.latestStartUs) { // almost no time left: it may be over before the next timer
             lifecycle.rejectOrFail(nowUs, pending);
         } else {
             lifecycle.enqueue(pending, false);
@@ -268,10 +268,10 @@
     }
 
     /**
-     * Sends queued requests while there is capacity. While the endpoint list is out of date nothing is sent: requests
-     * stay queued until it has been so for a moment, as it may be renewed any time, and are then rejected, so that
-     * their clients try other nodes while there is time. Those that had an attempt stay queued, as many of them may no
-     * longer be rejected.
+     * Sends queued requests while there is capacity. While the endpoint list is out of date nothing is sent. Requests
+     * first stay queued, because the list may be renewed at any time; after
+     * {@link AdmissionControl#STALE_LIST_GRACE_US} they are rejected, so that their clients can try other nodes in
+     * time. Requests that have had an attempt stay queued, because many of them may no longer be rejected.
      */
     private void dispatchQueued(long nowUs) {
         long staleForUs = healthView.listStaleForUs(nowUs);
--- a/src/main/java/olivechute/loadbalancing/SlotUsage.java
+++ b/src/main/java/olivechute/loadbalancing/SlotUsage.java
@@ -1,10 +1,10 @@
 package olivechute.loadbalancing;
 
-/** Slot time that one tenant's running requests use. Times are microseconds. */
+/** Slot time used by the running requests of one tenant. Times are microseconds. */
 final class SlotUsage {
-    /** Running mean of the tenant's part of all slot time. */
+    /** Running mean of the tenant's fraction of all slot time. */
     double averageShare;
-    /** Slot time used since the share controller last looked. */
+    /** Slot time used since the last interval of the share controller. */
     double intervalSlotTimeUs;
 
     private int runningSlots;
@@ -14,7 +14,7 @@
         updatedAtUs = nowUs;
     }
 
-    /** So many more slots run from now on; a negative number ends some. */
+    /** Changes the number of running slots from now on; negative when an attempt ends. */
     void add(long nowUs, int slotDelta) {
         intervalSlotTimeUs += (double) runningSlots * (nowUs - updatedAtUs);
         updatedAtUs = nowUs;
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -5,22 +5,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Bounds what this node sends to an endpoint whose process just started, so that the sum over the fleet stays under
- * what the endpoint bears: its present capacity times {@code rules.overloadMultiple} over
- * {@code rules.overloadWindowUs}. Nodes do not see each other's requests, so each has a part of that budget by its
- * traffic. The budget, its spread and the assumptions are derived in docs/design.md, "The ramp of an endpoint that just
- * started".
+ * Limits what this node sends to an endpoint whose process just started, so that the sum over the fleet stays below
+ * what the endpoint sustains: its current capacity times {@code rules.overloadMultiple} over
+ * {@code rules.overloadWindowUs}. Nodes do not see each other's requests, so each gets a part of that budget according
+ * to its traffic. The budget, its variance and the assumptions are derived in docs/design.md, "The ramp of an endpoint
+ * that just started". Called on the event loop.
  */
 final class SlowStart {
-    /** Standard deviations of the fleet's calls that are left free under the budget. */
+    /** Margin below the sustainable load, in standard deviations of the fleet's requests. */
     private static final double MARGIN_DEVIATIONS = 2;
-    /** The part of the budget that all nodes share alike, whatever their traffic. */
+    /** Fraction of the budget that is divided equally among nodes, independent of their traffic. */
     private static final double EQUAL_FRACTION = 0.25;
-    /** The part of the budget that is used, as a core may have up to a third more slots than it bears. */
+    /** Fraction of the budget that is used, because a core may have up to a third more slots than it sustains. */
     private static final double USED_FRACTION = 0.75;
-    /** Of the slots that were seen in use over the fleet's mean this part is believed, where none are reported. */
+    /** Without load reports, fraction that is trusted of the slots observed in use above the fleet's mean. */
     private static final double OBSERVED_EXCESS_FRACTION = 0.75;
-    /** Weight of the last interval in the smoothed figures of the fleet. */
+    /** Weight of the last interval in the smoothed fleet statistics. */
     private static final double INTERVAL_SAMPLE_WEIGHT = 0.1;
 
     private final ServiceRules rules;
@@ -29,10 +29,10 @@
     private final List<RequestClassStats> classes;
     private final SplittableRandom random;
     private double meanAttemptsInFlight;
-    /** Slots in use by all nodes; NaN where none are reported. */
+    /** Slots in use by all nodes; NaN if there are no load reports. */
     private double slotsInUse = Double.NaN;
 
-    /** {@code classes} is the caller's list, read at each decision. */
+    /** @param classes the caller's list, read at each decision */
     SlowStart(LoadBalancerSettings settings, List<RequestClassStats> classes, SplittableRandom random) {
         this.rules = settings.rules();
         this.fleetSize = settings.fleetSize();
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Called once an interval.
+     * Updates the fleet statistics; called once per {@link ShareController#INTERVAL_US}.
      *
-     * @param ownMeanInFlight attempts of this node in flight
+     * @param ownMeanAttemptsInFlight attempts of this node in flight
      * @param meanFreeSlots free slots that endpoints report
      */
     void onInterval(long nowUs, Collection<Endpoint> endpoints, double ownMeanAttemptsInFlight, double meanFreeSlots) {
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Whether an endpoint may get this request now; always so once its slow start is over. This node's part of the
-     * budget is granted in whole calls of each class by its work, to be used for requests of any class; a random draw
-     * for the endpoint rounds fractions.
+     * Returns whether the endpoint may get this request now; always true once its slow start is over. This node's part
+     * of the budget is granted in whole reference requests of each class, in proportion to the classes' slot time, and
+     * may be used for requests of any class. A random draw per endpoint rounds fractions.
      */
     boolean admits(long nowUs, Endpoint endpoint, PendingRequest request) {
         long windowStartUs = nowUs - rules.overloadWindowUs();
@@ -76,8 +76,8 @@
             return true;
         }
         double totalSlotTimeUs = 0;
-        double meanReferenceWorkUs = 0; // work of a call, weighed by work
-        double sumOfSquaredWork = 0; // of the work of a call
+        double meanReferenceWorkUs = 0; // reference work, weighted by slot time
+        double sumOfSquaredWork = 0; // of the reference work of each class
         for (RequestClassStats requestClass : classes) {
             totalSlotTimeUs += requestClass.totalSlotTimeUs();
             meanReferenceWorkUs += (requestClass.totalSlotTimeUs() * requestClass.referenceWorkUs()
@@ -114,10 +114,11 @@
     }
 
     /**
-     * Slots that an endpoint of this kind is taken to have. Where none are reported, a node sees its own requests
-     * alone, and few of them at one endpoint at a time. Then it takes the slots that all nodes would use at a warm one
-     * if each had this node's traffic. Over all nodes these figures have the slots in use as their mean, so that the
-     * parts together stay within the budget; a node that has seen more takes most of what is over it as well.
+     * Returns the slots that an endpoint of this kind is assumed to have. Without load reports a node sees only its own
+     * requests, few of them at one endpoint at a time. It then assumes the slots that all nodes would use at an
+     * endpoint that has finished its slow start if each had this node's traffic. The mean of these estimates over all
+     * nodes is the number of slots in use, so that the nodes' parts together stay within the budget. A node that has
+     * observed more slots also counts most of the excess.
      */
     private double estimatedSlots(EndpointKindStats kindStats) {
         double usedSlots = fleetSize * kindStats.runningSlotsPerEndpoint();
@@ -127,7 +128,10 @@
         return usedSlots + OBSERVED_EXCESS_FRACTION * Math.max(0, kindStats.maxSlots - usedSlots);
     }
 
-    /** Calls that all nodes together may send where the endpoint bears so many. */
+    /**
+     * Returns the requests that all nodes together may send to an endpoint that sustains {@code sustainableRequests},
+     * both in reference requests.
+     */
     private double fleetBudgetRequests(
             double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
         double sqrtArrivalBound =
@@ -138,7 +142,9 @@
                 USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
     }
 
-    /** This node's part of the budget by its traffic; the mean over all nodes is one. */
+    /**
+     * Returns the weight of this node's part of the budget according to its traffic; the mean over all nodes is one.
+     */
     private double trafficWeight() {
         double relativeTraffic = fleetSize * meanAttemptsInFlight / slotsInUse;
         return slotsInUse > 0 ? EQUAL_FRACTION + (1 - EQUAL_FRACTION) * relativeTraffic : 1;
--- a/src/main/java/olivechute/loadbalancing/SlowStartSends.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStartSends.java
@@ -4,7 +4,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What this node sent to one endpoint in the last overload window of its slow start, and the node's random draw for it.
+ * What this node sent to one endpoint in the last overload window of its slow start, and the node's random number for
+ * rounding at that endpoint.
  */
 final class SlowStartSends {
     private static final double NOT_DRAWN = -1;
@@ -18,7 +19,10 @@
         recentSends.addLast(new RecentSend(nowUs, request.classStats, request.referenceRequests()));
     }
 
-    /** Slot time of what was sent after a moment, as its classes run now; earlier sends are forgotten. */
+    /**
+     * Returns the slot time of what was sent after a time, at the current reference work of its classes; removes
+     * earlier sends.
+     */
     double workSinceUs(long sinceUs) {
         while (!recentSends.isEmpty() && recentSends.peekFirst().sentAtUs() <= sinceUs) {
             recentSends.removeFirst();
@@ -30,7 +34,7 @@
         return workUs;
     }
 
-    /** From 0 to 1; drawn once for each endpoint, and the same from then on. */
+    /** Returns a random number from 0 to 1 that is drawn once per endpoint and then stays the same. */
     double roundingDraw(SplittableRandom random) {
         if (roundingDraw == NOT_DRAWN) {
             roundingDraw = random.nextDouble();
--- a/src/main/java/olivechute/loadbalancing/StartWait.java
+++ b/src/main/java/olivechute/loadbalancing/StartWait.java
@@ -1,6 +1,6 @@
 package olivechute.loadbalancing;
 
-/** How long requests lately waited at one endpoint from the send to the start, in microseconds. */
+/** Recent wait of requests at one endpoint from the send to the start, in microseconds. */
 final class StartWait {
     private static final double SAMPLE_WEIGHT = 0.3;
 
@@ -12,7 +12,7 @@
         recentUs = Smoothing.smooth(recentUs, waitedUs, SAMPLE_WEIGHT);
     }
 
-    /** An attempt that still waits has waited longer than was usual. */
+    /** Handles an attempt whose wait already exceeds the recent one. */
     void onStillWaiting(double waitedUs) {
         if (!(waitedUs <= recentUs)) {
             recentUs = waitedUs;
@@ -20,7 +20,7 @@
         }
     }
 
-    /** What seemed to be a wait at the endpoint was the connection's fault. */
+    /** Resets the wait if the connection, and not the endpoint, caused it. */
     void resetToMin() {
         if (minUs < Double.MAX_VALUE) {
             recentUs = minUs;
@@ -31,7 +31,7 @@
         recentUs = Double.NaN;
     }
 
-    /** Recent waits lose their weight; the least wait that was ever seen stays. */
+    /** Moves the recent wait towards the minimum ever observed, which stays. */
     void decay(double retainedFraction, java.util.List<Double> peerValues) {
         recentUs = Smoothing.decayAndCollect(recentUs, minUs, retainedFraction, peerValues);
     }
--- a/src/main/java/olivechute/loadbalancing/Tenant.java
+++ b/src/main/java/olivechute/loadbalancing/Tenant.java
@@ -3,8 +3,8 @@
 /**
  * A tenant.
  *
- * @param name the name that requests carry
+ * @param name name by which requests refer to the tenant
  * @param share its share of the service, from 0 to 1
- * @param quotaPerSecond requests a second that the whole fleet guarantees it; 0 for no quota
+ * @param quotaPerSecond requests per second that the whole fleet guarantees it; 0 for no quota
  */
 public record Tenant(String name, double share, double quotaPerSecond) {}
--- a/src/main/java/olivechute/loadbalancing/TenantQueue.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQueue.java
@@ -4,17 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The queued requests of one tenant, its place in the round of queues, its quota and the slot time it used. */
+/**
+ * The queued requests of one tenant, its position in the scheduling of queues, its quota and the slot time that it
+ * used.
+ */
 final class TenantQueue {
     final Tenant tenant;
     final int index;
-    /** One queue for each class, then one for each class's requests over the quota. */
+    /** One queue per class, followed by one per class for requests over the quota. */
     final List<ArrayDeque<PendingRequest>> classQueues = new ArrayList<>();
-    /** Requests in all queues. */
+    /** Number of requests in all its queues. */
     int queuedRequests;
-    /** Stride scheduling: the queue with the lowest pass is next. */
+    /** Pass value of stride scheduling: the tenant with the lowest one is next. */
     double pass;
-    /** Whether none of its requests found an endpoint in the present round. */
+    /** Whether none of its requests found an endpoint in the current round. */
     boolean blocked;
 
     final TenantQuota quota = new TenantQuota();
--- a/src/main/java/olivechute/loadbalancing/TenantQueues.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQueues.java
@@ -11,19 +11,19 @@
 import java.util.function.Predicate;
 
 /**
- * The queues of all tenants. They take turns by stride scheduling: each release moves a tenant on by the inverse of its
- * instances, so that tenants with more instances come up more often.
+ * The queues of all tenants, served by stride scheduling: each request taken advances the tenant's pass value by the
+ * inverse of its instances, so that tenants with more instances are served more often. Used on the event loop only.
  */
 final class TenantQueues {
-    /** Stands for all requests where the settings name no tenant. */
+    /** Receives all requests if the settings name no tenant. */
     private static final Tenant ANY_TENANT = new Tenant("", 1, 0);
-    /** Stands for the tenants that the settings do not name; it has no claim to a share. */
+    /** Receives the requests of tenants that the settings do not name; it is entitled to no share. */
     private static final Tenant UNKNOWN_TENANT = new Tenant("", 0, 0);
 
     private final ShareController shareController;
     private final int classCount;
     private final Map<String, TenantQueue> byName = new LinkedHashMap<>();
-    /** The same in an array, as they are looked through at each event. */
+    /** The same in an array, because all queues are scanned at each event. */
     private TenantQueue[] all = {};
 
     private double virtualTime;
@@ -54,12 +54,12 @@
         return all;
     }
 
-    /** Quotas of all tenants, in requests a second. */
+    /** Returns the sum of all tenants' quotas, in requests per second. */
     double totalQuotaPerSecond() {
         return totalQuotaPerSecond;
     }
 
-    /** The queue of a class, or of its requests over the quota. */
+    /** Returns the queue of a class, either within or over the quota. */
     ArrayDeque<PendingRequest> classQueue(TenantQueue tenant, int classIndex, boolean overQuota) {
         return tenant.classQueues.get(classIndex + (overQuota ? classCount : 0));
     }
@@ -76,14 +76,14 @@
         }
     }
 
-    /** False if the request is not queued. */
+    /** Returns false if the request is not queued. */
     boolean remove(PendingRequest request) {
         boolean removed = request.classQueue.remove(request);
         request.tenantQueue.queuedRequests -= removed ? 1 : 0;
         return removed;
     }
 
-    /** Removes the requests that match, and passes each on. */
+    /** Removes the requests that match and passes each to {@code removed}. */
     void removeIf(Predicate<PendingRequest> condition, Consumer<PendingRequest> removed) {
         for (TenantQueue tenant : all) {
             for (ArrayDeque<PendingRequest> queue : tenant.classQueues) {
@@ -116,7 +116,7 @@
         return true;
     }
 
-    /** How many requests are queued. */
+    /** Returns the number of queued requests. */
     int size() {
         int sum = 0;
         for (TenantQueue tenant : all) {
@@ -125,14 +125,14 @@
         return sum;
     }
 
-    /** Begins a round: each tenant may be tried again. */
+    /** Starts a round, in which each tenant may be tried again. */
     void unblockAll() {
         for (TenantQueue tenant : all) {
             tenant.blocked = false;
         }
     }
 
-    /** The tenant whose turn it is, or {@code null} if all are empty or blocked. */
+    /** Returns the tenant to be served next, or {@code null} if all are empty or blocked. */
     TenantQueue next() {
         TenantQueue next = null;
         for (TenantQueue tenant : all) {
@@ -143,7 +143,7 @@
         return next;
     }
 
-    /** One request of the tenant whose turn it was has been taken from its queue. */
+    /** Handles that a request of the tenant being served was taken from its queue. */
     void onRequestTaken(TenantQueue tenant) {
         tenant.queuedRequests--;
         virtualTime = tenant.pass;
--- a/src/main/java/olivechute/loadbalancing/TenantQuota.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQuota.java
@@ -1,17 +1,19 @@
 package olivechute.loadbalancing;
 
-/** What a node knows of one tenant's arrivals and of its part of the tenant's quota. Kept by {@link QuotaEstimator}. */
+/**
+ * Arrivals of one tenant at this node and the node's part of the tenant's quota. Maintained by {@link QuotaEstimator}.
+ */
 final class TenantQuota {
     /** Requests that the tenant may send at once within its quota. */
     static final double BURST_REQUESTS = 10;
 
-    /** Arrivals, forgotten over {@link QuotaEstimator#LONG_MEMORY_US}. */
+    /** Arrivals, decaying over {@link QuotaEstimator#LONG_TERM_DECAY_US}. */
     double longTermArrivals;
-    /** Arrivals, forgotten over {@link QuotaEstimator#SHORT_MEMORY_US}. */
+    /** Arrivals, decaying over {@link QuotaEstimator#SHORT_TERM_DECAY_US}. */
     double shortTermArrivals;
     /** Requests that may still be sent within the quota. */
     double tokens = BURST_REQUESTS;
-    /** Requests a second that the quota leaves to this node. */
+    /** Part of the tenant's quota that this node may use, in requests per second. */
     double ratePerSecond;
 
     long updatedAtUs;
--- a/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
+++ b/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
@@ -5,24 +5,25 @@
 import java.util.SplittableRandom;
 
 /**
- * Draws an endpoint among those where a send costs about the least, with chances in proportion to the instances that
- * the share controller gave the request's tenant there.
+ * Picks an endpoint at random among those with about the lowest send cost. The probability is proportional to the
+ * instances that {@link ShareController} gave the request's tenant there.
  *
- * <p>The cost of a send is a time in microseconds: how long the request runs there, the recent wait for a start, and
- * crossing zones or connecting at their price and delay. Guards against a zone with more traffic than endpoints, slow
- * machines, slow connects and endpoints that start requests late, whatever the cause; requests spill over where that
- * gains more than it costs. An endpoint whose wait was chance is passed over for a second or two.
+ * <p>The cost of a send is a time in microseconds: the expected running time at the endpoint, its recent wait for a
+ * start, and, for crossing zones and for connecting, the cost weight and the delay. Guards against a zone with more
+ * traffic than endpoints, slow machines, slow connects and endpoints that start requests late for any reason; requests
+ * are sent to another zone where the gain exceeds the cost. An endpoint with one long wait by chance is avoided for one
+ * or two seconds.
  */
 final class WeightedEndpointPicker {
-    /** Prices count double, as short waits cost little. */
+    /** Cost weights count double, because short waits cost little. */
     private static final double COST_WEIGHT_FACTOR = 2;
-    /** Costs this part of the request's latency budget apart count as equal. */
+    /** Costs that differ by less than this fraction of the request's latency budget are treated as equal. */
     private static final double COST_TOLERANCE = 0.1;
 
     private final CostWeights costWeights;
     private final EndpointStats stats;
     private final SplittableRandom random;
-    /** Of one draw; a field so that draws allocate nothing. */
+    /** Scratch list of one pick; a field to avoid an allocation per pick. */
     private final List<Endpoint> cheapest = new ArrayList<>();
 
     WeightedEndpointPicker(CostWeights costWeights, EndpointStats stats, SplittableRandom random) {
@@ -31,7 +32,7 @@
         this.random = random;
     }
 
-    /** Returns {@code null} if there are no candidates. */
+    /** Returns {@code null} if there are no candidates, or if the tenant has no instance at any of the cheapest. */
     Endpoint pick(PendingRequest request, List<Endpoint> candidates) {
         double latencyBudgetUs = request.latencyBudgetUs();
         double minCostUs = Double.MAX_VALUE;
--- a/src/main/java/olivechute/loadbalancing/WorkingSet.java
+++ b/src/main/java/olivechute/loadbalancing/WorkingSet.java
@@ -1,9 +1,9 @@
 package olivechute.loadbalancing;
 
 /**
- * How many endpoints of each zone group this node uses. Each node uses those that rank lowest by its own random draw:
- * few connections stay open and busy, and load reports stay fresh. It uses more with the traffic it has, and while
- * requests find no capacity.
+ * Number of endpoints that this node uses in its own zone, and the same number in all other zones together. Each node
+ * uses the endpoints that rank lowest by its own random draw, so that few connections stay open and busy and load
+ * reports stay fresh. The set grows with the node's traffic, and while requests find no capacity.
  */
 final class WorkingSet {
     private static final double MIN_SIZE = 6;
@@ -19,7 +19,7 @@
         this.stats = stats;
     }
 
-    /** A request within its quota found no capacity. */
+    /** Grows the set after a request within its quota found no capacity. */
     void onNoCapacity(long nowUs, int endpointCount) {
         if (nowUs > lastGrownAtUs + GROWTH_INTERVAL_US) {
             lastGrownAtUs = nowUs;
