--- a/src/main/java/olivechute/downstream/AcceptFailures.java
+++ b/src/main/java/olivechute/downstream/AcceptFailures.java
@@ -3,9 +3,12 @@
 import java.io.IOException;
 import java.util.List;
 
-/** Tells a shortage of descriptors or memory, for which room can be made, from faults that pass by themselves. */
+/**
+ * Classifies errors of {@code accept}: lack of file descriptors or memory, which closing other connections relieves, as
+ * opposed to errors that are transient. Used by the accept threads of {@link DownstreamServer}.
+ */
 final class AcceptFailures {
-    /** The system's texts of EMFILE, ENFILE, ENOBUFS and ENOMEM; exceptions carry no number. */
+    /** The operating system's messages for EMFILE, ENFILE, ENOBUFS and ENOMEM; Java exceptions carry no errno. */
     private static final List<String> EXHAUSTION_MESSAGES =
             List.of("Too many open files", "No buffer space available", "Cannot allocate memory");
 
--- a/src/main/java/olivechute/downstream/CloseReason.java
+++ b/src/main/java/olivechute/downstream/CloseReason.java
@@ -1,30 +1,30 @@
 package olivechute.downstream;
 
-/** Why a client's connection was closed. */
+/** Why a downstream connection was closed. The names appear in the log. */
 enum CloseReason {
-    /** The client ended it. */
+    /** The client closed the connection. */
     ENDED_BY_CLIENT(true),
-    /** It broke, as a read showed. */
+    /** A read failed. */
     READ_FAILED(true),
-    /** It broke, as a write showed. */
+    /** A write failed. */
     WRITE_FAILED(true),
-    /** Its last answer is out, and what follows that was read on for long enough. */
+    /** The last response was sent, and the input that followed was discarded for long enough. */
     AFTER_LAST_ANSWER(false),
-    /** The client reads nothing of its answers. */
+    /** The client does not read its responses, so that a write does not complete. */
     PEER_READS_NOTHING(true),
-    /** No message came since it was accepted. */
+    /** No message arrived after the connection was accepted. */
     UNUSED(false),
-    /** It carried nothing for long. */
+    /** The connection was idle for too long. */
     IDLE(false),
-    /** The identity that its client showed holds no more. */
+    /** The identity that the client presented is no longer valid. */
     IDENTITY_EXPIRED(false),
-    /** This node is about to end. */
+    /** This node is shutting down. */
     DRAINING(false),
-    /** Room was needed for another. */
+    /** The connection was closed to make room for another one. */
     ROOM_NEEDED(false),
-    /** The system granted no thread to read it. */
+    /** The system had no thread to read the connection. */
     NO_THREAD(false),
-    /** Its reader failed in an unforeseen way. */
+    /** The reader failed with an unexpected exception. */
     READER_FAILED(false);
 
     private final boolean byClient;
@@ -33,7 +33,7 @@
         this.byClient = byClient;
     }
 
-    /** Whether the client or the network ended it, not this node. */
+    /** Whether the client or the network ended the connection, rather than this node. */
     boolean isByClient() {
         return byClient;
     }
--- a/src/main/java/olivechute/downstream/CodecWarmup.java
+++ b/src/main/java/olivechute/downstream/CodecWarmup.java
@@ -14,9 +14,9 @@
 import olivechute.proxy.ProxyEvent;
 
 /**
- * Takes made-up jobs and news through the same parsers, decoders and writers as a client's, without a socket, so that
- * they are loaded and compiled before the first client comes: a node that starts on a part of a core into a full load
- * has no time for that afterwards.
+ * Passes synthetic requests and job status events through the parsers, decoders and writers that client traffic uses,
+ * without a socket, so that these classes are loaded and compiled before the first client connects. A node that starts
+ * under full load with only a part of a core has no time for that afterwards.
  */
 public final class CodecWarmup {
     private static final byte[] BODY = "rehearsed".getBytes(StandardCharsets.UTF_8);
@@ -26,7 +26,7 @@
     private final JobStatusDecoder jobStatus;
     private final RequestParser parser = new RequestParser();
 
-    /** Makes one for a node of these settings. */
+    /** Creates a warm-up for a node with these settings. */
     public CodecWarmup(LoadBalancerSettings settings, LoadReportFields loadReportFields) {
         this.settings = settings;
         this.requestDecoder = new RequestDecoder(settings);
@@ -34,7 +34,8 @@
     }
 
     /**
-     * Hands in one job of the n-th class in turn; {@code taker} gets its event, {@code answered} the answer's bytes.
+     * Runs one request of the classes in turn, chosen by {@code index}. Its event goes to {@code eventSink}, the
+     * encoded response to {@code responseSink}; {@code nowUs} is when it arrived.
      */
     public void request(int index, long nowUs, Consumer<ProxyEvent> eventSink, Consumer<byte[]> responseSink) {
         var requestClass = settings.classes().get(index % settings.classes().size());
@@ -62,7 +63,7 @@
         }
     }
 
-    /** Tells of that job what a host tells. */
+    /** Runs one job status event of the request with this index, as {@code endpoint} would send it. */
     public void jobStatus(int index, String endpoint, String state, Consumer<ProxyEvent> eventSink) {
         String json = String.format(
                 Locale.ROOT,
--- a/src/main/java/olivechute/downstream/ConnectionLimit.java
+++ b/src/main/java/olivechute/downstream/ConnectionLimit.java
@@ -1,28 +1,29 @@
 package olivechute.downstream;
 
 /**
- * How many connections a node may hold: as many as its limits bear, and fewer once the system refuses it threads. Each
- * connection takes one, and how many there are is told nowhere for certain: a container, a user and a machine have
- * limits of their own, shared with others. Some must be left, as the virtual machine starts a thread for each signal
- * and drops the signal if it gets none, and writes and requests take threads too. So, as connections grow in number, it
- * is proven from time to time that more threads can be had than the next ones take.
+ * The number of downstream connections that a node may hold: the configured maximum, and fewer after the system refused
+ * a thread. Each connection takes one thread, and no source gives the number of available threads reliably: container,
+ * user and machine have limits of their own, shared with other processes. Some threads must stay free, as the JVM
+ * starts a thread for each signal and drops the signal if it gets none, and as writes and requests take threads too.
+ * So, as the number of connections grows, the server checks from time to time that the system grants more threads than
+ * the next connections take.
  *
- * <p>Times are microseconds on the caller's clock. On any thread.
+ * <p>Times are microseconds on the caller's clock. Thread-safe.
  */
 final class ConnectionLimit {
-    /** Threads that stay free. */
+    /** Threads that are kept free. */
     static final int RESERVED_THREADS = 16;
-    /** Connections from one proof to the next. */
+    /** Connections from one thread check to the next. */
     static final int CONNECTIONS_PER_CHECK = 16;
-    /** Threads that a proof starts. */
+    /** Threads that a check starts. */
     static final int CHECK_THREADS = CONNECTIONS_PER_CHECK + RESERVED_THREADS;
-    /** Fewer are taken without proof: so few threads every system grants. */
+    /** Up to this number of connections no check is made, as every system grants so few threads. */
     static final int UNCHECKED_CONNECTIONS = 64;
-    /** For how long a refusal counts: what else took threads may have ended. */
+    /** How long a reduced limit lasts, in microseconds; whatever else took threads may have ended by then. */
     static final long REDUCTION_US = 30_000_000;
 
     private final int maxConnections;
-    private int limit; // guarded by this, as the rest
+    private int limit; // guarded by this, like the fields below
     private int checkedConnections = UNCHECKED_CONNECTIONS;
     private long reducedAtUs;
 
@@ -31,7 +32,7 @@
         this.limit = maxConnections;
     }
 
-    /** How many may be open now. */
+    /** The number of connections allowed now. */
     synchronized int limitAt(long nowUs) {
         if (limit < maxConnections && nowUs - reducedAtUs >= REDUCTION_US) {
             limit = maxConnections;
@@ -39,14 +40,17 @@
         return limit;
     }
 
-    /** True if there are more than the last proof was for: another is due, and is taken for granted until it fails. */
+    /**
+     * True if there are more connections than the last check covered, so that another check is due. Counts that check
+     * as passed until {@link #onThreadUnavailable} reports otherwise.
+     */
     synchronized boolean beginCheckIfDue(int connections) {
         boolean due = connections > checkedConnections;
         checkedConnections = due ? connections + CONNECTIONS_PER_CHECK : checkedConnections;
         return due;
     }
 
-    /** The system refused a thread while there were so many connections. */
+    /** Reduces the limit because the system refused a thread while this number of connections was open. */
     synchronized void onThreadUnavailable(int connections, long nowUs) {
         limit = Math.min(maxConnections, Math.max(1, Math.max(connections / 2, connections - CHECK_THREADS)));
         reducedAtUs = nowUs;
--- a/src/main/java/olivechute/downstream/ConnectionReader.java
+++ b/src/main/java/olivechute/downstream/ConnectionReader.java
@@ -11,16 +11,16 @@
 import org.tinylog.Logger;
 
 /**
- * The reading side of a client's connection, on a thread of its own: takes messages one after another, looks behind a
- * request that waits whether its peer is still there, and ends the connection where it was asked to, as nobody else
- * knows that nothing is in hand. Guards the connection's state by the connection.
+ * Reads a downstream connection on a thread of its own. Takes messages one after another, checks while a pipelined
+ * request waits that its client is still connected, and ends the connection when it was asked to, as only the reader
+ * knows that no message is being processed. Accesses the connection's state under the connection's monitor.
  */
 final class ConnectionReader implements Runnable {
-    private static final int MAX_DISCARD_BYTES = 64 * 1024 * 1024; // of what nobody wants behind a request
+    private static final int MAX_DISCARD_BYTES = 64 * 1024 * 1024; // of input that follows the last message
     private static final int DISCARD_BUFFER_BYTES = 8 * 1024;
     /**
-     * A peer with requests that wait their turn is looked at so often, well within the 0.1 s after which one that left
-     * has left.
+     * How often a client with waiting pipelined requests is checked, in microseconds: well within the 0.1 s after which
+     * a client that disconnected counts as gone.
      */
     static final long PEER_CHECK_INTERVAL_US = 20_000;
 
@@ -66,14 +66,17 @@
         }
     }
 
-    /** The client has ended it, unless this node ended the input: then its last answer has some time to arrive. */
+    /**
+     * The input has ended after the last message. If the client ended it, the connection is closed now; if this node
+     * ended it, the last response is given time to arrive.
+     */
     private void onInputDiscarded() {
         if (!connection.isEndRequested()) {
             connection.close(CloseReason.AFTER_LAST_ANSWER);
         }
     }
 
-    /** Nothing more will be read: the client has ended its connection, or this node asked for the end. */
+    /** The input has ended: the client closed the connection, or this node requested the end. */
     private void onInputEnd() {
         CloseReason endReason;
         synchronized (connection) {
@@ -91,7 +94,10 @@
         }
     }
 
-    /** Ends it once what its reader had in hand as it was asked to is answered. */
+    /**
+     * Ends the connection once the response is sent to the message that the reader was processing when the end was
+     * requested.
+     */
     private void endAsRequested(CloseReason endReason) throws IOException, InterruptedException {
         boolean incompleteMessage;
         boolean finishedHere;
@@ -114,8 +120,8 @@
     }
 
     /**
-     * Reads on in what came; what comes before the answer to an earlier request waits here. False if nothing more is to
-     * be taken.
+     * Processes the bytes received. Bytes that arrive before the response to an earlier request wait here. Returns
+     * false if no further message is to be accepted.
      */
     private boolean processInput() throws HttpException, IOException, InterruptedException {
         long lastPeerCheckUs = connection.server.loop.now();
@@ -146,14 +152,18 @@
             if (connection.state.isReceiving()) {
                 connection.markIdle(
                         Kind.RECEIVING,
-                        connection.state.messageStartUs()); // from its beginning on, however many pieces it comes in
+                        connection.state
+                                .messageStartUs()); // measured from its first byte, in however many pieces it arrives
             } else if (connection.state.isBetweenMessages()) {
                 connection.markIdleBetweenRequests();
             }
         }
     }
 
-    /** Has a whole message answered, at once or later; false if nothing may be taken after it. */
+    /**
+     * Passes on a complete message, which is answered at once or later. Returns false if no message may be accepted
+     * after it.
+     */
     private boolean processMessage() throws IOException {
         synchronized (connection) {
             if (!connection.state.acceptMessage(connection.server.loop.now())) {
@@ -164,7 +174,7 @@
         connection.server.markRetained(connection);
         DownstreamServer.ImmediateResponse response = connection.server.route(parser.take(), connection);
         if (response == null) {
-            parser.releaseMessage(false); // its body is the stream's now
+            parser.releaseMessage(false); // the body now belongs to the stream
             return true;
         }
         parser.releaseMessage(true);
@@ -181,9 +191,9 @@
     }
 
     /**
-     * Waits until the answer to an earlier request is out, and looks meanwhile whether the peer is still there: one
-     * that has left must not have its next request taken. {@code seen} is when it was looked for last; returns when
-     * that was, negative if nothing is to be taken.
+     * Waits until the response to an earlier request is sent, and checks meanwhile that the client is still connected,
+     * as the next request of a client that has disconnected must not be accepted. Takes the time of the previous check;
+     * returns the time of the last one, or a negative number if no further message is to be accepted.
      */
     private long awaitTurn(long previousPeerCheckUs) throws IOException, InterruptedException {
         long lastPeerCheckUs = previousPeerCheckUs;
@@ -210,7 +220,7 @@
         }
     }
 
-    /** Reads what has come meanwhile; false if that is more than is kept. */
+    /** Reads the bytes that have arrived meanwhile; false if there are more of them than are buffered. */
     private boolean readAhead() throws IOException {
         int read;
         do {
@@ -223,14 +233,14 @@
                 if (connection.isEndRequested()) {
                     return true;
                 }
-                throw new EOFException("left behind a request");
+                throw new EOFException("client disconnected while a request was waiting");
             }
             parser.onBytesRead(read);
         } while (read > 0);
         return true;
     }
 
-    /** The answer under way is the last; where it is out already, that was. */
+    /** Makes the response in progress the last one; if it is already sent, it was the last one. */
     private void onReadAheadExceeded() throws IOException {
         synchronized (connection) {
             connection.nextResponseIsLast = true;
@@ -241,7 +251,7 @@
         transport.shutdownOutput();
     }
 
-    /** Throws away what still comes, to the end of the connection; who sends too much of it is hung up on. */
+    /** Discards input up to the end of the connection, or up to a limit after which the connection is closed. */
     private void discardInput() throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
         int read = 0;
@@ -250,7 +260,7 @@
         }
     }
 
-    /** Answers what is no HTTP, unless its message was given up meanwhile. */
+    /** Answers input that is not valid HTTP, unless the message was abandoned meanwhile. */
     private void rejectMalformed(HttpException protocolError) {
         try {
             boolean finishedHere;
@@ -269,8 +279,8 @@
     }
 
     /**
-     * After the last answer: from here on nothing is taken. What still comes is read on for a while, as closing on it
-     * would cut the answer off.
+     * Ends the output after the last response; no message is accepted from now on. Input is still read for a while, as
+     * closing the connection with unread input would cut off the response.
      */
     private void finishOutput() throws IOException {
         synchronized (connection) {
--- a/src/main/java/olivechute/downstream/ConnectionState.java
+++ b/src/main/java/olivechute/downstream/ConnectionState.java
@@ -1,28 +1,32 @@
 package olivechute.downstream;
 
 /**
- * What a client's connection carries, and so whether it may end: a state machine without socket and thread. Its
- * connection guards it and tells it the time, in microseconds. A message belongs to it from its first byte; from the
- * moment at which it is taken it is owed an answer, and nothing but the client ends the connection before that is out.
+ * The phase of a downstream connection, which decides whether the connection may end: a state machine without socket or
+ * thread. {@link DownstreamConnection} guards it by its monitor and passes in the time, in microseconds. A message
+ * begins with its first byte. Once it is accepted, a response is due, and only the client ends the connection before
+ * that response is sent.
  */
 final class ConnectionState {
-    /** A message is left so long before its connection may be closed to make room. */
+    /** How long a message may be incomplete before its connection may be closed to make room. */
     static final long SETTLE_TIME_US = 100_000;
-    /** A message that takes longer is given up, and so is the wait for a connection's first: both hold a thread. */
+    /**
+     * The longest time for receiving a message, and for the first message to begin after the connection was accepted;
+     * longer ones are abandoned, as both hold a thread.
+     */
     static final long MESSAGE_TIMEOUT_US = 2_000_000;
-    /** How long an answer may need to arrive. */
+    /** How long a response may take to arrive at the client. */
     static final long RESPONSE_TRANSIT_US = 100_000;
-    /** How long a finished connection is read on. */
+    /** How long the input of a finished connection is still read. */
     static final long LINGER_US = 1_500_000;
 
     private enum Phase {
         /** Between messages. */
         BETWEEN_MESSAGES,
-        /** A message has begun and is not whole. */
+        /** A message has begun and is incomplete. */
         RECEIVING,
-        /** A message was taken and its answer is not out. */
+        /** A message was accepted and its response is not sent. */
         AWAITING_RESPONSE,
-        /** Its last answer is out; whatever still comes is thrown away. */
+        /** The last response is sent; further input is discarded. */
         FINISHED,
         CLOSED
     }
@@ -39,22 +43,22 @@
         this.lastChangeUs = nowUs;
     }
 
-    /** When it was accepted. */
+    /** When the connection was accepted. */
     long acceptedAtUs() {
         return acceptedAtUs;
     }
 
-    /** When the message under way began. */
+    /** When the current message began. */
     long messageStartUs() {
         return messageStartUs;
     }
 
-    /** When it changed last. */
+    /** When the state last changed or bytes of a message last arrived. */
     long lastChangeUs() {
         return lastChangeUs;
     }
 
-    /** Whether a message has begun on it. */
+    /** Whether a message has ever begun. */
     boolean isUsed() {
         return used;
     }
@@ -79,17 +83,17 @@
         return phase == Phase.CLOSED;
     }
 
-    /** Whether messages may still be taken from it. */
+    /** Whether messages may still be accepted. */
     boolean isOpen() {
         return phase != Phase.FINISHED && phase != Phase.CLOSED;
     }
 
-    /** Why its reader was asked to end it, or {@code null}. */
+    /** Why the reader was asked to end the connection, or {@code null}. */
     CloseReason endReason() {
         return endReason;
     }
 
-    /** Bytes of a message have come while none was taken. */
+    /** Bytes of a message have arrived while no response was due. */
     void onMessageBytes(long nowUs) {
         if (phase == Phase.BETWEEN_MESSAGES) {
             phase = Phase.RECEIVING;
@@ -99,14 +103,14 @@
         lastChangeUs = nowUs;
     }
 
-    /** What came was no beginning of a message. */
+    /** The bytes received did not begin a message. */
     void onNoMessage() {
         if (phase == Phase.RECEIVING) {
             phase = Phase.BETWEEN_MESSAGES;
         }
     }
 
-    /** The message is whole: false if nothing may be taken any more. */
+    /** The message is complete; false if no message may be accepted any more. */
     boolean acceptMessage(long nowUs) {
         if (!isOpen()) {
             return false;
@@ -116,7 +120,7 @@
         return true;
     }
 
-    /** The answer to what was taken is out, and the connection goes on. */
+    /** The response is sent and the connection stays open. */
     void onResponseSent(long nowUs) {
         if (phase == Phase.AWAITING_RESPONSE) {
             phase = Phase.BETWEEN_MESSAGES;
@@ -124,7 +128,7 @@
         }
     }
 
-    /** Nothing is taken from it any more; false if that was so before. */
+    /** No message is accepted from now on; false if that was already so. */
     boolean finish(long nowUs) {
         if (!isOpen()) {
             return false;
@@ -142,8 +146,9 @@
     }
 
     /**
-     * Asks its reader to end it, as only the reader knows that it has nothing in hand. True if that is to be done now:
-     * it is between messages and, unless room is needed, its last answer has arrived.
+     * Requests that the reader ends the connection, as only the reader knows that no message is being processed. True
+     * if the connection is between messages and its last response has had time to arrive; the latter is not required
+     * when room is needed.
      */
     boolean requestEnd(CloseReason reason, long nowUs) {
         boolean responseArrived =
@@ -155,27 +160,30 @@
         return true;
     }
 
-    /** Gives up a message that has been under way for longer than this; true if there was one. */
+    /** Abandons a message that has been incomplete for longer than {@code maxDurationUs}; true if there was one. */
     boolean abandonMessage(long maxDurationUs, long nowUs) {
         return phase == Phase.RECEIVING && nowUs - messageStartUs > maxDurationUs && finish(nowUs);
     }
 
-    /** Whether a message has been under way for too long. */
+    /** Whether a message has been incomplete for too long. */
     boolean isMessageOverdue(long nowUs) {
         return phase == Phase.RECEIVING && nowUs - messageStartUs > MESSAGE_TIMEOUT_US;
     }
 
-    /** Whether no message came for too long since it was accepted. */
+    /** Whether the connection was accepted too long ago for no message to have begun. */
     boolean isUnused(long nowUs) {
         return !used && phase == Phase.BETWEEN_MESSAGES && nowUs - acceptedAtUs > MESSAGE_TIMEOUT_US;
     }
 
-    /** Whether nothing more is to be expected of it. */
+    /** Whether the connection is finished and its input has been read for long enough. */
     boolean isLingerOver(long nowUs) {
         return phase == Phase.FINISHED && nowUs - lastChangeUs > LINGER_US;
     }
 
-    /** Whether it has ended, and what went out on it had since that moment to arrive. */
+    /**
+     * Whether the connection was closed, or finished at {@code latestUs} or before, so that its last response has had
+     * time since to arrive.
+     */
     boolean isFinishedSince(long latestUs) {
         return phase == Phase.CLOSED || (phase == Phase.FINISHED && lastChangeUs <= latestUs);
     }
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -9,33 +9,35 @@
 import org.tinylog.Logger;
 
 /**
- * One client's or upstream host's connection to this node. Its thread reads, so that a hang-up shows at once: also
- * behind a request that waits for its answer, where what comes meanwhile is kept, at most as much as one message may
- * take, or thrown away. Only its reader ends it between messages, as only the reader knows that it has none in hand:
- * others ask it to, by ending the input.
+ * A connection from a client or from an endpoint to this node. Its thread reads all the time, so that a disconnect is
+ * noticed at once, also while a request waits for its response. Input that arrives meanwhile is buffered up to the size
+ * of one message, or discarded. Only the reader ends the connection between messages, as only the reader knows that no
+ * message is being processed; other threads ask it to by ending the input.
  */
 final class DownstreamConnection {
-    /** What surely fits in the send buffer, whether its peer reads or not. */
+    /** A write of this size certainly fits the send buffer, whether the peer reads or not. */
     private static final int NONBLOCKING_WRITE_BYTES = Connection.SEND_BUFFER / 2;
 
     private static final long NOT_WRITING = Long.MAX_VALUE;
-    /** A peer that reads nothing for so long holds up a writer, and is given up. */
+    /**
+     * How long a write may block before the connection is closed: a peer that does not read occupies a writer thread.
+     */
     private static final long WRITE_TIMEOUT_US = 500_000;
 
     final DownstreamServer server;
     private final Connection transport;
     private final ConnectionReader reader;
-    private PeerIdentity peerIdentity; // its own thread's
+    private PeerIdentity peerIdentity; // only used by the reader's thread
     private final IdleConnections.Entry<DownstreamConnection> idleEntry = new IdleConnections.Entry<>(this);
-    final ConnectionState state; // guarded by this, as the rest
+    final ConnectionState state; // guarded by this, like the fields below
     private HttpClientStream stream;
-    private HttpClientStream respondingStream; // whose answer is being written, null while none is
-    private Runnable pendingWrite; // of an answer, while no thread is granted for it
-    private boolean sendsJobStatus; // it brought news
-    boolean pipelined; // it sent a request before it had the answer to the one before
-    volatile boolean nextResponseIsLast; // the next answer is the last
-    private long responseBytes; // bytes of answers so far
-    private long blockingWriteSinceUs = NOT_WRITING; // since when an answer is being written that may wait for its peer
+    private HttpClientStream respondingStream; // whose response is being written; null while there is none
+    private Runnable pendingWrite; // a response that found no writer thread
+    private boolean sendsJobStatus; // a job status event arrived here
+    boolean pipelined; // it sent a request before the previous response
+    volatile boolean nextResponseIsLast; // the connection ends after the next response
+    private long responseBytes; // sent in all responses so far
+    private long blockingWriteSinceUs = NOT_WRITING; // start of a write that may block
 
     DownstreamConnection(DownstreamServer server, Connection transport, PeerIdentity.Authenticator authenticator) {
         this.server = server;
@@ -45,7 +47,7 @@
         server.idleConnections.put(idleEntry, Kind.UNUSED, state.acceptedAtUs());
     }
 
-    /** Says what it is worth, now that it carries nothing. Guarded by this. */
+    /** Registers the connection as one that may be closed to make room. The caller holds this monitor. */
     void markIdle(Kind kind, long sinceUs) {
         if (!state.isClosed()) {
             server.idleConnections.put(idleEntry, kind, sinceUs);
@@ -59,7 +61,7 @@
     void start() {
         try {
             server.connectionThreads.run(reader);
-        } catch (OutOfMemoryError e) { // no thread to be had
+        } catch (OutOfMemoryError e) { // no thread available
             close(CloseReason.NO_THREAD);
             throw e;
         }
@@ -73,27 +75,27 @@
         return state.lastChangeUs();
     }
 
-    /** True once a message has begun on it. */
+    /** Whether a message has ever begun on this connection. */
     synchronized boolean used() {
         return state.isUsed();
     }
 
-    /** It carries something: it goes for nobody. */
+    /** The connection is in use and may not be closed to make room. */
     void markBusy() {
         server.idleConnections.remove(idleEntry);
     }
 
-    /** Who is on it, as its reader found; for the reader's thread. */
+    /** Sets the identity that the reader established; for the reader's thread. */
     void peerIdentity(PeerIdentity identity) {
         peerIdentity = identity;
     }
 
-    /** Who is on it; for its reader's thread. */
+    /** The peer's identity; for the reader's thread. */
     PeerIdentity peerIdentity() {
         return peerIdentity;
     }
 
-    /** False once nothing new may be taken from who is on it. */
+    /** False once no new message may be accepted from this peer. */
     boolean isPeerIdentityValid() {
         return transport.isPeerIdentityValid();
     }
@@ -102,11 +104,11 @@
         return state.endReason() != null;
     }
 
-    /** False if it was finished or closed before. Guarded by this. */
+    /** False if it was finished or closed before. The caller holds this monitor. */
     boolean beginFinish() {
         boolean finishedHere = state.finish(server.loop.now());
         if (finishedHere) {
-            if (state.endReason() != CloseReason.ROOM_NEEDED) { // else it has gone to make room already
+            if (state.endReason() != CloseReason.ROOM_NEEDED) { // otherwise it is already closing to make room
                 markIdle(Kind.FINISHED, state.lastChangeUs());
             }
             notifyAll();
@@ -114,12 +116,12 @@
         return finishedHere;
     }
 
-    /** This connection brought news; called by its own thread. */
+    /** A job status event arrived on this connection; called by the reader's thread. */
     synchronized void onJobStatusReceived() {
         sendsJobStatus = true;
     }
 
-    /** A stream is open on this connection; called by its own thread. False if the connection has ended. */
+    /** A stream is opened on this connection; called by the reader's thread. False if the connection has ended. */
     synchronized boolean openStream(HttpClientStream newStream) {
         stream = state.isClosed() ? null : newStream;
         return stream != null;
@@ -130,8 +132,8 @@
     }
 
     /**
-     * Writes the answer to this stream once the turn is over, unless the client has gone. On the event loop. Where the
-     * answer might wait for a client that does not read, a writer does it.
+     * Writes the response to the open stream after the event loop's turn, unless the client has gone. Called on the
+     * event loop. A writer thread writes it if the write might block on a client that does not read.
      */
     void sendResponse(ByteBuffer head, ByteBuffer body, boolean keepAlive) {
         boolean writeOnEventLoop;
@@ -143,7 +145,7 @@
             respondingStream = stream;
             stream = null;
             responseBytes += head.remaining() + body.remaining();
-            // A client that sends its next request when it has the answer to the last reads; one that does not wait may
+            // A client that sends its next request only after the last response does read; a client that pipelines may
             // not.
             mayBlock = responseBytes > NONBLOCKING_WRITE_BYTES;
             writeOnEventLoop = !mayBlock || (!pipelined && !server.loop.onLoopThread());
@@ -156,7 +158,7 @@
         }
     }
 
-    /** Has a writer write an answer; where none is granted, the next sweep tries again. */
+    /** Passes the write of a response to a writer thread; if there is none, the next sweep tries again. */
     private void offerWrite(Runnable write) {
         if (server.writers.offer(write)) {
             return;
@@ -186,12 +188,12 @@
     }
 
     private void write(ByteBuffer head, ByteBuffer body, boolean keepAlive, boolean mayBlock) {
-        HttpClientStream writtenStream = respondingStream; // until this ends, nobody else sets it
+        HttpClientStream writtenStream = respondingStream; // set by nobody else until this write ends
         try {
             if (mayBlock) {
                 synchronized (this) {
                     blockingWriteSinceUs =
-                            server.loop.now(); // not before: what this node is late with is not its peer's fault
+                            server.loop.now(); // not earlier: a delay of this node is not the peer's fault
                 }
             }
             transport.write(head, body);
@@ -205,14 +207,14 @@
                     markIdleBetweenRequests();
                     notifyAll();
                 } else {
-                    beginFinish(); // in one step: what waits behind it must not be taken
+                    beginFinish(); // in the same step, so that no waiting message is accepted
                 }
             }
             if (!keepOpen) {
                 transport.shutdownOutput();
             }
         } catch (IOException e) {
-            Logger.debug("answer to request {} not written: {}", writtenStream.requestId, e.getMessage());
+            Logger.debug("response to request {} not written: {}", writtenStream.requestId, e.getMessage());
             close(CloseReason.WRITE_FAILED);
         } finally {
             writtenStream.onResponseDone();
@@ -220,8 +222,9 @@
     }
 
     /**
-     * Has its reader end it if it is between requests and nothing has come on it; true if it will. What its reader has
-     * in hand by then is answered first; a request that crosses the end stays unread, and its client sends it again.
+     * Asks the reader to end the connection if it is between requests and has no unread input; true if the connection
+     * will end. A message that the reader is already processing is answered first; a request that arrives while the
+     * connection ends stays unread, and its client sends it again.
      */
     boolean endIfIdle(CloseReason reason) {
         synchronized (this) {
@@ -229,27 +232,33 @@
                 return false;
             }
             nextResponseIsLast = true;
-            server.idleConnections.remove(idleEntry); // it goes already
+            server.idleConnections.remove(idleEntry); // it is already ending
         }
         transport.shutdownInput();
         return true;
     }
 
-    /** Has its reader end it, whatever comes on it; a message that is not whole is refused. */
+    /**
+     * Ends the connection because the node shuts down: rejects an incomplete message, or else asks the reader to end
+     * the connection if it is idle.
+     */
     void end() {
         if (!abandonMessage(0)) {
             endIfIdle(CloseReason.DRAINING);
         }
     }
 
-    /** True once nothing more will be taken from it, and what is out had since that moment to arrive. */
+    /**
+     * True once no message will be accepted, and whatever was sent by {@code latestUs} has had time since to arrive.
+     */
     synchronized boolean isFinishedSince(long latestUs) {
         return state.isFinishedSince(latestUs);
     }
 
     /**
-     * Makes room: closes it if its last answer is out, gives up a message that is stuck, has its reader end it between
-     * messages. False if it carries what is owed an answer, a message that has just begun, or bytes not read yet.
+     * Makes room: closes the connection if its last response is sent, abandons an incomplete message that has stalled,
+     * and asks the reader to end the connection between messages. False if a response is due, a message has just begun
+     * or input is unread.
      */
     boolean closeToMakeRoom() {
         boolean finished;
@@ -267,14 +276,14 @@
         return endIfIdle(CloseReason.ROOM_NEEDED);
     }
 
-    /** Whether a short answer waits for nobody. */
+    /** Whether a short response can be written without blocking. */
     private synchronized boolean canWriteWithoutBlocking() {
         return responseBytes <= NONBLOCKING_WRITE_BYTES;
     }
 
     /**
-     * Answers a message that has been under way for longer than this, as its client may have sent the rest of it by
-     * now; false if there is none.
+     * Rejects a message that has been incomplete for longer than {@code maxDurationUs}. A response is sent because the
+     * client may have sent the rest by now. False if there is no such message.
      */
     private boolean abandonMessage(long maxDurationUs) {
         synchronized (this) {
@@ -294,8 +303,8 @@
     }
 
     /**
-     * Ends it if a message, a write that may wait for its peer, or what follows its last answer takes too long; an
-     * answer that no writer was granted for is tried again first.
+     * Ends the connection if a message, a write that may block, or the input after the last response takes too long.
+     * First retries a response that found no writer thread. Called by each sweep.
      */
     void endIfStalled(long nowUs) {
         retryPendingWrite();
@@ -314,7 +323,8 @@
         } else if (peerReadsNothing) {
             close(CloseReason.PEER_READS_NOTHING);
         } else if (messageOverdue) {
-            server.writers.offer(() -> abandonMessage(ConnectionState.MESSAGE_TIMEOUT_US)); // else with the next sweep
+            server.writers.offer(
+                    () -> abandonMessage(ConnectionState.MESSAGE_TIMEOUT_US)); // if refused, the next sweep tries again
         } else if (unused) {
             endIfIdle(CloseReason.UNUSED);
         }
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -27,7 +27,11 @@
 import olivechute.proxy.ProxyEvent;
 import org.tinylog.Logger;
 
-/** The platform's protocol on the downstream side: clients' jobs, news of jobs, and whether this node is ready. */
+/**
+ * Serves the platform's HTTP protocol on the downstream side: requests of clients, job status events of endpoints, and
+ * the readiness check. Owns the listeners and all downstream connections. Each listener has a thread that accepts; each
+ * connection has a thread that reads.
+ */
 public final class DownstreamServer {
     private static final int ACCEPT_BACKLOG = 1024;
     private static final long IDLE_TIMEOUT_US = 120_000_000;
@@ -45,9 +49,12 @@
     private final List<Thread> acceptors = new ArrayList<>();
     final IdleConnections<DownstreamConnection> idleConnections = new IdleConnections<>(ConnectionState.SETTLE_TIME_US);
     private final Set<DownstreamConnection> connections = ConcurrentHashMap.newKeySet();
-    /** Those of them that were asked to end to make room, and will in a moment. */
+    /** Connections that were asked to end to make room and are about to. */
     private final Set<DownstreamConnection> endingToMakeRoom = ConcurrentHashMap.newKeySet();
-    /** Connections that were not asked to end; counted apart, as the sets change one after the other. */
+    /**
+     * Number of connections that were not asked to end to make room; a counter of its own, as the two sets do not
+     * change at the same moment.
+     */
     private final AtomicInteger retainedCount = new AtomicInteger();
 
     private final AtomicInteger open = new AtomicInteger();
@@ -55,7 +62,10 @@
     private volatile boolean draining;
     private volatile long lastRequestAtUs;
 
-    /** {@code threads} run its connections, and {@code most} bounds these. */
+    /**
+     * Creates a server without listeners. {@code connectionThreads} runs the readers; {@code maxConnections} limits
+     * their number.
+     */
     public DownstreamServer(
             EventLoop loop,
             WriterThreads writers,
@@ -71,7 +81,10 @@
         this.requestDecoder = new RequestDecoder(settings);
     }
 
-    /** Listens on this address, behind this door; returns where, as the port may have been left open. */
+    /**
+     * Listens on an address, with an authenticator for its connections. Returns the bound address, as the port may have
+     * been left to the system.
+     */
     public InetSocketAddress listen(InetSocketAddress address, PeerIdentity.Authenticator authenticator)
             throws IOException {
         ServerSocketChannel listener = bind(address);
@@ -80,7 +93,10 @@
         return (InetSocketAddress) listener.socket().getLocalSocketAddress();
     }
 
-    /** The address may still be an earlier process's, and the system may be short of sockets, both for a moment. */
+    /**
+     * Retries for a while, as the address may still belong to an earlier process and the system may lack sockets, both
+     * only briefly.
+     */
     private static ServerSocketChannel bind(InetSocketAddress address) throws IOException {
         long deadlineNanos = System.nanoTime() + BIND_RETRY_NANOS;
         for (; ; ) {
@@ -96,46 +112,52 @@
                 if (System.nanoTime() - deadlineNanos >= 0) {
                     throw e;
                 }
-                Logger.warn("listen on {}: {}, tried again", address, e.getMessage());
+                Logger.warn("listen on {}: {}; retrying", address, e.getMessage());
             }
             pauseBeforeRetry();
         }
     }
 
-    /** It listens wherever it is to: ready from now on. */
+    /** Marks the node as ready, once it listens on all its addresses. */
     public void ready() {
         ready = true;
     }
 
-    /** The node will end: no longer ready, but it goes on serving on the connections that clients have. */
+    /** Marks the node as not ready because it will shut down; requests on open connections are still served. */
     public void markNotReady() {
         ready = false;
     }
 
-    /** The node is about to end: takes what still comes, keeps no connection between requests. */
+    /** Begins the shutdown: still serves requests that arrive, and closes connections between requests. */
     public void drain() {
         draining = true;
         ready = false;
         loop.post(new ProxyEvent.Task(this::sweep));
     }
 
-    /** Takes nothing more, once all that has been read is answered; what is unread is its client's to send again. */
+    /** Accepts no more messages once all that were read are answered; clients send unread ones again. */
     public void endConnections() {
         loop.post(new ProxyEvent.Task(() -> connections.forEach(DownstreamConnection::end)));
     }
 
-    /** True if no connection is left that something may still be taken from. */
+    /** True if no connection is left on which a message may still be accepted and no request is unanswered. */
     public boolean isQuiescent() {
         return isQuiescentSince(Long.MAX_VALUE);
     }
 
-    /** True if besides that what went out on the last of them had since that moment to arrive. */
+    /**
+     * True if, in addition, the last response on each connection was sent at {@code latestUs} or before, so that it has
+     * had time since to arrive.
+     */
     public boolean isQuiescentSince(long latestUs) {
         return unansweredRequests() == 0
                 && connections.stream().allMatch(connection -> connection.isFinishedSince(latestUs));
     }
 
-    /** Lets no more connections in; returns once those that were let in are known, or after so many milliseconds. */
+    /**
+     * Stops accepting connections. Waits until those that were accepted are registered, or at most
+     * {@code timeoutMillis} for each listener.
+     */
     public void close(long timeoutMillis) throws InterruptedException {
         for (ServerSocketChannel listener : listeners) {
             try {
@@ -149,12 +171,12 @@
         }
     }
 
-    /** When the last job came, on the loop's clock. */
+    /** When the last request arrived, in microseconds on the event loop's clock. */
     public long lastRequestAtUs() {
         return lastRequestAtUs;
     }
 
-    /** Streams that are owed an answer. */
+    /** Number of requests whose response is not sent. */
     public int unansweredRequests() {
         return open.get();
     }
@@ -165,7 +187,7 @@
             try {
                 accepted = listener.accept();
                 while (retainedCount.get() >= connectionLimit.limitAt(loop.now()) && !shedConnection()) {
-                    Thread.sleep(10); // all carry streams or answers, and streams are bounded to half of them
+                    Thread.sleep(10); // all have open streams; those are limited to half the connections
                 }
                 DownstreamConnection connection =
                         new DownstreamConnection(this, authenticator.createTransport(accepted), authenticator);
@@ -174,7 +196,7 @@
                 connection.start();
                 if (connectionLimit.beginCheckIfDue(retainedCount.get())
                         && !connectionThreads.canStart(ConnectionLimit.CHECK_THREADS)) {
-                    onThreadShortage("tried");
+                    onThreadShortage("thread check failed");
                 }
             } catch (ClosedChannelException e) {
                 closeQuietly(accepted);
@@ -186,7 +208,7 @@
                 onThreadShortage(e.getMessage());
                 pauseBeforeRetry();
             } catch (IOException | RuntimeException | Error e) {
-                // Whatever it is, the node goes on listening.
+                // Whatever the error is, the node continues to listen.
                 Logger.warn("accept: {}", e.toString());
                 closeQuietly(accepted);
                 if (AcceptFailures.isResourceExhaustion(e)) {
@@ -198,8 +220,8 @@
     }
 
     /**
-     * The system refused a thread, or the heap is full, as {@code reason} tells: fewer connections are kept, so that
-     * signals, writes and requests get theirs.
+     * Reduces the number of connections because the system refused a thread or the heap is full, as {@code reason}
+     * says, so that signals, writes and requests get theirs.
      */
     private void onThreadShortage(String reason) {
         int connectionsBefore = retainedCount.get();
@@ -207,12 +229,12 @@
         connectionThreads.shortenKeepAlive();
         int newLimit = connectionLimit.limitAt(loop.now());
         Logger.warn(
-                "accept: the system grants no more threads at {} connections ({}), {} are kept",
+                "accept: no more threads available at {} connections ({}); connection limit reduced to {}",
                 connectionsBefore,
                 reason,
                 newLimit);
         for (int i = connectionsBefore; i > newLimit && shedConnection(); i--) {
-            // one goes with each turn
+            // each iteration closes one
         }
     }
 
@@ -234,7 +256,10 @@
         }
     }
 
-    /** Closes the connection that is worth least; false if none of the first few may go. */
+    /**
+     * Closes the connection that is first in the order of {@link IdleConnections}; false if none of the first few can
+     * be closed.
+     */
     private boolean shedConnection() {
         for (int i = 0; i < MAX_SHED_TRIES; i++) {
             IdleConnections.Entry<DownstreamConnection> candidate = idleConnections.nextToClose(loop.now());
@@ -251,7 +276,10 @@
         return false;
     }
 
-    /** Closes what stands idle or stalls; to be called now and then on the loop. */
+    /**
+     * Closes connections that are idle, stalled or no longer authenticated; to be called periodically on the event
+     * loop.
+     */
     public void sweep() {
         long nowUs = loop.now();
         for (DownstreamConnection connection : connections) {
@@ -260,14 +288,14 @@
             } else if (!connection.isPeerIdentityValid()) {
                 connection.endIfIdle(CloseReason.IDENTITY_EXPIRED);
             } else if (draining && (connection.used() || nowUs - connection.lastChangeUs() > NEW_CONNECTION_GRACE_US)) {
-                // One that is new may be about to send its first request.
+                // A new connection may be about to send its first request.
                 connection.endIfIdle(CloseReason.DRAINING);
             }
             connection.endIfStalled(nowUs);
         }
     }
 
-    /** A message was taken from it: it stays for the time being. */
+    /** The connection is kept for now, because a message was accepted on it or because it cannot be closed. */
     void markRetained(DownstreamConnection connection) {
         if (endingToMakeRoom.remove(connection)) {
             retainedCount.incrementAndGet();
@@ -287,7 +315,7 @@
         }
     }
 
-    /** An answer to write at once, and whether the connection goes on after it. */
+    /** A response to write at once, and whether the connection stays open after it. */
     record ImmediateResponse(byte[] bytes, boolean keepAlive) {}
 
     private static final ImmediateResponse JOB_STATUS_ACCEPTED =
@@ -297,7 +325,9 @@
         return !draining;
     }
 
-    /** Opens the stream that a message asks for, or gives the reply to write at once. */
+    /**
+     * Opens a stream for a message, or returns the response to write at once; null if a stream takes over the response.
+     */
     ImmediateResponse route(HttpRequest message, DownstreamConnection connection) throws IdentityExpiredException {
         boolean keepAlive = message.keepAlive() && allowsKeepAlive();
         try {
@@ -314,7 +344,8 @@
                 default -> open(message, connection);
             };
         } catch (LocalReply e) {
-            // A client that asks for what there is not keeps no connection: by the hundred they would fill the bound.
+            // Errors close the connection: otherwise clients that send bad requests could by the hundred use up the
+            // connection limit.
             return new ImmediateResponse(
                     textResponse(e.status, e.getMessage(), false, "Allow", e.allowedMethod), false);
         } catch (IdentityExpiredException e) {
@@ -325,8 +356,8 @@
     }
 
     /**
-     * Takes news from who may bring them. On a connection whose identity has run out they get no answer, so that their
-     * sender comes again with its new one; from anybody else they get one that says no.
+     * Accepts a job status event from a peer that may send it. If the connection's identity has expired there is no
+     * response, so that the sender tries again with its new identity; another sender is rejected.
      */
     private ImmediateResponse receiveJobStatus(
             ProxyEvent.JobStatusReceived jobStatus, DownstreamConnection connection, boolean keepAlive)
@@ -342,12 +373,12 @@
         return keepAlive ? JOB_STATUS_ACCEPTED : new ImmediateResponse(MessageWriter.response(204, null, false), false);
     }
 
-    /** A message that is owed nothing came on a connection that is over. */
+    /** A message that needs no response arrived on a connection whose identity has expired. */
     static final class IdentityExpiredException extends IOException {
         private static final long serialVersionUID = 1L;
 
         IdentityExpiredException() {
-            super("its identity holds no more");
+            super("the peer's identity has expired");
         }
     }
 
@@ -368,7 +399,7 @@
         return null;
     }
 
-    /** The event of a job that a message hands in, whose last byte had come at that moment. */
+    /** The event of a request whose last byte arrived at {@code receivedAtUs}. */
     static ProxyEvent.RequestArrived requestArrived(
             HttpRequest message, Request request, ClientStream downstream, long receivedAtUs) {
         Body body = message.content();
--- a/src/main/java/olivechute/downstream/HttpClientStream.java
+++ b/src/main/java/olivechute/downstream/HttpClientStream.java
@@ -7,13 +7,16 @@
 import olivechute.proxy.ClientStream;
 import olivechute.proxy.ProxyEvent;
 
-/** The client's side of one stream, as HTTP. */
+/**
+ * A request's stream to its client over HTTP/1.1. The event loop sends the response; the connection reports that the
+ * client has gone.
+ */
 final class HttpClientStream implements ClientStream {
     private static final ByteBuffer EMPTY_BODY = ByteBuffer.allocate(0);
 
     private final DownstreamConnection connection;
     final String requestId;
-    private final boolean keepAlive; // as the client wants it
+    private final boolean keepAlive; // whether the client allows it
     private final AtomicInteger openStreams;
     private volatile boolean clientDisconnected;
 
@@ -24,12 +27,12 @@
         this.openStreams = openStreams;
     }
 
-    /** The client went away before the answer: nothing may go out for it from now on. */
+    /** The client disconnected before the response; no response may be sent from now on. */
     void markClientDisconnected() {
         clientDisconnected = true;
     }
 
-    /** Tells of a client that has left. */
+    /** Reports to the event loop that the client has gone. */
     void clientDisconnected() {
         openStreams.decrementAndGet();
         connection.post(new ProxyEvent.ClientDisconnected(requestId, this));
@@ -48,7 +51,7 @@
         send(ByteBuffer.wrap(bytes), EMPTY_BODY, keepOpen);
     }
 
-    /** A refusal's bytes; advice in microseconds, none where it is 0. */
+    /** An encoded rejection; {@code retryAfterUs} is microseconds, and 0 sends no Retry-After. */
     static byte[] rejection(long retryAfterUs, boolean keepOpen) {
         String retryAfterSeconds = retryAfterUs > 0 ? String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6) : null;
         return DownstreamServer.textResponse(503, "no room", keepOpen, "Retry-After", retryAfterSeconds);
@@ -58,7 +61,7 @@
         connection.sendResponse(head, body, keepOpen);
     }
 
-    /** The answer is out, or cannot be: nothing is owed any more. */
+    /** The response is sent, or cannot be: the stream no longer counts as open. */
     void onResponseDone() {
         openStreams.decrementAndGet();
     }
--- a/src/main/java/olivechute/downstream/IdleConnections.java
+++ b/src/main/java/olivechute/downstream/IdleConnections.java
@@ -1,26 +1,26 @@
 package olivechute.downstream;
 
 /**
- * The connections that carry nothing, by what they are worth, so that the one to go when room is short is found in
- * constant time however many there are. Each kind's are in the order in which they came to be of it. Knows no socket
- * and no clock.
+ * The connections that are not in use, in the order in which they are closed when room is short, so that the next one
+ * to close is found in constant time however many there are. Within each kind they are ordered by the time at which
+ * they became of that kind. Has no socket and no clock. Thread-safe.
  */
 final class IdleConnections<C> {
-    /** Why a connection carries nothing. */
+    /** Why a connection is not in use. */
     enum Kind {
-        /** Its last answer is out. */
+        /** Its last response is sent. */
         FINISHED,
-        /** It never said anything. */
+        /** No message has begun on it. */
         UNUSED,
-        /** A message began on it and does not end. */
+        /** A message has begun and is incomplete. */
         RECEIVING,
         /** It is between requests. */
         BETWEEN_REQUESTS,
-        /** It brought news: an upstream host's. */
+        /** It carried a job status event, so that it belongs to an endpoint. */
         JOB_STATUS_SENDER
     }
 
-    /** One connection's place; it is of a kind, or of none while it carries something. */
+    /** A connection's entry in the list of its kind; in no list while the connection is in use. */
     static final class Entry<C> {
         final C connection;
         private Kind kind;
@@ -37,7 +37,10 @@
     private final Entry<C>[] oldest = newEntryArray();
     private final Entry<C>[] newest = newEntryArray();
 
-    /** {@code settled}: microseconds for which one that is new or in a message may be about to open a stream. */
+    /**
+     * Creates an empty set. {@code settleTimeUs}: for so many microseconds a connection that is new or receives a
+     * message may be about to open a stream.
+     */
     IdleConnections(long settleTimeUs) {
         this.settleTimeUs = settleTimeUs;
     }
@@ -47,7 +50,10 @@
         return new Entry[Kind.values().length];
     }
 
-    /** It is of this kind from that moment on, and the last of it; told again of the same, it keeps its place. */
+    /**
+     * Registers a connection as of this kind since {@code sinceUs}, at the end of that kind's list. With an unchanged
+     * kind and time it keeps its position.
+     */
     synchronized void put(Entry<C> entry, Kind kind, long sinceUs) {
         if (entry.kind == kind && entry.sinceUs == sinceUs) {
             return;
@@ -65,7 +71,7 @@
         newest[ordinal] = entry;
     }
 
-    /** It carries something, or has ended. */
+    /** The connection is in use or has ended. */
     synchronized void remove(Entry<C> entry) {
         if (entry.kind == null) {
             return;
@@ -86,7 +92,7 @@
         entry.next = null;
     }
 
-    /** It cannot go at this moment, whatever it seemed: others of its kind come first. */
+    /** Moves a connection that cannot be closed at the moment behind the others of its kind. */
     synchronized void requeue(Entry<C> entry, long nowUs) {
         if (entry.kind != null) {
             put(entry, entry.kind, nowUs);
@@ -94,9 +100,9 @@
     }
 
     /**
-     * The one that is worth least, null if there is none: those of no use any more, those that never said anything,
-     * those stuck in a message, those between requests, those that came just now, upstream hosts'; of these the one
-     * that has been so for longest.
+     * The connection to close next, null if there is none. The order is: finished ones; ones without a message, once
+     * they have settled; ones with an incomplete message, once they have settled; ones between requests; new ones; ones
+     * of endpoints. Among equals it is the one that has been so for longest.
      */
     synchronized Entry<C> nextToClose(long nowUs) {
         Entry<C> unused = oldest[Kind.UNUSED.ordinal()];
--- a/src/main/java/olivechute/downstream/JobStatusDecoder.java
+++ b/src/main/java/olivechute/downstream/JobStatusDecoder.java
@@ -12,7 +12,9 @@
 import olivechute.proxy.ProxyEvent.JobStatus;
 import olivechute.proxy.ProxyEvent.JobStatusReceived;
 
-/** Decodes what upstream hosts tell of their jobs, as it is read. Of a field that comes twice the last counts. */
+/**
+ * Decodes the job status events that endpoints send as JSON, in one pass. If a field occurs twice, the last one counts.
+ */
 final class JobStatusDecoder {
     private static final byte[] EMPTY_RESULT = new byte[0];
 
@@ -23,7 +25,7 @@
     }
 
     /**
-     * A {@link InvalidValueException} names the field that is missing or wrong, an {@link IOException} tells of no
+     * An {@link InvalidValueException} names the field that is missing or wrong; an {@link IOException} reports invalid
      * JSON.
      */
     JobStatusReceived decode(Body body) throws IOException {
@@ -102,7 +104,7 @@
         return parser.getDoubleValue();
     }
 
-    /** Values that the settings give no meaning, or that are no numbers, tell nothing. */
+    /** Ignores values that are not numbers, or that the settings do not name. */
     private LoadReport readLoadReport(JsonParser parser) throws IOException {
         if (parser.hasToken(JsonToken.VALUE_NULL)) {
             return LoadReport.NONE;
--- a/src/main/java/olivechute/downstream/LocalReply.java
+++ b/src/main/java/olivechute/downstream/LocalReply.java
@@ -2,12 +2,14 @@
 
 import olivechute.http.HttpRequest;
 
-/** A reply that this node makes itself, without an upstream host, to a request that no stream can come of. */
+/**
+ * An error response that this node makes itself, without an endpoint, to a request for which no stream can be opened.
+ */
 final class LocalReply extends Exception {
     private static final long serialVersionUID = 1L;
 
     final int status;
-    final String allowedMethod; // the method that would do, null where that is not the fault
+    final String allowedMethod; // the method for the Allow header; null for other errors
 
     LocalReply(int status, String text) {
         super(text, null, false, false);
--- a/src/main/java/olivechute/downstream/PeerIdentity.java
+++ b/src/main/java/olivechute/downstream/PeerIdentity.java
@@ -5,9 +5,12 @@
 import olivechute.http.HttpRequest;
 import olivechute.net.Connection;
 
-/** Who is on a downstream connection, and what that lets it do. */
+/**
+ * The identity of the peer on a downstream connection, and what it is authorized to do. Used by the connection's reader
+ * thread.
+ */
 public interface PeerIdentity {
-    /** Where nobody shows who it is, nobody is asked. */
+    /** Authorizes everything, for listeners without authentication. */
     PeerIdentity UNRESTRICTED = new PeerIdentity() {
         @Override
         public Rejection checkRequest(HttpRequest message, String tenant) {
@@ -20,18 +23,18 @@
         }
     };
 
-    /** A local reply in place of a stream. */
+    /** The local reply to a request that is not authorized. */
     record Rejection(int status, String text) {}
 
-    /** Null if a job of this tenant may be handed in by this message; a tenant is null where none is named. */
+    /** Null if this message may send a request of this tenant; the tenant is null if none is named. */
     Rejection checkRequest(HttpRequest message, String tenant);
 
-    /** True if it may tell what becomes of jobs at the upstream host of this name. */
+    /** True if the peer may send job status events of this endpoint. */
     boolean mayReportJobStatus(String endpoint);
 
-    /** Lets connections in at one listener. */
+    /** Secures and authenticates the connections of one listener. */
     interface Authenticator {
-        /** Whoever comes, in plain TCP. */
+        /** Plain TCP for every client, without authentication. */
         Authenticator PLAINTEXT = new Authenticator() {
             @Override
             public PeerIdentity authenticate(Connection link) {
@@ -39,12 +42,15 @@
             }
         };
 
-        /** What is spoken on an accepted connection; plain TCP if nothing else is said. */
+        /** Wraps an accepted connection in the listener's transport; plain TCP by default. */
         default Connection createTransport(SocketChannel accepted) {
             return new Connection(accepted);
         }
 
-        /** Who that is, once the link is ready; an {@link IOException} says why nobody who may come in. */
+        /**
+         * Identifies the peer once the transport is initialized; an {@link IOException} gives the reason why the peer
+         * may not connect.
+         */
         PeerIdentity authenticate(Connection transport) throws IOException;
     }
 }
--- a/src/main/java/olivechute/downstream/RequestDecoder.java
+++ b/src/main/java/olivechute/downstream/RequestDecoder.java
@@ -9,7 +9,7 @@
 import olivechute.loadbalancing.Request;
 import olivechute.loadbalancing.RequestClass;
 
-/** Reads the request that a client's message stands for. */
+/** Decodes a client's HTTP message into the request for the load balancer. Faults become a {@link LocalReply}. */
 final class RequestDecoder {
     private static final int MAX_ID_LENGTH = 128;
     private static final int MAX_KEY_LENGTH = 256;
@@ -50,7 +50,7 @@
                 "1".equals(message.headers().get("X-Resent")));
     }
 
-    /** The class that the first part of the path names, null for none. */
+    /** The class that the first segment of the path names, null for none. */
     private RequestClass findClass(String target) {
         int end = 1;
         while (end < target.length() && target.charAt(end) != '/' && target.charAt(end) != '?') {
@@ -86,7 +86,10 @@
         return !text.isEmpty() && text.length() <= MAX_KEY_LENGTH;
     }
 
-    /** The one value of a header that goes on upstream: of two, another reader might take the other. */
+    /**
+     * The only value of a header that is forwarded upstream. With two values, the upstream server might use the other
+     * one.
+     */
     private static String singleHeader(HttpRequest message, String name) throws LocalReply {
         if (message.headers().hasSeveral(name)) {
             throw new LocalReply(400, name + ": more than one");
@@ -94,7 +97,10 @@
         return message.headers().get(name);
     }
 
-    /** No longer than the class's own: the decisions take the longest wait seen for the usual one. */
+    /**
+     * The remaining time of a request in microseconds, at most the deadline of its class: the load balancer takes the
+     * longest wait seen for the usual one.
+     */
     private static long parseRemainingUs(String text, long maxUs) throws LocalReply {
         if (text == null) {
             return maxUs;
@@ -113,8 +119,8 @@
     }
 
     /**
-     * A client's guess at the work in microseconds, which may have decimals; NaN where it makes none. However absurd,
-     * it counts for no more than the class's deadline: what takes longer could not be served.
+     * The client's estimate of the work in microseconds, which may have decimals; NaN without one. Limited to the
+     * deadline of the class, as longer work could not be served anyway.
      */
     private static double parseEstimateUs(String text, long maxUs) throws LocalReply {
         if (text == null) {
--- a/src/main/java/olivechute/http/Headers.java
+++ b/src/main/java/olivechute/http/Headers.java
@@ -4,14 +4,14 @@
 import java.util.Arrays;
 
 /**
- * The header fields of a message in their order, as places in the bytes that came; a text is made of a value only when
- * it is asked for. Names are compared without regard to case. Valid as long as its message is.
+ * The header fields of a message in their order, as positions in the received bytes; a string is created only when a
+ * value is requested. Names are compared without regard to case. Valid as long as the message is.
  */
 public final class Headers {
-    private static final int POSITIONS_PER_FIELD = 4; // where a field's name begins and ends, and its value
+    private static final int POSITIONS_PER_FIELD = 4; // start and end of the name, start and end of the value
     private static final int MAX_DIGITS = 18;
     private static final int INITIAL_FIELDS = 16;
-    private static final int[] NO_POSITIONS = new int[0]; // until the first field: many a connection carries no message
+    private static final int[] NO_POSITIONS = new int[0]; // until the first field: many connections carry no message
 
     private byte[] bytes;
     private int[] positions = NO_POSITIONS;
@@ -21,7 +21,10 @@
         count = 0;
     }
 
-    /** The bytes that the places are in; set anew when they move, each place staying the same. */
+    /**
+     * Sets the buffer that the positions refer to, again when its content is copied to a larger one at the same
+     * positions.
+     */
     void setBuffer(byte[] buffer) {
         bytes = buffer;
     }
@@ -41,7 +44,7 @@
         positions[index + 3] = valueEnd;
     }
 
-    /** The place of the first field of that name from the {@code from}th on, negative without one. */
+    /** The index of the first field of that name at or after {@code firstIndex}, negative without one. */
     private int find(String name, int firstIndex) {
         int length = name.length();
         for (int i = firstIndex; i < count; i++) {
@@ -85,7 +88,7 @@
         return i >= 0 && find(name, i + 1) >= 0;
     }
 
-    /** True if the first value of that name is this word, whatever the case. */
+    /** True if the first value of that name equals this word, without regard to case. */
     boolean firstValueEquals(String name, String word) {
         int i = find(name, 0);
         int start = i < 0 ? 0 : positions[i * POSITIONS_PER_FIELD + 2];
@@ -94,7 +97,7 @@
                 && equalsIgnoreCase(word, start, word.length());
     }
 
-    /** The whole number that all fields of that name hold, negative without one. */
+    /** The non-negative integer that all fields of that name agree on, negative without such a field. */
     long parseNumber(String name) throws HttpException {
         long number = -1;
         for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
@@ -117,7 +120,7 @@
         return find(name, 0) >= 0;
     }
 
-    /** True if a list-valued field of that name holds the token. */
+    /** True if a list-valued field of that name contains the token. */
     boolean containsToken(String name, String token) {
         for (int i = find(name, 0); i >= 0; i = find(name, i + 1)) {
             int end = positions[i * POSITIONS_PER_FIELD + 3];
--- a/src/main/java/olivechute/http/HttpException.java
+++ b/src/main/java/olivechute/http/HttpException.java
@@ -1,6 +1,6 @@
 package olivechute.http;
 
-/** A message that breaks the protocol or its limits; {@code status} is the answer it earns. */
+/** A message that violates the protocol or its limits; {@code status} is the status of the response to it. */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/olivechute/http/HttpRequest.java
+++ b/src/main/java/olivechute/http/HttpRequest.java
@@ -1,6 +1,6 @@
 package olivechute.http;
 
-/** A whole request. */
+/** A complete request. */
 public record HttpRequest(String method, String target, Headers headers, Body content, boolean keepAlive) {
     /** The target without its query. */
     public String path() {
@@ -8,7 +8,7 @@
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The value of a query parameter as it was sent, null without one. */
+    /** The value of a query parameter as it was sent, without decoding; null without one. */
     public String queryParameter(String name) {
         int start = target.indexOf('?') + 1;
         while (start > 0) {
--- a/src/main/java/olivechute/http/HttpResponse.java
+++ b/src/main/java/olivechute/http/HttpResponse.java
@@ -1,6 +1,6 @@
 package olivechute.http;
 
-/** A whole response. */
+/** A complete response. */
 public record HttpResponse(int status, Headers headers, Body content, boolean keepAlive) {
     /** A copy of the body. */
     public byte[] body() {
--- a/src/main/java/olivechute/http/MessageParser.java
+++ b/src/main/java/olivechute/http/MessageParser.java
@@ -5,19 +5,20 @@
 import java.util.Arrays;
 
 /**
- * HTTP/1.1 messages out of bytes as they come: a state machine that knows no socket. Its driver reads into
- * {@link #room}, says how much with {@link #filled}, and has what {@link #whole} finds by {@link #take}; what follows a
- * message stays for the next. Bytes stay where they were read: heads are kept as places, a body is received into its
- * place, once, and is not touched again. {@link #reuse} alone gives a message's bytes back, and only its driver knows
- * when nobody needs them.
+ * An incremental parser of HTTP/1.1 messages: a state machine without a socket. The caller reads into
+ * {@link #inputBuffer}, reports the number of bytes with {@link #onBytesRead}, and gets a message that {@link #parse}
+ * completed from {@link #take}; the bytes that follow it are kept for the next message. Bytes stay where they were
+ * read: headers are stored as positions, and a body is received once at its final place and not written to again. Only
+ * {@link #releaseMessage} allows a message's bytes to be reused, and only the caller knows when nobody needs them. Not
+ * thread-safe.
  */
-@SuppressWarnings("ByteBufferBackingArray") // the buffers are allocated on the heap by the connections
+@SuppressWarnings("ByteBufferBackingArray") // the connections allocate the buffers on the heap
 public abstract class MessageParser<M> {
     static final int MAX_HEAD_BYTES = 16 * 1024;
     static final int MAX_BODY_BYTES = 64 * 1024;
-    /** Bytes that may wait behind a message that is not done with: as many as one message takes at most. */
+    /** Bytes that may be buffered behind a message that is still being processed: the maximum size of one message. */
     public static final int MAX_READ_AHEAD_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES;
-    /** Room for an ordinary message, and how much of a longer one is read at a time. */
+    /** Initial size of the buffer, enough for an ordinary message; longer ones are read in pieces. */
     private static final int INITIAL_BUFFER_BYTES = 2048;
 
     private static final int MAX_READ_BYTES = 8192;
@@ -48,41 +49,41 @@
     }
 
     private final int maxBodyBytes;
-    private byte[] buffer; // what came of the message under way, and what may follow it
-    private ByteBuffer bufferView; // of bytes, for reading into
+    private byte[] buffer; // received for the current message, and what may follow it
+    private ByteBuffer bufferView; // of buffer, to read into
     private int position;
     private int dataEnd;
-    private int lineStart; // where the line under way begins
-    private int headEnd; // 0 until it is there
+    private int lineStart; // start of the current line
+    private int headEnd; // 0 until the head is complete
     private int headSize;
     private State state = State.START;
     private long remaining;
-    private byte[] body; // null while the body lies in bytes, or for none
-    private ByteBuffer bodyView; // of body while it is read into, null where its parts are copied together
+    private byte[] body; // null while the body lies in buffer, or without a body
+    private ByteBuffer bodyView; // of body while it is read into; null while chunks are appended
     private int bodyOffset;
     private int bodySize;
     private Headers headers = new Headers();
     private boolean isHttp10;
     private boolean closeDelimited;
     private boolean continueSent;
-    private byte[] takenBuffer; // the bytes and fields of the message handed out last
+    private byte[] takenBuffer; // buffer and fields of the message taken last
     private Headers takenHeaders;
     private Headers reusableHeaders;
 
-    /** For messages with a body of at most {@link #MAX_BODY} bytes, as requests and the answers to them have. */
+    /** For messages with a body of at most {@link #MAX_BODY_BYTES}, like requests and most of their responses. */
     MessageParser() {
         this(MAX_BODY_BYTES);
     }
 
-    /** For messages with a body of at most so many bytes. */
+    /** For messages with a body of at most {@code maxBodyBytes}. */
     MessageParser(int maxBodyBytes) {
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Reads a start line, which lies at these places. */
+    /** Parses the start line in this range. */
     abstract void parseStartLine(byte[] in, int from, int end) throws HttpException;
 
-    /** True if this message has no body whatever its fields say. */
+    /** True if this message has no body, whatever its fields say. */
     abstract boolean hasNoBody();
 
     /** True if a message without a length lasts until the connection ends, rather than having no body. */
@@ -90,7 +91,7 @@
 
     abstract M createMessage(Headers fields, Body content, boolean keepAlive);
 
-    /** Where the next bytes are to be read to: at least one fits. */
+    /** The buffer to read the next bytes into, with room for at least one. */
     public final ByteBuffer inputBuffer() {
         if (bodyView != null) {
             return bodyView.limit(Math.min(body.length, bodySize + MAX_READ_BYTES))
@@ -109,8 +110,8 @@
     }
 
     /**
-     * Drops what is read of a body in parts; where that is nothing, moves all to a larger array. The head stays in
-     * place.
+     * Discards the parsed part of a chunked or close-delimited body; if there is none, copies everything to a larger
+     * array. The head stays at its position.
      */
     private void ensureSpace() {
         int keep = headEnd == 0 ? dataEnd : headEnd;
@@ -125,7 +126,7 @@
         }
     }
 
-    /** So many bytes were read to {@link #room}. */
+    /** Reports that {@code count} bytes were read into {@link #inputBuffer}. */
     public final void onBytesRead(int count) {
         if (bodyView != null) {
             bodySize += count;
@@ -135,7 +136,7 @@
         }
     }
 
-    /** Reads on in what came; true once a whole message is there. */
+    /** Parses the bytes received; true once a message is complete. */
     public final boolean parse() throws HttpException {
         if (bodyView != null && remaining == 0) {
             bodyView = null;
@@ -151,17 +152,17 @@
         return state == State.DONE;
     }
 
-    /** True if bytes have come that belong to no message yet. */
+    /** True if bytes were received that belong to no message yet. */
     public final boolean hasUnparsedBytes() {
         return position < dataEnd;
     }
 
-    /** How many bytes have come that belong to no message yet. */
+    /** The number of bytes received that belong to no message yet. */
     public final int unparsedBytes() {
         return dataEnd - position;
     }
 
-    /** Takes bytes up to the end of the message and tells how many: for a driver with bytes of its own. */
+    /** Takes bytes up to the end of the message and returns how many: for a caller that has a buffer of its own. */
     public final int feed(byte[] source, int offset, int length) throws HttpException {
         int consumed = 0;
         while (consumed < length && !parse()) {
@@ -178,12 +179,12 @@
         return consumed;
     }
 
-    /** True once a whole message is there. */
+    /** True once a message is complete. */
     public final boolean isComplete() {
         return state == State.DONE;
     }
 
-    /** True once for a message whose sender waits to be told to go on before it sends the body. */
+    /** True once for a message whose sender waits for a 100 Continue before it sends the body. */
     public final boolean shouldSendContinue() {
         boolean awaitsContinue = state == State.BODY
                 && bodySize == 0
@@ -194,12 +195,12 @@
         return awaitsContinue;
     }
 
-    /** True while a message has begun and not ended. */
+    /** True while a message has begun and is incomplete. */
     public final boolean isInMessage() {
         return state != State.DONE && (state != State.START || headSize > 0);
     }
 
-    /** The connection ended: true if that completes the message. */
+    /** The connection ended; true if that completes the message. */
     public final boolean onEndOfInput() {
         if (state == State.UNTIL_CLOSE) {
             state = State.DONE;
@@ -209,8 +210,8 @@
     }
 
     /**
-     * Hands out the whole message and makes ready for the next. It keeps the bytes that it lies in, unless its driver
-     * gives them back.
+     * Returns the complete message and prepares for the next one. The message keeps its bytes unless the caller
+     * releases it.
      */
     public final M take() {
         boolean keepAlive = !headers.containsToken("Connection", "close")
@@ -221,7 +222,7 @@
                 : body == null ? new Body(buffer, bodyOffset, bodySize) : new Body(body, 0, bodySize);
         M message = createMessage(headers, content, keepAlive);
         byte[] messageBuffer = buffer;
-        // What follows must not lie in the message's bytes: those are its own from now on.
+        // The next message must not use the bytes of this one, which now belong to it.
         buffer = position < dataEnd
                 ? Arrays.copyOfRange(messageBuffer, position, Math.max(position + INITIAL_BUFFER_BYTES, dataEnd))
                 : null;
@@ -236,7 +237,7 @@
         return message;
     }
 
-    /** Nobody needs the message handed out last any more; {@code bodyToo}: nor its body. */
+    /** Nobody needs the message that was taken last any more; with {@code includingBody}, nor its body. */
     public final void releaseMessage(boolean includingBody) {
         if (includingBody && buffer == null) {
             buffer = takenBuffer;
@@ -258,7 +259,7 @@
         continueSent = false;
     }
 
-    /** Reads lines until one needs more bytes or the body begins. */
+    /** Parses one line, up to its end or to the end of the bytes received. */
     private void parseLine() throws HttpException {
         boolean chunked = state == State.CHUNK_SIZE || state == State.CHUNK_END;
         int maxBytes = chunked ? MAX_CHUNK_LINE_BYTES : MAX_HEAD_BYTES;
@@ -288,7 +289,7 @@
         switch (state) {
             case START -> {
                 if (from == end && headSize <= 4) {
-                    break; // a stray empty line before a message
+                    break; // an empty line before a message is ignored
                 }
                 headers.setBuffer(buffer);
                 parseStartLine(buffer, from, end);
@@ -343,7 +344,7 @@
         return b >= 0 && IS_TOKEN_CHAR[b];
     }
 
-    /** HTTP/1.0 and 1.1 are understood. */
+    /** Accepts HTTP/1.0 and 1.1. */
     final void parseVersion(byte[] bytes, int from, int end) throws HttpException {
         boolean wellFormed = end - from == 8
                 && bytes[from] == 'H'
@@ -371,7 +372,10 @@
         return new String(bytes, from, end - from, StandardCharsets.ISO_8859_1);
     }
 
-    /** After the last field: how long the body is. Two ways to tell would let two readers see two messages. */
+    /**
+     * Determines the length of the body after the last field. Two conflicting ways to state it are rejected, as two
+     * readers could see two different messages.
+     */
     private void parseFraming() throws HttpException {
         headEnd = position;
         boolean hasTransferEncoding = headers.contains("Transfer-Encoding");
@@ -405,7 +409,7 @@
         }
     }
 
-    /** A body that has no place behind its head gets one of its own; what of it is there already moves there. */
+    /** Allocates an array for a body that does not fit behind its head, and moves there what was received of it. */
     private void allocateBody(int length) {
         body = new byte[length];
         bodySize = dataEnd - position;
@@ -425,7 +429,7 @@
         }
     }
 
-    /** A part of a body that comes in parts of its own goes to the others. */
+    /** Appends the bytes received to a chunked or close-delimited body. */
     private void appendBody() throws HttpException {
         int count = state == State.UNTIL_CLOSE ? dataEnd - position : (int) Math.min(remaining, dataEnd - position);
         if (bodySize + count > maxBodyBytes) {
--- a/src/main/java/olivechute/http/MessageWriter.java
+++ b/src/main/java/olivechute/http/MessageWriter.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** Messages as bytes. */
+/** Encodes HTTP/1.1 messages. */
 public final class MessageWriter {
     private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
             Map.entry(100, "Continue"),
@@ -25,7 +25,7 @@
 
     private MessageWriter() {}
 
-    /** A response; {@code fields} are names and values in turn, a null value leaves its field out. */
+    /** A response; {@code fields} are names and values in turn, a null value omits its field. */
     public static byte[] response(int status, byte[] body, boolean keepAlive, String... fields) {
         ByteBuilder head = new ByteBuilder(96 + (body == null ? 0 : body.length))
                 .append("HTTP/1.1 ")
@@ -38,7 +38,7 @@
         return finish(head, status == 204 || status < 200 ? null : body, fields);
     }
 
-    /** A request; fields as in a response. */
+    /** A request; {@code fields} as in a response. */
     public static byte[] request(String method, String target, String host, byte[] body, String... fields) {
         return finish(
                 new ByteBuilder(192)
@@ -64,7 +64,7 @@
         return body == null ? head.toByteArray() : head.append(body).toByteArray();
     }
 
-    /** The head of a response whose body follows apart. */
+    /** The head of a response whose body is sent separately. */
     public static ByteBuffer responseHead(int status, int contentLength, boolean keepAlive) {
         ByteBuilder head = new ByteBuilder(96)
                 .append("HTTP/1.1 ")
@@ -81,8 +81,8 @@
     }
 
     /**
-     * The head of a job for an upstream host, its body following apart; {@code left} is microseconds, {@code key} may
-     * be null.
+     * The head of a request to an endpoint, whose body is sent separately; {@code remainingUs} is microseconds,
+     * {@code idempotencyKey} may be null.
      */
     public static ByteBuffer upstreamRequestHead(
             String target, String host, String requestId, long remainingUs, String idempotencyKey, int contentLength) {
@@ -106,7 +106,7 @@
                 .toByteBuffer();
     }
 
-    /** Latin text as bytes, put together without a text in between. */
+    /** Builds Latin-1 text as bytes, without an intermediate string. */
     private static final class ByteBuilder {
         private byte[] bytes;
         private int size;
@@ -121,7 +121,7 @@
             }
         }
 
-        @SuppressWarnings("deprecation") // the one call that copies a text's bytes into place
+        @SuppressWarnings("deprecation") // the only call that copies a string's bytes into an array in place
         ByteBuilder append(String text) {
             ensureCapacity(text.length());
             text.getBytes(0, text.length(), bytes, size);
--- a/src/main/java/olivechute/http/RequestParser.java
+++ b/src/main/java/olivechute/http/RequestParser.java
@@ -1,6 +1,6 @@
 package olivechute.http;
 
-/** Requests out of bytes. */
+/** Parses HTTP requests. */
 public final class RequestParser extends MessageParser<HttpRequest> {
     private String method;
     private String target;
@@ -47,7 +47,8 @@
 
     @Override
     HttpRequest createMessage(Headers fields, Body content, boolean keepAlive) {
-        // The answer to a HEAD must have no body; one that has ends with its connection, so it misleads nobody.
+        // The response to a HEAD request must have no body. A response with a body closes the connection, so that
+        // nobody misreads it.
         return new HttpRequest(method, target, fields, content, keepAlive && !method.equals("HEAD"));
     }
 }
--- a/src/main/java/olivechute/http/ResponseParser.java
+++ b/src/main/java/olivechute/http/ResponseParser.java
@@ -1,15 +1,15 @@
 package olivechute.http;
 
-/** Responses out of bytes; interim ones (1xx) are handed out like the others. */
+/** Parses HTTP responses; interim ones (1xx) are returned like the others. */
 public final class ResponseParser extends MessageParser<HttpResponse> {
-    private static final int STATUS_OFFSET = 9; // where it stands in a status line
+    private static final int STATUS_OFFSET = 9; // offset in the status line
 
     private int status;
 
-    /** For answers with a body of 64 KiB at most. */
+    /** For responses with a body of at most 64 KiB. */
     public ResponseParser() {}
 
-    /** For answers with a body of at most so many bytes. */
+    /** For responses with a body of at most {@code maxBodyBytes}. */
     public ResponseParser(int maxBodyBytes) {
         super(maxBodyBytes);
     }
--- a/src/main/java/olivechute/net/Backoff.java
+++ b/src/main/java/olivechute/net/Backoff.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before a peer that failed is tried again: twice as long after each failure in turn, give or take a
- * fifth by chance.
+ * Exponential delay before a failed peer is tried again: doubles after each consecutive failure, with a jitter of 20
+ * percent either way.
  */
 public final class Backoff {
     private final long minMillis;
@@ -12,7 +12,7 @@
     private final RandomGenerator random;
     private long nextMillis;
 
-    /** In milliseconds. */
+    /** Minimum and maximum delay in milliseconds. */
     public Backoff(long minMillis, long maxMillis, RandomGenerator random) {
         this.minMillis = minMillis;
         this.maxMillis = maxMillis;
@@ -20,14 +20,14 @@
         this.nextMillis = minMillis;
     }
 
-    /** It failed once more: wait so many milliseconds. */
+    /** Records a failure and returns the delay before the next attempt, in milliseconds. */
     public long nextDelayMillis() {
         long delayMillis = (long) (nextMillis * (0.8 + 0.4 * random.nextDouble()));
         nextMillis = Math.min(maxMillis, 2 * nextMillis);
         return delayMillis;
     }
 
-    /** It answered. */
+    /** Records a success, so that the next delay is the minimum again. */
     public void reset() {
         nextMillis = minMillis;
     }
--- a/src/main/java/olivechute/net/Connection.java
+++ b/src/main/java/olivechute/net/Connection.java
@@ -11,41 +11,41 @@
 import org.tinylog.Logger;
 
 /**
- * A blocking connection: one thread reads while others may write, and a message of several parts is one call. Plain, as
- * it is here.
+ * A blocking TCP connection: one thread reads while others may write, and a message of several parts is written in one
+ * call. This class is plaintext; subclasses add TLS.
  */
 @SuppressWarnings("ByteBufferBackingArray") // the buffer is allocated on the heap here
 public class Connection {
-    /** Takes a whole message of any size allowed, so that writing waits only for a peer that does not read. */
+    /** Holds a whole message of any allowed size, so that a write blocks only if the peer does not read. */
     public static final int SEND_BUFFER = 128 * 1024;
 
     private final SocketChannel channel;
-    private InputStream inputStream; // kept, as the socket makes a new one each time that it is asked
+    private InputStream inputStream; // cached, as the socket creates a new one on each call
 
-    /** Takes an accepted connection, or one to be dialled. */
+    /** Wraps an accepted connection, or one that is to be connected. */
     public Connection(SocketChannel channel) {
         this.channel = channel;
     }
 
-    /** Dials; fails after so long. */
+    /** Connects, with a timeout in milliseconds. */
     public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
         channel.socket().connect(address, timeoutMillis);
     }
 
-    /** Sets it up for messages, each sent at once. */
+    /** Sets the socket options, so that each message is sent at once. */
     public void initialize() throws IOException {
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER);
     }
 
-    /** Reads what is there, waiting for some; negative at the end. */
+    /** Reads the available bytes, and blocks until there are some; negative at the end of the input. */
     public int read(ByteBuffer buffer) throws IOException {
         return channel.read(buffer);
     }
 
     /**
-     * Reads what is there; 0 if there is nothing, negative at the end. The buffer must have an array, from its start
-     * on.
+     * Reads the available bytes; 0 if there are none, negative at the end of the input. The buffer must be backed by an
+     * array with offset 0.
      */
     public int readAvailable(ByteBuffer buffer) throws IOException {
         try {
@@ -67,14 +67,14 @@
         return stream;
     }
 
-    /** Writes all of it. */
+    /** Writes all bytes. */
     public void write(ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
             channel.write(bytes);
         }
     }
 
-    /** Writes all of both, as one message. */
+    /** Writes head and body as one message. */
     public void write(ByteBuffer head, ByteBuffer body) throws IOException {
         if (!body.hasRemaining()) {
             write(head);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** True if bytes have come that were not read yet. */
+    /** True if bytes have arrived that are not read yet. */
     public boolean hasUnreadInput() {
         try {
             return inputStream().available() > 0;
@@ -95,31 +95,34 @@
         }
     }
 
-    /** False once who is on the other side is no longer to be spoken with, but for what is under way. */
+    /** False once the peer's identity is no longer valid for new messages; the message in progress may be completed. */
     public boolean isPeerIdentityValid() {
         return true;
     }
 
-    /** Says that nothing more will be written; may wait for a peer that does not read. */
+    /** Ends the output; may block if the peer does not read. */
     public void shutdownOutput() throws IOException {
         socket().shutdownOutput();
     }
 
-    /** Reads no more: whoever reads has what came before, then the end. What comes from now on stays unread. */
+    /**
+     * Ends the input: the reader gets the bytes that arrived before, then the end. Bytes that arrive from now on stay
+     * unread.
+     */
     public void shutdownInput() {
         try {
             channel.shutdownInput();
         } catch (IOException e) {
-            Logger.debug("input not ended: {}", e.getMessage()); // it is closed already
+            Logger.debug("cannot shut down the input: {}", e.getMessage()); // it is closed already
         }
     }
 
-    /** The socket beneath, for what is done once: its end, its time-outs, what is unread. */
+    /** The underlying socket, for shutdown, timeouts and unread input. */
     public Socket socket() {
         return channel.socket();
     }
 
-    /** Ends it, whoever reads or writes. */
+    /** Closes the connection, also while other threads read or write. */
     public void close() throws IOException {
         channel.close();
     }
--- a/src/main/java/olivechute/net/ConnectionThreads.java
+++ b/src/main/java/olivechute/net/ConnectionThreads.java
@@ -8,8 +8,8 @@
 import org.tinylog.Logger;
 
 /**
- * The threads of connections and of writes. One whose task has ended waits a moment for the next, as making a thread is
- * dear.
+ * A pool of threads for connections and writes. A thread whose task has ended waits for a moment for another one, as
+ * starting a thread is expensive.
  */
 public final class ConnectionThreads {
     private static final long KEEP_ALIVE_MILLIS = 1000;
@@ -18,7 +18,10 @@
     private final ThreadFactory threadFactory;
     private final ThreadPoolExecutor pool;
 
-    /** {@code threads} makes them; one that it makes may throw an {@link OutOfMemoryError} when it is started. */
+    /**
+     * Creates a pool with threads from {@code threadFactory}; starting one of them may throw an
+     * {@link OutOfMemoryError}.
+     */
     public ConnectionThreads(ThreadFactory threadFactory) {
         this.threadFactory = threadFactory;
         pool = new ThreadPoolExecutor(
@@ -30,7 +33,9 @@
                 threadFactory);
     }
 
-    /** Whether the system grants so many threads more, all at once: they are started, and end. */
+    /**
+     * Whether the system grants this number of additional threads at the same time; they are started and end at once.
+     */
     public boolean canStart(int count) {
         CountDownLatch end = new CountDownLatch(1);
         try {
@@ -54,20 +59,20 @@
     }
 
     /**
-     * The system refused threads: those that are free end soon from now on, and at once if they have been free for that
-     * long.
+     * Shortens the wait of free threads from now on, because the system refused a thread; those that have been free for
+     * longer end at once.
      */
     public void shortenKeepAlive() {
         pool.setKeepAliveTime(SHORTAGE_KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Runs a task on a thread that is free, or on a new one; an {@link OutOfMemoryError} if there is none. */
+    /** Runs a task on a free thread or on a new one; throws an {@link OutOfMemoryError} if there is none. */
     public void run(Runnable task) {
         pool.execute(() -> {
             try {
                 task.run();
             } catch (RuntimeException e) {
-                Logger.error(e, "connection failed"); // thrown on, it would cost the thread
+                Logger.error(e, "connection task failed"); // an exception that is thrown on ends the thread
             }
         });
     }
--- a/src/main/java/olivechute/net/FileDescriptors.java
+++ b/src/main/java/olivechute/net/FileDescriptors.java
@@ -4,13 +4,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The system's own limit on this process's descriptors, which may be lower than what it was told. */
+/** The operating system's limit on this process's open file descriptors, which may be lower than the configured one. */
 public final class FileDescriptors {
     private static final String OPEN_FILES_LABEL = "Max open files";
 
     private FileDescriptors() {}
 
-    /** How many it may hold; the largest number where the system does not say, or sets no limit. */
+    /** The limit in force; the largest integer if the system reports none or sets none. */
     public static int limit() {
         try {
             return limit(Files.readString(Path.of("/proc/self/limits")));
@@ -19,7 +19,7 @@
         }
     }
 
-    /** The limit in force, out of the system's table of limits. */
+    /** The limit in force, from the system's table of limits. */
     static int limit(String limits) {
         int index = limits.indexOf(OPEN_FILES_LABEL);
         if (index < 0) {
--- a/src/main/java/olivechute/net/Threads.java
+++ b/src/main/java/olivechute/net/Threads.java
@@ -1,6 +1,6 @@
 package olivechute.net;
 
-/** Platform threads with small stacks: one for each connection must fit the node's memory. */
+/** Creates platform threads with small stacks, as one for each connection must fit the node's memory. */
 public final class Threads {
     private static final long STACK_BYTES = 192 * 1024;
     private static final ConnectionThreads CONNECTION_THREADS =
@@ -8,19 +8,19 @@
 
     private Threads() {}
 
-    /** A thread of its own, for what lasts as long as the node. */
+    /** Starts a thread that lasts as long as the node. */
     public static Thread start(String name, Runnable task) {
         Thread thread = newThread(name, task);
         thread.start();
         return thread;
     }
 
-    /** Those that all connections of this process share. */
+    /** The pool that all connections of this process share. */
     public static ConnectionThreads connectionThreads() {
         return CONNECTION_THREADS;
     }
 
-    /** Runs a connection's task on one of them; an {@link OutOfMemoryError} if there is none. */
+    /** Runs a connection's task on the shared pool; throws an {@link OutOfMemoryError} if there is no thread. */
     public static void runConnection(Runnable task) {
         CONNECTION_THREADS.run(task);
     }
--- a/src/main/java/olivechute/net/TimedReads.java
+++ b/src/main/java/olivechute/net/TimedReads.java
@@ -4,16 +4,19 @@
 import java.io.InputStream;
 
 /**
- * Reads from the stream of a socket that has a timeout. Such a read returns a number below -1 where a signal interrupts
- * it, though the connection has neither ended nor timed out.
+ * Reads from the stream of a socket that has a timeout. Such a read returns a number below -1 if a signal interrupts
+ * it, although the connection has neither ended nor timed out.
  */
 public final class TimedReads {
-    /** What a stream returns at its end. */
+    /** The return value of a stream at its end. */
     public static final int END_OF_STREAM = -1;
 
     private TimedReads() {}
 
-    /** How many bytes were read, at least one; {@link #END} at the end. A read that is interrupted begins anew. */
+    /**
+     * Returns the number of bytes read, at least one; {@link #END_OF_STREAM} at the end. Retries a read that was
+     * interrupted.
+     */
     public static int read(InputStream in, byte[] buffer, int offset, int length) throws IOException {
         int read;
         do {
--- a/src/main/java/olivechute/net/WriterThreads.java
+++ b/src/main/java/olivechute/net/WriterThreads.java
@@ -6,10 +6,10 @@
 import org.tinylog.Logger;
 
 /**
- * Writes what may wait for a peer, so that neither the event loop's own thread nor a connection's does. Few writes come
- * here, so threads are taken only while there are some. The queue holds at most one write for each connection. A peer
- * that reads nothing holds up one of the threads until it is given up, and with it whoever else writes here: peers that
- * may do so have writers of their own.
+ * Runs writes that may block on a peer, so that they block neither the event loop's own thread nor that of a
+ * connection. Such writes are rare, so threads are taken only while there are some. The queue holds at most one write
+ * for each connection. A peer that does not read occupies one of the threads until its connection is given up, and
+ * delays all other writes here: peers that may do so have writer threads of their own.
  */
 public final class WriterThreads {
     private static final int MAX_THREADS = 3;
@@ -18,7 +18,9 @@
     private final ConnectionThreads connectionThreads;
     private final AtomicInteger runningThreads = new AtomicInteger();
 
-    /** Writes for so many connections, on threads that all connections of this process share. */
+    /**
+     * Creates writer threads for so many connections, taken from the pool that all connections of this process share.
+     */
     public WriterThreads(int maxConnections) {
         this(maxConnections, Threads.connectionThreads());
     }
@@ -28,7 +30,7 @@
         this.connectionThreads = connectionThreads;
     }
 
-    /** Queues a write; false if the queue is full, or there is no thread to be had for it. */
+    /** Queues a write; false if the queue is full or no thread is available. */
     public boolean offer(Runnable write) {
         if (!queue.offer(write)) {
             return false;
@@ -44,7 +46,7 @@
         }
     }
 
-    /** One more thread writes, unless enough do. */
+    /** Claims one more thread, unless enough are running. */
     private boolean claimThread() {
         return runningThreads.getAndUpdate(n -> Math.min(MAX_THREADS, n + 1)) < MAX_THREADS;
     }
@@ -59,6 +61,6 @@
                 }
             }
             runningThreads.decrementAndGet();
-        } while (!queue.isEmpty() && claimThread()); // one that came as the last was done
+        } while (!queue.isEmpty() && claimThread()); // a write may have been queued as the last one finished
     }
 }
--- a/src/main/java/olivechute/upstream/ConnectionPools.java
+++ b/src/main/java/olivechute/upstream/ConnectionPools.java
@@ -24,14 +24,18 @@
 import org.tinylog.Logger;
 
 /**
- * The connections to the endpoints: reused before new ones are made, bounded, closed before the endpoint does. Called
- * on the event loop; {@code carrying} and the connect timeout are read on any thread.
+ * The connections to all endpoints. Idle connections are reused before new ones are made, their number is limited, and
+ * they are closed before the endpoint closes them. Called on the event loop; {@code connectionsByRequestId} and the
+ * connect timeout are read on any thread.
  */
 public final class ConnectionPools implements UpstreamTransport {
-    /** Hosts no longer listed whose address is remembered, in case they are still sent to. */
+    /** Number of endpoints no longer listed whose pool is kept, in case requests are still sent to them. */
     private static final int MAX_UNLISTED_POOLS = 256;
 
-    /** One that carried something so lately is as good as new: little older than one that has just settled. */
+    /**
+     * A connection that was idle for at most so many microseconds counts as good as new: little longer than the settle
+     * time.
+     */
     private static final long FRESH_IDLE_US = UpstreamConnection.SETTLE_TIME_US + 20_000;
 
     private final EventLoop loop;
@@ -47,8 +51,9 @@
     private final Map<String, UpstreamConnection> connectionsByRequestId = new ConcurrentHashMap<>();
 
     /**
-     * {@code connIdle} is when hosts close idle connections, {@code most} bounds the connections, and with
-     * {@code onlyDrainingBinds} hosts that are gone without having drained may still be sent to; all told.
+     * Creates the pools. {@code endpointIdleTimeoutUs} is when endpoints close idle connections, {@code maxConnections}
+     * limits the connections to all endpoints together, and with {@code onlyDrainingBinds} requests may still be sent
+     * to endpoints that were removed without having drained.
      */
     public ConnectionPools(
             EventLoop loop,
@@ -66,11 +71,12 @@
         setConnectTimeout(connectTimeoutUs);
         this.maxConnections = maxConnections;
         this.removalBlocksRequests = !onlyDrainingBinds;
-        // A request written to a connection that the host closes at that moment is lost: ours close well before.
+        // A request is lost if it is written just as the endpoint closes the connection, so idle connections are closed
+        // well before that.
         this.maxIdleUs = Math.max(0, Math.min(endpointIdleTimeoutUs * 4 / 5, endpointIdleTimeoutUs - 500_000));
     }
 
-    /** How long dials may take from now on. */
+    /** Sets the connect timeout for new connections, in microseconds. */
     public void setConnectTimeout(long timeoutUs) {
         connectTimeoutMillis = (int) Math.max(1, timeoutUs / 1000);
     }
@@ -79,7 +85,7 @@
         return connectTimeoutMillis;
     }
 
-    /** How long the host of a new connection may shake hands, in microseconds. */
+    /** How long the endpoint of a new connection may take for the handshake, in microseconds. */
     long handshakeTimeoutUs() {
         return 1000L * connectTimeoutMillis;
     }
@@ -97,7 +103,7 @@
                         endpoint.info().name(), address, endpoint.info().startedAtUs());
                 pools.put(endpoint.info().name(), pool);
             } else if (pool.updateLocation(address, endpoint.info().startedAtUs())) {
-                // It started anew: connections to the process before it may stay open and silent.
+                // The endpoint restarted: connections to its earlier process may stay open without a response.
                 pool.closeIdle(0);
             }
             pool.listed = endpoint.info().state() != EndpointState.REMOVED;
@@ -133,11 +139,11 @@
                 return true;
             }
             if (connection.drop(request) == DropResult.WRITTEN) {
-                closeIdleConnections(request.endpoint()); // as silent as that one, for all that is known
+                closeIdleConnections(request.endpoint()); // which may be as unresponsive
             }
         }
-        // Also before the acceptance is known: it may be on its way, and the host then runs on, whatever becomes of the
-        // connection.
+        // Also sent before the acceptance is known: it may be on its way, and the endpoint then continues the job
+        // whatever happens to the connection.
         submit(request.endpoint(), Exchange.cancellationOf(request, false, loop.now()));
         return false;
     }
@@ -171,9 +177,9 @@
                 reportEnd(request, AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
             }
             if (dropped != DropResult.WRITTEN) {
-                return; // if not carried, its answer or its end is on its way here
+                return; // if it is not carried, its response or its end is already posted
             }
-            closeIdleConnections(request.endpoint()); // as silent as that one, for all that is known
+            closeIdleConnections(request.endpoint()); // which may be as unresponsive
         }
         submit(request.endpoint(), Exchange.cancellationOf(request, true, loop.now()));
     }
@@ -190,7 +196,8 @@
         }
         long reuseLimitUs = Math.min(
                 maxIdleUs, exchange.request().requiresNewConnection() ? FRESH_IDLE_US : pool.maxReuseIdleUs(nowUs));
-        // One that settles sooner than a new one would have its answer is waited for; until then nothing is written.
+        // Waits for a connection that settles sooner than a new one would have its response; nothing is written until
+        // then.
         long maxWaitUs = reuseLimitUs < UpstreamConnection.SETTLE_TIME_US
                 ? 0
                 : Math.max(0, connectTimeEstimator.extraConnectTimeUs() - EventLoop.TICK_US);
@@ -211,7 +218,7 @@
         try {
             connection.start();
         } catch (OutOfMemoryError noThread) {
-            // The system gives no thread: this request could not connect, the loop and all else go on.
+            // The system has no thread: this request fails to connect, and everything else continues.
             connection.close();
         }
     }
@@ -234,7 +241,10 @@
         }
     }
 
-    /** Closes what has stood idle too long and what waits too long for its host; to be called on the loop. */
+    /**
+     * Closes connections that were idle for too long and those whose endpoint does not respond in time; to be called
+     * periodically on the event loop.
+     */
     public void sweep() {
         long nowUs = loop.now();
         for (EndpointConnectionPool pool : pools.values()) {
@@ -254,14 +264,14 @@
         return connector.createUnconnected(pool.name);
     }
 
-    /** Runs this at a moment, on the event loop; to be called there. */
+    /** Runs a task at a time, on the event loop; to be called there. */
     void runAt(long atUs, Runnable task) {
         loop.runAt(atUs, task);
     }
 
     /**
-     * Has an exchange, of which nothing was written, go by another connection to that host; {@code taken} takes it from
-     * the one it was on.
+     * Submits an exchange of which nothing was written on another connection to the same endpoint; {@code takeExchange}
+     * takes it from its old connection and returns null if it was given up meanwhile.
      */
     void resubmit(Supplier<Exchange> takeExchange) {
         loop.post(new ProxyEvent.Task(() -> {
@@ -272,10 +282,13 @@
         }));
     }
 
-    /** Has something written to a host that has read all before it; on the event loop. False if that cannot be. */
+    /**
+     * Schedules a write to an endpoint that has read everything sent before; called on the event loop. False if the
+     * write cannot be queued.
+     */
     boolean scheduleWrite(Runnable write) {
         if (loop.onLoopThread()) {
-            return writers.offer(write); // should a host have answered what it did not read, no timer waits for it
+            return writers.offer(write); // if the endpoint responds without reading, a blocked write delays no timer
         }
         loop.defer(write);
         return true;
@@ -313,12 +326,12 @@
         reportEnd(exchange, exchange.isCancellation() ? AttemptOutcome.CANCEL_UNCONFIRMED : outcome, LoadReport.NONE);
     }
 
-    /** The host answered, or {@link #failed}; the word that gives an upstream request up is heard by any answer. */
+    /** The endpoint responded, as opposed to {@link #onFailed}; any response confirms a cancellation. */
     void onResponse(Exchange exchange, AttemptOutcome outcome, LoadReport loadReport) {
         reportEnd(exchange, exchange.isCancellation() ? AttemptOutcome.ACCEPT_TIMEOUT : outcome, loadReport);
     }
 
-    /** Nothing of it was written, nor will be. */
+    /** Nothing of the request was written, nor will be. */
     void onWithdrawn(UpstreamRequest request) {
         reportEnd(request, AttemptOutcome.SUPPRESSED, LoadReport.NONE);
     }
--- a/src/main/java/olivechute/upstream/Connector.java
+++ b/src/main/java/olivechute/upstream/Connector.java
@@ -4,11 +4,11 @@
 import java.nio.channels.SocketChannel;
 import olivechute.net.Connection;
 
-/** Makes the connections to upstream hosts. */
+/** Creates connections to endpoints, not connected yet. */
 public interface Connector {
-    /** Plain TCP to whoever answers. */
+    /** Plain TCP, without authentication of the endpoint. */
     Connector PLAINTEXT = endpoint -> new Connection(SocketChannel.open());
 
-    /** One to be dialled, to the host of this name and to nobody else. */
+    /** Creates a connection that is to be connected to the endpoint of this name and to no other. */
     Connection createUnconnected(String endpoint) throws IOException;
 }
--- a/src/main/java/olivechute/upstream/EndpointConnectionPool.java
+++ b/src/main/java/olivechute/upstream/EndpointConnectionPool.java
@@ -8,27 +8,27 @@
 import olivechute.health.IdleReusePolicy;
 import olivechute.loadbalancing.EndpointState;
 
-/** The connections to one upstream host, and what the newest list says of it. */
+/** The connections to one endpoint, and its state in the latest endpoint list. */
 final class EndpointConnectionPool {
     /**
-     * Where a host's process listens, and the address as a Host field has it. The next process has another one, be it
-     * at the same address.
+     * Where a process of the endpoint listens, and its address as in the Host header. The next process has another
+     * location, even at the same address.
      */
     record Location(InetSocketAddress address, String hostHeader, long startedAtUs) {}
 
     /**
-     * A host that is sent more than so many in {@link UpstreamConnection#SETTLING} gets no more connections for that
-     * where dials are quick.
+     * While connects are quick, an endpoint that gets more requests than this within
+     * {@link UpstreamConnection#SETTLE_TIME_US} gets no further connections for them.
      */
     static final int MAX_SETTLING = 8;
 
     final String name;
     private volatile Location location;
     private volatile boolean acceptsRequests = true;
-    boolean listed = true; // on the event loop only
+    boolean listed = true; // only used on the event loop
     private final IdleReusePolicy reusePolicy = new IdleReusePolicy();
     private final Set<UpstreamConnection> connections = new HashSet<>();
-    private final List<UpstreamConnection> idleConnections = new ArrayList<>(); // the one used last comes last
+    private final List<UpstreamConnection> idleConnections = new ArrayList<>(); // the most recently used one is last
 
     EndpointConnectionPool(String name, InetSocketAddress address, long startedAtUs) {
         this.name = name;
@@ -39,7 +39,7 @@
         return new Location(address, address.getAddress().getHostAddress() + ":" + address.getPort(), startedAtUs);
     }
 
-    /** Takes where it is and when it started from the list; true if either is new. */
+    /** Takes the address and start time from the endpoint list; true if either has changed. */
     boolean updateLocation(InetSocketAddress address, long startedAtUs) {
         boolean changed = !location.address().equals(address) || location.startedAtUs() != startedAtUs;
         if (changed) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * The list has it in this state; {@code goneBinds}: nothing new may go to one that is gone, else only if it drained
-     * before.
+     * Takes the state from the endpoint list. With {@code removalBlocksRequests} no new request may be sent to a
+     * removed endpoint; without it, only if the endpoint drained before.
      */
     void updateState(EndpointState state, boolean removalBlocksRequests) {
         switch (state) {
@@ -64,17 +64,17 @@
         }
     }
 
-    /** False while nothing new may go there; on any thread. */
+    /** False while no new request may be sent to the endpoint; on any thread. */
     boolean acceptsRequests() {
         return acceptsRequests;
     }
 
-    /** The longest idle time after which a connection there is worth another request, in microseconds. */
+    /** The longest idle time after which a connection to the endpoint is worth another request, in microseconds. */
     synchronized long maxReuseIdleUs(long nowUs) {
         return reusePolicy.maxIdleUs(nowUs);
     }
 
-    /** One that had stood idle for so long was used again, and broke or did not. */
+    /** Records the reuse of a connection after this idle time, and whether it broke. */
     synchronized void onReuse(long nowUs, long idleUs, boolean broken) {
         reusePolicy.onReuse(nowUs, idleUs, broken);
     }
@@ -96,16 +96,16 @@
         if (connections.contains(connection)) {
             int index = idleConnections.size();
             while (index > 0 && idleConnections.get(index - 1).idleSinceUs() > connection.idleSinceUs()) {
-                index--; // it was held back: its host saw it idle all the while
+                index--; // a withdrawn exchange: the endpoint saw it idle all the time
             }
             idleConnections.add(index, connection);
         }
     }
 
     /**
-     * The idle connection used last of those that have settled, if it was used since then. Otherwise the next to
-     * settle, if it will have within {@code wait}, or if it is one of {@link #MOST_SETTLING}. Null if there is none of
-     * these.
+     * The most recently used of the settled idle connections, if it was last used at or after {@code idleAfterUs}.
+     * Otherwise the connection that settles next, if it does so within {@code maxWaitUs} or if at least
+     * {@link #MAX_SETTLING} are settling. Null if there is none of these.
      */
     synchronized UpstreamConnection takeIdle(long nowUs, long idleAfterUs, long maxWaitUs) {
         int firstSettling = idleConnections.size();
@@ -135,7 +135,7 @@
         return oldest != null;
     }
 
-    /** Closes those that have waited too long for their peer. */
+    /** Closes connections whose endpoint does not respond in time. */
     void closeStalled(long nowUs) {
         List<UpstreamConnection> snapshot;
         synchronized (this) {
@@ -144,7 +144,7 @@
         snapshot.forEach(connection -> connection.closeIfStalled(nowUs));
     }
 
-    /** Closes the idle ones whose host is no longer to be spoken with on them. */
+    /** Closes idle connections on which the endpoint's identity is no longer valid. */
     void closeIdleWithInvalidIdentity() {
         List<UpstreamConnection> invalid = new ArrayList<>(0);
         synchronized (this) {
@@ -153,7 +153,7 @@
         invalid.forEach(UpstreamConnection::close);
     }
 
-    /** Closes those idle since before a moment; 0 for all idle ones. */
+    /** Closes the connections that have been idle since before a time; 0 for all idle ones. */
     void closeIdle(long beforeUs) {
         List<UpstreamConnection> expired = new ArrayList<>(0);
         synchronized (this) {
--- a/src/main/java/olivechute/upstream/Exchange.java
+++ b/src/main/java/olivechute/upstream/Exchange.java
@@ -6,8 +6,9 @@
 import olivechute.proxy.UpstreamRequest;
 
 /**
- * What one connection carries at a time: an upstream request, or the word that gives one up. {@code ends}: its own end
- * is the upstream request's. {@code again}: should its connection break, it is said once more, on another one.
+ * One exchange on an upstream connection: an upstream request, or the cancellation of one. {@code reportsEnd}: the end
+ * of this exchange is reported as the end of the upstream request. {@code retriesIfBroken}: if its connection breaks,
+ * it is sent once more on another one.
  */
 record Exchange(
         UpstreamRequest request,
@@ -20,22 +21,22 @@
     private static final long CONFIRMED_CANCEL_TIMEOUT_US = 400_000;
     private static final long RESPONSE_GRACE_US = 500_000;
 
-    /** The upstream request itself. */
+    /** The exchange that sends the upstream request. */
     static Exchange of(UpstreamRequest request, long nowUs) {
         return new Exchange(request, false, true, false, nowUs);
     }
 
-    /** The word that gives it up; {@code ends} where the request waits for that to be heard. */
+    /** The exchange that cancels the upstream request; {@code reportsEnd} if the request waits for the confirmation. */
     static Exchange cancellationOf(UpstreamRequest request, boolean reportsEnd, long nowUs) {
         return new Exchange(request, true, reportsEnd, reportsEnd, nowUs);
     }
 
-    /** The same for the last time. */
+    /** The same exchange, without another retry. */
     Exchange withoutRetry() {
         return new Exchange(request, isCancellation, reportsEnd, false, createdAtUs);
     }
 
-    /** When an answer is no longer waited for; the loop has given the request up by then. */
+    /** Until when a response is waited for; the event loop has given up the request by then. */
     long responseDeadlineUs() {
         return createdAtUs
                 + (!isCancellation
@@ -43,7 +44,7 @@
                         : reportsEnd ? CONFIRMED_CANCEL_TIMEOUT_US : CANCEL_TIMEOUT_US);
     }
 
-    /** The head of its message, for {@link #body} to follow. */
+    /** The head of the message; {@link #body} follows it. */
     ByteBuffer head(String hostHeader, long nowUs) {
         if (isCancellation) {
             return ByteBuffer.wrap(
--- a/src/main/java/olivechute/upstream/LoadReportHeader.java
+++ b/src/main/java/olivechute/upstream/LoadReportHeader.java
@@ -4,7 +4,7 @@
 import olivechute.http.Headers;
 import olivechute.loadbalancing.LoadReport;
 
-/** Reads the load report that an answer carries: {@code X-Pressure: TEXT inflight=7, queue=2}. */
+/** Parses the load report in a response header: {@code X-Pressure: TEXT inflight=7, queue=2}. */
 public final class LoadReportHeader {
     private final LoadReportFields fields;
 
--- a/src/main/java/olivechute/upstream/UpstreamConnection.java
+++ b/src/main/java/olivechute/upstream/UpstreamConnection.java
@@ -12,28 +12,28 @@
 import org.tinylog.Logger;
 
 /**
- * One connection to an upstream host. Its thread dials, writes the first exchange and reads from then on, so an end
- * shows at once also while it is idle; later exchanges are written by the writers. Whoever writes takes one last look
- * before.
+ * A connection to one endpoint. Its thread connects, writes the first exchange and reads from then on, so that a
+ * disconnect is noticed at once even while it is idle; the writer threads write later exchanges. Whoever writes makes
+ * the last checks directly before the write.
  */
-@SuppressWarnings("ReferenceEquality") // two exchanges with equal fields are still two exchanges
+@SuppressWarnings("ReferenceEquality") // exchanges with equal fields are still distinct
 final class UpstreamConnection {
     /**
-     * How long one that was answered is left alone, in microseconds. A host that answers twice does so within
-     * milliseconds; taken for the answer to the next exchange, the second would end or accept what it is not about, as
-     * no answer names its request. One that comes meanwhile closes the connection.
+     * How long a connection rests after a response, in microseconds. An endpoint that responds twice does so within
+     * milliseconds. If the second response were taken for the one to the next exchange, it would end or accept the
+     * wrong request, as no response names its request. A response that arrives during the rest closes the connection.
      */
     static final long SETTLE_TIME_US = 30_000;
 
     private static final long WRITE_TIMEOUT_US = 1_000_000;
 
-    /** What became of an upstream request that was to be dropped. */
+    /** The result of dropping an upstream request. */
     enum DropResult {
         /** Nothing of it was written, nor will be. */
         UNWRITTEN,
-        /** Some of it may have come. */
+        /** Part of it may have arrived. */
         WRITTEN,
-        /** It was answered or ended before. */
+        /** It was answered or had ended before. */
         NOT_CARRIED
     }
 
@@ -42,17 +42,16 @@
     private final EndpointConnectionPool.Location location;
     private volatile Connection transport;
     private final ResponseParser parser = new ResponseParser();
-    private Exchange currentExchange; // guarded by this, as the rest
-    private boolean connected; // it was dialled
-    private boolean responseReceived; // an answer came on it
-    private boolean writeStarted; // some of it may be out
+    private Exchange currentExchange; // guarded by this, like the fields below
+    private boolean connected; // the connection is established
+    private boolean responseReceived; // at least one response arrived
+    private boolean writeStarted; // part of the current exchange may have been sent
     private boolean written;
     private long exchangeStartUs;
     private long idleSinceUs;
-    private long idleBeforeExchangeUs =
-            -1; // how long it had stood idle before the current exchange; negative on its first
+    private long idleBeforeExchangeUs = -1; // idle time before the current exchange; negative on the first one
     private boolean closed;
-    private volatile boolean inputPending; // the reader has bytes in hand
+    private volatile boolean inputPending; // the reader is processing bytes
 
     UpstreamConnection(ConnectionPools pools, EndpointConnectionPool pool, Exchange firstExchange) {
         this.pools = pools;
@@ -72,26 +71,26 @@
         return idleSinceUs;
     }
 
-    /** From when on no late answer is to be feared: see {@link #SETTLING}. */
+    /** From when on no late response is to be expected: see {@link #SETTLE_TIME_US}. */
     synchronized long settledAtUs() {
         return responseReceived ? idleSinceUs + SETTLE_TIME_US : idleSinceUs;
     }
 
-    /** False once nothing new may be sent on it. */
+    /** False once nothing new may be sent on this connection. */
     boolean isPeerIdentityValid() {
         return transport.isPeerIdentityValid();
     }
 
     /**
-     * Takes an exchange on an idle connection, to be written at a moment; false if it has ended meanwhile. On the event
-     * loop.
+     * Starts an exchange on an idle connection, to be written at {@code startUs}; false if the connection has ended
+     * meanwhile. Called on the event loop.
      */
     boolean begin(Exchange exchange, long startUs) {
         if (!transport.isPeerIdentityValid()) {
             close();
             return false;
         }
-        pools.register(exchange, this); // first: the connection's end may come at any moment and take it back
+        pools.register(exchange, this); // first, as the connection may end at any moment and unregister it
         boolean alreadyClosed;
         synchronized (this) {
             alreadyClosed = closed;
@@ -116,7 +115,7 @@
     }
 
     private void scheduleWrite(Exchange exchange) {
-        // The host has answered all that was written before, so this finds the send buffer empty and waits for nobody.
+        // The endpoint has responded to all earlier writes, so the send buffer is empty and the write does not block.
         if (currentExchange() == exchange && !pools.scheduleWrite(() -> write(exchange))) {
             close();
         }
@@ -137,7 +136,7 @@
                 currentExchange = allowed ? exchange : null;
             }
             if (unsolicited) {
-                Logger.debug("endpoint {} sent something unasked", pool.name);
+                Logger.debug("endpoint {} sent unsolicited data", pool.name);
                 close(true);
                 return;
             }
@@ -155,24 +154,23 @@
             boolean interrupted;
             synchronized (this) {
                 interrupted = currentExchange == exchange;
-                writeStarted &= !interrupted; // its last byte is not out, nor will be
+                writeStarted &= !interrupted; // its last byte was not sent, nor will be
             }
             close(!interrupted);
         }
     }
 
     /**
-     * True if something has come that nobody asked for yet: read or not, it is no answer to what is about to be
+     * True if input has arrived that no request asked for: read or not, it is no response to what is about to be
      * written.
      */
     private boolean hasUnsolicitedInput() {
-        return transport.hasUnreadInput()
-                || inputPending; // in this order: what is no longer in the one is in the other
+        return transport.hasUnreadInput() || inputPending; // in this order: bytes leave the one only for the other
     }
 
     /**
-     * The last look. A word that gives a request up goes to any host; all else to none that takes nothing new, or is
-     * elsewhere by now.
+     * The last check before a write. A cancellation is sent in any case; a request only if the endpoint still accepts
+     * new requests, has not moved and the pre-send check agrees.
      */
     private boolean mayWrite(Exchange exchange) {
         UpstreamRequest request = exchange.request();
@@ -187,7 +185,7 @@
         return pool.acceptsRequests() && pool.location() == location;
     }
 
-    /** Kept for what comes, unless nothing may come. */
+    /** Returns the connection to the pool, or closes it if no new request may use it. */
     private void releaseOrClose() {
         if (isReusable()) {
             pool.release(this);
@@ -226,7 +224,7 @@
         } catch (IOException e) {
             Logger.debug("endpoint {} at {}: {}", pool.name, location.address(), e.getMessage());
         } catch (HttpException e) {
-            Logger.warn("{} answered what is no HTTP: {}", location.address(), e.getMessage());
+            Logger.warn("{} sent an invalid HTTP response: {}", location.address(), e.getMessage());
         } finally {
             close(true);
         }
@@ -262,7 +260,7 @@
     private void processInput() throws HttpException, IOException {
         do {
             if (!isAwaitingResponse()) {
-                throw new IOException("bytes between exchanges");
+                throw new IOException("unsolicited bytes between exchanges");
             }
             if (parser.parse()) {
                 HttpResponse response = parser.take();
@@ -308,16 +306,19 @@
                     pools.loadReportHeader.parse(response.headers()));
         }
         if (!response.keepAlive()) {
-            throw new IOException("closed by its last answer");
+            throw new IOException("endpoint closes the connection after its response");
         }
         if (parser.hasUnparsedBytes() || pool.location() != location) {
-            throw new IOException("answered twice at once, or by a process that is gone");
+            throw new IOException("more than one response, or the endpoint has moved");
         }
-        inputPending = false; // nothing is left of it, and another may begin at once
+        inputPending = false; // all input is processed, and the next exchange may begin at once
         pool.release(this);
     }
 
-    /** Tells how long the answer took, unless it is to a word, or the first after a dial for another one. */
+    /**
+     * Records the response time, except for a cancellation and for the first response on a connection that was made for
+     * another request.
+     */
     private void recordResponseTime(Exchange exchange, boolean firstResponse) {
         long tookUs = idleSinceUs - exchangeStartUs;
         if (!exchange.isCancellation() && firstResponse == idleBeforeExchangeUs < 0) {
@@ -335,19 +336,22 @@
         }
     }
 
-    /** True if a request was written, as the first here: the host may still be at the handshake. */
+    /**
+     * True if the request was written as the first one on this connection, so that the endpoint may still be in the
+     * handshake.
+     */
     synchronized boolean mayBeInHandshake(UpstreamRequest request) {
         return currentExchange != null && currentExchange.request() == request && writeStarted && !responseReceived;
     }
 
-    /** False if it carries this and nothing of it was written. */
+    /** False if the connection carries this request and nothing of it was written. */
     synchronized boolean hasBegun(UpstreamRequest request) {
         return currentExchange == null || currentExchange.request() != request || writeStarted;
     }
 
     /**
-     * Takes an upstream request back if nothing of it was written, without an end of it; the connection stays, or its
-     * dial goes on.
+     * Withdraws an upstream request if nothing of it was written, and reports no end of it. The connection stays open
+     * or continues to connect.
      */
     boolean withdraw(UpstreamRequest request) {
         boolean idle;
@@ -365,7 +369,7 @@
         return true;
     }
 
-    /** Closes it without an end of what it carries. */
+    /** Closes the connection without reporting an end of the request that it carries. */
     DropResult drop(UpstreamRequest request) {
         DropResult result;
         synchronized (this) {
@@ -383,8 +387,8 @@
     void closeIfStalled(long nowUs) {
         boolean stalled;
         synchronized (this) {
-            // A machine that is cut off says nothing: neither a write, which may have to wait for its dial, nor a wait
-            // may last for good.
+            // A machine that is cut off does not respond: neither a write, which may have to wait for the connect, nor
+            // the wait for a response may last forever.
             stalled = currentExchange != null
                     && ((!written
                                     && nowUs - exchangeStartUs
@@ -401,9 +405,10 @@
     }
 
     /**
-     * Ends the connection, and what it carries: it never ran where its last byte was not written. Where the peer broke
-     * off under a write that is not back yet, the peer may have had all of it. Where one in use broke or strayed before
-     * anything was written, the exchange goes by another.
+     * Closes the connection and ends its exchange. The request never ran if its last byte was not written. If the peer
+     * disconnected during a write that has not returned yet, the peer may have received the whole request. If a reused
+     * connection broke or received unsolicited input before anything was written, the exchange moves to another
+     * connection.
      */
     private void close(boolean broken) {
         Exchange exchange;
@@ -416,7 +421,7 @@
             closed = true;
             exchange = currentExchange;
             resubmit = broken && exchange != null && !writeStarted && idleBeforeExchangeUs >= 0;
-            currentExchange = resubmit ? exchange : null; // until the loop has taken it, it may still be given up
+            currentExchange = resubmit ? exchange : null; // it can still be given up until the event loop takes it
             outcome = !writeStarted || (!written && !broken)
                     ? AttemptOutcome.CONNECT_FAILED
                     : broken && idleBeforeExchangeUs >= 0 ? AttemptOutcome.STALE_CONNECTION : AttemptOutcome.RESET;
@@ -428,7 +433,7 @@
                     exchange.isCancellation() ? "the cancellation of" : "request",
                     exchange.request().requestId(),
                     broken ? "broken" : "given up",
-                    resubmit ? "goes by another" : outcome);
+                    resubmit ? "resubmitted on another connection" : outcome);
         }
         pool.remove(this);
         try {
@@ -441,8 +446,8 @@
         if (resubmit) {
             pools.resubmit(this::takeExchange);
         } else if (exchange != null) {
-            // It broke or fell silent under an exchange: those idle to that host are no better, as far as is known, or
-            // for as long.
+            // The connection broke or fell silent during an exchange: as far as is known, the other idle connections to
+            // that endpoint are no better, or those idle for at least as long.
             pool.closeIdle(outcome == AttemptOutcome.STALE_CONNECTION ? exchangeStartUs - idleBeforeExchangeUs + 1 : 0);
             pools.unregister(exchange, this);
             if (outcome == AttemptOutcome.STALE_CONNECTION) {
@@ -452,7 +457,7 @@
         }
     }
 
-    /** What it carried as it ended and nobody gave up since, null if there is none. */
+    /** The exchange that was in progress when the connection ended; null if there is none or it was given up since. */
     private Exchange takeExchange() {
         Exchange exchange;
         synchronized (this) {
--- a/src/test/java/olivechute/downstream/ConnectionLimitTest.java
+++ b/src/test/java/olivechute/downstream/ConnectionLimitTest.java
@@ -20,10 +20,10 @@
             checks += limit.beginCheckIfDue(open) ? 1 : 0;
         }
         assertEquals(checks, 10);
-        assertFalse(limit.beginCheckIfDue(100), "proven already");
+        assertFalse(limit.beginCheckIfDue(100), "already checked");
     }
 
-    /** From one proof to the next the threads of the reserve stay free. */
+    /** Between two checks the threads of the reserve stay free. */
     @Test
     public void aCheckCoversTheConnectionsUpToTheNextCheckAndTheReserve() {
         ConnectionLimit limit = new ConnectionLimit(MAX_CONNECTIONS);
@@ -46,7 +46,7 @@
         assertEquals(limit.limitAt(2_000 + ConnectionLimit.REDUCTION_US), MAX_CONNECTIONS);
         assertTrue(
                 limit.beginCheckIfDue(260 - ConnectionLimit.CHECK_THREADS + 1),
-                "what the system refused is to be proven again");
+                "a check is due again above the reduced limit");
     }
 
     @Test
--- a/src/test/java/olivechute/downstream/IdleConnectionsTest.java
+++ b/src/test/java/olivechute/downstream/IdleConnectionsTest.java
@@ -12,14 +12,14 @@
 import olivechute.downstream.IdleConnections.Kind;
 import org.testng.annotations.Test;
 
-/** The order in which connections go when room is short, against the plain rule. */
+/** Compares the order in which connections are closed to make room with a plain model of the rule. */
 public class IdleConnectionsTest {
     private static final long SETTLE_TIME_US = 100_000;
     private static final int NOT_CLOSABLE = 9;
 
     private record ModelEntry(Kind kind, long sinceUs, int step) {}
 
-    /** Rank of a kind, lower goes first; the rule as the architecture page words it. */
+    /** Rank of a connection, the lowest is closed first; the rule as the architecture page states it. */
     private static int rank(ModelEntry entry, long nowUs) {
         boolean settled = nowUs - entry.sinceUs >= SETTLE_TIME_US;
         return switch (entry.kind) {
@@ -65,11 +65,11 @@
                 }
             }
             Entry<Integer> actual = idleConnections.nextToClose(nowUs);
-            assertEquals(actual == null ? null : actual.connection, expected, "seed " + seed + ", turn " + step);
+            assertEquals(actual == null ? null : actual.connection, expected, "seed " + seed + ", step " + step);
         }
     }
 
-    /** A message that comes in ever more pieces gains no time by it. */
+    /** A message that arrives in ever more pieces gains no time by it. */
     @Test
     public void repeatedPutWithTheSameTimeKeepsThePosition() {
         IdleConnections<String> idleConnections = new IdleConnections<>(SETTLE_TIME_US);
--- a/src/test/java/olivechute/downstream/JobStatusDecoderTest.java
+++ b/src/test/java/olivechute/downstream/JobStatusDecoderTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** News as hosts send it, whole and broken. */
+/** Decodes job status events as endpoints send them, valid and malformed. */
 public class JobStatusDecoderTest {
     private static JobStatusReceived decode(String text) throws IOException {
         LoadReportFields noLoadReportFields =
@@ -33,7 +33,7 @@
         };
     }
 
-    /** Progress is a part of the whole, whatever a host says. */
+    /** Progress is limited to the range from 0 to 1, whatever an endpoint sends. */
     @Test(dataProvider = "shares")
     public void progressIsClampedToTheRangeFromZeroToOne(String sent, double progress) throws IOException {
         JobStatusReceived jobStatus = decode(running(sent));
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Only what the front answers with 400 counts as a fault here: anything else would end the connection without a
-     * word.
+     * Only the exceptions that {@link DownstreamServer} answers with 400 count here: any other one would close the
+     * connection without a response.
      */
     private static void decodeMalformed(String text) throws IOException {
         try {
--- a/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
+++ b/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
@@ -5,11 +5,13 @@
 import org.testng.annotations.Test;
 
 /**
- * How often a client is looked at whose requests wait behind one another; that it is looked at, {@code ClientGoneTest}
- * shows.
+ * Guards against a client that disconnects while its pipelined requests wait, and is noticed too late because it is
+ * checked too rarely. {@code ClientGoneTest} shows that it is checked at all.
  */
 public class PeerCheckIntervalTest {
-    /** A client that left so many microseconds ago has gone: nothing starts for it any more. */
+    /**
+     * Microseconds after which a client that disconnected counts as gone, so that none of its requests starts any more.
+     */
     private static final long CLIENT_GONE_US = 100_000;
 
     @Test
--- a/src/test/java/olivechute/downstream/RequestDecoderTest.java
+++ b/src/test/java/olivechute/downstream/RequestDecoderTest.java
@@ -16,9 +16,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What a client says of a request's work, and how far that is believed. */
+/** The expected work of a request, from the headers that its client sends, and its upper limit. */
 public class RequestDecoderTest {
-    private static final double DEADLINE_US = 5_000_000; // of every class, in microseconds
+    private static final double DEADLINE_US = 5_000_000; // of every class
 
     private RequestDecoder decoder;
 
@@ -47,7 +47,7 @@
     @DataProvider
     public Object[][] works() {
         return new Object[][] {
-            // X-Estimate, X-Labels, the work in microseconds
+            // X-Estimate, X-Labels, expected work in microseconds
             {null, null, Double.NaN},
             {"1500", null, 1500.0},
             {"0", null, 0.0},
@@ -59,7 +59,7 @@
         };
     }
 
-    /** A label's cost counts before a guess; a guess counts for no more than its class's deadline. */
+    /** The cost label takes precedence over the estimate; an estimate is limited to the deadline of its class. */
     @Test(dataProvider = "works")
     public void expectedWorkComesFromTheLabelsOrElseFromTheEstimate(String estimate, String labels, double workUs)
             throws Exception {
--- a/src/test/java/olivechute/http/ParserPropertyTest.java
+++ b/src/test/java/olivechute/http/ParserPropertyTest.java
@@ -14,13 +14,16 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 
-/** Any messages, cut anywhere: what comes out is what was sent, and what was handed on stays as it was. */
+/**
+ * Sequences of random messages, split at random places: each is parsed as it was sent, and a body in use does not
+ * change.
+ */
 class ParserPropertyTest {
     private static final int MAX_BODY_BYTES = 20_000;
 
     private record Sent(String target, byte[] body) {}
 
-    /** Requests one after the other, some with a length, some in chunks, some with long heads. */
+    /** A sequence of requests, some with a length, some chunked, some with long heads. */
     private static List<Sent> messages(Random random, int count, ByteArrayOutputStream output) {
         List<Sent> sent = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -53,8 +56,9 @@
     }
 
     /**
-     * The driver gives some messages back, and what it gave back is poisoned at once: a body that is still in use must
-     * not lie in it. The worst fault a reused buffer can make is to hand one client's document to another.
+     * Guards against reuse of a buffer that is still in use, the worst effect of which is that one client's data is
+     * sent to another. Some messages are released, and their bodies are overwritten at once: no body in use may share
+     * their bytes.
      */
     @Property(tries = 300, seed = "20261201")
     void everyMessageIsParsedAndNoBodyInUseIsOverwritten(
--- a/src/test/java/olivechute/http/ParserTableTest.java
+++ b/src/test/java/olivechute/http/ParserTableTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The parsers' tables: each text whole and byte by byte, with what comes out or the status that it earns. */
+/** Tables of messages, each parsed at once and byte by byte, with the expected message or the status of the error. */
 public class ParserTableTest {
     private static final String HEAD_END = "\r\n\r\n";
 
@@ -118,7 +118,7 @@
         assertEquals(parser.take().target(), "/2");
     }
 
-    /** Empty once a whole message is there, "midway" if the text ended before, else the status of the error. */
+    /** Empty once a message is complete, "midway" if the text ended before, else the status of the error. */
     private static String parse(MessageParser<?> parser, String text, int step) {
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         try {
--- a/src/test/java/olivechute/net/FileDescriptorsTest.java
+++ b/src/test/java/olivechute/net/FileDescriptorsTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the system's table of limits says of descriptors. */
+/** Parses the limit on file descriptors from the system's table of limits. */
 public class FileDescriptorsTest {
     @DataProvider
     public Object[][] tables() {
--- a/src/test/java/olivechute/net/TimedReadsTest.java
+++ b/src/test/java/olivechute/net/TimedReadsTest.java
@@ -9,7 +9,7 @@
 import java.util.Queue;
 import org.testng.annotations.Test;
 
-/** A read that a signal interrupts is neither data nor an end. */
+/** Guards against taking a read that a signal interrupted for data or for the end of the stream. */
 public class TimedReadsTest {
     private static InputStream returning(Integer... results) {
         Queue<Integer> remaining = new ArrayDeque<>(List.of(results));
--- a/src/test/java/olivechute/upstream/LoadReportHeaderTest.java
+++ b/src/test/java/olivechute/upstream/LoadReportHeaderTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The load report in an answer's head, as the settings name its fields. */
+/** Parses the load report in a response header, with the fields that the settings name. */
 public class LoadReportHeaderTest {
     @DataProvider
     public Object[][] reports() {
