--- a/src/main/java/olivechute/downstream/ConnectionReader.java
+++ b/src/main/java/olivechute/downstream/ConnectionReader.java
@@ -114,7 +114,7 @@
             }
             transport.shutdownOutput();
         }
-        if (endReason == CloseReason.ROOM_NEEDED || !connection.used()) {
+        if (endReason == CloseReason.ROOM_NEEDED || !connection.isUsed()) {
             connection.close(endReason);
         }
     }
@@ -126,7 +126,7 @@
     private boolean processInput() throws HttpException, IOException, InterruptedException {
         long lastPeerCheckUs = connection.server.loop.now();
         do {
-            lastPeerCheckUs = awaitTurn(lastPeerCheckUs);
+            lastPeerCheckUs = awaitPreviousResponse(lastPeerCheckUs);
             if (lastPeerCheckUs < 0) {
                 return false;
             }
@@ -195,7 +195,7 @@
      * as the next request of a client that has disconnected must not be accepted. Takes the time of the previous check;
      * returns the time of the last one, or a negative number if no further message is to be accepted.
      */
-    private long awaitTurn(long previousPeerCheckUs) throws IOException, InterruptedException {
+    private long awaitPreviousResponse(long previousPeerCheckUs) throws IOException, InterruptedException {
         long lastPeerCheckUs = previousPeerCheckUs;
         for (long nowUs = previousPeerCheckUs; ; nowUs = connection.server.loop.now()) {
             synchronized (connection) {
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -76,7 +76,7 @@
     }
 
     /** Whether a message has ever begun on this connection. */
-    synchronized boolean used() {
+    synchronized boolean isUsed() {
         return state.isUsed();
     }
 
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -287,7 +287,8 @@
                 connection.endIfIdle(CloseReason.IDLE);
             } else if (!connection.isPeerIdentityValid()) {
                 connection.endIfIdle(CloseReason.IDENTITY_EXPIRED);
-            } else if (draining && (connection.used() || nowUs - connection.lastChangeUs() > NEW_CONNECTION_GRACE_US)) {
+            } else if (draining
+                    && (connection.isUsed() || nowUs - connection.lastChangeUs() > NEW_CONNECTION_GRACE_US)) {
                 // A new connection may be about to send its first request.
                 connection.endIfIdle(CloseReason.DRAINING);
             }
--- a/src/main/java/olivechute/http/MessageWriter.java
+++ b/src/main/java/olivechute/http/MessageWriter.java
@@ -138,15 +138,15 @@
 
         ByteBuilder append(long number) {
             int digits = 1;
-            for (long rest = number / 10; rest > 0; rest /= 10) {
+            for (long quotient = number / 10; quotient > 0; quotient /= 10) {
                 digits++;
             }
             ensureCapacity(digits);
             size += digits;
-            long rest = number;
+            long quotient = number;
             for (int i = 1; i <= digits; i++) {
-                bytes[size - i] = (byte) ('0' + rest % 10);
-                rest /= 10;
+                bytes[size - i] = (byte) ('0' + quotient % 10);
+                quotient /= 10;
             }
             return this;
         }
