--- a/src/main/java/olivechute/controller/ArtifactDigest.java
+++ b/src/main/java/olivechute/controller/ArtifactDigest.java
@@ -13,17 +13,17 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.RolloutException;
 
-/** The jars that versions name. */
+/** SHA-256 digests of the jars that versions refer to. */
 final class ArtifactDigest {
     private ArtifactDigest() {}
 
-    /** The SHA-256 of a jar in hexadecimal digits; PROGRAM_MISSING where it cannot be read or is no jar. */
+    /** The SHA-256 of a jar in hexadecimal digits; PROGRAM_MISSING if it cannot be read or is not a jar. */
     static String digest(Path jar) throws RolloutException {
         try (ZipFile zip = new ZipFile(jar.toFile());
                 InputStream in =
                         new DigestInputStream(Files.newInputStream(jar), MessageDigest.getInstance("SHA-256"))) {
             if (zip.getEntry("META-INF/MANIFEST.MF") == null) {
-                throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " is no jar: it has no manifest");
+                throw new RolloutException(ErrorCode.PROGRAM_MISSING, jar + " is not a jar: it has no manifest");
             }
             in.transferTo(OutputStream.nullOutputStream());
             return HexFormat.of()
@@ -33,7 +33,7 @@
         }
     }
 
-    /** PROGRAM_MISSING where the jar's digest is not the one that was said. */
+    /** Throws PROGRAM_MISSING if the digest of the jar is not the expected one. */
     static void verify(Path jar, String digest, String expected) throws RolloutException {
         if (expected != null && !expected.equalsIgnoreCase(digest)) {
             throw new RolloutException(
--- a/src/main/java/olivechute/controller/ControllerSettings.java
+++ b/src/main/java/olivechute/controller/ControllerSettings.java
@@ -13,15 +13,15 @@
 import olivechute.rollout.Rollout;
 
 /**
- * How the driver judges and how often it looks: {@code worths} of the classes of jobs, {@code tick} between two looks.
+ * Settings of the rollout controller: {@code weights} of the request classes, {@code tickInterval} between two ticks.
  */
 public record ControllerSettings(PriorityWeights weights, Duration tickInterval) {
     private static final double MAX_WEIGHT = 1e6;
 
     /**
-     * Reads the object {@code rollout} of a replica's settings file and nothing else of it: {@code worth} of each
-     * class, 1 where it is not named; {@code late}, the part of it that a job of a named class served late still has;
-     * {@code tick}. SETTINGS_INVALID with all that is wrong. {@code delayBoundsUs}: upper ends of the buckets in which
+     * Reads only the object {@code rollout} of a replica's settings file: {@code worth}, the weight of each class, 1 if
+     * not listed; {@code late}, the fraction of it that a request of a listed class keeps when served late;
+     * {@code tick}. Throws SETTINGS_INVALID with all errors. {@code delayBoundsUs}: upper ends of the buckets in which
      * nodes count their delay, in us.
      */
     public static ControllerSettings load(Path file, List<Long> delayBoundsUs) throws SettingsException {
--- a/src/main/java/olivechute/controller/FleetState.java
+++ b/src/main/java/olivechute/controller/FleetState.java
@@ -23,20 +23,21 @@
 import olivechute.store.Store.Entry;
 
 /**
- * What the store's keys say of the fleet, put together from a list and the watches after it. A node is known from the
- * report of its machine or from its order; with the report gone it is out of reach, and is all else as last told, until
- * its order is deleted. So what is held is bounded by what the store holds. Not safe for use by several threads.
+ * The state of the fleet from the store's keys, built from a list and the watches after it. A node is known from the
+ * report of its machine or from its order; without the report it is unreachable and otherwise as last reported, until
+ * its order is deleted. Memory is thus bounded by the size of the store. Not thread-safe.
  */
 final class FleetState {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<String, MachineReport> reportsByMachine = new TreeMap<>(); // by machine, those whose lease holds
-    private final Map<String, NodeState> lastStateByNode = new HashMap<>(); // by node, the last that was told
+    private final Map<String, MachineReport> reportsByMachine = new TreeMap<>(); // by machine, those with a valid lease
+    private final Map<String, NodeState> lastStateByNode = new HashMap<>(); // by node, as last reported
     private final Map<String, Order> ordersByNode = new TreeMap<>();
     private final Map<String, NodeFigures> metricsByNode = new TreeMap<>();
     private long version;
 
     /**
-     * Takes in what a list or a watch of the prefix "" gave; values that cannot be read leave what was known before.
+     * Applies the result of a list or watch of the prefix ""; a value that cannot be parsed leaves the previous one in
+     * place.
      */
     void apply(Store.Changes changes) {
         if (changes.whole()) {
@@ -77,27 +78,28 @@
             }
         } catch (RolloutException e) {
             reportsByMachine.remove(nameAfterPrefix(
-                    entry.key(), StoreKeys.MACHINE_PREFIX)); // out of reach while its report cannot be read
+                    entry.key(),
+                    StoreKeys.MACHINE_PREFIX)); // its nodes are unreachable while the report cannot be parsed
         }
     }
 
-    /** What stands behind the prefix; the whole key where it has another. */
+    /** The key without the prefix; the complete key if it has another prefix. */
     private static String nameAfterPrefix(String key, String prefix) {
         return key.startsWith(prefix) ? key.substring(prefix.length()) : key;
     }
 
-    /** The store's version that this is of. */
+    /** The version of the store that this state reflects. */
     long version() {
         return version;
     }
 
-    /** The version of a key, 0 where there is none: what a conditional write names. */
+    /** The version of a key, 0 if absent: the condition for a conditional write. */
     long version(String key) {
         Entry entry = entries.get(key);
         return entry == null ? 0 : entry.version();
     }
 
-    /** The base version's id, null before a first was set. */
+    /** The ID of the base version, null before the first was set. */
     String baseVersion() throws RolloutException {
         Entry entry = entries.get(StoreKeys.BASE_VERSION);
         return entry == null
@@ -106,7 +108,7 @@
                         .getVersion();
     }
 
-    /** The change under way. */
+    /** The active change. */
     Optional<ChangeRecord> currentChange() throws RolloutException {
         Entry entry = entries.get(StoreKeys.CURRENT_CHANGE);
         return entry == null
@@ -114,7 +116,7 @@
                 : Optional.of(RolloutCodec.parse(ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, entry.value()));
     }
 
-    /** What a version is made of. */
+    /** The definition of a version. */
     Optional<VersionSpec> versionSpec(String id) throws RolloutException {
         Entry entry = entries.get(StoreKeys.VERSION_PREFIX + id);
         return entry == null
@@ -122,7 +124,7 @@
                 : Optional.of(RolloutCodec.parse(VersionSpec.parser(), entry.key(), entry.value()));
     }
 
-    /** All entries under a prefix, oldest change first. */
+    /** All entries under a prefix, ordered by the version of their last update. */
     List<Entry> entriesUnder(String prefix) {
         List<Entry> found = new ArrayList<>();
         for (Entry entry : entries.tailMap(prefix, true).values()) {
@@ -140,7 +142,9 @@
         return ordersByNode;
     }
 
-    /** The least number that an order to a node must exceed: its present one and the one it carried out last. */
+    /**
+     * The number that a new order to a node must exceed: the higher of its current order and the last one carried out.
+     */
     long lastOrderNumber(String node) {
         long current = ordersByNode.containsKey(node) ? ordersByNode.get(node).getNumber() : 0;
         return Math.max(
@@ -148,7 +152,7 @@
                 lastStateByNode.containsKey(node) ? lastStateByNode.get(node).getOrderNumber() : 0);
     }
 
-    /** All nodes that are known, by name. */
+    /** All known nodes, by name. */
     List<NodeStatus> nodes() {
         Set<String> reportedNodes = new TreeSet<>();
         reportsByMachine.values().forEach(r -> r.getNodesList().forEach(n -> reportedNodes.add(n.getNode())));
@@ -167,7 +171,7 @@
         return statuses;
     }
 
-    /** A node of which this lead has heard nothing but the order; its last figures tell what it ran. */
+    /** A node without any report since this leader took over; its version is taken from its last metrics. */
     private NodeStatus unreportedNode(String node, String orderedVersion) {
         NodeFigures lastMetrics = metricsByNode.get(node);
         return new NodeStatus(
@@ -177,12 +181,12 @@
                 lastMetrics == null ? NodePhase.DOWN : NodePhase.READY,
                 0,
                 0,
-                "not heard of since this lead took over",
+                "no report since this leader took over",
                 false,
                 orderedVersion);
     }
 
-    /** The newest figures of all nodes. */
+    /** The newest metrics of all nodes. */
     List<NodeMetrics> metricsByNode() {
         return metricsByNode.values().stream().map(RolloutCodec::convertMetrics).toList();
     }
--- a/src/main/java/olivechute/controller/OutOfDateNodes.java
+++ b/src/main/java/olivechute/controller/OutOfDateNodes.java
@@ -7,14 +7,14 @@
 import olivechute.rollout.NodeStatus;
 
 /**
- * Nodes without the order that is due: those that joined, and those that strayed. Orders that restart nothing go out at
- * once. Those that do are the change's own to pace while one is under way; else one node at a time is brought to the
- * base.
+ * Orders for nodes whose order differs from the desired one, as they joined or are out of date. Orders that restart
+ * nothing are given at once. Those that do are left to an active change and its budget; without one, one node at a time
+ * is brought to the base version.
  */
 final class OutOfDateNodes {
     private OutOfDateNodes() {}
 
-    /** Adds to the orders. {@code due}: version by node, null for none; {@code change}: whether one is under way. */
+    /** Adds to {@code orders}. {@code desiredVersion}: version by node, null for none. */
     static void addOrders(
             Collection<NodeStatus> nodes,
             Function<String, String> desiredVersion,
--- a/src/main/java/olivechute/controller/ReconcilePlan.java
+++ b/src/main/java/olivechute/controller/ReconcilePlan.java
@@ -22,21 +22,23 @@
 import olivechute.store.Store.Write;
 
 /**
- * The one write that a tick comes to: the change's next state, and the orders that follow from it. Does no I/O. Each
- * write names the version that was read, so that the whole is refused where anything it was decided on has changed.
+ * The transaction that results from a tick: the next state of the change and the orders that follow from it. Does no
+ * I/O. Each write is conditional on the version that was read, so that all are rejected if anything the decision is
+ * based on has changed.
  */
 record ReconcilePlan(List<Write> writes, ChangeRecord updatedChange) {
     static final int MAX_PAST_CHANGES = 20;
     private static final int MAX_RECORD_BYTES = 63 << 10;
 
-    /** Decides of a change that is under way; times in ms since the epoch. */
+    /** Decides the next step of an active change; times in ms since the epoch. */
     interface StepFunction {
         RolloutDecision step(
                 RolloutState state, Collection<NodeStatus> nodes, Collection<NodeMetrics> metrics, long nowMs);
     }
 
     /**
-     * {@code change}: what is written of the change under way, null for nothing. MALFORMED where it cannot be followed.
+     * {@code updatedChange}: the record that is written of the active change, null for none. Throws MALFORMED if the
+     * record cannot be interpreted.
      */
     static ReconcilePlan of(FleetState fleet, StepFunction stepFunction, long clockMs, long fence)
             throws RolloutException {
@@ -59,7 +61,9 @@
                     : stepFunction.step(state, nodes, fleet.metricsByNode(), nowMs);
             orders.putAll(decision.orders());
             orders.keySet()
-                    .retainAll(nodes.stream().map(NodeStatus::node).toList()); // one forgotten meanwhile gets none
+                    .retainAll(nodes.stream()
+                            .map(NodeStatus::node)
+                            .toList()); // a node that was removed meanwhile gets none
             ChangeRecord nextRecord =
                     withinSizeLimit(RolloutCodec.toRecord(previousRecord, decision.nextState(), nowMs, fence));
             RolloutState nextState = decision.nextState();
@@ -82,7 +86,7 @@
         return new ReconcilePlan(writes, updatedChange);
     }
 
-    /** A higher number than any order before: the store's version has grown with each of them. */
+    /** Takes a higher number than any previous order: the store's version has grown with each of them. */
     private static Write orderWrite(FleetState fleet, String node, String version, String changeId, long nowMs) {
         long number = Math.max(fleet.version(), fleet.lastOrderNumber(node)) + 1;
         Order order = Order.newBuilder()
@@ -97,7 +101,8 @@
     }
 
     /**
-     * Over the store's bound it would be refused for good; without evidence it goes on, and the comparison begins anew.
+     * A record above the store's size limit would always be rejected. Without its evidence the change continues, and
+     * the comparison starts over.
      */
     private static ChangeRecord withinSizeLimit(ChangeRecord record) {
         return record.getSerializedSize() <= MAX_RECORD_BYTES
@@ -114,7 +119,8 @@
     }
 
     /**
-     * The change goes to those past, of which the oldest go, and with them the versions that nothing names any more.
+     * Moves the change to the past ones, deletes the oldest of these, and with them the versions that nothing refers to
+     * any more.
      */
     private static void archive(FleetState fleet, List<Write> writes, ChangeRecord endedChange, boolean completed)
             throws RolloutException {
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -19,10 +19,10 @@
 import olivechute.store.Store.Write;
 
 /**
- * What an operator does about changes. Each call is one conditional write on what it read, done again a few times where
- * others wrote meanwhile; faults are {@link RolloutException} for what cannot be done, and {@link StoreException} as
- * the store tells them: LEVEL_TOO_LOW among them where the group does not know a command, NOT_REACHED where the call
- * may have taken effect.
+ * Operator actions on changes, used by the {@code change} command. Each call is one conditional write based on what it
+ * read, repeated a few times after conflicts with other writers. Throws {@link RolloutException} for what cannot be
+ * done, and {@link StoreException} as the store reports it: LEVEL_TOO_LOW if the replicas do not know a command yet,
+ * NOT_REACHED if the call may have taken effect.
  */
 public final class RolloutClient {
     private static final int MAX_ATTEMPTS = 8;
@@ -52,23 +52,24 @@
                 }
             }
         }
-        throw new StoreException(ErrorCode.CONFLICT, subject + ": others wrote each time, " + MAX_ATTEMPTS + " times");
+        throw new StoreException(
+                ErrorCode.CONFLICT, subject + ": conflicts with other writers, " + MAX_ATTEMPTS + " attempts");
     }
 
-    /** What the fleet and its changes are now, linearizable. */
+    /** The present state of the fleet and its changes, linearizable. */
     FleetState fleetState() throws StoreException {
         FleetState fleet = new FleetState();
         fleet.apply(store.list(""));
         return fleet;
     }
 
-    /** Sets the first version of a new fleet; CHANGE_INVALID where there is a base already. */
+    /** Sets the first version of a new fleet; CHANGE_INVALID if there is a base version already. */
     public void setBaseVersion(VersionSpec version) throws StoreException, RolloutException {
         requireValidId("version", version.getId());
         retryOnConflict("the base", () -> {
             if (store.get(StoreKeys.BASE_VERSION).isPresent()) {
                 throw new RolloutException(
-                        ErrorCode.CHANGE_INVALID, "there is a base already; it changes by a change only");
+                        ErrorCode.CHANGE_INVALID, "there is a base version already; propose a change to replace it");
             }
             return store.write(
                     List.of(
@@ -85,8 +86,8 @@
     }
 
     /**
-     * Begins a change of the base to a new version. What the version leaves empty it has from the base's. Of two at
-     * once one is accepted. Faults: CHANGE_UNDER_WAY, CHANGE_INVALID.
+     * Begins a change from the base to a new version, which inherits the fields that it leaves empty from the base. One
+     * of two concurrent calls is accepted. Throws CHANGE_UNDER_WAY, CHANGE_INVALID.
      */
     public ChangeRecord propose(ChangeSpec requested, VersionSpec version) throws StoreException, RolloutException {
         requireValidId("change", requested.getId());
@@ -106,7 +107,7 @@
             if (fleet.version(StoreKeys.PAST_CHANGE_PREFIX + requested.getId()) != 0
                     || fleet.version(StoreKeys.VERSION_PREFIX + version.getId()) != 0) {
                 throw new RolloutException(
-                        ErrorCode.CHANGE_INVALID, "the id " + requested.getId() + " was used before; take another");
+                        ErrorCode.CHANGE_INVALID, "the id " + requested.getId() + " was used before; choose another");
             }
             long nowMs = clockMs.getAsLong();
             ChangeSpec spec = requested.toBuilder()
@@ -134,7 +135,7 @@
                                             .toByteArray(),
                                     0),
                             Write.putIf(StoreKeys.BASE_VERSION, baseValue, fleet.version(StoreKeys.BASE_VERSION))),
-                    List.of()); // the base is still what was read
+                    List.of()); // requires that the base is still the one that was read
             return record;
         });
     }
@@ -153,17 +154,17 @@
         return builder.build();
     }
 
-    /** Nothing moves and nothing is judged until {@link #resume}. */
+    /** No node moves and nothing is evaluated until {@link #resume}. */
     public ChangeRecord pause() throws StoreException, RolloutException {
         return updateState(Rollout::pause);
     }
 
-    /** Goes on after a pause or where it is held. */
+    /** Continues a paused or held change. */
     public ChangeRecord resume() throws StoreException, RolloutException {
         return updateState(Rollout::resume);
     }
 
-    /** Takes the new nodes back to the old version. */
+    /** Rolls the new nodes back to the old version. */
     public ChangeRecord stop() throws StoreException, RolloutException {
         return updateState(Rollout::stop);
     }
@@ -194,8 +195,8 @@
     }
 
     /**
-     * Forgets a node that will not come back: its order and its last figures go. CHANGE_INVALID while its supervisor
-     * tells of it.
+     * Removes a node that will not come back, with its order and its last metrics. CHANGE_INVALID while its supervisor
+     * reports it.
      */
     public void forget(String node) throws StoreException, RolloutException {
         retryOnConflict("node " + node, () -> {
@@ -203,7 +204,7 @@
             if (fleet.nodes().stream().anyMatch(n -> n.node().equals(node) && n.reachable())) {
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
-                        "node " + node + " is in reach;" + " take it from its supervisor's settings first");
+                        "node " + node + " is reachable;" + " remove it from its supervisor's settings first");
             }
             if (fleet.version(StoreKeys.ORDER_PREFIX + node) == 0) {
                 throw new RolloutException(ErrorCode.CHANGE_UNKNOWN, "there is no node " + node);
--- a/src/main/java/olivechute/controller/RolloutClientSettings.java
+++ b/src/main/java/olivechute/controller/RolloutClientSettings.java
@@ -13,9 +13,9 @@
 import olivechute.store.ReplicaAddress;
 
 /**
- * What the {@code change} command reads from its settings file; deploy/change.conf names every key. {@code region}: the
- * one that the replicas' settings name; {@code timeout}: of one call of the store; {@code stages}, {@code mostAway} and
- * {@code readyWithin} go into each change that is proposed.
+ * Settings file of the {@code change} command; deploy/change.conf lists every key. {@code region}: as in the replicas'
+ * settings; {@code timeout}: of one store call; {@code stages}, {@code maxUnavailable} and {@code readyTimeout} go into
+ * each proposed change.
  */
 record RolloutClientSettings(
         String region,
@@ -27,7 +27,7 @@
     private static final Duration MAX_DURATION = Duration.ofDays(1);
     private static final int MAX_NODES = 100_000;
 
-    /** SETTINGS_INVALID with all that is wrong. */
+    /** Throws SETTINGS_INVALID with all errors. */
     static RolloutClientSettings load(Path file) throws SettingsException {
         List<String> errors = new ArrayList<>();
         RolloutClientSettings settings = parse(readText(file), errors);
--- a/src/main/java/olivechute/controller/RolloutCodec.java
+++ b/src/main/java/olivechute/controller/RolloutCodec.java
@@ -27,15 +27,15 @@
 import olivechute.rollout.RolloutState;
 
 /**
- * Between the messages of fleet.proto and the records of {@code olivechute.rollout}. Writers of other versions: fields
- * that are not known are kept where a record is written anew, an absent field is its default, and a word that is not
- * known is never guessed at: in a change it makes the record MALFORMED, which leaves it to the version that wrote it;
- * of a node it counts as out of reach.
+ * Converts between the messages of fleet.proto and the records of {@code olivechute.rollout}. For compatibility with
+ * other versions, unknown fields are preserved when a record is rewritten, an absent field has its default, and an
+ * unknown enum name is never guessed: in a change it makes the record MALFORMED, which leaves the change to the version
+ * that wrote it; a node counts as unreachable.
  */
 final class RolloutCodec {
     private RolloutCodec() {}
 
-    /** Reads a message; MALFORMED names the key that held it. */
+    /** Parses a message; the MALFORMED error names its key. */
     static <M extends MessageLite> M parse(Parser<M> parser, String key, byte[] value) throws RolloutException {
         try {
             return parser.parseFrom(value);
@@ -44,14 +44,14 @@
         }
     }
 
-    /** What a record of a change says; MALFORMED where a newer version wrote what this one cannot follow. */
+    /** The state in a change record; MALFORMED if a newer version wrote what this one cannot interpret. */
     static RolloutState toState(ChangeRecord record) throws RolloutException {
         ChangeSpec spec = record.getSpec();
         RolloutPhase phase = enumByName(RolloutPhase.values(), record.getPhase());
         if (phase == null) {
             throw new RolloutException(
                     ErrorCode.MALFORMED,
-                    "change " + spec.getId() + ": phase '" + record.getPhase() + "' is not known here");
+                    "change " + spec.getId() + ": phase '" + record.getPhase() + "' is unknown to this version");
         }
         if (record.getStage() < 0 || (record.getStage() > 0 && record.getStage() >= spec.getStagesCount())) {
             throw new RolloutException(
@@ -86,7 +86,7 @@
                 spec.getReadyWithinMs());
     }
 
-    /** The record before with what a step changed; all else in it stays as it is. */
+    /** The previous record with the fields that a step changed; all others stay as they are. */
     static ChangeRecord toRecord(ChangeRecord previous, RolloutState next, long nowMs, long fence) {
         return previous.toBuilder()
                 .setPhase(next.phase().name())
@@ -101,12 +101,12 @@
                 .build();
     }
 
-    /** A node as its supervisor told; with a phase that is not known here it counts as out of reach. */
+    /** A node as its supervisor reported it; with an unknown phase it counts as unreachable. */
     static NodeStatus toStatus(NodeState state, boolean reachable, String orderedVersion) {
         NodePhase phase = enumByName(NodePhase.values(), state.getPhase());
         String lastError = phase != null
                 ? state.getTrouble()
-                : "its supervisor tells a phase '" + state.getPhase() + "' not known here";
+                : "its supervisor reports the phase '" + state.getPhase() + "', which is unknown to this version";
         return new NodeStatus(
                 state.getNode(),
                 state.getZone(),
--- a/src/main/java/olivechute/controller/RolloutCommand.java
+++ b/src/main/java/olivechute/controller/RolloutCommand.java
@@ -30,14 +30,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Proposes, shows, pauses, resumes and stops a change of the fleet. */
+/** The {@code change} command: proposes, shows, pauses, resumes and stops a change of the fleet. */
 @Command(
         name = "change",
         mixinStandardHelpOptions = true,
         description = "Proposes, shows, pauses, resumes and stops a change of the fleet.",
-        footer = "Exit status: 0 done, 1 settings that cannot be used or trouble that is told, 2 wrong call.")
+        footer = "Exit status: 0 success, 1 invalid settings or a reported error, 2 invalid arguments.")
 public final class RolloutCommand implements Callable<Integer> {
-    /** Reaches the store. */
+    /** Connects to the store. */
     interface StoreConnector {
         Store connect(String region, List<ReplicaAddress> replicas, Duration timeout) throws FleetException;
     }
@@ -46,15 +46,18 @@
         int run(RolloutClient client, RolloutClientSettings settings, Store store) throws FleetException;
     }
 
-    /** What each subcommand has. */
+    /** Options of every subcommand. */
     static final class SettingsOption {
         @Option(names = "--settings", required = true, paramLabel = "FILE", description = "Settings in HOCON.")
         private Path settings;
     }
 
-    /** What a version is made of. */
+    /** Options that define a version. */
     static final class VersionOptions {
-        @Option(names = "--program", paramLabel = "JAR", description = "The program; at this path on every machine.")
+        @Option(
+                names = "--program",
+                paramLabel = "JAR",
+                description = "The program's jar, at this path on every machine.")
         private Path program;
 
         @Option(names = "--digest", paramLabel = "SHA256", description = "The digest that the program must have.")
@@ -63,7 +66,7 @@
         @Option(
                 names = "--overlay",
                 paramLabel = "FILE",
-                description = "Settings laid over each node's own configuration.")
+                description = "Settings that override each node's own configuration.")
         private Path overlay;
 
         private VersionSpec versionSpec(String id) throws FleetException {
@@ -91,10 +94,10 @@
 
     private final StoreConnector connector;
 
-    /** One that reaches the replicas that its settings name. */
+    /** Connects to the replicas that the settings list. */
     public RolloutCommand() {
-        // A lambda, not a reference: that would ask for the library as soon as any command is looked up, where only
-        // `change` has it.
+        // A lambda, not a method reference: a reference would load the Ratis library as soon as any command is
+        // looked up, while only `change` has it available.
         this((region, replicas, timeout) -> RatisStore.connect(region, replicas, timeout));
     }
 
@@ -123,16 +126,14 @@
             name = "propose",
             mixinStandardHelpOptions = true,
             description =
-                    "Begins a change to a version made of a program, of settings or of both; what is not named stays as it is.")
+                    "Begins a change to a version with a new program, new settings or both; the rest stays as in the base.")
     int propose(
             @Mixin SettingsOption settingsOption,
             @Mixin VersionOptions versionOptions,
-            @Option(
-                            names = "--id",
-                            description = "Id of the change and of its version; the moment where it is not given.")
+            @Option(names = "--id", description = "ID of the change and of its version; by default the current time.")
                     String id) {
         if (versionOptions.program == null && versionOptions.overlay == null) {
-            throw new ParameterException(commandSpec.commandLine(), "name a --program, an --overlay or both");
+            throw new ParameterException(commandSpec.commandLine(), "specify --program, --overlay or both");
         }
         String changeId = id != null
                 ? id
@@ -161,13 +162,14 @@
             @Option(
                             names = "--wait",
                             paramLabel = "PHASE",
-                            description = "Waits until it is in this phase; 1 where it ends otherwise.")
+                            description =
+                                    "Waits until the change is in this phase; exits with 1 if it ends in another.")
                     RolloutPhase phase,
             @Option(
                             names = "--within",
                             paramLabel = "SECONDS",
                             defaultValue = "600",
-                            description = "Waits so long; then 1.")
+                            description = "Maximum wait; exits with 1 after it.")
                     long timeoutSeconds) {
         return run(settingsOption, (client, settings, store) -> {
             boolean reached = phase == null || awaitPhase(store, phase, TimeUnit.SECONDS.toNanos(timeoutSeconds));
@@ -195,7 +197,7 @@
                 if (!transientError || System.nanoTime() - startNanos > timeoutNanos) {
                     throw e;
                 }
-                fleet = null; // who waits for a change waits through a lost lead, too
+                fleet = null; // waits through a leader failover, too
             }
         }
     }
@@ -207,12 +209,15 @@
         return next;
     }
 
-    @Command(name = "pause", mixinStandardHelpOptions = true, description = "Moves nothing more until it is resumed.")
+    @Command(
+            name = "pause",
+            mixinStandardHelpOptions = true,
+            description = "Moves no more nodes until the change is resumed.")
     int pause(@Mixin SettingsOption settingsOption) {
         return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.pause())));
     }
 
-    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Goes on with a paused change.")
+    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Resumes a paused or held change.")
     int resume(@Mixin SettingsOption settingsOption) {
         return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.resume())));
     }
@@ -220,12 +225,12 @@
     @Command(
             name = "stop",
             mixinStandardHelpOptions = true,
-            description = "Takes the new nodes back to the version before.")
+            description = "Rolls the new nodes back to the previous version.")
     int stop(@Mixin SettingsOption settingsOption) {
         return run(settingsOption, (client, settings, store) -> print(RolloutStatusText.of(client.stop())));
     }
 
-    @Command(name = "forget", mixinStandardHelpOptions = true, description = "Forgets a node that will not come back.")
+    @Command(name = "forget", mixinStandardHelpOptions = true, description = "Removes a node that will not come back.")
     int forget(
             @Mixin SettingsOption settingsOption,
             @Parameters(paramLabel = "NODE", description = "The node's name.") String node) {
--- a/src/main/java/olivechute/controller/RolloutController.java
+++ b/src/main/java/olivechute/controller/RolloutController.java
@@ -15,13 +15,16 @@
 import org.tinylog.Logger;
 
 /**
- * Drives the change under way from the replica that leads. Each tick reads what changed, decides, and writes the
- * change's next state with the orders that follow in one write under the lease's fence; what another took over or
- * changed meanwhile refuses it whole. Without an answer of the store nothing is done. {@link #tick} is for one thread
- * at a time.
+ * Drives the active change from the replica that leads. Each tick reads what changed, decides, and writes the next
+ * state of the change with the resulting orders in one transaction fenced by the lease; it is rejected as a whole if
+ * another controller took over or wrote meanwhile. Does nothing while the store does not answer. {@link #tick} runs on
+ * one thread at a time.
  */
 public final class RolloutController implements AutoCloseable {
-    /** Three ticks: one that is late by two thirds of it, on a busy machine, costs no lead. */
+    /**
+     * Three ticks of the default interval: a tick that is late by two thirds of it, on a busy machine, does not lose
+     * the lease.
+     */
     static final Duration LEASE_TTL = Duration.ofSeconds(3);
 
     private final Store store;
@@ -32,14 +35,14 @@
     private final String owner;
     private final CountDownLatch closing = new CountDownLatch(1);
     private Store.Lease lease;
-    private FleetState fleet; // null: to be read anew
+    private FleetState fleet; // null: to be listed again
     private long nowMs;
-    private String lastMessage = ""; // trouble or state told last, so that each is told once
+    private String lastMessage = ""; // the last logged message, so that each is logged once
     private Thread thread;
 
     /**
-     * {@code leads}: whether this process's replica leads; {@code clockMs}: ms since the epoch; {@code replica}: its
-     * id.
+     * {@code isLeader}: whether this process's replica leads; {@code clockMs}: ms since the epoch; {@code replica}: its
+     * ID.
      */
     public RolloutController(
             Store store, BooleanSupplier isLeader, LongSupplier clockMs, ControllerSettings settings, String replica) {
@@ -61,7 +64,7 @@
         this.owner = replica + "-" + clockMs.getAsLong();
     }
 
-    /** Ticks on a thread of its own until closed. */
+    /** Ticks on its own thread until closed. */
     public RolloutController start() {
         thread = Threads.start("rollout", this::run);
         return this;
@@ -74,7 +77,7 @@
                     tick();
                 } catch (RuntimeException e) {
                     fleet = null;
-                    Logger.error(e, "a tick of the change failed"); // thrown on, it would end the driving for good
+                    Logger.error(e, "rollout controller tick failed"); // rethrown, it would end the controller's thread
                 }
             } while (!closing.await(tick.toMillis(), TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
@@ -93,7 +96,7 @@
             if (lease == null) {
                 fleet = null;
                 lease = store.acquire(StoreKeys.LEADER_LEASE, owner, LEASE_TTL);
-                Logger.info("drives changes under fence {}", lease.session());
+                Logger.info("acquired the rollout lease with fencing token {}", lease.session());
             } else {
                 store.renew(lease);
             }
@@ -121,7 +124,7 @@
     }
 
     private void handleStoreError(StoreException e) {
-        fleet = null; // the write may have taken effect, or others did: read anew before anything else
+        fleet = null; // the write may have taken effect, or others wrote: list again first
         if (e.kind() == ErrorCode.STALE_FENCE || e.kind() == ErrorCode.SESSION_ENDED) {
             lease = null;
         }
@@ -150,7 +153,7 @@
             try {
                 store.release(lease);
             } catch (StoreException e) {
-                Logger.debug("the lease runs out by itself: {}", e.getMessage());
+                Logger.debug("cannot release the rollout lease, it will expire: {}", e.getMessage());
             }
             lease = null;
         }
--- a/src/main/java/olivechute/controller/RolloutStatusText.java
+++ b/src/main/java/olivechute/controller/RolloutStatusText.java
@@ -12,11 +12,11 @@
 import olivechute.rollout.NodeStatus;
 import olivechute.store.Store.Entry;
 
-/** What an operator is shown: one thing a line, its name first. */
+/** Output of the {@code change} command: one item per line, its name first. */
 final class RolloutStatusText {
     private RolloutStatusText() {}
 
-    /** The change under way, or the one that ended last; null where there was none. */
+    /** The active change, or the one that ended last; null if there was none. */
     static ChangeRecord newestChange(FleetState fleet) throws RolloutException {
         Optional<ChangeRecord> current = fleet.currentChange();
         List<Entry> pastChanges = fleet.entriesUnder(StoreKeys.PAST_CHANGE_PREFIX);
--- a/src/main/java/olivechute/controller/StoreKeys.java
+++ b/src/main/java/olivechute/controller/StoreKeys.java
@@ -1,6 +1,6 @@
 package olivechute.controller;
 
-/** Where in the store things are kept; see fleet.proto. */
+/** Keys and key prefixes of the rollout data in the store; see fleet.proto. */
 final class StoreKeys {
     static final String LEADER_LEASE = "lead/rollout";
     static final String BASE_VERSION = "base";
--- a/src/main/java/olivechute/rollout/AbortConditions.java
+++ b/src/main/java/olivechute/rollout/AbortConditions.java
@@ -5,11 +5,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What stops a change at once, whatever the figures compare to. */
+/**
+ * Conditions that abort a rollout at once, whatever the comparison of old and new nodes says. {@link Rollout} checks
+ * them on each step.
+ */
 final class AbortConditions {
     private AbortConditions() {}
 
-    /** The first that holds, as a sentence. Renews since when each node that can be reached has not been ready. */
+    /** The first condition that holds, as a sentence. Needs {@link #updateNotReadySince} to have run for this step. */
     static Optional<String> findAbortReason(
             RolloutSpec spec,
             Collection<NodeStatus> nodes,
@@ -53,7 +56,9 @@
                 : Optional.empty();
     }
 
-    /** Keeps since when nodes are not where they are to be; what cannot be reached is not counted. */
+    /**
+     * Records since when each reachable node has not been ready at its desired version; unreachable nodes are left out.
+     */
     static void updateNotReadySince(
             RolloutSpec spec, Collection<NodeStatus> nodes, Set<String> moved, Evidence evidence, long nowMs) {
         evidence.notReadySinceMs
--- a/src/main/java/olivechute/rollout/ClassCounts.java
+++ b/src/main/java/olivechute/rollout/ClassCounts.java
@@ -1,11 +1,14 @@
 package olivechute.rollout;
 
-/** Ended streams of one class since the start of a node's process. */
+/**
+ * Counts of the requests of one class since the start of a node's process: received, and how they ended.
+ * {@code cancelled}: the client went away.
+ */
 public record ClassCounts(
         long received, long servedInTime, long servedLate, long rejected, long failed, long cancelled) {
     public static final ClassCounts NONE = new ClassCounts(0, 0, 0, 0, 0, 0);
 
-    /** What was added since an earlier count of the same process. */
+    /** The difference to an earlier count of the same process. */
     public ClassCounts since(ClassCounts earlier) {
         return new ClassCounts(
                 received - earlier.received,
--- a/src/main/java/olivechute/rollout/Comparison.java
+++ b/src/main/java/olivechute/rollout/Comparison.java
@@ -6,37 +6,47 @@
 import java.util.Set;
 
 /**
- * What the sums say. The shift of a series is the new nodes' rest over their level; round it lies a confidence sequence
- * with a normal mixture boundary (Robbins; Howard and Ramdas), so that it may be looked at after each block.
- * docs/rollout-design.md says why.
+ * Sequential test on the sums in {@link Evidence}. The relative effect of a series is the new nodes' residual over
+ * their expected value; around it lies a confidence sequence with a normal mixture boundary (Robbins; Howard and
+ * Ramdas), so that the test may run after each block without inflating the error probability. docs/rollout-design.md
+ * gives the reasons.
  */
 final class Comparison {
-    /** Chance of a false stop allotted to a whole change. */
+    /** Probability of a false stop, allotted to a whole rollout. */
     static final double FALSE_STOP_PROBABILITY = 0.005;
-    /** Chance to pass harm of a size that matters. */
+    /** Probability that a stage passes although a significant loss exists. */
     static final double FALSE_PASS_PROBABILITY = 0.05;
-    /** Part of a class's worth whose loss matters. */
+    /** Fraction of a class's weighted value whose loss is significant. */
     static final double SIGNIFICANT_LOSS = 0.05;
-    /** Part of the jobs from which on a class must be shown not to lose. */
+    /** Fraction of all requests from which on a class must be shown not to lose. */
     static final double MIN_CLASS_SHARE = 0.05;
-    /** A node's standing to others changes by about this by itself, as at a restart. */
+    /**
+     * Standard deviation by which a node's ratio to other nodes changes by itself, as at a restart; lower bound of the
+     * estimated drift.
+     */
     private static final double MIN_DRIFT_STDDEV = 0.003;
 
     private static final double SHARE_EFFECT_SCALE = 0.05;
     private static final double DELAY_EFFECT_SCALE = 0.5;
-    /** What a tail of delays, or any proof of harm, needs at least. */
+    /**
+     * Least number of moved nodes for a test of the delay tail. {@link #MIN_BLOCKS} is the least number of blocks for
+     * any test.
+     */
     private static final int MIN_TAIL_NODES = 2;
 
     private static final int MIN_BLOCKS = 4;
     private static final String[] OUTCOME_NAMES = {"served", "not failed", "not refused", "not late"};
 
-    /** Shift relative to the level, its variance, and the level and jobs it was found at. */
+    /**
+     * An effect relative to the expected value, its variance, the expected and observed means, and the number of
+     * requests or streams behind them.
+     */
     record EffectEstimate(
             double relativeEffect, double variance, double expectedMean, double observedMean, long sampleSize) {
         /**
-         * Half of the interval that holds at all times with this chance of error; {@code scale}: size of the shifts
-         * looked for; {@code most}: how far one job can lie off, for what is too rare to be spread as a normal variable
-         * is (Bernstein's term).
+         * Half width of the interval that holds at all times with this error probability. {@code effectScale}: size of
+         * the effects to detect; {@code maxDeviation}: how far one request can deviate, for events too rare for a
+         * normal approximation (Bernstein's term).
          */
         double halfWidth(double errorProbability, double effectScale, double maxDeviation) {
             double mixtureVariance = effectScale * effectScale;
@@ -58,7 +68,7 @@
         errorProbability = FALSE_STOP_PROBABILITY / Math.max(1, stageCount * evidence.seriesCount());
     }
 
-    /** What is proven worse, as a sentence. */
+    /** The first series proven worse at new nodes, as a sentence. */
     Optional<String> findRegression() {
         for (int c = 0; c < evidence.classes.size(); c++) {
             for (int outcome = 0; outcome < Evidence.SERIES_PER_CLASS; outcome++) {
@@ -87,8 +97,8 @@
     }
 
     /**
-     * Delay is compared with {@link DelayShift#MATTERS_MS} on top of each: of what is usually near nothing any uneven
-     * part is large, and as a multiple of that a delay that was added would never be proven.
+     * Compares delays with {@link DelayTailThreshold#SIGNIFICANT_DELAY_MS} added to each. Added delays are usually near
+     * zero, where any unevenness is large in relative terms, and a real increase would never be proven as a multiple.
      */
     private Optional<String> findDelayRegression() {
         if (evidence.seriesCount() == 0) {
@@ -128,14 +138,14 @@
         return Optional.empty();
     }
 
-    /** The class of which harm that matters is not excluded yet, as a clause; empty when none is left. */
+    /** The class for which a significant loss is not excluded yet, as a clause; empty when there is none. */
     Optional<String> findInconclusiveClass() {
         long allRequests = 0;
         for (int c = 0; c < evidence.classes.size(); c++) {
             allRequests += evidence.newRequests[c] + evidence.oldRequests[c];
         }
         if (evidence.classes.isEmpty() || allRequests == 0) {
-            return Optional.of("no figures to compare");
+            return Optional.of("no metrics to compare");
         }
         for (int c = 0; c < evidence.classes.size(); c++) {
             String name = evidence.classes.get(c);
@@ -144,7 +154,7 @@
             }
             EffectEstimate effect = estimateEffect(c * Evidence.SERIES_PER_CLASS, evidence.newRequests[c]);
             if (effect == null) {
-                return Optional.of("no figures of class " + name + " to compare");
+                return Optional.of("no metrics of class " + name + " to compare");
             }
             double lowerBound = effect.relativeEffect
                     - effect.halfWidth(FALSE_PASS_PROBABILITY / evidence.classes.size(), SHARE_EFFECT_SCALE, 1);
@@ -193,7 +203,7 @@
                 sampleSize);
     }
 
-    /** Variance of old nodes' standing against what it was before, beyond what chance makes of it. */
+    /** Variance of the old nodes' ratio to their baseline beyond sampling variance. */
     private double estimateDriftVariance(int series, double varianceRate) {
         double sum = 0;
         int count = 0;
--- a/src/main/java/olivechute/rollout/DelayTailThreshold.java
+++ b/src/main/java/olivechute/rollout/DelayTailThreshold.java
@@ -2,9 +2,12 @@
 
 import java.util.Collection;
 
-/** Where the tail of the added delay begins: with the 99th percentile of the old nodes and what may be added to it. */
+/**
+ * Threshold between fast and slow streams for the test of the delay tail: the 99th percentile of the old nodes' added
+ * delay plus the tolerated increase.
+ */
 final class DelayTailThreshold {
-    /** An added delay that matters. */
+    /** Increase of the added delay that is significant. */
     static final long SIGNIFICANT_DELAY_MS = 10;
 
     private static final long MIN_STREAMS = 1000;
@@ -12,8 +15,8 @@
     private DelayTailThreshold() {}
 
     /**
-     * Last bucket that is quick: more than 1 % of streams beyond it means that the 99th percentile grew by over
-     * {@link #MATTERS_MS}; -1 while too few streams are counted.
+     * Index of the last fast bucket: more than 1 % of streams beyond it means that the 99th percentile grew by over
+     * {@link #SIGNIFICANT_DELAY_MS}. -1 while too few streams are counted.
      */
     static int lastFastBucket(Collection<NodeMetrics> oldNodes, long[] boundsUs) {
         long[] bucketCounts = new long[boundsUs.length + 1];
--- a/src/main/java/olivechute/rollout/DisruptionBudget.java
+++ b/src/main/java/olivechute/rollout/DisruptionBudget.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Who may move now: gives orders as long as fewer than {@code mostAway} nodes of the fleet are away, each given order
- * counted.
+ * Limits how many nodes are unavailable at once: gives orders only while fewer than {@code maxUnavailable} nodes of the
+ * fleet are, counting the node of each order given.
  */
 final class DisruptionBudget {
     private final RolloutSpec spec;
@@ -28,7 +28,7 @@
         unavailable += missingNodes.size();
     }
 
-    /** Not ready, out of reach, or on its way to another version. */
+    /** Whether a node is not ready, unreachable, or changing to another version. */
     static boolean unavailable(NodeStatus node) {
         return node.phase() != NodePhase.READY
                 || !node.reachable()
@@ -43,7 +43,7 @@
         return unavailable >= spec.maxUnavailable();
     }
 
-    /** Orders a version where it is not ordered yet; false where the pace does not allow it now. */
+    /** Orders a version unless it is ordered already; false if the budget does not allow it now. */
     boolean tryOrder(NodeStatus node, String version) {
         String desiredVersion = node.orderedVersion() == null ? node.version() : node.orderedVersion();
         if (version.equals(desiredVersion)) {
@@ -59,7 +59,10 @@
         return true;
     }
 
-    /** Every node, that joined or strayed too, is to have the order its stage names. */
+    /**
+     * Orders each node, also one that joined or is out of date, to the version that its stage requires, as the budget
+     * allows.
+     */
     void orderStageVersions(Set<String> moved) {
         for (NodeStatus node : nodesByName.values().stream()
                 .sorted(Comparator.comparing(NodeStatus::node))
--- a/src/main/java/olivechute/rollout/Evidence.java
+++ b/src/main/java/olivechute/rollout/Evidence.java
@@ -6,18 +6,21 @@
 import java.util.TreeMap;
 
 /**
- * All that a lead needs beside the phase to go on: the comparison's sums, since when moved nodes are waited for, why it
- * stopped.
+ * The state that a leader needs besides the phase to continue a rollout: the sums of the comparison, since when nodes
+ * have not been ready, and why the rollout is held or rolled back. Stored by {@link EvidenceCodec}.
  */
 final class Evidence {
     /** Length of a block, the unit of the comparison. */
     static final long BLOCK_MS = 5_000;
-    /** More classes than this are not compared. */
+    /** Further classes are not compared. */
     static final int MAX_CLASSES = 8;
-    /** For each class: served, failed, refused, late; then added delay and its tail. */
+    /**
+     * Series per class: served, failed, rejected, late. Two series of the added delay and its tail follow after all
+     * classes.
+     */
     static final int SERIES_PER_CLASS = 4;
 
-    /** Why it is held. */
+    /** Why a rollout is held. Stored by position; keep the order. */
     enum HoldReason {
         NONE,
         NODES_UNAVAILABLE,
@@ -26,17 +29,17 @@
     }
 
     HoldReason holdReason = HoldReason.NONE;
-    /** An operator took it on himself that the stage passes. */
+    /** Whether an operator lets the held stage pass without enough evidence. */
     boolean operatorApproved;
-    /** Why it is rolled back. */
+    /** Why the rollout is rolled back. */
     String rollbackCause = "";
-    /** When the stage's first node moved, or 0. */
+    /** When the first node of the stage moved, in ms since the epoch, or 0. */
     long firstMoveMs;
-    /** Number of the block under way, -1 before the first. */
+    /** Number of the current block, -1 before the first. */
     long currentBlock = -1;
-    /** Index of the delay bucket up to which a stream counts as quick; -1 while unknown. */
+    /** Index of the last delay bucket that counts as fast; -1 while unknown. */
     int lastFastBucket = -1;
-    /** Classes compared; empty until the first figures come. */
+    /** Compared classes; empty until the first metrics arrive. */
     List<String> classes = List.of();
 
     long[] newRequests = new long[0];
@@ -44,7 +47,7 @@
     long newStreams;
     VarianceEstimator[] estimators = new VarianceEstimator[0];
     final Map<String, NodeEvidence> nodes = new TreeMap<>();
-    /** Nodes not ready, and since when they have been so while their machines could be reached. */
+    /** Nodes that are not ready, and since when they have been so while reachable, in ms since the epoch. */
     final Map<String, Long> notReadySinceMs = new TreeMap<>();
 
     int seriesCount() {
@@ -61,7 +64,7 @@
         }
     }
 
-    /** Drops all that was counted. */
+    /** Discards all sums of the comparison. */
     void resetComparison() {
         classes = List.of();
         newRequests = new long[0];
@@ -79,7 +82,7 @@
         return delaySeries() + 1;
     }
 
-    /** Jobs ended at new nodes since the stage began. */
+    /** Requests that ended at new nodes since the stage began. */
     long totalNewRequests() {
         long sum = 0;
         for (long requests : newRequests) {
--- a/src/main/java/olivechute/rollout/EvidenceCodec.java
+++ b/src/main/java/olivechute/rollout/EvidenceCodec.java
@@ -12,9 +12,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Evidence as bytes: format number, CRC-32 of the rest, then the fields in order; whole numbers as variable-length
- * ones, sums as floats (of a node) and doubles (of the fleet). Never longer than {@link EvidenceLimits#BYTES}; what
- * does not fit begins anew.
+ * Encodes {@link Evidence} for the store: format version, CRC-32 of the remainder, then the fields in order; integers
+ * as varints, sums as floats (of a node) and doubles (of the fleet). Never longer than
+ * {@link EvidenceLimits#MAX_BYTES}; if the sums do not fit, the comparison starts over.
  */
 final class EvidenceCodec {
     private static final byte FORMAT_VERSION = 1;
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Empty where the bytes are not such evidence: another format, cut short, or damaged. */
+    /** Empty if the bytes have another format or are truncated or corrupt. */
     static Optional<Evidence> decode(byte[] bytes) {
         if (bytes.length <= HEADER_BYTES || bytes.length > EvidenceLimits.MAX_BYTES || bytes[0] != FORMAT_VERSION) {
             return Optional.empty();
--- a/src/main/java/olivechute/rollout/EvidenceLimits.java
+++ b/src/main/java/olivechute/rollout/EvidenceLimits.java
@@ -6,10 +6,11 @@
 import java.util.Set;
 
 /**
- * Keeps the evidence within its 64 KiB: of a large fleet the comparison looks at the first and the last nodes to move.
+ * Keeps the encoded evidence within 64 KiB: in a large fleet only the first and the last nodes in update order are
+ * compared.
  */
 final class EvidenceLimits {
-    /** Bytes of evidence at most. */
+    /** Maximum size of the encoded evidence. */
     static final int MAX_BYTES = 64 * 1024;
 
     private static final int MAX_NODE_BYTES = 44 * 1024;
--- a/src/main/java/olivechute/rollout/MetricsAggregator.java
+++ b/src/main/java/olivechute/rollout/MetricsAggregator.java
@@ -8,12 +8,15 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Turns the nodes' cumulative counts into the comparison's sums, block by block; nothing happens within a block. */
+/**
+ * Aggregates the nodes' cumulative counts into the sums of the comparison, once per block of {@link Evidence#BLOCK_MS};
+ * calls within a block do nothing.
+ */
 final class MetricsAggregator {
-    /** So long after it became ready a node is not compared: it warms up. */
+    /** A node is not compared for so long after it became ready, while it warms up. */
     static final long WARMUP_MS = 5_000;
 
-    /** A node's part of one block. */
+    /** The counts of one node in one block. */
     private record BlockSample(NodeEvidence node, long[] counts, boolean isNew) {}
 
     private final Evidence evidence;
@@ -28,7 +31,7 @@
         this.weights = weights;
     }
 
-    /** Whether a block ended. {@code proposed}: all run the old version, what is usual is being learnt. */
+    /** Whether a block ended. {@code learningBaseline}: no node has moved yet and the baseline is measured. */
     boolean collect(
             Collection<NodeStatus> nodes,
             Map<String, NodeMetrics> metricsByNode,
@@ -148,7 +151,7 @@
         return MetricsSample.of(sample.counts, series, evidence.classes.size());
     }
 
-    /** What is usual: each node against the plain level of its zone. */
+    /** Updates the baseline: each node against the mean of its zone. */
     private void updateBaseline(List<BlockSample> samples, int series) {
         double observed = 0;
         long total = 0;
@@ -167,7 +170,7 @@
         }
     }
 
-    /** How far old nodes lie from what the other old nodes of their zone lead one to expect, for the variance. */
+    /** Adds the residuals of old nodes, against what the other old nodes of the zone predict, to the variance. */
     private void addOldNodeResiduals(List<BlockSample> samples, int series, boolean learningBaseline) {
         double observed = 0;
         long total = 0;
@@ -204,7 +207,7 @@
         }
     }
 
-    /** The new nodes against the level of the old ones of their zone, each as it usually stood to them. */
+    /** Compares the new nodes with the mean of the old nodes of their zone, each scaled by its baseline ratio. */
     private void compareNewNodes(List<BlockSample> samples, int series, double[] residualSums, double[] expectedSums) {
         double observed = 0;
         double baselineWeightedTotal = 0;
--- a/src/main/java/olivechute/rollout/MetricsSample.java
+++ b/src/main/java/olivechute/rollout/MetricsSample.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A node's counts as one row: for each class in time, late, refused, failed, gone; then streams with a delay, their
- * summed delay in us, those of them that were quick.
+ * A node's counts as one array: for each class served in time, late, rejected, failed, cancelled; then the streams with
+ * a delay, their summed delay in us, and the fast ones among them.
  */
 final class MetricsSample {
     private static final int COUNTS_PER_CLASS = 5;
@@ -35,7 +35,7 @@
         return counts;
     }
 
-    /** A stream of a bucket counts as its middle; above all bounds as the last one and a half. */
+    /** A stream counts with the midpoint of its bucket; beyond the last bound with 1.5 times that bound. */
     private static long bucketMidpointUs(long[] delayBoundsUs, int bucket) {
         if (bucket >= delayBoundsUs.length) {
             return delayBoundsUs[delayBoundsUs.length - 1] + delayBoundsUs[delayBoundsUs.length - 1] / 2;
@@ -45,7 +45,7 @@
         return Math.max(1, (lowUs + highUs) / 2);
     }
 
-    /** What came between two rows, or null where a count fell. */
+    /** The difference of two arrays of counts, or null if a count decreased. */
     static long[] difference(long[] from, long[] to) {
         long[] delta = new long[to.length];
         for (int i = 0; i < to.length; i++) {
@@ -62,15 +62,15 @@
         return counts[offset] + counts[offset + 1] + counts[offset + 2] + counts[offset + 3] + counts[offset + 4];
     }
 
-    /** Of how many a series counts. */
+    /** The number of requests, or streams for delays, on which a series is based. */
     static long of(long[] counts, int series, int classes) {
         int c = series / Evidence.SERIES_PER_CLASS;
         return c < classes ? requests(counts, c) : counts[classes * COUNTS_PER_CLASS];
     }
 
     /**
-     * What of them the series counts: worth, not failed, not refused, not late; delay in ms, with what matters on top
-     * of each; quick ones.
+     * The value of a series: weighted requests served; requests not failed, not rejected, not late; summed delay in ms,
+     * with the significant delay added to each; fast streams.
      */
     static double seriesValue(long[] counts, int series, List<String> classes, PriorityWeights weights) {
         int classIndex = series / Evidence.SERIES_PER_CLASS;
--- a/src/main/java/olivechute/rollout/NodeEvidence.java
+++ b/src/main/java/olivechute/rollout/NodeEvidence.java
@@ -1,10 +1,11 @@
 package olivechute.rollout;
 
 /**
- * What the comparison keeps of a node. {@code edge}: its counts at the last block edge, as {@link MetricsSample} lays
- * them out, null where no block can begin there. Per series: {@code baseRest} and {@code baseLevel}, what it did beyond
- * its data centre's level and that level, summed while it ran the old version; {@code rest} and {@code level}, the same
- * since the stage began, the level being its own.
+ * The comparison's state of one node. {@code blockStartTotals}: its counts at the last block boundary, in the layout of
+ * {@link MetricsSample}, null if no block can begin there. Per series: {@code baselineExpected} sums the value
+ * predicted from the mean of the node's zone while all nodes ran the old version, and {@code baselineResidual} the
+ * deviation from it; {@code stageExpected} and {@code stageResidual} are the same since the stage began, with the
+ * node's baseline ratio applied.
  */
 final class NodeEvidence {
     long incarnation;
@@ -26,12 +27,12 @@
         return baselineExpected[series] > 0 && baselineResidual[series] > -baselineExpected[series];
     }
 
-    /** How the node stood to its data centre while all ran the old version: 1 for as the others. */
+    /** The node's ratio to its zone while all nodes ran the old version; 1 for a node like the others. */
     double baselineRatio(int series) {
         return hasBaseline(series) ? 1 + baselineResidual[series] / (double) baselineExpected[series] : 1;
     }
 
-    /** A new stage begins; an old node's last one adds to what is usual. */
+    /** Begins a new stage; the last stage of a node on the old version is added to its baseline. */
     void nextStage(boolean onOldVersion) {
         for (int series = 0; series < stageResidual.length; series++) {
             if (onOldVersion && hasBaseline(series)) {
--- a/src/main/java/olivechute/rollout/NodeMetrics.java
+++ b/src/main/java/olivechute/rollout/NodeMetrics.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * What one process of a node counted since its start. {@code incarnation} names the process, {@code sequence} grows
- * with its reports. {@code delay}: streams by the node's own added delay, in the buckets of
- * {@code olivechute.figures.Delay}.
+ * Counts of one process of a node since its start. {@code incarnation} identifies the process, {@code sequence} grows
+ * with its reports. {@code delayCounts}: streams by the node's own added delay, in the buckets of
+ * {@code olivechute.metrics.DelayBuckets}.
  */
 public record NodeMetrics(
         String node,
--- a/src/main/java/olivechute/rollout/NodePhase.java
+++ b/src/main/java/olivechute/rollout/NodePhase.java
@@ -1,15 +1,15 @@
 package olivechute.rollout;
 
-/** What a supervisor tells of a node. */
+/** State of a node as its supervisor reports it. Stored by name. */
 public enum NodePhase {
     /** Started, not ready yet. */
     STARTING,
-    /** Answers that it is ready. */
+    /** Its health check reports that it is ready. */
     READY,
-    /** Told to end, still answering what it had taken. */
+    /** Told to exit; completes the requests that it accepted. */
     DRAINING,
-    /** Not running: ended by itself, or not started. */
+    /** Not running: exited by itself, or not started. */
     DOWN,
-    /** Ended at its start because its settings or its program cannot be used. */
+    /** Exited at its start because its settings or its program cannot be used. */
     REFUSED
 }
--- a/src/main/java/olivechute/rollout/NodeSelection.java
+++ b/src/main/java/olivechute/rollout/NodeSelection.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Which nodes a stage takes: spread over the data centres by the part of each that has moved, then by a hash of change
- * and node.
+ * Selects the nodes of a stage: spread over the zones by the fraction of each that has moved, then by a hash of the
+ * rollout's ID and the node's name.
  */
 final class NodeSelection {
     private NodeSelection() {}
@@ -22,7 +22,7 @@
         return Math.min(target, knownNodes);
     }
 
-    /** All that have not moved, in the order in which they would. */
+    /** All nodes that have not moved, in the order in which they are to be updated. */
     static List<NodeStatus> updateOrder(String changeId, Collection<NodeStatus> nodes, Set<String> moved) {
         Map<String, List<NodeStatus>> remainingByZone = new TreeMap<>();
         Map<String, int[]> countsByZone = new TreeMap<>();
@@ -57,7 +57,7 @@
         return ordered;
     }
 
-    /** The same on every machine and in every release: FNV-1a over both names, mixed. */
+    /** The same on every machine and in every release: FNV-1a over both names, followed by a mixing step. */
     static long hash(String changeId, String name) {
         long hash = 0xcbf29ce484222325L;
         String text = changeId + '\n' + name;
--- a/src/main/java/olivechute/rollout/NodeStatus.java
+++ b/src/main/java/olivechute/rollout/NodeStatus.java
@@ -1,10 +1,11 @@
 package olivechute.rollout;
 
 /**
- * A node as its supervisor last told. {@code version}: what serves now, empty for nothing; {@code since}: ms since the
- * epoch at which the phase began; {@code crashes}: starts that ended by themselves under this version; {@code trouble}:
- * what went wrong last; {@code reachable}: false once its supervisor's lease ran out, all else then being as last told;
- * {@code ordered}: the version that its newest order names, null where it has none.
+ * A node as its supervisor last reported it. {@code version}: the version that serves now, empty for none;
+ * {@code phaseSinceMs}: ms since the epoch at which the phase began; {@code crashes}: starts under this version that
+ * ended by themselves; {@code lastError}: the last error; {@code reachable}: false once the lease of its supervisor
+ * expired, all other fields then being as last reported; {@code orderedVersion}: the version of its newest order, null
+ * without one.
  */
 public record NodeStatus(
         String node,
--- a/src/main/java/olivechute/rollout/OperatorActions.java
+++ b/src/main/java/olivechute/rollout/OperatorActions.java
@@ -3,7 +3,7 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.RolloutException;
 
-/** An operator's orders about a change under way. */
+/** Applies an operator's pause, resume and stop to a rollout. Reached through the static methods of {@link Rollout}. */
 final class OperatorActions {
     private OperatorActions() {}
 
@@ -13,7 +13,7 @@
             case ROLLING_BACK ->
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
-                        "change " + state.spec().id() + " is being taken back, which cannot be paused");
+                        "change " + state.spec().id() + " is being rolled back, which cannot be paused");
             case PAUSED -> state;
             default -> withPhase(state, RolloutPhase.PAUSED, nowMs, "paused by an operator", decodeEvidence(state));
         };
@@ -25,7 +25,7 @@
             case ROLLING_BACK ->
                 throw new RolloutException(
                         ErrorCode.CHANGE_INVALID,
-                        "change " + state.spec().id() + " is being taken back and does not go on");
+                        "change " + state.spec().id() + " is being rolled back and cannot be resumed");
             case PAUSED -> {
                 boolean started = state.stage() > 0 || !state.moved().isEmpty();
                 yield withPhase(
@@ -44,7 +44,7 @@
         Evidence evidence = decodeEvidence(state);
         if (evidence.holdReason == Evidence.HoldReason.NO_METRICS) {
             return withPhase(
-                    state, RolloutPhase.MOVING, nowMs, "goes on without figures by an operator's word", evidence);
+                    state, RolloutPhase.MOVING, nowMs, "continues without metrics by an operator's decision", evidence);
         }
         if (evidence.holdReason != Evidence.HoldReason.INSUFFICIENT_EVIDENCE) {
             return state;
--- a/src/main/java/olivechute/rollout/PriorityWeights.java
+++ b/src/main/java/olivechute/rollout/PriorityWeights.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 
 /**
- * What a job of a class is worth: {@code worth} when it is served in time, that times {@code latePart} (0 to 1) when it
- * is served late, nothing otherwise. Classes that are not named count 1 and 0.2. {@code delayBoundsUs}: upper ends of
- * the buckets of {@link NodeMetrics#delay()} in us, growing; the last bucket may lie above them all.
+ * Priority weights of the request classes: a request counts {@code weightByClass} when it is served in time, that times
+ * {@code lateFractionByClass} (0 to 1) when it is served late, and 0 otherwise. Unlisted classes count 1 and 0.2.
+ * {@code delayBoundsUs}: ascending upper ends of the buckets of {@link NodeMetrics#delayCounts()} in us; the last
+ * bucket may lie above them all.
  */
 public record PriorityWeights(
         Map<String, Double> weightByClass, Map<String, Double> lateFractionByClass, long[] delayBoundsUs) {
-    /** Copies its arguments. */
     public PriorityWeights {
         weightByClass = Map.copyOf(weightByClass);
         lateFractionByClass = Map.copyOf(lateFractionByClass);
         delayBoundsUs = delayBoundsUs.clone();
     }
 
-    /** All classes alike. */
+    /** The same weight for all classes. */
     public static PriorityWeights equalWeights(List<Long> delayBoundsUs) {
         return new PriorityWeights(
                 Map.of(),
--- a/src/main/java/olivechute/rollout/RollbackStep.java
+++ b/src/main/java/olivechute/rollout/RollbackStep.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * One paced step of taking the new nodes back: those away first, as that costs nothing; then as many as the pace
- * allows.
+ * One step of a rollback within the disruption budget. Unavailable nodes are ordered back first, as that costs no
+ * capacity; then as many others as the budget allows.
  */
 final class RollbackStep {
     private final Map<String, String> orders = new HashMap<>();
@@ -47,7 +47,7 @@
             boolean overdue = sinceMs != null && nowMs - sinceMs > spec.readyTimeoutMs();
             complete &= !node.reachable() || !DisruptionBudget.unavailable(node) || overdue;
             if (overdue && notReadyText.isEmpty() && spec.fromVersion().equals(node.orderedVersion())) {
-                notReadyText = "; taken back, node " + node.node() + " is not ready";
+                notReadyText = "; after the rollback, node " + node.node() + " is not ready";
             }
         }
     }
@@ -57,7 +57,7 @@
         return remaining;
     }
 
-    /** All that answer run the old version, or had the time to. */
+    /** Whether all reachable nodes run the old version, or had the time to become ready. */
     boolean complete() {
         return complete;
     }
@@ -66,9 +66,9 @@
         return Map.copyOf(orders);
     }
 
-    /** How far it is, to follow the cause. */
+    /** The progress as a clause to append to the cause. */
     String progressText() {
-        return (remaining.isEmpty() ? "" : "; " + remaining.size() + " nodes are still to be taken back")
+        return (remaining.isEmpty() ? "" : "; " + remaining.size() + " nodes are still to be rolled back")
                 + notReadyText;
     }
 }
--- a/src/main/java/olivechute/rollout/Rollout.java
+++ b/src/main/java/olivechute/rollout/Rollout.java
@@ -11,9 +11,9 @@
 import olivechute.error.RolloutException;
 
 /**
- * Decides how a change goes on. Pure: the same arguments give the same decision, and all that it goes by lies in
- * {@link RolloutState}. Times in ms since the epoch. {@link #step} is to be called about once a second while the change
- * has not ended.
+ * Decides how a rollout proceeds. Pure functions: the same arguments give the same decision, and all state lies in
+ * {@link RolloutState}. Times in ms since the epoch. The leader calls {@link #step} about once a second until the
+ * rollout has ended.
  */
 public final class Rollout {
     private final RolloutState state;
@@ -38,8 +38,8 @@
     }
 
     /**
-     * The next state and the orders that go out with it. {@code nodes}: all that any supervisor told of, each once;
-     * {@code figures}: the newest of each node. An ended change stays as it is, without orders.
+     * The next state and the orders to write with it. {@code nodes}: all nodes that any supervisor reports, each once;
+     * {@code metrics}: the newest of each node. An ended rollout stays as it is, without orders.
      */
     public static RolloutDecision step(
             RolloutState state,
@@ -54,26 +54,27 @@
     }
 
     /**
-     * Stops moving until {@link #resume}; harm still takes the new nodes back. Faults: CHANGE_UNKNOWN, CHANGE_INVALID.
+     * Moves no further nodes until {@link #resume}; a detected regression still causes a rollback. Throws
+     * CHANGE_UNKNOWN, CHANGE_INVALID.
      */
     public static RolloutState pause(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.pause(state, nowMs);
     }
 
     /**
-     * Goes on after a pause, or past a stage that is held for too little evidence, by the operator's own judgement;
-     * where nothing stands still nothing changes. Faults: CHANGE_UNKNOWN, CHANGE_INVALID.
+     * Continues after a pause, or past a stage that is held for too little evidence, by the operator's own judgement;
+     * no effect on a rollout that is proceeding. Throws CHANGE_UNKNOWN, CHANGE_INVALID.
      */
     public static RolloutState resume(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.resume(state, nowMs);
     }
 
-    /** Takes the new nodes back; ends at once where none moved. Fault: CHANGE_UNKNOWN. */
+    /** Starts a rollback; ends the rollout at once if no node has moved. Throws CHANGE_UNKNOWN. */
     public static RolloutState stop(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.stop(state, nowMs);
     }
 
-    /** Faults (CHANGE_INVALID) that a change has for a fleet of so many nodes; empty for none. */
+    /** Validation errors (CHANGE_INVALID) of a rollout for a fleet of so many nodes; empty if valid. */
     public static List<RolloutException> validate(RolloutSpec spec, int nodeCount) {
         return RolloutSpecValidator.validate(spec, nodeCount);
     }
@@ -120,7 +121,9 @@
         return isLastStage() ? nodes.size() : NodeSelection.targetNodeCount(currentStage(), nodes.size());
     }
 
-    /** Learns for as long as the first stage is watched at least how the nodes usually differ. */
+    /**
+     * Measures the usual differences between nodes for the minimum duration of the first stage before any node moves.
+     */
     private RolloutDecision learnBaseline() {
         long elapsedMs = nowMs - state.stageSinceMs();
         boolean hasMetrics =
@@ -136,7 +139,7 @@
             return decide(
                     RolloutPhase.HELD,
                     state.stageSinceMs(),
-                    "no node told figures for " + elapsedMs / 1000 + " s, nothing has moved");
+                    "no node reported metrics for " + elapsedMs / 1000 + " s, nothing has moved");
         }
         return keepPhase(
                 "learns how the nodes usually differ, for " + currentStage().minDurationMs() / 1000 + " s");
@@ -217,7 +220,7 @@
         return keepPhase("stage " + (state.stage() + 1) + " watches: " + missingEvidence.get());
     }
 
-    /** What the stage lacks to pass, as a clause. */
+    /** What the stage still lacks to pass, as a clause. */
     private Optional<String> findMissingEvidence() {
         if (nowMs - state.stageSinceMs() < currentStage().minDurationMs()) {
             return Optional.of((nowMs - state.stageSinceMs()) / 10_000 * 10 + " of at least "
@@ -242,13 +245,13 @@
                             .allMatch(DisruptionBudget::unavailable);
             return budget.exhausted() || noneAvailable
                     ? keepPhase(unavailableText())
-                    : decide(RolloutPhase.MOVING, state.stageSinceMs(), "the nodes are back, goes on");
+                    : decide(RolloutPhase.MOVING, state.stageSinceMs(), "the nodes are back, continues");
         }
         if (budget.exhausted()) {
             return keepPhase(unavailableText());
         }
         if (evidence.operatorApproved) {
-            return advance(" by an operator's word");
+            return advance(" by an operator's decision");
         }
         Optional<String> missingEvidence = findMissingEvidence();
         return missingEvidence.isEmpty() ? advance("") : keepPhase("too little evidence: " + missingEvidence.get());
--- a/src/main/java/olivechute/rollout/RolloutPhase.java
+++ b/src/main/java/olivechute/rollout/RolloutPhase.java
@@ -1,28 +1,31 @@
 package olivechute.rollout;
 
-/** Where a change stands. */
+/** Phase of a rollout. Stored by name. */
 public enum RolloutPhase {
-    /** Accepted, nothing moved yet. */
+    /** Accepted; no node has moved yet. */
     PROPOSED,
-    /** Nodes of the stage are being brought to the new version. */
+    /** Nodes of the stage are being updated to the new version. */
     MOVING,
-    /** All nodes of the stage serve the new version; new and old are compared. */
+    /** All nodes of the stage serve the new version; old and new nodes are compared. */
     WATCHING,
     /**
-     * Too little evidence by the stage's longest time, or nodes away: nothing moves until that changes or an operator
-     * acts.
+     * Too little evidence by the stage's maximum duration, or nodes unavailable: no node moves until that changes or an
+     * operator acts.
      */
     HELD,
-    /** An operator paused it. */
+    /** Paused by an operator. */
     PAUSED,
-    /** It did worse, broke a rule or was stopped: the new nodes are taken back in paced steps. */
+    /**
+     * The new version did worse, broke a rule or was stopped: the new nodes are ordered back in steps within the
+     * disruption budget.
+     */
     ROLLING_BACK,
-    /** Ended: all nodes run the new version, which is the base now. */
+    /** Ended: all nodes run the new version, which is now the base. */
     DONE,
-    /** Ended: all nodes that answer run the old version again. */
+    /** Ended: all reachable nodes run the old version again. */
     STOPPED;
 
-    /** Whether nothing more is decided. */
+    /** Whether the rollout is over and no more decisions are made. */
     public boolean ended() {
         return this == DONE || this == STOPPED;
     }
--- a/src/main/java/olivechute/rollout/RolloutSpec.java
+++ b/src/main/java/olivechute/rollout/RolloutSpec.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What was proposed: from one version to another, in stages. At most {@code mostAway} nodes may be away (not READY) for
- * it at once.
+ * A proposed rollout from one version to another, in stages. At most {@code maxUnavailable} nodes may be unavailable
+ * (not READY) for it at once.
  */
 public record RolloutSpec(
         String id,
--- a/src/main/java/olivechute/rollout/RolloutSpecValidator.java
+++ b/src/main/java/olivechute/rollout/RolloutSpecValidator.java
@@ -5,7 +5,7 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.RolloutException;
 
-/** Whether a change can be carried out. */
+/** Checks whether a rollout can be carried out on a fleet of a given size. */
 final class RolloutSpecValidator {
     private static final int MAX_STAGES = 20;
     private final List<RolloutException> errors = new ArrayList<>();
@@ -16,13 +16,12 @@
         RolloutSpecValidator validator = new RolloutSpecValidator();
         validator.require(!spec.id().isEmpty(), "the change has no id");
         validator.require(
-                !spec.fromVersion().isEmpty() && !spec.toVersion().isEmpty(),
-                "it lacks the version that it goes from or to");
+                !spec.fromVersion().isEmpty() && !spec.toVersion().isEmpty(), "the old or the new version is missing");
         validator.require(
                 !spec.fromVersion().equals(spec.toVersion()),
-                "it goes from version " + spec.fromVersion() + " to the same");
+                "version " + spec.fromVersion() + " is both the old and the new version");
         validator.require(nodeCount > 0, "no node is known");
-        validator.require(spec.maxUnavailable() > 0, "mostAway is " + spec.maxUnavailable() + ", nothing could move");
+        validator.require(spec.maxUnavailable() > 0, "mostAway is " + spec.maxUnavailable() + ", no node could move");
         validator.require(
                 nodeCount == 0 || spec.maxUnavailable() < nodeCount || nodeCount == 1,
                 "mostAway is " + spec.maxUnavailable() + " of " + nodeCount + " nodes, none would serve");
@@ -39,13 +38,13 @@
                             && stage.percent() >= 0
                             && stage.percent() <= 100
                             && (stage.nodes() > 0) != (stage.percent() > 0),
-                    stageName + " names neither or both of a number of nodes and a percentage of 1 to 100");
+                    stageName + " must give either a number of nodes or a percentage of 1 to 100");
             validator.require(
                     stage.minDurationMs() >= 0
                             && stage.maxDurationMs() >= stage.minDurationMs()
                             && stage.maxDurationMs() > 0,
                     stageName + " lasts from " + stage.minDurationMs() + " to " + stage.maxDurationMs() + " ms");
-            validator.require(stage.minRequests() >= 0, stageName + " wants " + stage.minRequests() + " jobs");
+            validator.require(stage.minRequests() >= 0, stageName + " requires " + stage.minRequests() + " requests");
             int size = NodeSelection.targetNodeCount(stage, nodeCount);
             validator.require(size >= previousSize, stageName + " has fewer nodes than the one before");
             previousSize = size;
--- a/src/main/java/olivechute/rollout/RolloutState.java
+++ b/src/main/java/olivechute/rollout/RolloutState.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 
 /**
- * A change and how far it is; kept in the store after each step, so that another lead goes on from it. Times in ms
- * since the epoch. {@code moved}: nodes ordered to the new version (while ROLLING_BACK: those not yet ordered back).
- * {@code evidence}: state of the comparison, in this package's own form, bounded to 64 KiB.
+ * A rollout and its progress; stored after each step, so that another leader continues from it. Times in ms since the
+ * epoch. {@code moved}: nodes ordered to the new version (while ROLLING_BACK: those not yet ordered back).
+ * {@code evidence}: state of the comparison, encoded by {@link EvidenceCodec}, at most 64 KiB.
  */
 public record RolloutState(
         RolloutSpec spec,
@@ -19,7 +19,7 @@
         moved = Set.copyOf(moved);
     }
 
-    /** A change as it begins. */
+    /** The initial state of a rollout. */
     public static RolloutState proposed(RolloutSpec spec, long nowMs) {
         return new RolloutState(spec, RolloutPhase.PROPOSED, 0, nowMs, "proposed", Set.of(), new byte[0]);
     }
--- a/src/main/java/olivechute/rollout/VarianceEstimator.java
+++ b/src/main/java/olivechute/rollout/VarianceEstimator.java
@@ -1,6 +1,9 @@
 package olivechute.rollout;
 
-/** Sums over blocks from which the variance of one series comes. {@code stage...}: since the stage began. */
+/**
+ * Sums over blocks from which the variance of one series is estimated. {@code baseline...}: from before the stage;
+ * {@code stage...}: since the stage began.
+ */
 final class VarianceEstimator {
     double baselineSquares;
     double baselineExpected;
@@ -8,15 +11,18 @@
     double stageSquares;
     double stageExpected;
     long stageCount;
-    /** Of the new nodes together: blocks, squares of rests, rest times level, squares of levels. */
+    /**
+     * Over all new nodes together: number of blocks, squared residuals, residual times expected, squared expected
+     * values.
+     */
     long blockCount;
 
     double residualSquares;
     double residualTimesExpected;
     double expectedSquares;
     /**
-     * What the old nodes' own noise adds: per block, by what was usual of them, by their drift. Zones count as if they
-     * erred alike.
+     * Variance that the old nodes contribute as controls: per block, by their baseline, by their drift. The errors of
+     * different zones are added as if fully correlated.
      */
     double controlBlockSum;
 
@@ -30,8 +36,8 @@
     }
 
     /**
-     * Variance of a node's rest per unit of its level. Three events more than seen: nothing seen is not nothing
-     * possible.
+     * Variance of a node's residual per unit of its expected value. Three events are added to those seen, as none seen
+     * does not mean that none are possible.
      */
     double varianceRate() {
         double pooledRate = (baselineSquares + stageSquares + 3) / (baselineExpected + stageExpected);
@@ -40,7 +46,7 @@
                 : Math.max(pooledRate, stageSquares / stageExpected);
     }
 
-    /** Variance of the new nodes' summed rest as they show it themselves, given the shift found. */
+    /** Variance of the new nodes' summed residual as their own blocks show it, given the estimated effect. */
     double blockVariance(double relativeEffect) {
         if (blockCount < 2) {
             return 0;
@@ -54,7 +60,7 @@
                 / (blockCount - 1);
     }
 
-    /** Variance that the old nodes add to the new nodes' summed rest. */
+    /** Variance that the old nodes contribute to the new nodes' summed residual. */
     double controlVariance(double varianceRate, double driftVariance) {
         return varianceRate * (controlBlockSum + controlBaselineSum * controlBaselineSum)
                 + driftVariance * controlDriftSum * controlDriftSum;
--- a/src/test/java/olivechute/controller/ControllerRig.java
+++ b/src/test/java/olivechute/controller/ControllerRig.java
@@ -13,7 +13,7 @@
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.store.MemoryStore;
 
-/** A store in memory, a scripted fleet at its base v1, and two drivers of it in virtual time. */
+/** An in-memory store, a scripted fleet at its base version v1, and two controllers in virtual time. */
 final class ControllerRig {
     private static final long ROUND_MS = 1000;
 
@@ -46,7 +46,7 @@
         assertEquals(0, fleet.notReadyCount());
     }
 
-    /** The change to a version, in a stage of one node and one of all. */
+    /** A change to the version of the same ID, in a stage of one node and one of all. */
     static ChangeSpec changeSpec(String id) {
         return ChangeSpec.newBuilder()
                 .setId(id)
@@ -71,7 +71,7 @@
                 VersionSpec.newBuilder().setId(id).setSettings("a = 1").build());
     }
 
-    /** The first driver's tick, and a second of the fleet. */
+    /** One tick of the first controller and one second of the fleet. */
     void round() throws StoreException {
         firstController.tick();
         advanceFleet();
@@ -94,7 +94,7 @@
 
     void runUntilEnded() throws FleetException {
         for (int i = 0; changeActive(); i++) {
-            assertFalse(i > 1000, "still under way: " + i);
+            assertFalse(i > 1000, "still active: " + i);
             round();
         }
         rounds(2);
@@ -115,7 +115,7 @@
         return orderLog.ordersByNode.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Each node was given these versions, one order each, with numbers that grow. */
+    /** Asserts that each node was ordered these versions, one order each, with increasing numbers. */
     void assertOrderedVersions(List<String> versions) {
         orderLog.versions().forEach((node, given) -> assertEquals(versions, given, node));
         assertEquals(List.of(), orderLog.violations);
--- a/src/test/java/olivechute/controller/InterceptingStore.java
+++ b/src/test/java/olivechute/controller/InterceptingStore.java
@@ -12,16 +12,16 @@
 import olivechute.store.Store;
 
 /**
- * A store as one driver sees it, with a hand in each of its writes: something may happen before or after, or the fences
- * be left out. Notes every order written, and what broke the rule that a node's numbers only grow.
+ * A store as one controller sees it, which intercepts its writes: a hook may run before or after a write, or the fences
+ * be dropped. Records every order written, and violations of the rule that a node's order numbers only grow.
  */
 class InterceptingStore implements Store {
-    /** What happens around a write. */
+    /** Runs before or after a write. */
     interface WriteHook {
         void run() throws StoreException;
     }
 
-    /** The orders that all drivers of a store wrote. */
+    /** The orders that all controllers of a store wrote. */
     static final class OrderLog {
         final Map<String, List<Order>> ordersByNode = new TreeMap<>();
         final List<String> violations = new ArrayList<>();
@@ -55,17 +55,17 @@
         this.orderLog = orderLog;
     }
 
-    /** Once, before the next write of this one reaches the store. */
+    /** Runs the hook once, before the next write reaches the store. */
     void beforeNextWrite(WriteHook hook) {
         beforeNextWrite = hook;
     }
 
-    /** Once, after the next write took effect and before its writer hears of it. */
+    /** Runs the hook once, after the next write took effect and before its writer gets the response. */
     void afterNextWrite(WriteHook hook) {
         afterNextWrite = hook;
     }
 
-    /** Whether what was to happen has not happened yet. */
+    /** Whether a hook is still to run. */
     boolean hookPending() {
         return beforeNextWrite != null || afterNextWrite != null;
     }
--- a/src/test/java/olivechute/controller/InterleavingTest.java
+++ b/src/test/java/olivechute/controller/InterleavingTest.java
@@ -10,7 +10,7 @@
 import olivechute.error.FleetException;
 
 /**
- * Two drivers of one store, either of which may stand still before or after any write, and an operator who acts in
+ * Two controllers on one store, either of which may stall before or after any write, and an operator who acts in
  * between.
  */
 class InterleavingTest {
@@ -72,12 +72,13 @@
         }
     }
 
-    /** However it went, it can be brought to its end, and all nodes then run the base. */
+    /** The change can be brought to its end from any state, and all nodes then run the base version. */
     private static void finish(ControllerRig rig, long seed) throws FleetException {
         for (int i = 0; rig.changeActive(); i++) {
             assertTrue(
                     i < 300,
-                    "not at its end, seed " + seed + ": " + rig.currentChange().getPhase());
+                    "the change has not ended, seed " + seed + ": "
+                            + rig.currentChange().getPhase());
             if (rig.currentChange().getPhase().equals("PAUSED")) {
                 rig.client.stop();
             }
--- a/src/test/java/olivechute/controller/OutOfDateNodesTest.java
+++ b/src/test/java/olivechute/controller/OutOfDateNodesTest.java
@@ -9,7 +9,7 @@
 import olivechute.rollout.NodeStatus;
 import org.junit.jupiter.api.Test;
 
-/** Which nodes get an order that no change gave. */
+/** Which nodes get an order outside of a change. */
 class OutOfDateNodesTest {
     private static NodeStatus node(
             String name, String version, NodePhase phase, boolean reachable, String orderedVersion) {
--- a/src/test/java/olivechute/controller/RolloutClientTest.java
+++ b/src/test/java/olivechute/controller/RolloutClientTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** What operators call, each against a store in memory. */
+/** The operator actions on an in-memory store. */
 class RolloutClientTest {
     private final ControllerRig rig = new ControllerRig(3);
 
@@ -70,7 +70,7 @@
         assertTrue(rig.store.get(StoreKeys.VERSION_PREFIX + "v3").isEmpty());
     }
 
-    /** The second proposal comes between the first one's look and its write: one wins, whichever way it falls. */
+    /** The second proposal comes between the first one's read and its write: exactly one is accepted. */
     @Test
     void concurrentProposalsAreResolvedByTheConditionalWrite() throws FleetException {
         InterceptingStore store = new InterceptingStore(rig.store, rig.orderLog);
@@ -121,7 +121,7 @@
         }
     }
 
-    /** The base moved on between look and write: the change begins at the new one. */
+    /** The base changes between read and write: the change starts from the new one. */
     @Test
     void startsFromTheCurrentBase() throws FleetException {
         InterceptingStore store = new InterceptingStore(rig.store, rig.orderLog);
@@ -185,8 +185,8 @@
     }
 
     /**
-     * The driver writes each time the operator has just looked: after so many tries the call says so and nothing is
-     * changed.
+     * The controller writes after each read of the operator's call: after a fixed number of attempts the call fails and
+     * nothing is changed.
      */
     @Test
     void givesUpAfterRepeatedConflicts() throws FleetException {
--- a/src/test/java/olivechute/controller/RolloutCodecTest.java
+++ b/src/test/java/olivechute/controller/RolloutCodecTest.java
@@ -36,12 +36,15 @@
 import olivechute.store.Store;
 import org.junit.jupiter.api.Test;
 
-/** Messages of this version, of a newer one with fields and words more, and of an older one with fields less. */
+/**
+ * Messages of this version, of a newer one with additional fields and enum names, and of an older one with fewer
+ * fields.
+ */
 class RolloutCodecTest {
     private static final int NEWER_FIELD = 1999;
     private static final byte[] NEWER_VALUE = "of a later day".getBytes(StandardCharsets.UTF_8);
 
-    /** The message as a version with one field more would have written it. */
+    /** The message as a version with one more field would have written it. */
     private static <M extends MessageLite> M newer(Parser<M> parser, M message) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         message.writeTo(bytes);
--- a/src/test/java/olivechute/controller/RolloutCommandTest.java
+++ b/src/test/java/olivechute/controller/RolloutCommandTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command as it is called, over a store in memory. */
+/** The command line on an in-memory store. */
 class RolloutCommandTest {
     private static final Path SETTINGS = Path.of("deploy", "change.conf");
 
@@ -40,7 +40,7 @@
 
     RolloutCommandTest() throws FleetException {}
 
-    /** The store in memory, which stays when the command closes what it was given. */
+    /** The in-memory store, which stays open when the command closes its connection. */
     private Store connect(String region, List<ReplicaAddress> replicas, Duration timeout) {
         requestedReplicas = replicas;
         return new InterceptingStore(rig.store, rig.orderLog) {
--- a/src/test/java/olivechute/controller/RolloutControllerTest.java
+++ b/src/test/java/olivechute/controller/RolloutControllerTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Drivers that come and go over one store while a scripted fleet carries out their orders. */
+/** Controllers that come and go on one store while a scripted fleet carries out their orders. */
 class RolloutControllerTest {
     private static final int NODES = 6;
     private static final int MAX_ROUNDS = 400;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A new lead at any write of the old one, the moment before it takes effect or after, in whatever phase: all goes
-     * on the same.
+     * A new leader takes over at any write of the old one, just before or just after it takes effect, in any phase: the
+     * result is the same.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -92,7 +92,10 @@
         assertEquals(NODES + 5, writes, "each write of a whole change was tried");
     }
 
-    /** Its lease is another's, who has not written yet: nothing of its write may stay. */
+    /**
+     * Another controller holds the lease and has not written yet: nothing of the stalled leader's write may take
+     * effect.
+     */
     @Test
     void writeOfAStalledLeaderIsRejected() throws FleetException {
         rig.propose("v2");
@@ -211,7 +214,7 @@
                         .owner());
     }
 
-    /** The store is gone for a while: nothing is done, and then it goes on. */
+    /** The store is unreachable for a while: nothing is done, and then the change continues. */
     @Test
     void doesNothingWhileTheStoreIsUnreachable() throws FleetException {
         rig.propose("v2");
@@ -230,7 +233,7 @@
         rig.assertOrderedVersions(List.of("v1", "v2"));
     }
 
-    /** An answer that is lost after the write took effect: read anew, nothing is ordered twice. */
+    /** The response is lost after the write took effect: the state is listed again and nothing is ordered twice. */
     @Test
     void lostWriteResponseGivesNoDuplicateOrders() throws FleetException {
         rig.propose("v2");
--- a/src/test/java/olivechute/controller/RolloutIntegrationTest.java
+++ b/src/test/java/olivechute/controller/RolloutIntegrationTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The driver with the real decisions: a change that does no worse goes through, and two leads by turns come to the
- * same.
+ * The controller with the real decisions: a change that does no worse completes, and two alternating leaders reach the
+ * same result.
  */
 class RolloutIntegrationTest {
     private static final int NODES = 8;
@@ -73,7 +73,7 @@
                 seen.containsAll(Set.of("PROPOSED0", "MOVING0", "WATCHING0", "MOVING1", "WATCHING1")), seen.toString());
     }
 
-    /** Every seventh round the lead is another one, which begins with nothing but the store. */
+    /** Every seventh round another controller takes the lead, which starts with nothing but the store. */
     @Test
     void alternatingLeadersCompleteTheChange() throws FleetException {
         ControllerRig rig = rigWithProposedChange();
--- a/src/test/java/olivechute/controller/ScriptedFleet.java
+++ b/src/test/java/olivechute/controller/ScriptedFleet.java
@@ -20,9 +20,8 @@
 import olivechute.store.Store.Write;
 
 /**
- * Machines of one node each that carry out the orders in a store as supervisors do: a lease each, only higher numbers,
- * a round of {@code STARTING} before {@code READY}. Notes each order carried out, and those that broke the rule of
- * numbers.
+ * Machines of one node each that carry out the orders in a store as supervisors do: one lease each, only orders with
+ * higher numbers, one round of {@code STARTING} before {@code READY}. Records each order carried out.
  */
 @SuppressWarnings("NonApiType") // the order of the set is part of the script
 final class ScriptedFleet {
@@ -58,7 +57,7 @@
         nodes.put(name, new Node());
     }
 
-    /** The machine's link breaks; its lease runs out by itself. */
+    /** Breaks or restores the machine's connection; its lease then expires. */
     void setDisconnected(String name, boolean cut) {
         nodes.get(name).disconnected = cut;
     }
@@ -73,12 +72,14 @@
         return all;
     }
 
-    /** Nodes that do not answer that they are ready. */
+    /** Number of nodes that are not ready. */
     long notReadyCount() {
         return nodes.values().stream().filter(n -> n.phase != NodePhase.READY).count();
     }
 
-    /** One second of every supervisor: what is started is ready now, then the newest order, then the report. */
+    /**
+     * One second of every supervisor: starting nodes become ready, then the newest order is carried out, then reported.
+     */
     void round() throws StoreException {
         for (Map.Entry<String, Node> each : nodes.entrySet()) {
             if (!each.getValue().disconnected) {
@@ -146,7 +147,7 @@
                 store.renew(node.lease);
                 return;
             } catch (StoreException e) {
-                node.lease = null; // it ran out: taken anew
+                node.lease = null; // expired: acquire again
             }
         }
         node.lease = store.acquire("machine/m-" + name, "m-" + name, TTL);
--- a/src/test/java/olivechute/controller/SequentialStepFunction.java
+++ b/src/test/java/olivechute/controller/SequentialStepFunction.java
@@ -14,10 +14,7 @@
 import olivechute.rollout.RolloutStage;
 import olivechute.rollout.RolloutState;
 
-/**
- * The plainest way through stages, one node at a time and by time alone: for tests of who writes, not of what is
- * decided.
- */
+/** Moves one node at a time through the stages, by time alone: for tests of who writes, not of what is decided. */
 final class SequentialStepFunction implements ReconcilePlan.StepFunction {
     @Override
     public RolloutDecision step(
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -30,7 +30,10 @@
 import olivechute.rollout.RolloutState;
 import org.junit.jupiter.api.Test;
 
-/** What a rollout keeps in the store, as an earlier build wrote it under the same keys, is read and written alike. */
+/**
+ * Guards the stored form of a rollout: values that an earlier build wrote under the same keys are read and written
+ * unchanged.
+ */
 class StoredRolloutTest {
     private static final long NOW_MS = 1_700_000_000_000L;
 
@@ -68,7 +71,7 @@
         return new NodeMetrics(node, version, 7, sequence, classes, 0, delayCounts);
     }
 
-    /** A change that has learned from some reports and moved its first node. */
+    /** A rollout that has measured its baseline and moved its first node. */
     private static RolloutState stateAfterBaseline() throws Exception {
         RolloutState state = RolloutState.proposed(RolloutCodec.toSpec(spec()), NOW_MS);
         for (int s = 1; s <= 30; s++) {
@@ -179,7 +182,9 @@
         }
     }
 
-    /** The comparison's sums lie in the record as bytes: they must go on, not begin anew. */
+    /**
+     * The sums of the comparison lie in the record as bytes: the comparison must continue with them, not start over.
+     */
     @Test
     void storedChangeContinuesWithItsEvidence() throws Exception {
         ChangeRecord read = ChangeRecord.parseFrom(StoredForms.recorded("change/current"));
--- a/src/test/java/olivechute/controller/TestClock.java
+++ b/src/test/java/olivechute/controller/TestClock.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 
-/** Virtual time, ms. */
+/** Virtual time in ms. */
 final class TestClock implements LongSupplier {
     private long nowMs = 1_000_000;
 
--- a/src/test/java/olivechute/rollout/FleetSimulationTest.java
+++ b/src/test/java/olivechute/rollout/FleetSimulationTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Rates over many seeded rollouts on a simulated fleet. -Drollout.seeds=N: how many of the equal version; a quarter of
- * it of each harm.
+ * Error rates over many seeded rollouts on a simulated fleet. -Drollout.seeds=N: number of seeds with an equal version;
+ * a quarter of that with each kind of regression.
  */
 class FleetSimulationTest {
     private static final int SEEDS = Integer.getInteger("rollout.seeds", 100);
@@ -78,7 +78,10 @@
         assertTrue(fleets.stream().allMatch(fleet -> fleet.maxUnavailableSeen <= 2));
     }
 
-    /** Old and new go alike, so it neither stops nor passes a stage; it goes on when they are back. */
+    /**
+     * Old and new nodes of the zone are lost alike, so the rollout neither stops nor passes the stage; it continues
+     * once they are back.
+     */
     @Test
     void zoneOutageDuringAStageNeitherStopsNorAdvances() {
         List<SimFleet> fleets = LongStream.range(0, Math.max(20, SEEDS / 20))
--- a/src/test/java/olivechute/rollout/RolloutTest.java
+++ b/src/test/java/olivechute/rollout/RolloutTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Each way from one phase to another, and each order of an operator in each phase. */
+/** Each transition between phases, and each operator action in each phase. */
 class RolloutTest {
     private static Arguments transition(
             String name, RolloutPhase from, Consumer<SmallFleet> event, RolloutPhase to, String reason) {
@@ -37,25 +37,25 @@
     static Stream<Arguments> transitions() {
         return Stream.of(
                 transition(
-                        "learns first",
+                        "measures the baseline first",
                         RolloutPhase.PROPOSED,
                         fleet -> fleet.run(10),
                         RolloutPhase.PROPOSED,
                         "learns how the nodes usually differ"),
                 transition(
-                        "moves after it",
+                        "moves after the baseline",
                         RolloutPhase.PROPOSED,
                         fleet -> fleet.run(20),
                         RolloutPhase.MOVING,
                         "stage 1: brings 1 of 6 nodes"),
                 transition(
-                        "no figures at all",
+                        "no metrics at all",
                         RolloutPhase.PROPOSED,
                         fleet -> withoutTraffic(fleet).run(121),
                         RolloutPhase.HELD,
-                        "no node told figures"),
+                        "no node reported metrics"),
                 transition(
-                        "figures at last",
+                        "metrics arrive late",
                         RolloutPhase.PROPOSED,
                         fleet -> {
                             withoutTraffic(fleet).run(121);
@@ -65,7 +65,7 @@
                         RolloutPhase.MOVING,
                         "stage 1"),
                 transition(
-                        "all of the stage there",
+                        "all nodes of the stage serve",
                         RolloutPhase.MOVING,
                         fleet -> fleet.run(6),
                         RolloutPhase.WATCHING,
@@ -93,7 +93,7 @@
                         RolloutPhase.WATCHING,
                         "stage 1"),
                 transition(
-                        "not yet",
+                        "minimum duration not over",
                         RolloutPhase.WATCHING,
                         fleet -> fleet.run(18),
                         RolloutPhase.WATCHING,
@@ -105,13 +105,13 @@
                         RolloutPhase.MOVING,
                         "stage 1 passed"),
                 transition(
-                        "silence",
+                        "no traffic",
                         RolloutPhase.WATCHING,
                         fleet -> withoutTraffic(fleet).run(121),
                         RolloutPhase.HELD,
                         "too little evidence"),
                 transition(
-                        "evidence at last",
+                        "evidence arrives late",
                         RolloutPhase.WATCHING,
                         fleet -> {
                             withoutTraffic(fleet).run(121);
@@ -177,7 +177,7 @@
                         RolloutPhase.ROLLING_BACK,
                         "is not ready 11 s after it was to be, 10 s are allowed"),
                 transition(
-                        "not ready where none can reach it",
+                        "not ready and unreachable",
                         RolloutPhase.WATCHING,
                         fleet -> {
                             freezeWhileStarting(fleet);
@@ -196,13 +196,13 @@
                         RolloutPhase.HELD,
                         "3 nodes are away"),
                 transition(
-                        "taken back",
+                        "rolled back",
                         RolloutPhase.ROLLING_BACK,
                         fleet -> fleet.run(30),
                         RolloutPhase.STOPPED,
                         "stopped by an operator"),
                 transition(
-                        "taken back but not ready",
+                        "rolled back but not ready",
                         RolloutPhase.ROLLING_BACK,
                         fleet -> {
                             fleet.run(1);
@@ -239,7 +239,7 @@
         fleet.firstMovedNode().frozen = true;
     }
 
-    /** A fleet in a phase, reached as a change would. */
+    /** A fleet brought to a phase through the regular steps of a rollout. */
     private static SmallFleet fleetInPhase(RolloutPhase phase) throws RolloutException {
         SmallFleet fleet = SmallFleet.withThreeStages();
         switch (phase) {
@@ -323,7 +323,7 @@
         fleet.state = Rollout.resume(fleet.state, fleet.nowMs);
         fleet.run(1);
         assertEquals(1, fleet.state.stage());
-        assertTrue(fleet.state.reason().contains("by an operator's word"), fleet.state.reason());
+        assertTrue(fleet.state.reason().contains("by an operator's decision"), fleet.state.reason());
     }
 
     @Test
@@ -342,7 +342,7 @@
             RolloutDecision again =
                     Rollout.step(one.nextState(), fleet.statuses(), fleet.metrics(), SimFleet.WEIGHTS, fleet.nowMs);
             if (fleet.state.phase() == RolloutPhase.WATCHING && one.nextState().phase() == RolloutPhase.WATCHING) {
-                assertArrayEquals(one.nextState().evidence(), again.nextState().evidence(), "figures count once");
+                assertArrayEquals(one.nextState().evidence(), again.nextState().evidence(), "metrics count once");
             }
             fleet.step();
         }
@@ -412,8 +412,8 @@
     }
 
     /**
-     * Where nodes add next to nothing, that much is anything between 0.1 and 1 ms from one second to the next; 30 ms
-     * still show.
+     * Guards against missing a 30 ms regression where the baseline is short and uneven: here the usual added delay lies
+     * anywhere between 0.1 and 1 ms from one second to the next.
      */
     @Test
     void addedDelayIsDetectedOverAShortVariableBaseline() {
--- a/src/test/java/olivechute/rollout/SchedulePropertyTest.java
+++ b/src/test/java/olivechute/rollout/SchedulePropertyTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.LongRange;
 import olivechute.error.RolloutException;
 
-/** What holds however nodes crash, are cut off and restart, and however often another lead goes on. */
+/** Properties that hold however nodes crash, disconnect and restart, and however often another leader takes over. */
 class SchedulePropertyTest {
     @Property(tries = 300, seed = "20261202")
     void unavailableNodesStayWithinTheBudget(
--- a/src/test/java/olivechute/rollout/SimFleet.java
+++ b/src/test/java/olivechute/rollout/SimFleet.java
@@ -8,9 +8,10 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet in virtual time with a change under way, from one seed: 40 nodes in 3 zones whose traffic, level and delay
- * differ; a level common to each zone that wanders and breaks in as under overload, which hits nodes differently; a
- * drift of each node's own (0.4 %); chance of each job and of each node and second on top.
+ * A simulated fleet in virtual time with a rollout in progress, from one seed: 40 nodes in 3 zones whose traffic,
+ * served fraction and delay differ; a level common to each zone that drifts and drops in intervals of overload, which
+ * affect nodes differently; a drift of each node's own (0.4 %); and random variation per request and per node and
+ * second.
  */
 final class SimFleet {
     static final List<Long> DELAY_BOUNDS_US = IntStream.range(0, 40)
@@ -27,8 +28,8 @@
     static final long START_MS = 1_800_000_000_000L;
 
     /**
-     * What the new version does to a fleet: factors on the part served of verify and sign, ms slower, s until it
-     * crashes, if ready.
+     * The effect of the new version: factors on the served fraction of verify and sign, added delay in ms, seconds
+     * until it crashes, and whether it becomes ready.
      */
     record Effect(
             double verifyFactor, double signFactor, double addedDelayMs, int crashAfterSeconds, boolean becomesReady) {
@@ -67,8 +68,8 @@
     }
 
     /**
-     * Runs until the change has ended or so many seconds went by; a stage held for too little evidence is let pass by
-     * the operator.
+     * Runs until the rollout has ended or so many seconds passed; the operator lets a stage pass that is held for too
+     * little evidence.
      */
     SimFleet run(int seconds) throws olivechute.error.RolloutException {
         for (int s = 0; s < seconds && !state.phase().ended(); s++) {
@@ -213,7 +214,7 @@
         }
     }
 
-    /** Takes a zone away, or brings it back with nodes that start anew. */
+    /** Disconnects the nodes of a zone, or brings them back restarted. */
     void setZoneLost(String zone, boolean lost) {
         for (SimNode node : nodes) {
             if (node.zone.equals(zone)) {
--- a/src/test/java/olivechute/rollout/SimNode.java
+++ b/src/test/java/olivechute/rollout/SimNode.java
@@ -2,11 +2,11 @@
 
 import java.util.Map;
 
-/** A node of the simulated fleet with its process: counts, phase and what its supervisor does with an order. */
+/** A node of the simulated fleet with its process: counts, phase and orders. */
 final class SimNode {
     final String name;
     final String zone;
-    /** Jobs a second, and how its served part and its delay stand to others'. */
+    /** Requests per second; below, the factors of its served fraction and delay relative to other nodes. */
     double requestsPerSecond;
 
     double servedFactor;
--- a/src/test/java/olivechute/rollout/SmallFleet.java
+++ b/src/test/java/olivechute/rollout/SmallFleet.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Six like nodes in two zones without any chance: each ends 80 verify and 20 sign jobs a second. Orders take two
- * seconds.
+ * Six equal nodes in two zones without randomness: each ends 80 verify and 20 sign requests per second. A restart takes
+ * two seconds.
  */
 final class SmallFleet {
     static final RolloutStage FIRST = new RolloutStage(1, 0, 20_000, 120_000, 100);
@@ -17,12 +17,12 @@
     RolloutState state;
     long nowMs = SimFleet.START_MS;
     boolean trafficOn = true;
-    /** Of 100 jobs those that a new node serves in time; an old one serves 90. */
+    /** Percentage of requests that a new node serves in time; an old one serves 90. */
     int servedPercentAtNew = 90;
 
     Map<String, String> orders = Map.of();
     int maxUnavailableSeen;
-    /** Counts the added delays of a node's jobs of one second. */
+    /** Counts the added delays of a node's requests in one second. */
     Consumer<SimNode> delays = node -> node.delayCounts[20] += 100;
 
     SmallFleet(int maxUnavailable, RolloutStage... stages) {
@@ -47,7 +47,7 @@
         return this;
     }
 
-    /** Until a phase; fails the caller's assertion by standing elsewhere after ten minutes. */
+    /** Runs until a phase is reached, for at most ten minutes; the caller asserts the phase. */
     SmallFleet runUntil(RolloutPhase phase) {
         for (int s = 0; s < 600 && state.phase() != phase; s++) {
             run(1);
