--- a/src/main/java/olivechute/endpointlist/EndpointListLease.java
+++ b/src/main/java/olivechute/endpointlist/EndpointListLease.java
@@ -3,28 +3,31 @@
 import olivechute.loadbalancing.ServiceRules;
 
 /**
- * For how long requests may be sent by the endpoint list that a node has. An endpoint that begins to drain is no longer
- * sent to once the node counts as notified; where discovery is polled, that is {@value #NOTIFIED_AFTER_US} us after
- * discovery had the change and could be reached, whatever became of the node's calls. So a list is good for that long
- * and the grace of a drain, from the moment at which it was known to be complete: when the call was sent that discovery
- * answered. A list that nothing renews is not wrong, but nothing may be sent by it any more.
+ * How long requests may be sent on the basis of the endpoint list that a node has. Nothing may be sent to a draining
+ * endpoint once the drain grace has passed since the node counts as notified. Where discovery is polled, a node counts
+ * as notified {@value #NOTIFIED_AFTER_US} us after discovery had the change and was reachable, whether or not the
+ * node's calls succeeded. A list is therefore valid for that time plus the drain grace, counted from the moment at
+ * which it was known to be complete: the moment at which the answered call was sent. A list that is not renewed may
+ * still be right, but nothing may be sent by it any more.
  *
- * <p>A new process holds no lease: the list in its configuration may be of any age. A discovery that cannot be reached
- * notifies nobody, so a failed connect renews the lease too. Where lists are pushed to an agent on the node's own
- * machine the lease is {@link #endless}: what the agent has counts at once, and what it cannot get counts for nobody.
+ * <p>A new process has no lease, as the list in its configuration may be of any age. An unreachable discovery notifies
+ * no node, so a failed connect renews the lease as well. Where lists are pushed to an agent on the node's own machine
+ * the lease is {@link #nonExpiring}: a change counts as notified as soon as the agent has it, and a change that the
+ * agent cannot get counts as notified to no node.
  *
- * <p>Times are microseconds on the caller's clock. Safe for use by several threads.
+ * <p>Times are microseconds on the event loop's clock. Thread-safe: the endpoint list watcher reports failed calls on
+ * its own thread, while the event loop renews and reads the lease.
  */
 public final class EndpointListLease {
-    /** The protocol's bound: a change counts as notified no later than this after discovery had it. */
+    /** Bound of the protocol: a change counts as notified no later than this after discovery had it. */
     static final long NOTIFIED_AFTER_US = 6_000_000;
-    /** The same after a new configuration that moves discovery, counted from the signal. */
+    /** The same bound after a configuration reload that moves discovery, counted from the signal. */
     static final long NOTIFIED_AFTER_MOVE_US = 4_000_000;
-    /** A process may be stalled for so long between reading its clock and writing. */
+    /** The longest time that a process may stall between reading its clock and writing a request. */
     static final long MAX_STALL_US = 150_000;
-    /** A discovery that rejects a call sooner is up and busy; one that is down has the call wait first. */
+    /** A discovery that rejects a call sooner than this is up and busy; one that is down holds the call first. */
     static final long IMMEDIATE_REJECTION_LIMIT_US = 1_000_000;
-    /** For so long after an answer a discovery that has calls wait and rejects them is taken to be down. */
+    /** A discovery that holds calls and then rejects them is assumed to be down for this long after its last answer. */
     static final long MAX_ASSUMED_DOWN_US = 10_000_000;
 
     private static final long NEVER_US = Long.MIN_VALUE;
@@ -35,15 +38,15 @@
     private final long maxAssumedDownUs;
     private volatile long expiresAtUs;
 
-    /** What was known before this moment renews nothing any more. Guarded by this. */
+    /** Answers to calls sent before this moment do not renew the lease. Guarded by this. */
     private long invalidatedAtUs = NEVER_US;
-    /** Whether no answer came since. Guarded by this. */
+    /** Whether no answer has renewed the lease since then. Guarded by this. */
     private boolean invalidated;
-    /** Whether discovery rejected a call at once since the last answer. Guarded by this. */
+    /** Whether discovery has rejected a call at once since the last answer. Guarded by this. */
     private boolean discoveryBusy;
-    /** Whether an answer ever renewed the list. Guarded by this. */
+    /** Whether an answer has ever renewed the lease. Guarded by this. */
     private boolean everAnswered;
-    /** Guarded by this. */
+    /** The latest moment at which a call was sent that renewed the lease. Guarded by this. */
     private long lastAnswerAsOfUs;
 
     private EndpointListLease(
@@ -55,7 +58,7 @@
         this.expiresAtUs = expiresAtUs;
     }
 
-    /** For a node that polls discovery under these rules; holds from the first renewal on. */
+    /** Makes the lease of a node that polls discovery under these rules; it holds from the first renewal on. */
     public static EndpointListLease forPolledList(ServiceRules rules) {
         long graceUs = Math.max(0, rules.drainGraceUs() - MAX_STALL_US);
         return new EndpointListLease(
@@ -66,17 +69,17 @@
                 NEVER_US);
     }
 
-    /** A lease that always holds. */
+    /** Makes a lease that always holds, for lists that are pushed to an agent. */
     public static EndpointListLease nonExpiring() {
         return new EndpointListLease(true, 0, 0, 0, Long.MAX_VALUE);
     }
 
-    /** Whether requests may be sent by the list. */
+    /** Whether requests may be sent by the list at this moment. */
     public boolean holds(long nowUs) {
         return nowUs < expiresAtUs;
     }
 
-    /** For how long it has expired; 0 while it holds, {@link Long#MAX_VALUE} if it never did. */
+    /** How long ago the lease expired: 0 while it holds, {@link Long#MAX_VALUE} if it never held. */
     public long expiredForUs(long nowUs) {
         long expiryUs = expiresAtUs;
         if (nowUs < expiryUs) {
@@ -85,7 +88,7 @@
         return expiryUs == NEVER_US ? Long.MAX_VALUE : nowUs - expiryUs;
     }
 
-    /** The list was complete at a moment: the call was sent then whose answer is in use now. */
+    /** The list was known to be complete at this moment: that is when the call was sent whose answer is now in use. */
     public synchronized void onRenewed(long asOfUs) {
         if (asOfUs >= invalidatedAtUs) {
             invalidated = false;
@@ -100,18 +103,18 @@
         expiresAtUs = Math.max(expiresAtUs, fromUs + durationUs);
     }
 
-    /** No connection to discovery could be made, tried at this moment: it notified nobody until then. */
+    /** A connect to discovery that began at this moment failed: discovery had notified no node until then. */
     public synchronized void onDiscoveryUnreachable(long atUs) {
         extend(atUs);
     }
 
     /**
-     * Discovery rejected a call (503). A busy one rejects at once, as its queue is full: it can be reached. One that is
-     * down has the call wait first ({@value #IMMEDIATE_REJECTION_US} us are between the two), and then the list is
-     * renewed as by a connect that failed. But not for a process that never had an answer, nor once discovery is known
-     * to be up since the last one, nor where this node is known to lack something: after a move, and after an answer
-     * that could not be read. As a busy one may have calls wait too, this holds for {@value #DOWN_BY_REJECTIONS_US} us
-     * after the last answer, less where the settings have it so.
+     * Discovery rejected a call (503). A busy discovery rejects at once, because its queue is full, and is reachable.
+     * One that is down holds the call first ({@value #IMMEDIATE_REJECTION_LIMIT_US} us separate the two cases), and the
+     * rejection renews the lease like a failed connect. It does not renew the lease if this process never had an
+     * answer, if discovery is known to have been up since the last answer, or if this node is known to lack a change:
+     * after a move, and after an answer that could not be read. As a busy discovery may hold calls too, this applies
+     * for {@value #MAX_ASSUMED_DOWN_US} us after the last answer, or less if the settings have a shorter poll interval.
      */
     public synchronized void onRejected(long sentAtUs, long rejectedAtUs) {
         discoveryBusy |= rejectedAtUs - sentAtUs < IMMEDIATE_REJECTION_LIMIT_US;
@@ -121,12 +124,12 @@
         }
     }
 
-    /** Discovery has written something that this node could not read: that counts as notified. */
+    /** Discovery wrote an answer that this node could not read; the changes in it count as notified. */
     public synchronized void onUnreadableAnswer(long atUs) {
         invalidate(atUs, graceUs);
     }
 
-    /** A new configuration moved discovery at this moment. */
+    /** A new configuration moved discovery to another address at this moment. */
     public synchronized void onDiscoveryMoved(long atUs) {
         invalidate(atUs, NOTIFIED_AFTER_MOVE_US + graceUs);
     }
--- a/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
+++ b/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
@@ -4,28 +4,31 @@
 import java.util.Set;
 
 /**
- * Whether an answer of discovery is used at once. A full list that lacks more than half of the endpoints known before,
- * or all of them, is more often discovery's fault than the fleet's: it is polled once more, and the second answer is
- * used whatever it says. A change names its endpoints and is always used.
+ * Decides whether an answer of discovery is used at once. A full list that lacks more than half of the endpoints known
+ * before, or all of them, is more often caused by a fault of discovery than by a failure of the fleet: the list is
+ * polled once more, and the second answer is used whatever it says. A change names its endpoints and is always used.
+ * Used by the endpoint list watcher on the discovery thread; not thread-safe.
  */
 public final class ListPlausibilityCheck {
     private static final int MIN_KNOWN_ENDPOINTS = 2;
 
     private Set<String> knownEndpoints = new HashSet<>();
 
-    /** Whether a full list of these endpoints, in whatever state, should be polled once more. */
+    /**
+     * Whether discovery should be polled once more after a full list of these endpoints; their states do not matter.
+     */
     public boolean isImplausible(Set<String> listed) {
         long retainedEndpoints =
                 knownEndpoints.stream().filter(listed::contains).count();
         return knownEndpoints.size() >= MIN_KNOWN_ENDPOINTS && 2 * retainedEndpoints < knownEndpoints.size();
     }
 
-    /** A full list is used. */
+    /** A full list is put into use: from now on these endpoints are the known ones. */
     public void onFullList(Set<String> listed) {
         knownEndpoints = new HashSet<>(listed);
     }
 
-    /** A change is used: this endpoint is listed from now on, or no longer. */
+    /** A change is put into use: from now on this endpoint is listed, or no longer listed. */
     public void onChange(String endpoint, boolean listed) {
         if (listed) {
             knownEndpoints.add(endpoint);
--- a/src/main/java/olivechute/endpointlist/WatchTimeouts.java
+++ b/src/main/java/olivechute/endpointlist/WatchTimeouts.java
@@ -4,54 +4,57 @@
 import olivechute.loadbalancing.ServiceRules;
 
 /**
- * How long a call to discovery asks it to wait for changes, and how long its complete answer is waited for, in
- * milliseconds. A call that is not answered by then is broken, and so is its connection: what it would have notified is
- * polled again at once, on a new one.
+ * Decides how long a call to discovery asks it to wait for changes, and by when its complete answer must have arrived,
+ * in milliseconds. A call that times out is closed together with its connection, and discovery is polled again at once
+ * on a new one. Used by the endpoint list watcher on the discovery thread.
  *
  * <p>Where discovery is <em>polled</em>, a change counts as notified {@value #NOTIFIED_AFTER_MS} ms after discovery had
- * it and could be reached, whatever became of the calls in between. So a watch may be silent from its first moment on
- * and the call after it rejected, and still a third one has to be answered by then: the wait is at most
- * {@value #LONGEST_WAIT_MS} ms. It is drawn at random from {@value #SHORTEST_WAIT_MS} ms on: nodes that start together,
- * or receive the same change, would otherwise notice one silence at the same moment, and discovery, which handles calls
- * in turn, would reject most of their second calls. Settings with a shorter {@code rules.ask_every} than such a call
- * lasts shorten it, drawn from two thirds of the wait that they leave.
+ * it and was reachable, whether or not the calls in between succeeded. A watch may be silent from the start and the
+ * call after it may be rejected, and a third call must still be answered by then; so the wait is at most
+ * {@value #MAX_POLL_WAIT_MS} ms. It is drawn at random, starting at {@value #MIN_POLL_WAIT_MS} ms: nodes that start
+ * together or receive the same change would otherwise time out at the same moment, and discovery, which handles calls
+ * one after the other, would reject most of their second calls. If {@code rules.ask_every} is shorter than such a call,
+ * the wait is shortened to fit and is drawn from two thirds of the remaining wait upwards.
  *
- * <p>Where lists are <em>pushed</em>, an agent on the node's own machine has them, answers at once and at no cost, and
- * what it has counts as notified. So all that a silent watch may cost is the drain's grace: wait and timeout together
- * stay well within it, and an agent that says nothing, as while discovery is down, is polled again and again. It too is
- * polled at least as often as {@code rules.ask_every} says.
+ * <p>Where lists are <em>pushed</em>, an agent on the node's own machine has them and answers at once and at no cost,
+ * and a change counts as notified as soon as the agent has it. A silent watch may therefore take no longer than the
+ * drain grace: wait and timeout together stay well within it, and an agent that does not answer, as while discovery is
+ * down, is polled repeatedly. The agent too is polled at least as often as {@code rules.ask_every} says.
  */
 public class WatchTimeouts {
-    /** The protocol's bound: no change counts as notified later than this. */
+    /** Bound of the protocol: no change counts as notified later than this after discovery had it. */
     static final int NOTIFIED_AFTER_MS = 6000;
 
     static final int MIN_POLL_WAIT_MS = 2000;
     static final int MAX_POLL_WAIT_MS = 3000;
-    /** For an answer to come after the wait is over. */
+    /** Time for the answer to arrive after the wait has ended. */
     static final int ANSWER_MARGIN_MS = 400;
     /**
-     * For an answer with the full list: a busy discovery rejects sooner, and one that has not rejected may still
-     * answer. A call given up loses its place, and the next one stands behind all others.
+     * Timeout of a call for the full list. A busy discovery rejects a call sooner, and one that has not rejected it may
+     * still answer. A call that times out loses its place in discovery's queue, and its retry is queued behind all
+     * others.
      */
     static final int FULL_LIST_TIMEOUT_MS = 2900;
 
     private static final int MICROS_PER_MS = 1000;
     /**
-     * For an answer to what is newer than a version: a crowded discovery has calls wait for 3 s before their turn, and
-     * whoever gives up before that has wasted the turn.
+     * Timeout of a call for the changes since a version. An overloaded discovery queues calls for 3 s before it handles
+     * them, and a node that gives up earlier has waited for nothing.
      */
     private static final int CHANGES_TIMEOUT_MS = MAX_POLL_WAIT_MS + ANSWER_MARGIN_MS;
-    /** The longest that such an answer is waited for after others were given up. */
+    /** The longest timeout of a call after earlier ones timed out. */
     private static final int MAX_BACKOFF_TIMEOUT_MS = 12_000;
 
     private static final int SHORT_WAIT_MS = 1;
-    /** The longest time without a call to an agent, however long the drain's grace. */
+    /** The longest time without a call to an agent, however long the drain grace is. */
     private static final int MAX_AGENT_WAIT_MS = 1000;
 
     private static final int MIN_WAIT_MS = 50;
-    /** An agent that has a list answers far sooner; one that says nothing has notified of nothing either. */
+    /**
+     * An agent that has a list answers far sooner than this; one that does not answer has notified the node of nothing.
+     */
     private static final int FIRST_PUSHED_ANSWER_TIMEOUT_MS = 250;
-    /** A crowded discovery may reject a new process some times; the node must be ready all the same. */
+    /** An overloaded discovery may reject a new process several times; the node must become ready all the same. */
     private static final int FIRST_POLLED_ANSWER_TIMEOUT_MS = 4000;
 
     private final boolean pushed;
@@ -60,18 +63,18 @@
     private final DoubleSupplier random;
 
     /**
-     * One call.
+     * Wait and timeout of one call to discovery.
      *
-     * @param waitMs for how long discovery may hold it, 0 for not at all
-     * @param timeoutMs the time from its start until its complete answer has to be there
+     * @param waitMs how long discovery may hold the call while there is no change; 0 for not at all
+     * @param timeoutMs time from the start of the call until its complete answer must have arrived
      */
     public record Call(int waitMs, int timeoutMs) {}
 
     /**
-     * Makes the timeouts of one node.
+     * Makes the timeouts for the calls of one node.
      *
      * @param pushed whether lists are pushed to an agent; otherwise discovery is polled
-     * @param random numbers from 0 (inclusive) to 1 (exclusive), a series of its own for each node
+     * @param random numbers from 0 (inclusive) to 1 (exclusive), a separate series for each node
      */
     public WatchTimeouts(boolean pushed, ServiceRules rules, DoubleSupplier random) {
         this.pushed = pushed;
@@ -85,7 +88,7 @@
         this.random = random;
     }
 
-    /** A call that waits for what is newer than a version. */
+    /** A call that waits for changes since a version. */
     public Call watch() {
         if (pushed) {
             return new Call(agentWaitMs, 2 * agentWaitMs);
@@ -101,17 +104,18 @@
     }
 
     /**
-     * The first call at an address, and the one after a call that failed: for what is newer than a version, answered in
-     * its turn also if that is nothing.
+     * The first call to an address, and the one after a call that failed: it asks for the changes since a version and
+     * is answered as soon as discovery handles it, even if there are none.
      */
     public Call afterFailure() {
         return new Call(SHORT_WAIT_MS, pushed ? agentWaitMs : CHANGES_TIMEOUT_MS);
     }
 
     /**
-     * The same call after so many in a row that timed out: each is waited for twice as long as the one before. A
-     * discovery that is slow, or a list that is long, would otherwise never get an answer through, and the more calls
-     * are given up the slower it is. An agent answers at once or has nothing to say.
+     * The same call after a number of consecutive timeouts; each call has twice the timeout of the one before.
+     * Otherwise no answer would ever arrive in time from a slow discovery or with a long list, and calls that time out
+     * make discovery even slower. The timeout of a call to an agent stays the same, as an agent answers at once or has
+     * nothing to report.
      */
     public Call withBackoff(Call call, int consecutiveTimeouts) {
         int timeoutMs = call.timeoutMs();
@@ -121,17 +125,20 @@
         return new Call(call.waitMs(), timeoutMs);
     }
 
-    /** Whether lists are pushed: the watch then goes on by itself, whatever fails. */
+    /** Whether lists are pushed; the watch then continues by itself after any failure. */
     public boolean pushed() {
         return pushed;
     }
 
-    /** How long to pause after a failed call to an agent; where discovery is polled the load balancer says it. */
+    /**
+     * Milliseconds to pause after a failed call to an agent; where discovery is polled the load balancer decides the
+     * pause.
+     */
     public int agentRetryPauseMs() {
         return agentWaitMs / 2;
     }
 
-    /** How long a node that starts waits for its first answer before it takes requests. */
+    /** How many milliseconds a starting node waits for its first answer before it accepts requests. */
     public int firstAnswerTimeoutMs() {
         return pushed ? FIRST_PUSHED_ANSWER_TIMEOUT_MS : FIRST_POLLED_ANSWER_TIMEOUT_MS;
     }
--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -25,7 +25,12 @@
 import olivechute.loadbalancing.Request;
 import olivechute.loadbalancing.ShareLoadBalancer;
 
-/** The adapter for the simulator's wire: translates events and actions, decides nothing. */
+/**
+ * Connects load balancers to the simulator: decodes its events, encodes the load balancers' actions, and decides
+ * nothing itself. Each input line is a JSON object with a batch of events and is answered by one line with the
+ * resulting actions. Several load balancer instances may run side by side. Times are seconds on the wire and
+ * microseconds in the code. Everything runs on the thread that calls {@link #run}.
+ */
 public final class SimulatorAdapter {
     private static final JsonFactory JSON = new JsonFactory();
     private static final double MICROS_PER_SECOND = 1e6;
@@ -38,7 +43,10 @@
 
     private SimulatorAdapter() {}
 
-    /** Serves batches until the input ends; returns the exit status. */
+    /**
+     * Processes batches until the input ends. Returns the exit status: 1 if a line could not be processed, which is
+     * reported on {@code errors}, else 0.
+     */
     public static int run(InputStream input, OutputStream output, PrintStream errors) {
         SimulatorAdapter adapter = new SimulatorAdapter();
         ByteArrayOutputStream line = new ByteArrayOutputStream(1 << 16);
@@ -136,7 +144,7 @@
                 element.microsOr("since", 0));
     }
 
-    /** One instance: its module, and the actions it asks for. */
+    /** One load balancer instance; encodes the actions that it requests. */
     private final class Instance implements LoadBalancer.Helper {
         private final String instanceId;
         private LoadBalancerSettings settings;
@@ -147,7 +155,7 @@
             this.instanceId = instanceId;
         }
 
-        /** Runs a call of the module; its failure is reported as the wire's crash action. */
+        /** Calls the load balancer; an unexpected exception is reported as a CRASH action and ends the instance. */
         void runGuarded(Runnable call) {
             try {
                 call.run();
--- a/src/test/java/olivechute/endpointlist/EndpointListLeaseTest.java
+++ b/src/test/java/olivechute/endpointlist/EndpointListLeaseTest.java
@@ -8,13 +8,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The lease of a list against the protocol's figures, in virtual time; microseconds. */
+/** Checks the lease of an endpoint list against the protocol's bounds, in virtual time. Times are microseconds. */
 public class EndpointListLeaseTest {
     private static final long SECOND_US = 1_000_000;
     private static final long START_US = 1_764_000_000 * SECOND_US;
     private static final long NOTIFIED_AFTER_US = 6 * SECOND_US; // after discovery had a change
     private static final long NOTIFIED_AFTER_MOVE_US = 4 * SECOND_US; // after SIGHUP
-    private static final long MAX_STALL_US = 150_000; // between a look at the clock and a write
+    private static final long MAX_STALL_US = 150_000; // between reading the clock and writing
     private static final long POLL_INTERVAL_US = 10 * SECOND_US;
 
     private static EndpointListLease lease(long pollIntervalUs, long drainGraceUs) {
@@ -28,7 +28,8 @@
     }
 
     /**
-     * A change made just after the call was sent; a process held up after its last look still writes within the grace.
+     * The change is made just after the call was sent. A process that stalls after its last check of the lease must
+     * still write within the drain grace.
      */
     @Test(dataProvider = "graces")
     public void noRequestIsWrittenOnceAMissedChangeIsBinding(long drainGraceUs) {
@@ -41,10 +42,10 @@
         }
         assertTrue(
                 lastHeldUs + Math.min(MAX_STALL_US, drainGraceUs) <= bindsAtUs,
-                "held " + (bindsAtUs - lastHeldUs) + " us before");
+                "lease held until " + (bindsAtUs - lastHeldUs) + " us before the change is binding");
         assertTrue(
                 lastHeldUs > START_US + NOTIFIED_AFTER_US - 20_000,
-                "and no shorter than needs be: " + (bindsAtUs - lastHeldUs));
+                "lease is shorter than necessary: " + (bindsAtUs - lastHeldUs));
     }
 
     @Test
@@ -58,7 +59,10 @@
         assertTrue(unreachable.holds(START_US + SECOND_US));
     }
 
-    /** Changes count from when discovery can be reached: each failed connection begins the time anew. */
+    /**
+     * A change counts as notified only some time after discovery can be reached, so each failed connect restarts that
+     * time.
+     */
     @Test
     public void failedConnectsRenewTheLease() {
         EndpointListLease lease = lease(POLL_INTERVAL_US, SECOND_US / 2);
@@ -73,7 +77,7 @@
     private static final long IMMEDIATE_REJECTION_US = 50_000;
     private static final long DELAYED_REJECTION_US = 2 * SECOND_US;
 
-    /** Calls that wait and are refused, one a few seconds after the other: what a discovery does that is down. */
+    /** Calls that are held and then rejected, a few seconds apart, as by a discovery that is down. */
     private static void rejectAfterDelays(EndpointListLease lease, long fromUs, long toUs) {
         for (long atUs = fromUs; atUs < toUs; atUs += DELAYED_REJECTION_US + SECOND_US / 2) {
             lease.onRejected(atUs, atUs + DELAYED_REJECTION_US);
@@ -89,7 +93,7 @@
         rejectAfterDelays(lease, START_US + POLL_INTERVAL_US, START_US + 60 * SECOND_US);
         assertFalse(
                 lease.holds(START_US + POLL_INTERVAL_US + NOTIFIED_AFTER_US + SECOND_US / 2),
-                "a busy one may do so too: not believed without end");
+                "a busy discovery may also hold calls before it rejects them, so the renewal must be limited");
     }
 
     @Test
@@ -100,7 +104,7 @@
         rejectAfterDelays(
                 lease,
                 START_US + 2 * SECOND_US,
-                START_US + 30 * SECOND_US); // known to be up: these waited in its queue
+                START_US + 30 * SECOND_US); // known to be up: these calls waited in its queue
         assertFalse(lease.holds(START_US + NOTIFIED_AFTER_US + SECOND_US / 2));
         lease.onRenewed(START_US + 30 * SECOND_US);
         rejectAfterDelays(lease, START_US + 31 * SECOND_US, START_US + 40 * SECOND_US);
@@ -126,7 +130,7 @@
         lease.onUnreadableAnswer(START_US + SECOND_US);
         assertTrue(lease.holds(START_US + SECOND_US));
         assertFalse(lease.holds(START_US + SECOND_US + SECOND_US / 2 - MAX_STALL_US));
-        lease.onRenewed(START_US); // applied late: of before the answer that was lost
+        lease.onRenewed(START_US); // applied late: sent before the answer that could not be read
         assertFalse(lease.holds(START_US + SECOND_US + SECOND_US / 2));
         lease.onRenewed(START_US + SECOND_US);
         assertTrue(lease.holds(START_US + SECOND_US + SECOND_US / 2));
@@ -140,7 +144,7 @@
         long bindsAtUs = START_US + SECOND_US / 10 + NOTIFIED_AFTER_MOVE_US + SECOND_US / 2;
         assertTrue(lease.holds(START_US + NOTIFIED_AFTER_MOVE_US));
         assertFalse(lease.holds(bindsAtUs - MAX_STALL_US));
-        lease.onRenewed(START_US); // the answer of the old address
+        lease.onRenewed(START_US); // an answer from the old address
         assertFalse(lease.holds(bindsAtUs - MAX_STALL_US));
         lease.onRenewed(START_US + SECOND_US);
         assertTrue(lease.holds(START_US + SECOND_US + NOTIFIED_AFTER_US));
--- a/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
+++ b/src/test/java/olivechute/endpointlist/WatchTimeoutsTest.java
@@ -13,32 +13,35 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The times of calls against the protocol's figures, in virtual time; milliseconds. */
+/**
+ * Checks the waits and timeouts of calls against the protocol's bounds, in virtual time. Times are milliseconds unless
+ * a name says otherwise.
+ */
 public class WatchTimeoutsTest {
     private static final long SEED = 20;
     private static final long POLL_INTERVAL_US = 10_000_000;
-    private static final int NOTIFIED_AFTER_MS = 6000; // after discovery had a change, whatever became of calls
+    private static final int NOTIFIED_AFTER_MS = 6000; // after discovery had a change, whatever happened to the calls
     private static final int DRAIN_GRACE_MS = 500;
     private static final int MAX_RETRY_PAUSE_MS =
-            500; // the module's longest before it asks again after a first failure
-    private static final int CALL_TIME_MS = 500; // dial, queue and answer of a call, with room
-    private static final int REJECTED_AFTER_MS = 2000; // after so long a busy discovery refuses
+            500; // the load balancer's longest pause before it retries after a first failure
+    private static final int CALL_TIME_MS = 500; // connect, queueing and answer of a call, with a margin
+    private static final int REJECTED_AFTER_MS = 2000; // a busy discovery rejects a call after this time
     private static final int MAX_BUSY_ANSWER_TIME_MS =
-            3034; // the longest after which a crowded discovery was seen to answer
+            3034; // the longest time after which an overloaded discovery was seen to answer
     private static final int NODES = 100;
     private static final int SEEDS = 20;
-    private static final double SYNCHRONIZED_CALLS_PER_SECOND = 47; // calls that discovery answers
+    private static final double SYNCHRONIZED_CALLS_PER_SECOND = 47; // calls that discovery can answer
     private static final double LATER_CALLS_PER_SECOND = 40;
     private static final int UNLOADED_CALLS_PER_SECOND =
-            400; // and on a good day: 60 nodes that started together were answered within 0.16 s
-    private static final int MAX_ROUND_MS = 3250; // wait and turn of a hundred nodes
+            400; // without load: 60 nodes that started together were answered within 0.16 s
+    private static final int MAX_ROUND_MS = 3250; // wait and answers of a hundred nodes
 
     @DataProvider
     public Object[][] chances() {
         return new Object[][] {{0.0}, {0.25}, {0.5}, {0.75}, {Math.nextDown(1.0)}};
     }
 
-    /** In microseconds, as all rules. */
+    /** Arguments are microseconds, as in all rules. */
     private static ServiceRules rules(long pollIntervalUs, long drainGraceUs) {
         return new ServiceRules(0, pollIntervalUs, drainGraceUs, 0.3, 8_900_000, 3, 1_000_000, false);
     }
@@ -60,7 +63,7 @@
                 .toArray(Object[][]::new);
     }
 
-    /** The change is made just after the call has begun on a connection that is silent from then on. */
+    /** The change is made just after the call has started on a connection that stays silent from then on. */
     @Test(dataProvider = "everiesAndChances")
     public void silentWatchIsRepeatedInTimeEvenIfTheFirstRetryIsRejectedLate(long pollIntervalUs, double random) {
         WatchTimeouts timeouts = polled(pollIntervalUs, () -> random);
@@ -68,7 +71,7 @@
         assertTrue(call.waitMs() >= 1 && call.waitMs() <= 60_000, call.toString());
         assertTrue(
                 REJECTED_AFTER_MS < timeouts.afterFailure().timeoutMs(),
-                "a refusal is waited for, so that the place in the queue is not given up");
+                "the timeout must leave time for a rejection, so that the place in the queue is not given up");
         assertTrue(call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS < NOTIFIED_AFTER_MS, call.toString());
         assertTrue(
                 call.timeoutMs() + REJECTED_AFTER_MS + MAX_RETRY_PAUSE_MS + CALL_TIME_MS
@@ -77,8 +80,8 @@
     }
 
     /**
-     * What was given up is waited for longer the next time, but never without end; an agent answers at once or has
-     * nothing to say.
+     * After a timeout the next call has a longer one, up to a limit. The timeout of calls to an agent stays the same,
+     * as an agent answers at once or has nothing to report.
      */
     @Test
     public void timeoutDoublesAfterEachCallThatTimedOut() {
@@ -93,8 +96,8 @@
     }
 
     /**
-     * A call given up just before its turn has kept others waiting for nothing, and stands behind all of them the next
-     * time.
+     * Guards against a timeout shortly before discovery handles the call: the call has delayed others for nothing, and
+     * its retry is queued behind all of them.
      */
     @Test
     public void callDoesNotTimeOutBeforeABusyDiscoveryAnswers() {
@@ -115,7 +118,9 @@
                 < NOTIFIED_AFTER_MS);
     }
 
-    /** Milliseconds of the settings, and the longest wait that they leave where discovery is asked. */
+    /**
+     * The poll interval in the settings and the longest wait that it leaves where discovery is polled, in milliseconds.
+     */
     @DataProvider
     public Object[][] everies() {
         return new Object[][] {
@@ -128,7 +133,10 @@
         Call shortest = polled(1000L * pollIntervalMs, () -> 0).watch();
         Call longest = polled(1000L * pollIntervalMs, () -> Math.nextDown(1.0)).watch();
         assertEquals(longest.waitMs(), maxWaitMs);
-        assertEquals(shortest.waitMs(), maxWaitMs * 2 / 3, "a fleet is kept out of step by the same part of the wait");
+        assertEquals(
+                shortest.waitMs(),
+                maxWaitMs * 2 / 3,
+                "the waits of a fleet must be spread over the same part of the longest one");
         assertEquals(longest.timeoutMs() - longest.waitMs(), shortest.timeoutMs() - shortest.waitMs());
         assertTrue(pollIntervalMs == 0 || longest.timeoutMs() <= pollIntervalMs, longest.toString());
         for (Object[] grace : graces()) {
@@ -142,10 +150,7 @@
         }
     }
 
-    /**
-     * Settings that leave next to no time between two calls: answers still have time to come, and calls do not follow
-     * each other without end.
-     */
+    /** A poll interval of almost 0 must still leave time for answers and must not lead to a busy loop of calls. */
     @Test
     public void tinyPollIntervalDoesNotCauseABusyLoop() {
         for (long pollIntervalUs : new long[] {1, 1000, 40_000, 400_000}) {
@@ -164,8 +169,8 @@
     }
 
     /**
-     * What an agent has counts at once: watch, silence, second call and its silence together stay within the drain's
-     * grace.
+     * A change counts as notified as soon as the agent has it, so a silent watch and a silent second call together must
+     * stay within the drain grace.
      */
     @Test(dataProvider = "graces")
     public void agentIsPolledAgainWithinTheDrainGrace(int drainGraceMs) {
@@ -177,9 +182,12 @@
         assertTrue(timeouts.firstAnswerTimeoutMs() > 0 && timeouts.firstAnswerTimeoutMs() < 1000);
     }
 
-    // ---- a fleet whose watches all fall silent -------------------------------------------------------------
+    // ---- fleet whose watches all fall silent -------------------------------------------------------------
 
-    /** What a discovery does with such a fleet in a minute: calls, refused ones, and nodes that hear too late. */
+    /**
+     * Calls that discovery gets from such a fleet in a minute, how many of them it rejects, and how many nodes are
+     * notified too late.
+     */
     private record FleetCalls(int calls, int rejected, int late) {}
 
     private record ScheduledCall(double atMs, int node, boolean afterSilentWatch) {}
@@ -202,14 +210,15 @@
         return timeouts;
     }
 
-    /** When each watch is given up, all asked for at 0 and silent. */
+    /** The times at which the watches time out if all are sent at 0 and are silent. */
     private static double[] synchronizedTimeoutsMs(WatchTimeouts[] timeouts) {
         return Arrays.stream(timeouts).mapToDouble(c -> c.watch().timeoutMs()).toArray();
     }
 
     /**
-     * All nodes ask at 0 and go on so, as there is no news, before a discovery that answers {@value #QUICK} calls a
-     * second; at {@code cut} all watches fall silent. When each is given up, from the cut on.
+     * All nodes send a watch at 0 and, as there are no changes, another one after each answer; discovery answers
+     * {@value #UNLOADED_CALLS_PER_SECOND} calls a second. At {@code silentFromMs} all watches fall silent. Returns the
+     * times at which they time out, counted from then.
      */
     private static double[] timeoutsAfterIdlePeriodMs(WatchTimeouts[] timeouts, int silentFromMs) {
         double[] timedOutAtMs = new double[timeouts.length];
@@ -229,8 +238,9 @@
     }
 
     /**
-     * A change at 0 that all silent watches miss. Discovery answers {@code perSecond} calls in turn and refuses what
-     * has waited for 2 s; an answer with news leads to another call.
+     * Simulates a minute after a change at 0 that all silent watches miss. Discovery answers {@code callsPerSecond}
+     * calls, one after the other, and rejects a call that has waited for 2 s. An answer with the change leads to
+     * another call.
      */
     private static FleetCalls simulateMinute(
             WatchTimeouts[] timeouts, double[] timedOutAtMs, double callsPerSecond, long seed) {
@@ -269,8 +279,8 @@
     }
 
     /**
-     * At one and the same rate the drawn fleet is told in time, and one that waits equally long is not, whatever wait
-     * it is.
+     * At the same rate of answers a fleet with random waits is notified in time, and a fleet whose waits are all equal
+     * is not, however long they are.
      */
     @Test
     public void synchronizedFleetIsNotifiedInTimeWithoutRejections() {
@@ -287,16 +297,16 @@
             WatchTimeouts[] timeouts = uniformFleet((double) random[0]);
             FleetCalls uniform =
                     simulateMinute(timeouts, synchronizedTimeoutsMs(timeouts), SYNCHRONIZED_CALLS_PER_SECOND, SEED);
-            System.out.println("without chance, " + random[0] + ": " + uniform);
+            System.out.println("uniform waits, " + random[0] + ": " + uniform);
             assertTrue(
                     uniform.late > 0,
-                    "the model tells a fleet in step from one that is not: " + random[0] + ", " + uniform);
+                    "the model must show late notifications without random waits: " + random[0] + ", " + uniform);
         }
     }
 
     /**
-     * Nodes that started together: those with drawn waits lose their step while nothing happens, the others keep it for
-     * ever.
+     * Nodes that started together: random waits desynchronize them while there are no changes, and with equal waits
+     * they stay synchronized.
      */
     @Test
     public void fleetThatStartedTogetherIsNotifiedInTimeWithoutRejections() {
@@ -305,7 +315,7 @@
         int[] late = new int[chances().length];
         for (int i = 0; i < SEEDS; i++) {
             long seed = SEED + i;
-            int silentFromMs = 60_000 + i * MAX_ROUND_MS / SEEDS; // anywhere in a round
+            int silentFromMs = 60_000 + i * MAX_ROUND_MS / SEEDS; // at any point of a round of calls
             WatchTimeouts[] timeouts = randomizedFleet(seed);
             FleetCalls randomized = simulateMinute(
                     timeouts, timeoutsAfterIdlePeriodMs(timeouts, silentFromMs), LATER_CALLS_PER_SECOND, seed);
@@ -322,11 +332,11 @@
                 late[c] += uniform.late;
             }
         }
-        System.out.println("without chance, refused " + Arrays.toString(rejected) + ", late " + Arrays.toString(late));
+        System.out.println("uniform waits, rejected " + Arrays.toString(rejected) + ", late " + Arrays.toString(late));
         for (int c = 0; c < late.length; c++) {
             assertTrue(
                     rejected[c] > 10 * SEEDS && late[c] > 0,
-                    "the model tells a fleet in step from one that is not: " + chances()[c][0]);
+                    "the model must show late notifications without random waits: " + chances()[c][0]);
         }
     }
 }
--- a/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
+++ b/src/test/java/olivechute/loadbalancing/DecisionRecordTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A change of form must not change one decision. Twenty-eight seeded days are played and the digest of each day's
- * actions is compared with the one recorded in decision-digests.txt. A change of behaviour that is meant replaces that
- * file, and its commit says why.
+ * Guards against unintended changes of the load balancer's decisions, as by a refactoring. Executes twenty-eight seeded
+ * runs and compares the digest of each run's actions with the one recorded in decision-digests.txt. An intended change
+ * of behaviour replaces that file, and its commit says why.
  */
 class DecisionRecordTest {
     private static final long MILLISECOND = 1000;
--- a/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
+++ b/src/test/java/olivechute/loadbalancing/FleetScenariosTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many nodes at once before the same few workers, in virtual time: what reaches a shared party from all of them
- * together.
+ * Runs many nodes against the same few endpoints in virtual time and checks the load that an endpoint, or discovery,
+ * gets from all of them together. Times are microseconds.
  */
 class FleetScenariosTest {
     private static final long SEED = 20261201;
@@ -28,13 +28,13 @@
     private record SentAttempt(Harness node, String requestId, int attempt) {}
 
     /**
-     * A worker with four slots and a queue; {@code dead} takes no connection, and one that is up again has lost what it
-     * had; {@code shut} refuses each at once, as one whose table of connections is full; {@code bad} answers each job
-     * as failed.
+     * An endpoint with four slots and a queue. If {@code down}, it accepts no connection, and has lost its requests
+     * once it is up again. If {@code refusesConnections}, it refuses each connection at once, like an endpoint whose
+     * connection table is full. If {@code failsRequests}, it answers each request with an error.
      */
     private static final class SimulatedEndpoint {
         final Deque<SentAttempt> queue = new ArrayDeque<>();
-        final Map<SentAttempt, Long> runningUntilUs = new LinkedHashMap<>(); // until when
+        final Map<SentAttempt, Long> runningUntilUs = new LinkedHashMap<>();
         final List<Long> arrivalsUs = new ArrayList<>();
         boolean down;
         boolean refusesConnections;
@@ -44,7 +44,7 @@
     private final List<Harness> nodes = new ArrayList<>();
     private final Map<String, SimulatedEndpoint> endpoints = new TreeMap<>();
     private final SplittableRandom random = new SplittableRandom(SEED);
-    private final Map<Harness, Double> requestsPerSecond = new LinkedHashMap<>(); // jobs a second
+    private final Map<Harness, Double> requestsPerSecond = new LinkedHashMap<>();
     private long nowUs;
     private LoadBalancerSettings settings;
     private EndpointInfo[] initialList;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** A node that knows nothing but the list begins, beside what was sent before by the one in its place. */
+    /** Starts a node that knows only the list. Attempts sent by the node that it replaces may still be running. */
     private void startNode(long seed, double requestRate) {
         Harness node = new Harness(settings, SEED + seed);
         node.advance(nowUs);
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Hands what a node has just sent to its workers. */
+    /** Delivers the attempts that a node has just sent to their endpoints. */
     private void deliverAttempts(Harness node) {
         for (Harness.TrackedRequest request : node.requests.values()) {
             int attempt = request.outcomes.size() - 1;
@@ -197,11 +197,12 @@
     }
 
     /**
-     * join: six in ten replaced within 7 s; none of those that came may stand idle, nor get more at once than it bears.
+     * Scenario join: six of ten endpoints are replaced within 7 s. No new endpoint may stay idle, nor get more at once
+     * than it can handle.
      */
     @Test
     void replacedEndpointsAreUsedSoonAndNotOverloaded() {
-        startFleet(20, 7, 10); // 70 % of what ten workers bear
+        startFleet(20, 7, 10); // 70 % of what ten endpoints can handle
         runUntil(3 * SECOND);
         for (int i = 0; i < 6; i++) {
             updateList(
@@ -230,7 +231,10 @@
                 countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
-    /** zone: three in ten vanish for 5 s; what all nodes lose by trying them is bounded, and they are used again. */
+    /**
+     * Scenario zone: three of ten endpoints cannot be reached for 5 s. The number of attempts that all nodes lose there
+     * is limited, and the endpoints are used again afterwards.
+     */
     @Test
     void unreachableZoneIsRarelyRetriedAndUsedAfterRecovery() {
         startFleet(20, 5, 10);
@@ -240,8 +244,8 @@
         }
         runUntil(8 * SECOND);
         long failedConnects = countOutcomes(AttemptOutcome.CONNECT_FAILED);
-        // 30 of some 500 jobs; without the rests after a failed dial there are 48.
-        assertTrue(failedConnects <= 40, failedConnects + " failed dials, seed " + SEED);
+        // 30 of some 500 requests; without ejections after a failed connect there are 48.
+        assertTrue(failedConnects <= 40, failedConnects + " failed connects, seed " + SEED);
         for (int w = 0; w < 3; w++) {
             SimulatedEndpoint endpoint = endpoints.get("w" + w);
             endpoint.down = false;
@@ -262,8 +266,8 @@
     }
 
     /**
-     * A node that sees a job in ten seconds knows next to nothing; it serves each, and one with ten times the mean does
-     * too.
+     * A node that gets one request in ten seconds has hardly any measurements and still serves each request; so does a
+     * node with ten times the mean traffic.
      */
     @Test
     void requestsOfQuietAndBusyNodesAreServed() {
@@ -274,7 +278,7 @@
         List<Harness.TrackedRequest> quietNodeRequests = nodes.get(0).requests.values().stream()
                 .filter(s -> s.arrivedAtUs < nowUs - 5 * SECOND)
                 .toList();
-        assertTrue(quietNodeRequests.size() >= 2, quietNodeRequests.size() + " jobs, seed " + SEED);
+        assertTrue(quietNodeRequests.size() >= 2, quietNodeRequests.size() + " requests, seed " + SEED);
         assertTrue(quietNodeRequests.stream().allMatch(s -> "served".equals(s.answer)), "seed " + SEED);
         long busyNodeServed = nodes.get(1).requests.values().stream()
                 .filter(s -> "served".equals(s.answer))
@@ -284,7 +288,10 @@
                 busyNodeServed + " of " + nodes.get(1).requests.size() + ", seed " + SEED);
     }
 
-    /** herd: seven in ten nodes start within a second and know nothing; together they must not bury any worker. */
+    /**
+     * Scenario herd: seven of ten nodes start within a second, without any measurements. Together they must not
+     * overload an endpoint.
+     */
     @Test
     void nodesThatStartTogetherOverloadNoEndpoint() {
         startFleet(20, 7, 10);
@@ -313,7 +320,10 @@
                 countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
-    /** zone: one of ten fails all it gets; a hundred nodes find out one by one, and next to no job is lost for it. */
+    /**
+     * Scenario zone: one of ten endpoints fails all of its requests. Each of a hundred nodes has to find out by itself,
+     * and almost no request may be lost.
+     */
     @Test
     void failingEndpointThatEachNodeRarelyUsesCostsFewRequests() {
         startFleet(100, 1.5, 10);
@@ -322,33 +332,33 @@
         assertTrue(
                 countOutcomes(AttemptOutcome.ERROR) > 20,
                 countOutcomes(AttemptOutcome.ERROR) + " errors, seed " + SEED);
-        // 31 of 1,751 as it is, for want of room; 59 where nothing is repeated.
+        // 31 of 1,751, for lack of capacity; 59 without retries.
         assertTrue(
                 countAnswers("refused") + countAnswers("failed") <= 45,
-                countAnswers("refused") + " refused, seed " + SEED);
+                countAnswers("refused") + " rejected, seed " + SEED);
     }
 
     /**
-     * A worker whose table of connections is full refuses those without one at once: their jobs go elsewhere, and they
-     * come back seldom.
+     * An endpoint whose connection table is full refuses nodes without a connection at once: their requests go to other
+     * endpoints, and they rarely retry there.
      */
     @Test
     void endpointThatRefusesConnectionsIsRarelyRetried() {
         startFleet(20, 5, 10);
         endpoints.get("w0").refusesConnections = true;
         runUntil(12 * SECOND);
-        // 9 as it is, 14 without the rests after a failed dial.
+        // 9; without ejections after a failed connect there are 14.
         assertTrue(
                 countOutcomes(AttemptOutcome.CONNECT_FAILED) <= 12,
-                countOutcomes(AttemptOutcome.CONNECT_FAILED) + " failed dials, seed " + SEED);
+                countOutcomes(AttemptOutcome.CONNECT_FAILED) + " failed connects, seed " + SEED);
         assertTrue(
                 countAnswers("served") > 0.9 * requestCount(),
                 countAnswers("served") + " of " + requestCount() + ", seed " + SEED);
     }
 
     /**
-     * A discovery that refused all of a hundred nodes for three seconds and comes back is not asked by all of them at
-     * once.
+     * A discovery that rejected the calls of all of a hundred nodes for three seconds and recovers must not be polled
+     * by all of them at once.
      */
     @Test
     void pollsOfAHundredNodesAreSpreadOnceDiscoveryRecovers() {
@@ -380,6 +390,6 @@
         assertTrue(
                 maxInWindow(callsUs, 100 * MILLISECOND) <= 20,
                 maxInWindow(callsUs, 100 * MILLISECOND) + " calls in a tenth of a second, seed " + SEED);
-        assertTrue(latestUs <= 3 * SECOND + 4 * SECOND, "the last one after " + latestUs + " us, seed " + SEED);
+        assertTrue(latestUs <= 3 * SECOND + 4 * SECOND, "the last call after " + latestUs + " us, seed " + SEED);
     }
 }
--- a/src/test/java/olivechute/loadbalancing/Harness.java
+++ b/src/test/java/olivechute/loadbalancing/Harness.java
@@ -10,12 +10,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** A host that records what the module asks for and checks the rules on every action. */
+/**
+ * Stands in for the node: passes events to a load balancer in virtual time, records the actions that it requests, and
+ * checks on every action that the rules are kept. Times are microseconds.
+ */
 final class Harness implements LoadBalancer.Helper {
     static final long MILLISECOND = 1000;
     static final long SECOND = 1_000_000;
 
-    /** One request as the host sees it. */
+    /** One request as the node sees it. */
     static final class TrackedRequest {
         Request request;
         RequestClass requestClass;
@@ -117,7 +120,7 @@
                 base.marksRetries());
     }
 
-    /** The same under other rules. */
+    /** The same settings with other rules. */
     static LoadBalancerSettings withRules(LoadBalancerSettings base, ServiceRules rules) {
         return new LoadBalancerSettings(
                 base.classes(),
@@ -135,7 +138,7 @@
                 base.marksRetries());
     }
 
-    /** The same where a node may go without a call for the list for so long. */
+    /** The same settings with another poll interval. */
     static LoadBalancerSettings withPollInterval(LoadBalancerSettings base, long pollIntervalUs) {
         ServiceRules rules = base.rules();
         return withRules(
@@ -151,7 +154,7 @@
                         rules.keepsUnlistedEndpoints()));
     }
 
-    /** The same for a fleet of this size that may not probe. */
+    /** The same settings for a fleet of this size, with probes not allowed. */
     static LoadBalancerSettings withoutProbes(LoadBalancerSettings base, int fleetSize) {
         DispatchLimits limits = base.limits();
         return new LoadBalancerSettings(
@@ -248,7 +251,8 @@
     }
 
     /**
-     * A node with one worker, w1, that has learned how long a job of class c takes, and is then told that w0 started.
+     * A node with one endpoint, w1, that has learned how long a request of class c runs and is then notified that
+     * endpoint w0 has just started.
      */
     static Harness withLearnedRunTime(LoadBalancerSettings settings, long seed, long runTimeUs) {
         Harness harness = new Harness(settings, seed);
@@ -263,7 +267,7 @@
         return harness;
     }
 
-    /** Moves the clock, firing timers on the way, and checks that nothing is overdue. */
+    /** Moves the clock forward, fires the timers that are due, and checks that no answer is overdue. */
     void advance(long durationUs) {
         long endUs = nowUs + durationUs;
         for (; ; ) {
@@ -273,7 +277,7 @@
                     nextTimer = timer;
                 }
             }
-            TrackedRequest overdue = null; // attempts are cut at the client's deadline
+            TrackedRequest overdue = null; // attempts time out at the client's deadline
             for (TrackedRequest tracked : requests.values()) {
                 long deadlineUs = tracked.arrivedAtUs + tracked.request.timeLeftUs();
                 if (tracked.attemptsInFlight() > 0
@@ -323,34 +327,34 @@
         TrackedRequest tracked = requests.get(id);
         assertNotNull(tracked, "unknown request");
         assertEquals(null, tracked.answer, "sent after the final answer");
-        assertTrue(listedEndpoints.containsKey(endpoint), "never listed");
+        assertTrue(listedEndpoints.containsKey(endpoint), "endpoint was never listed");
         assertTrue(
                 drainedAtUs.get(endpoint) == null || nowUs <= drainedAtUs.get(endpoint) + 500 * MILLISECOND,
-                "sent to a drained worker");
+                "sent to a drained endpoint");
         assertTrue(tracked.endpoints.size() < settings.limits().maxAttempts(), "too many attempts");
         if (!settings.limits().hedgingAllowed()) {
-            assertEquals(0, tracked.attemptsInFlight(), "two attempts out");
+            assertEquals(0, tracked.attemptsInFlight(), "two attempts in flight");
         }
         for (int i = 0; i < tracked.outcomes.size(); i++) {
             AttemptOutcome outcome = tracked.outcomes.get(i);
             boolean mayHaveRun = outcome == null || !outcome.neverExecuted();
             if (mayHaveRun && tracked.requestClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
-                throw new AssertionError("unsafe request sent again");
+                throw new AssertionError("non-idempotent request sent again");
             }
             if (mayHaveRun && tracked.requestClass.idempotency() == Idempotency.KEYED) {
                 EndpointInfo first = listedEndpoints.get(tracked.endpoints.get(i));
                 EndpointInfo next = listedEndpoints.get(endpoint);
                 assertTrue(
                         nowUs <= tracked.sentAtUs.get(i) + tracked.requestClass.deduplicationWindowUs(),
-                        "repeat after the window");
+                        "retry after the deduplication window");
                 assertTrue(
                         tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL
                                 || first.zone().equals(next.zone()),
-                        "repeat outside the zone");
+                        "retry outside the zone");
                 assertTrue(
                         tracked.requestClass.deduplicationScope() != DeduplicationScope.CELL
                                 || first.cell() == next.cell(),
-                        "repeat outside the cell");
+                        "retry outside the cell");
             }
         }
         tracked.endpoints.add(endpoint);
@@ -369,8 +373,9 @@
                         || neverExecuted
                         || (tracked.requestClass.idempotency() == Idempotency.KEYED
                                 && tracked.requestClass.deduplicationScope() == DeduplicationScope.ALL),
-                "refused though it may have run");
-        assertTrue(retryAfterUs > 0 && retryAfterUs <= settings.limits().maxRetryAfterUs(), "advice " + retryAfterUs);
+                "rejected though it may have been executed");
+        assertTrue(
+                retryAfterUs > 0 && retryAfterUs <= settings.limits().maxRetryAfterUs(), "Retry-After " + retryAfterUs);
         tracked.retryAfterUs = retryAfterUs;
         finish(tracked, "refused");
     }
--- a/src/test/java/olivechute/loadbalancing/RecordedRun.java
+++ b/src/test/java/olivechute/loadbalancing/RecordedRun.java
@@ -14,9 +14,9 @@
 import java.util.SplittableRandom;
 
 /**
- * One seeded day in virtual time: a single node's decisions in front of simulated endpoints. Every action of the load
- * balancer is written in the simulator's wire form and hashed, so that two builds decide alike exactly if their digests
- * are equal.
+ * A seeded run of a single node against simulated endpoints in virtual time. Every action of the load balancer is
+ * written in the simulator's wire form and hashed, so two builds make the same decisions exactly if their digests are
+ * equal. Times are microseconds.
  */
 final class RecordedRun implements LoadBalancer.Helper {
     private static final long MILLISECOND = 1000;
@@ -24,7 +24,7 @@
     private static final long RUN_LENGTH_US = 40 * SECOND;
     private static final int MAX_ZONES = 3;
 
-    /** What distinguishes one day from another. */
+    /** The parameters of a run. */
     record Plan(
             String name,
             long seed,
@@ -35,7 +35,7 @@
 
     private record Event(long atUs, long sequence, Runnable action) {}
 
-    /** An endpoint with a few slots and a bounded queue. */
+    /** A simulated endpoint with a few slots and a bounded queue. */
     private final class SimulatedEndpoint {
         final String name;
         final String zone;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** One attempt on its way or at an endpoint. */
+    /** An attempt in transit or at an endpoint. */
     private final class SentAttempt {
         final ClientRequest clientRequest;
         final int number;
@@ -144,7 +144,7 @@
                 plan.settings(), plan.seed(), this, plan.socketFaults() ? new CyclingHealthView() : HealthView.NONE);
     }
 
-    /** Plays the day; returns its name, the number of its actions and their digest. */
+    /** Executes a run; returns its name, the number of its actions and their digest. */
     static String execute(Plan plan) {
         RecordedRun recordedRun = new RecordedRun(plan);
         recordedRun.processEvents();
@@ -225,7 +225,7 @@
         loadBalancer.onRequest(nowUs, request);
     }
 
-    /** One fault or change of the list. */
+    /** Injects one random fault or change of the endpoint list. */
     private void injectFault() {
         List<SimulatedEndpoint> all = new ArrayList<>(endpoints.values());
         SimulatedEndpoint endpoint = all.get(random.nextInt(all.size()));
@@ -414,8 +414,8 @@
     }
 
     /**
-     * Advice as a node on sockets gives it: by turns an endpoint is out of health, retries are refused, the list is out
-     * of date.
+     * A health view like that of a node on sockets: in fixed cycles an endpoint is unhealthy, retries are not allowed,
+     * and the list is out of date.
      */
     private final class CyclingHealthView implements HealthView {
         @Override
--- a/src/test/java/olivechute/loadbalancing/RetryBudgetTest.java
+++ b/src/test/java/olivechute/loadbalancing/RetryBudgetTest.java
@@ -37,7 +37,7 @@
         }
         assertEquals(takeAll(budget, 0, "a", AttemptOutcome.ERROR), 4);
         assertEquals(takeAll(budget, 3 * SECOND_US, "a", AttemptOutcome.ERROR), 3);
-        assertEquals(takeAll(budget, 3 * SECOND_US, "b", AttemptOutcome.ERROR), 5, "another's budget is its own");
+        assertEquals(takeAll(budget, 3 * SECOND_US, "b", AttemptOutcome.ERROR), 5, "each tenant has its own budget");
     }
 
     @Test
@@ -58,7 +58,10 @@
         assertTrue(budget.tryTake(0, "a", AttemptOutcome.STALE_CONNECTION));
     }
 
-    /** Clients may call themselves what they like: each name made a budget of its own, without a bound. */
+    /**
+     * Clients may send any tenant name. Guards against a separate budget for each unknown name, which left their number
+     * unlimited.
+     */
     @Test
     public void unconfiguredTenantsShareOneBudget() {
         RetryBudget budget = newBudget();
--- a/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareControllerTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The share controller against numbers worked by hand. */
+/** Checks the share controller against values calculated by hand. */
 class ShareControllerTest {
     private final List<TenantQueue> tenants = new ArrayList<>();
     private final List<Endpoint> endpoints = new ArrayList<>();
@@ -81,7 +81,7 @@
     @Test
     void creditOfDeactivationsGoesToTheTenantFurthestBelowTarget() {
         ShareController controller = newController(3, 0, 2, 0.2, 0.3, 0.5);
-        setUsage(6, 2, 2); // 0.6 / 0.2 / 0.2: t2 is hurt most
+        setUsage(6, 2, 2); // 0.6 / 0.2 / 0.2: t2 is furthest below its target
         controller.onInterval();
         assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(0).tenantInstances);
         assertArrayEquals(new int[] {2, 3, 4}, endpoints.get(1).tenantInstances);
@@ -91,10 +91,10 @@
     @Test
     void lastInstanceIsKeptAndUnspentCreditIsCarriedOver() {
         ShareController controller = newController(2, 0, 1, 0.1, 0.1, 0.8);
-        setUsage(4, 4, 2); // two tenants above, one hurt
+        setUsage(4, 4, 2); // two tenants above their targets, one below
         controller.onInterval();
         assertArrayEquals(new int[] {1, 1, 3}, endpoints.get(0).tenantInstances);
-        assertEquals(1, controller.unassignedInstances()); // two earned, one spent
+        assertEquals(1, controller.unassignedInstances()); // two credits earned, one spent
         setUsage(4, 4, 2);
         controller.onInterval();
         assertArrayEquals(new int[] {1, 1, 4}, endpoints.get(0).tenantInstances);
--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The module's decisions, one failure or rule at a time. */
+/** Checks the load balancer's decisions, one failure or rule at a time. Times are microseconds. */
 @SuppressWarnings("ReferenceEquality") // strings made by the test itself
 class ShareLoadBalancerTest {
     private static final List<Tenant> TWO_TENANTS = List.of(new Tenant("a", 0.5, 100), new Tenant("b", 0.5, 100));
@@ -85,7 +85,7 @@
         h.listActiveEndpoints(1);
         h.submit("r", "c", "a", 5 * SECOND);
         h.reportStarted("r");
-        h.advance(5 * SECOND); // the host cuts the attempt there
+        h.advance(5 * SECOND); // the attempt times out at the deadline
         assertEquals("refused", h.answerOf("r"));
     }
 
@@ -94,7 +94,7 @@
         Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         h.listActiveEndpoints(1);
         h.submit("r", "c", "a", 5 * SECOND);
-        h.advance(5 * SECOND); // the host cuts the attempt there
+        h.advance(5 * SECOND); // the attempt times out at the deadline
         assertEquals("failed", h.answerOf("r"));
     }
 
@@ -110,12 +110,12 @@
         h.advance(50 * MILLISECOND);
         h.endAttempt("r", AttemptOutcome.RESET);
         h.advance(100 * MILLISECOND);
-        assertEquals(1, h.requests.get("r").endpoints.size()); // w2 would not know the repeat
+        assertEquals(1, h.requests.get("r").endpoints.size()); // w2 would not recognise the retry
         h.advance(2 * SECOND);
-        assertEquals("failed", h.answerOf("r")); // it may have run: no refusal
+        assertEquals("failed", h.answerOf("r")); // it may have been executed, so it must not be rejected
     }
 
-    /** Incident i6e9c8c: a try that came with under one tick left was never answered. */
+    /** Incident i6e9c8c: a request that arrived with less than one tick left was never answered. */
     @Test
     void requestWithAlmostNoTimeLeftIsAnsweredAtOnce() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -156,7 +156,10 @@
         }
     }
 
-    /** The setting's two readings: a list that loses workers, or a zone, proves nothing where only draining binds. */
+    /**
+     * Checks both values of the setting: where only draining binds, endpoints or a whole zone missing from a list may
+     * still be used.
+     */
     @Test
     void removedOrUnlistedEndpointIsStillUsedWhereOnlyDrainingBinds() {
         for (boolean onlyDrainingBinds : new boolean[] {true, false}) {
@@ -198,7 +201,7 @@
         }
     }
 
-    /** One that is gone indeed is forgotten after some failures, so that it costs no attempts for ever. */
+    /** An endpoint that is really gone is removed after some failures, so that it does not cost attempts forever. */
     @Test
     void unlistedEndpointIsRemovedOnceItFails() {
         Harness h = new Harness(
@@ -221,9 +224,9 @@
             }
             h.advance(3 * SECOND);
         }
-        assertTrue(h.loadBalancer.endpoints().get("w0") != null, "known until the list speaks again");
+        assertTrue(h.loadBalancer.endpoints().get("w0") != null, "kept until the next list");
         h.updateList(ListUpdateKind.FULL, endpointInfo("w9", 0, EndpointState.DRAINING, 0));
-        assertTrue(h.loadBalancer.endpoints().get("w0") == null, "forgotten");
+        assertTrue(h.loadBalancer.endpoints().get("w0") == null, "removed");
     }
 
     private static List<Long> pausesAfterFailures(Harness h) {
@@ -265,7 +268,7 @@
         assertEquals(1, h.watchCalls);
         List<Long> pausesUs = pausesAfterFailures(h);
         assertTrue(pausesUs.get(0) >= 250 * MILLISECOND && pausesUs.get(0) <= 510 * MILLISECOND, pausesUs.toString());
-        // However many failed: 6 s after discovery had a change and could be reached it counts as told.
+        // However many calls failed, a change counts as notified 6 s after discovery had it and was reachable.
         assertTrue(
                 pausesUs.stream()
                         .skip(1)
@@ -276,7 +279,9 @@
         assertEquals("w0", h.lastEndpointOf("r"));
     }
 
-    /** A watch that is started from outside, as by a move, may fail before the module's own is due. */
+    /**
+     * A watch that the node starts, as after a move of discovery, may fail before the load balancer's own retry is due.
+     */
     @Test
     void consecutiveFailuresLeadToOnlyOneFurtherWatch() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -286,7 +291,7 @@
             h.advance(10 * MILLISECOND);
         }
         h.advance(5 * SECOND);
-        assertEquals(2, h.watchCalls, "the first one, and one after the failures");
+        assertEquals(2, h.watchCalls, "the first watch, and one after the failures");
     }
 
     @Test
@@ -309,8 +314,8 @@
     }
 
     /**
-     * Their clients may try a node that has a list, while there is time; one that had an attempt may have nowhere else
-     * to go.
+     * Clients of requests without an attempt may try a node with a current list while there is time; a request that had
+     * an attempt may have no alternative.
      */
     @Test
     void requestsWithoutAttemptsAreRejectedAtOnceWhileTheListIsStaleForLong() {
@@ -348,8 +353,9 @@
             }
             h.advance(5 * MILLISECOND);
         }
-        assertTrue(sentAtUs.size() > 3, "a cold worker still gets some work");
-        // One slot known, 0.2 to 0.36 of it, 3 times that for a second, halved for slack and again for two nodes.
+        assertTrue(sentAtUs.size() > 3, "an endpoint in slow start still gets some requests");
+        // One known slot, 0.2 to 0.36 of it, 3 times that for a second, halved as a margin and halved again for two
+        // nodes.
         double maxRunTimeUs = 3 * 0.36 * SECOND / 2 / 2;
         for (long fromUs : sentAtUs) {
             long sends = sentAtUs.stream()
@@ -359,7 +365,10 @@
         }
     }
 
-    /** A refusal at a site without reports once counted as a report of no room, for the whole fleet. */
+    /**
+     * Where endpoints send no load reports, a rejection was once taken for a report of no free slots in the whole
+     * fleet.
+     */
     @Test
     void rejectionWithoutLoadReportsLeavesOtherEndpointsUsable() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -372,7 +381,7 @@
         assertEquals(2, h.requests.get("r").endpoints.size());
     }
 
-    /** Incident i6e9c8c: workers that refuse all while reporting room took 40% of the attempts. */
+    /** Incident i6e9c8c: endpoints that rejected all requests while reporting free slots took 40% of the attempts. */
     @Test
     void ejectionsGrowWithConsecutiveRejections() {
         Harness h = new Harness(
@@ -401,10 +410,13 @@
             }
             h.advance(10 * MILLISECOND);
         }
-        assertTrue(rejections <= 14, rejections + " refusals in 4 s");
+        assertTrue(rejections <= 14, rejections + " rejections in 4 s");
     }
 
-    /** Incidents ife9dd5, i6e9c8c: probes went to the first workers of the list, the others stayed unheard. */
+    /**
+     * Incidents ife9dd5, i6e9c8c: probes went to the first endpoints of the list, and the others never got to report
+     * their load.
+     */
     @Test
     void endpointsWithoutALoadReportAreProbedBeforeUse() {
         Harness h = new Harness(
@@ -422,7 +434,7 @@
                 .filter(l -> l.contains(" probe "))
                 .map(l -> l.split(" ")[2])
                 .toList();
-        assertEquals(1, probed.size()); // one arrival pays for one probe here
+        assertEquals(1, probed.size()); // one arriving request allows one probe here
         h.loadBalancer.onProbeResult(h.nowUs, probed.get(0), true, MILLISECOND, new LoadReport(2, Double.NaN, 0.5, 10));
         assertEquals(probed.get(0), h.lastEndpointOf("r"));
     }
@@ -516,7 +528,7 @@
             h.advance(
                     placed.containsKey(endpoint)
                             ? MILLISECOND
-                            : 300 * MILLISECOND); // the first job to each has to dial
+                            : 300 * MILLISECOND); // the first request to each endpoint has to connect
             h.reportStarted("r" + i);
             h.advance(10 * MILLISECOND);
             h.endAttempt("r" + i, AttemptOutcome.OK);
@@ -525,7 +537,9 @@
         assertTrue(Collections.max(placed.values()) > 30, placed.toString());
     }
 
-    /** The advice was the longest allowed whatever the load: it told nothing and kept repeats away. */
+    /**
+     * Retry-After used to be the longest allowed, whatever the load: it carried no information and kept retries away.
+     */
     @Test
     void retryAfterEstimatesWhenCapacityIsLikely() {
         Harness h = new Harness(
@@ -538,9 +552,11 @@
                 1);
         h.submit("early", "c", "a", 5 * SECOND);
         h.advance(5 * SECOND);
-        assertEquals(900 * MILLISECOND, h.requests.get("early").retryAfterUs); // it waited as long and saw no release
+        assertEquals(
+                900 * MILLISECOND,
+                h.requests.get("early").retryAfterUs); // it was queued that long and no request was dequeued
         h.listActiveEndpoints(1);
-        for (int i = 0; i < 40; i++) { // more than can run before they are given up
+        for (int i = 0; i < 40; i++) { // more than can run before their clients give up
             h.submit("r" + i, "c", "a", 700 * MILLISECOND);
         }
         for (int i = 0; i < 8; i++) {
@@ -562,7 +578,7 @@
                 retryAftersUs.toString());
         assertTrue(
                 Collections.max(retryAftersUs) > Collections.min(retryAftersUs),
-                "those behind more wait longer " + retryAftersUs);
+                "requests behind more others get a longer Retry-After " + retryAftersUs);
     }
 
     @Test
@@ -576,7 +592,7 @@
                         false),
                 1);
         h.listActiveEndpoints(1);
-        for (int i = 0; i < 3; i++) { // opens the window, 100 ms a job
+        for (int i = 0; i < 3; i++) { // opens the concurrency window, 100 ms a request
             h.submit("r" + i, "c", "a", 5 * SECOND);
             h.reportStarted("r" + i);
             h.advance(100 * MILLISECOND);
@@ -586,7 +602,7 @@
         h.advance(2 * SECOND);
         h.reportStarted("queued");
         h.endAttempt("queued", AttemptOutcome.OK);
-        h.submit("x", "c", "a", 5 * SECOND); // could wait 350 ms, would wait 2 s
+        h.submit("x", "c", "a", 5 * SECOND); // may be queued for 350 ms, would be queued for 2 s
         h.advance(400 * MILLISECOND);
         assertNull(h.lastEndpointOf("x"));
         assertEquals("refused", h.answerOf("x"));
@@ -642,7 +658,7 @@
         h.submit("r", "c", "a", 5 * SECOND);
         h.advance(10 * MILLISECOND);
         h.endAttempt("r", AttemptOutcome.OK);
-        h.advance(2 * SECOND); // 200 jobs a second are told: soon worth it
+        h.advance(2 * SECOND); // 200 requests a second are expected, so closing soon pays off
         assertEquals(
                 1, h.actionLog.stream().filter(l -> l.endsWith(" close w0")).count());
     }
@@ -679,7 +695,7 @@
                 }
             }
         }
-        assertTrue(sentAtUs.size() > 3, sentAtUs.size() + " sends to a cold worker");
+        assertTrue(sentAtUs.size() > 3, sentAtUs.size() + " sends to an endpoint in slow start");
         for (long fromUs : sentAtUs) { // 3 times 0.2 of one slot for a second
             long sends = sentAtUs.stream()
                     .filter(t -> t >= fromUs && t < fromUs + SECOND)
@@ -688,7 +704,7 @@
         }
     }
 
-    /** Hosts that reset kept connections at the next request were rested as if they were down. */
+    /** Endpoints that reset idle connections at the next request were ejected as if they were down. */
     @Test
     void firstResetEjectsBrieflyAndTheNextForLonger() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -702,7 +718,7 @@
         assertEquals(2, h.requests.get("r").endpoints.size());
     }
 
-    /** A dial that hangs looked like a queue there, and the worker was passed over for seconds after. */
+    /** A hanging connect was taken for queueing at the endpoint, which was then avoided for seconds. */
     @Test
     void failedConnectDoesNotCountAsQueueingTime() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -716,17 +732,17 @@
         h.submit("dial", "c", "a", 5 * SECOND);
         h.advance(600 * MILLISECOND);
         h.endAttempt("dial", AttemptOutcome.CONNECT_FAILED);
-        h.advance(300 * MILLISECOND); // its rest is over
+        h.advance(300 * MILLISECOND); // its ejection is over
         h.submit("x", "c", "a", 5 * SECOND);
         assertEquals("w0", h.lastEndpointOf("x"));
     }
 
-    /** A job whose start is never told would block its worker until its end. */
+    /** Guards against a request without a start signal that blocks its endpoint until it ends. */
     @Test
     void requestWithoutStartSignalPastItsObjectiveNoLongerBlocksItsEndpoint() {
         Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         h.listActiveEndpoints(1);
-        for (int i = 0; i < 10; i++) { // opens the window
+        for (int i = 0; i < 10; i++) { // opens the concurrency window
             h.submit("r" + i, "c", "a", 5 * SECOND);
             h.reportStarted("r" + i);
             h.advance(100 * MILLISECOND);
@@ -736,12 +752,15 @@
         h.advance(400 * MILLISECOND);
         h.submit("x", "c", "a", 5 * SECOND);
         assertNull(h.lastEndpointOf("x"));
-        h.advance(3 * SECOND); // given up for lost: it waits for nothing any more
+        h.advance(3 * SECOND); // assumed lost: it no longer counts as waiting for its start
         h.submit("y", "c", "a", 5 * SECOND);
         assertEquals("w0", h.lastEndpointOf("y"));
     }
 
-    /** stadshjulet-app big-1, ife9dd5: a flooding tenant held every slot, the others found none. */
+    /**
+     * Scenario stadshjulet-app big-1, incident ife9dd5: a flooding tenant occupied every slot, and the others found
+     * none free.
+     */
     @Test
     void requestOverQuotaLeavesFreeSlotsToOtherTenants() {
         List<Tenant> tenants = List.of(new Tenant("a", 0.5, 0.1), new Tenant("b", 0.5, 0.1));
@@ -769,14 +788,17 @@
         assertEquals("w0", h.lastEndpointOf("under"));
     }
 
-    /** In-share jobs that came a few at once were taken for surplus and refused, on quiet days too. */
+    /**
+     * Requests within their tenant's share that arrived a few at a time were counted as over quota and rejected, even
+     * under low load.
+     */
     @Test
     void shortBurstWithinQuotaMayUseTheLastFreeSlot() {
         Harness h = new Harness(settingsWithSmallQuotas(TailObjective.NONE), 1);
         h.listActiveEndpoints(1);
         h.nowUs = 20 * SECOND;
         h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(4, Double.NaN, 1, 10));
-        for (int i = 0; i < 10; i++) { // at most 5 a second are this node's part
+        for (int i = 0; i < 10; i++) { // this node's part is at most 5 a second
             reportOneFreeSlot(h);
             h.submit("r" + i, "c", "a", 5 * SECOND);
             assertEquals("w0", h.lastEndpointOf("r" + i));
@@ -796,11 +818,14 @@
                 1);
         h.listActiveEndpoints(1);
         h.loadBalancer.onProbeResult(
-                h.nowUs, "w0", true, MILLISECOND, new LoadReport(6, Double.NaN, 0.1, 10)); // it has so many
+                h.nowUs, "w0", true, MILLISECOND, new LoadReport(6, Double.NaN, 0.1, 10)); // this many slots are free
         return h;
     }
 
-    /** Jobs of each tenant at an even pace, one free slot for each; how many were left waiting as surplus. */
+    /**
+     * Submits requests of each tenant at an even rate, with one free slot for each; returns how many were queued as
+     * over quota.
+     */
     private static int countQueued(
             Harness h, String idPrefix, long durationUs, Map<String, Integer> requestsPerSecond) {
         int queued = 0;
@@ -824,14 +849,17 @@
         return queued;
     }
 
-    /** The incident r6ab6c9: as the other node restarted, all that came here was taken for floods and left waiting. */
+    /**
+     * Incident r6ab6c9: when the other node restarted, all requests that arrived here were counted as over quota and
+     * left queued.
+     */
     @Test
     void takenOverTrafficOfAnotherNodeIsNotTreatedAsOverQuota() {
         Harness h = harnessOfTwoNodeFleet();
         countQueued(h, "before", 15 * SECOND, Map.of("a", 30, "b", 30, "d", 40));
         countQueued(h, "at", 2 * SECOND, Map.of("a", 60, "b", 60, "d", 80));
         int queuedAfter = countQueued(h, "after", 3 * SECOND, Map.of("a", 60, "b", 60, "d", 80));
-        assertTrue(queuedAfter < 150, queuedAfter + " of 600 left waiting");
+        assertTrue(queuedAfter < 150, queuedAfter + " of 600 left queued");
     }
 
     @Test
@@ -840,11 +868,12 @@
         countQueued(h, "before", 15 * SECOND, Map.of("a", 30, "b", 30, "d", 40));
         countQueued(h, "at", 2 * SECOND, Map.of("a", 200, "b", 30, "d", 40));
         int queuedAfter = countQueued(h, "after", 3 * SECOND, Map.of("a", 200, "b", 30, "d", 40));
-        assertTrue(queuedAfter > 350, queuedAfter + " of 510 over the quota left waiting");
+        assertTrue(queuedAfter > 350, queuedAfter + " of 510 over the quota left queued");
     }
 
     /**
-     * The same incident: a node late by itself saw every worker start late, sent nothing more, and so never saw better.
+     * Incident r6ab6c9: a node that was late itself saw every endpoint start requests late, sent no more requests, and
+     * so never got better measurements.
      */
     @Test
     void endpointsThatAllStartedLateAreUsedAgainWithoutNewSignals() {
@@ -879,7 +908,7 @@
         assertTrue(sent >= 5, sent + " of 20 sent");
     }
 
-    /** What was no sign of load leaves the job time for another place, and its worker free. */
+    /** Outcomes that are no sign of load leave the request time for another attempt and do not exclude the endpoint. */
     @ParameterizedTest
     @CsvSource({"ACCEPT_TIMEOUT", "STALE_CONNECTION", "SUPPRESSED"})
     void connectionFaultsDoNotCountAgainstTheEndpoint(AttemptOutcome outcome) {
@@ -892,8 +921,8 @@
     }
 
     /**
-     * join+vast: every node took those that had just started to be as full as the rest, so they stood idle for ten
-     * seconds.
+     * Scenario join+vast: every node assumed that endpoints which had just started were as busy as the others, so they
+     * stood idle for ten seconds.
      */
     @Test
     void newEndpointIsNotAssumedToBeAsBusyAsTheOthers() {
@@ -923,17 +952,20 @@
         h.updateList(ListUpdateKind.DELTA, endpointInfo("new", 0, EndpointState.ACTIVE, h.nowUs));
         assertEquals("new", h.lastEndpointOf("r0"));
         h.submit("r1", "c", "a", 5 * SECOND);
-        assertEquals(null, h.lastEndpointOf("r1"), "a second one, before anything is heard of the first");
+        assertEquals(null, h.lastEndpointOf("r1"), "a second request, before any report on the first");
     }
 
-    /** It reports time and again that it has no slot free. */
+    /** Reports repeatedly that an endpoint has no free slot. */
     private static void reportNoFreeSlots(Harness h, String endpoint) {
         for (int n = 0; n < 30; n++) {
             h.loadBalancer.onProbeResult(h.nowUs, endpoint, true, MILLISECOND, new LoadReport(0, Double.NaN, 0.9, 10));
         }
     }
 
-    /** zone+vast: a job may run on at a worker that could not be told; another attempt of it would be a second copy. */
+    /**
+     * Scenario zone+vast: a request may still be running at an endpoint that did not confirm its cancellation; another
+     * attempt would be a second execution.
+     */
     @Test
     void requestWhoseCancelIsUnconfirmedIsRejectedAtOnce() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -945,7 +977,10 @@
         assertEquals("refused", h.requests.get("r").answer);
     }
 
-    /** silent+leave: slow kinds stood idle with four to seven free slots while jobs were refused. */
+    /**
+     * Scenario silent+leave: endpoints of slow kinds stood idle with four to seven free slots while requests were
+     * rejected.
+     */
     @ParameterizedTest
     @CsvSource({"100,w2", "5,"})
     void consistentlySlowEndpointIsUsedWhenTheOthersAreFull(int finishedRequests, String expectedEndpoint) {
@@ -968,12 +1003,12 @@
                         h.nowUs, "w" + i, true, MILLISECOND, new LoadReport(i == 2 ? 4 : 0, Double.NaN, 0.5, 10));
             }
         }
-        h.advance(150 * MILLISECOND); // it is looked at
+        h.advance(150 * MILLISECOND); // an examination period passes
         h.submit("r", "c", "a", 5 * SECOND);
         assertEquals(expectedEndpoint, h.lastEndpointOf("r"));
     }
 
-    /** Jobs went to a slow worker as often as to a fast one that was free as well, and ended late. */
+    /** Requests went to a slow endpoint as often as to a fast one that was free as well, and finished late. */
     @Test
     void fasterOfTwoFreeEndpointsIsChosen() {
         Harness h = new Harness(
@@ -998,7 +1033,7 @@
         assertEquals(0, sentToSlow);
     }
 
-    /** It says so until that is usual too. */
+    /** Reports one free slot until that is the baseline as well. */
     private static void reportOneFreeSlot(Harness h) {
         for (int i = 0; i < 20; i++) {
             h.loadBalancer.onProbeResult(h.nowUs, "w0", true, MILLISECOND, new LoadReport(1, Double.NaN, 0.9, 10));
@@ -1018,30 +1053,36 @@
                 tail);
     }
 
-    /** i3de4ba: clients tried ten times each, and the repeats of refused jobs ate the quota of their tenant. */
+    /**
+     * Incident i3de4ba: clients tried ten times each, and the retries of rejected requests used up their tenant's
+     * quota.
+     */
     @Test
     void rejectedRequestReturnsItsQuotaAndRetriesDoNotCountAsArrivals() {
         Harness h = new Harness(settingsWithSmallQuotas(new TailObjective(0.3, 0.01)), 1);
         h.listActiveEndpoints(1);
-        h.nowUs = 20 * SECOND; // no room: the only worker has just said so
+        h.nowUs = 20 * SECOND; // no capacity: the only endpoint has just reported it
         h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
         h.submit("first", "c", "a", 5 * SECOND);
         h.advance(200 * MILLISECOND);
-        for (int i = 0; i < 30; i++) { // all these in the quota, none of them served
+        for (int i = 0; i < 30; i++) { // all within the quota, none of them served
             h.submitRetry("r" + i, "c", "a", 4_800 * MILLISECOND);
             assertEquals("refused", h.answerOf("r" + i));
         }
         h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(1, Double.NaN, 0, 10));
-        h.submit("next", "c", "a", 5 * SECOND); // still in the quota: one free slot is enough
+        h.submit("next", "c", "a", 5 * SECOND); // still within the quota: one free slot is enough
         assertEquals("w0", h.lastEndpointOf("next"));
     }
 
-    /** i6d7315: every refusal, and each repeat after it, came after the aim and was a miss. */
+    /**
+     * Incident i6d7315: every rejection, and each retry after it, came after the latency objective and counted as a
+     * miss.
+     */
     @Test
     void tailObjectiveRejectsWithinHalfTheLatencyObjectiveAndOverQuotaAtOnce() {
         for (TailObjective tail : new TailObjective[] {TailObjective.NONE, new TailObjective(0.3, 0.01)}) {
             Harness h = new Harness(settingsWithSmallQuotas(tail), 1);
-            for (int i = 0; i < 12; i++) { // nobody to send to
+            for (int i = 0; i < 12; i++) { // no endpoint to send to
                 h.submit("r" + i, "c", "a", 5 * SECOND);
             }
             assertNull(h.answerOf("r0"));
@@ -1051,7 +1092,10 @@
         }
     }
 
-    /** A fresh tanger day: first tries with little time left were taken for late repeats and refused unseen. */
+    /**
+     * In a newly generated tanger scenario, first tries with little time left were taken for late retries and rejected
+     * without an attempt.
+     */
     @Test
     void firstTryWithLittleTimeLeftIsServedWhereRetriesAreMarked() {
         Harness h = newHarness(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
@@ -1066,7 +1110,10 @@
         assertEquals("refused", h.answerOf("late"));
     }
 
-    /** casa-main quiet: jobs far shorter than the age of a report were held for reports of no room long past. */
+    /**
+     * Scenario casa-main quiet: requests far shorter than the age of a load report were queued because of old reports
+     * of no free slots.
+     */
     @Test
     void oldReportOfNoFreeSlotsDecaysToTheBaselineForShortRequests() {
         for (long runTimeUs : new long[] {20 * MILLISECOND, 4 * SECOND}) {
@@ -1079,31 +1126,37 @@
                             false),
                     1);
             h.listActiveEndpoints(1);
-            for (int i = 0; i < 200; i++) { // learns what a job takes and what is usual
+            for (int i = 0; i < 200; i++) { // learns the run time of a request and the baseline of the reports
                 h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
                 h.submit("l" + i, "c", "a", 5 * SECOND);
                 h.reportStarted("l" + i);
                 h.advance(runTimeUs);
                 h.endAttempt("l" + i, AttemptOutcome.OK);
             }
-            h.advance(600 * MILLISECOND); // own jobs no longer explain what is in use
+            h.advance(600 * MILLISECOND); // the node's own requests no longer explain the slots in use
             h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(0, Double.NaN, 1, 10));
             h.submit("r", "c", "a", 5 * SECOND);
             assertEquals(runTimeUs < 100 * MILLISECOND ? "w0" : null, h.lastEndpointOf("r"));
         }
     }
 
-    /** casa-main: in its first half second a node asked, and answered every job before the probes were back. */
+    /**
+     * Scenario casa-main: in its first half second a node sent probes, and answered every request before the results
+     * arrived.
+     */
     @Test
     void probingFitsIntoTheQueueingTime() {
         Harness h = new Harness(settingsWithSmallQuotas(new TailObjective(0.3, 0.01)), 1);
         h.listActiveEndpoints(6);
         h.submit("r", "c", "a", 5 * SECOND);
-        h.advance(148 * MILLISECOND); // held 150 ms at most
+        h.advance(148 * MILLISECOND); // queued for 150 ms at most
         assertTrue(h.lastEndpointOf("r") != null);
     }
 
-    /** i8c875b: every worker failed a third of its jobs, and three errors in a row put most of them to rest. */
+    /**
+     * Incident i8c875b: every endpoint failed a third of its requests, and three consecutive errors ejected most of
+     * them.
+     */
     @Test
     void errorsEjectAnEndpointOnlyIfItsPeersHaveFewer() {
         for (boolean allFail : new boolean[] {true, false}) {
@@ -1118,19 +1171,22 @@
                     sentTo[index] += i >= 1000 ? 1 : 0;
                     h.reportStarted("r" + i);
                     h.advance(5 * MILLISECOND);
-                    // the bad fail most of their jobs, several in a row
+                    // a failing endpoint fails most of its requests, several in a row
                     h.endAttempt(
                             "r" + i, (allFail || index == 0) && i % 7 != 0 ? AttemptOutcome.ERROR : AttemptOutcome.OK);
                 }
                 h.advance(5 * MILLISECOND);
             }
             int sum = sentTo[0] + sentTo[1] + sentTo[2] + sentTo[3];
-            assertTrue(sum > 950, sum + " of the last 1000 found a worker");
-            assertTrue(allFail ? sentTo[0] > 100 : sentTo[0] < 100, "the bad one got " + sentTo[0]);
+            assertTrue(sum > 950, sum + " of the last 1000 were sent");
+            assertTrue(allFail ? sentTo[0] > 100 : sentTo[0] < 100, "sent to w0: " + sentTo[0]);
         }
     }
 
-    /** tanger-contrats big-2: workers that left one class unanswered were blocked for all of them, over and over. */
+    /**
+     * Scenario tanger-contrats big-2: endpoints that left one class unanswered were excluded for all classes, again and
+     * again.
+     */
     @Test
     void unansweredClassIsExcludedAtItsEndpointAndOthersAreNot() {
         List<RequestClass> classes = List.of(
@@ -1141,10 +1197,10 @@
         for (int i = 0; i < 2; i++) {
             h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
             h.submit("b" + i, "bad", "a", 5 * SECOND);
-            assertEquals("w0", h.lastEndpointOf("b" + i), "one alone may be a lost message");
-            h.advance(5 * SECOND); // never told to have started
+            assertEquals("w0", h.lastEndpointOf("b" + i), "a single one may be a lost message");
+            h.advance(5 * SECOND); // never signalled to have started
             assertEquals("failed", h.answerOf("b" + i));
-            h.advance(i == 0 ? 8 * SECOND : 0); // the wait that the first one showed fades
+            h.advance(i == 0 ? 8 * SECOND : 0); // the queueing time seen with the first request decays
         }
         h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
         h.submit("barred", "bad", "a", 5 * SECOND);
@@ -1153,16 +1209,16 @@
         assertEquals("w0", h.lastEndpointOf("good"));
         h.reportStarted("good");
         h.endAttempt("good", AttemptOutcome.OK);
-        h.advance(9 * SECOND); // not for ever
+        h.advance(9 * SECOND); // the exclusion ends
         h.loadBalancer.onProbeResult(h.nowUs, "w0", true, 1, new LoadReport(3, Double.NaN, 0, 10));
         h.submit("again", "bad", "a", 5 * SECOND);
         assertEquals("w0", h.lastEndpointOf("again"));
     }
 
     /**
-     * A node of a large fleet hears of few workers at a time. Guards against one or two of them without room standing
-     * for all that were not heard: nothing was sent then, so nothing was heard, and jobs were refused while most
-     * workers stood idle.
+     * A node of a large fleet gets load reports of few endpoints at a time. Guards against one or two endpoints without
+     * free slots standing for all that sent no report: nothing was sent then, so no reports came, and requests were
+     * rejected while most endpoints stood idle.
      */
     @ParameterizedTest
     @CsvSource({"1, sent", "2, sent", "10, held"})
@@ -1179,13 +1235,13 @@
         for (int i = 0; i < reporting; i++) {
             h.loadBalancer.onProbeResult(h.nowUs, "w" + i, true, 1, new LoadReport(0, Double.NaN, 1, 10));
         }
-        h.advance(200 * MILLISECOND); // a round of judging
+        h.advance(200 * MILLISECOND); // an examination period passes
         h.submit("next", "c", "a", 5 * SECOND);
-        h.advance(60 * MILLISECOND); // rounds of asking, unanswered
+        h.advance(60 * MILLISECOND); // several probes without an answer
         assertEquals(expected, h.lastEndpointOf("next") == null ? "held" : "sent");
     }
 
-    /** A report of no room may be untrue: what the worker does decides, unless the whole fleet is busy. */
+    /** A report of no free slots may be untrue: what the endpoint does decides, unless the whole fleet is busy. */
     @Test
     void endpointThatReportsNoFreeSlotsIsTriedIfTheFleetHasCapacity() {
         for (boolean fleetBusy : new boolean[] {false, true}) {
@@ -1215,11 +1271,11 @@
             }
             assertTrue(
                     fleetBusy ? sentToFull == 0 : sentToFull > 2,
-                    sentToFull + " of 400 to the one that reports no room");
+                    sentToFull + " of 400 to the endpoint that reports no free slots");
         }
     }
 
-    /** A worker that died and came back within the list's delay got its full load while cold. */
+    /** An endpoint that crashed and came back before the list showed it got its full load during slow start. */
     @Test
     void endpointThatResetAndRefusedConnectionsIsInSlowStartWhenItReturns() {
         for (boolean died : new boolean[] {true, false}) {
@@ -1244,7 +1300,7 @@
         }
     }
 
-    /** Jobs that need more memory than a worker has left wait for another. */
+    /** Requests that need more memory than an endpoint has left are queued for another one. */
     @Test
     void memoryCountsAsWellAsSlots() {
         Harness h = new Harness(
@@ -1263,7 +1319,7 @@
         assertEquals("w0", h.lastEndpointOf("fits"));
     }
 
-    /** The one case in which the answer waits: an attempt is out and its class forbids another. */
+    /** The one case in which the answer is delayed: an attempt is in flight and the class forbids another one. */
     @Test
     void abandonedRequestIsAnsweredAtOnce() {
         for (AttemptOutcome outcome : new AttemptOutcome[] {
@@ -1274,7 +1330,7 @@
             h.submit("r", "c", "a", 5 * SECOND);
             h.reportStarted("r");
             h.advance(200 * MILLISECOND);
-            assertNull(h.answerOf("r"), "its attempt is out");
+            assertNull(h.answerOf("r"), "its attempt is in flight");
             h.endAttempt("r", outcome);
             assertEquals(outcome.neverExecuted() ? "refused" : "failed", h.answerOf("r"));
         }
@@ -1284,7 +1340,7 @@
     void oneUnstartedRequestAtATimeWhereStartsAreSignalled() {
         Harness h = newHarness(Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         h.listActiveEndpoints(1);
-        for (int i = 0; i < 40; i++) { // opens the window wide
+        for (int i = 0; i < 40; i++) { // opens the concurrency window wide
             h.submit("r" + i, "c", "a", 5 * SECOND);
             h.reportStarted("r" + i);
             h.advance(10 * MILLISECOND);
@@ -1398,8 +1454,8 @@
             h.advance(slow ? 1000 * MILLISECOND : 100 * MILLISECOND);
             h.endAttempt("r" + i, AttemptOutcome.OK);
         }
-        assertTrue(toSlow < 12, toSlow + " of 100 to the slow worker");
-        for (int i = 0; i < 40; i++) { // all slow together: it is not the workers
+        assertTrue(toSlow < 12, toSlow + " of 100 to the slow endpoint");
+        for (int i = 0; i < 40; i++) { // all are slow together, so no endpoint is an outlier
             h.submit("s" + i, "c", "a", 5 * SECOND);
             assertNotEquals(null, h.lastEndpointOf("s" + i));
             h.reportStarted("s" + i);
@@ -1422,7 +1478,7 @@
         double[] invalidValues = {Double.NaN, -5, 1e300, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY};
         for (int i = 0; i < 50; i++) {
             h.submit("r" + i, "c", i % 3 == 0 ? null : "nobody", 5 * SECOND);
-            h.advance(250 * MILLISECOND); // asks first, and nobody answers
+            h.advance(250 * MILLISECOND); // probes first, and no endpoint answers
             assertNotEquals(null, h.lastEndpointOf("r" + i), "request " + i);
             h.endAttempt(
                     "r" + i, 0, AttemptOutcome.OK, new LoadReport(invalidValues[i % 5], Double.NaN, Double.NaN, -1));
--- a/src/test/java/olivechute/loadbalancing/SlowStartTest.java
+++ b/src/test/java/olivechute/loadbalancing/SlowStartTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The calls of all nodes together at workers that just started, in virtual time. With N the calls of mean work that a
- * worker bears in a stretch of {@code overload_for} at what it can do when the stretch begins, no stretch may hold more
- * than N + 2 sqrt(N) + 2.
+ * Checks the calls of all nodes together to endpoints that have just started, in virtual time. Let N be the number of
+ * calls of mean run time that an endpoint withstands in a window of {@code overload_for} with the capacity that it has
+ * when the window begins. No window may contain more than N + 2 sqrt(N) + 2 calls. Times are microseconds.
  */
 class SlowStartTest {
     private static final long SEED = 20261202;
     private static final long STEP_US = 10 * MILLISECOND;
-    private static final long REPORT_LAG_US = 500 * MILLISECOND; // of reports
+    private static final long REPORT_LAG_US = 500 * MILLISECOND; // age of a load report when it arrives
     private static final long LISTED_AT_US = 4 * SECOND;
     private static final int[] FLEET_SIZES = {3, 30, 100};
 
-    /** What a fleet is told, and the worker's size. */
+    /** The settings and the traffic of a fleet, and the slots of its endpoints. */
     private record Scenario(
             String name,
             int nodes,
@@ -48,7 +48,7 @@
 
     private record Arrival(long atUs, double runTimeUs) {}
 
-    /** One node and its part of all traffic, in jobs for each microsecond and class. */
+    /** One node and its part of all traffic, in requests per microsecond for each class. */
     private static final class Node {
         final Harness harness;
         final double[] requestsPerUs;
@@ -61,7 +61,8 @@
     }
 
     /**
-     * A worker: what waits, what runs and until when, what free slots it reports, what came in while it was watched.
+     * An endpoint: its queued attempts, its running attempts with the times at which they end, the free slots that it
+     * has yet to report, and the attempts that arrived.
      */
     private static final class SimulatedEndpoint {
         final Deque<SentAttempt> queue = new ArrayDeque<>();
@@ -71,14 +72,14 @@
         long startedAtUs;
         boolean down;
         boolean saturated;
-        boolean reportsAllSlotsFree; // reports all of its slots as free, whatever it runs
+        boolean reportsAllSlotsFree; // however many of them are in use
     }
 
     private Scenario scenario;
     private LoadBalancerSettings settings;
     private SplittableRandom random;
     private long nowUs;
-    private double trafficMultiple; // of the usual traffic, at present
+    private double trafficMultiple; // present traffic as a multiple of the scenario's
     private final List<Node> nodes = new ArrayList<>();
     private final Map<String, SimulatedEndpoint> endpoints = new TreeMap<>();
     private final Map<SentAttempt, Integer> deliveredAttempts = new HashMap<>();
@@ -127,8 +128,9 @@
             endpoints.put("w" + w, new SimulatedEndpoint());
             warmList[w] = endpointInfo("w" + w, 0, EndpointState.ACTIVE, 0);
         }
-        // A tenth of the nodes has five parts of the traffic, a third next to none, the others one. Each class takes as
-        // much time as any.
+        // A tenth of the nodes has five parts of the traffic, a third has almost none, the others have one. All classes
+        // take the same
+        // total run time.
         double[] trafficParts = new double[newScenario.nodes()];
         double sum = 0;
         for (int n = 0; n < trafficParts.length; n++) {
@@ -160,7 +162,7 @@
         return scenario.meanRunTimesUs().size() / callsPerUs;
     }
 
-    /** Newcomers start, and all nodes are told at once. */
+    /** The new endpoints start, and all nodes are notified at once. */
     private void addNewEndpoints() {
         EndpointInfo[] newList = new EndpointInfo[scenario.newEndpoints()];
         for (int w = 0; w < newList.length; w++) {
@@ -199,7 +201,7 @@
         }
     }
 
-    /** Hands what a node has just sent to its workers, and forgets what is over. */
+    /** Delivers the attempts that a node has just sent, and drops its requests that are complete. */
     private void deliverAttempts(Node node) {
         Harness harness = node.harness;
         for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
@@ -285,7 +287,7 @@
         }
     }
 
-    /** The most that any stretch held, against what it may hold. */
+    /** The largest load of any window, as a multiple of the allowed load. */
     private double maxWindowLoad(SimulatedEndpoint endpoint) {
         double meanRunTimeUs = meanRunTimeUs();
         double max = 0;
@@ -314,8 +316,8 @@
     }
 
     /**
-     * What newcomers got since they came, as a part of what they can do in that time, and of what they bear where that
-     * is less.
+     * The load that the new endpoints got since they started, as a part of their capacity in that time, or of the load
+     * that they withstand where that is less.
      */
     private double usedCapacity() {
         double receivedUs = 0;
@@ -342,8 +344,8 @@
             maxLoad = Math.max(maxLoad, endpoint.startedAtUs > 0 ? maxWindowLoad(endpoint) : 0);
         }
         String summary = String.format(
-                "seed %d, %s, %s: the fullest stretch held %.2f of what it may, newcomers got %.3f of what they can do, "
-                        + "%.3f is least",
+                "seed %d, %s, %s: fullest window %.2f of the allowed load, new endpoints got %.3f of their capacity, "
+                        + "at least %.3f expected",
                 SEED, pattern, scenario, maxLoad, usedCapacity(), minUsed);
         System.out.println(summary);
         assertTrue(maxLoad <= 1 && usedCapacity() >= minUsed, summary);
@@ -354,12 +356,12 @@
         runUntil(LISTED_AT_US);
         addNewEndpoints();
         runUntil(LISTED_AT_US + newScenario.slowStartDurationUs() / 2);
-        assertLoadAndUse("plain", minUsed);
+        assertLoadAndUse("steady", minUsed);
     }
 
     /**
-     * Six in ten of the others report no room, and half of these take no connection: nodes look far beyond their usual
-     * workers.
+     * Six in ten of the other endpoints report no free slots, and half of these accept no connections: nodes use far
+     * more endpoints than usual.
      */
     private void runSaturated(Scenario newScenario, long seed, double minUsed) {
         setUp(newScenario, seed);
@@ -371,10 +373,12 @@
         runUntil(LISTED_AT_US + SECOND);
         addNewEndpoints();
         runUntil(LISTED_AT_US + SECOND + newScenario.slowStartDurationUs() / 2);
-        assertLoadAndUse("deep", minUsed);
+        assertLoadAndUse("saturated", minUsed);
     }
 
-    /** Traffic comes to all nodes at once, around the end of each stretch that began when they were told. */
+    /**
+     * All nodes get traffic at the same time, around the end of an overload window that began when they were notified.
+     */
     private void runWaves(Scenario newScenario, long seed, double minUsed) {
         setUp(newScenario, seed);
         runUntil(LISTED_AT_US);
@@ -424,7 +428,7 @@
     void typicalSettings() {
         for (int fleetSize : FLEET_SIZES) {
             runAllPatterns(new Scenario(
-                    "usual",
+                    "typical",
                     fleetSize,
                     10,
                     4,
@@ -481,12 +485,12 @@
     @Test
     void classesOfUnequalRunTimeShareTheAllowance() {
         runAllPatterns(mixed(3));
-        runAllPatterns(mixed(30)); // 100 are held to more, below
+        runAllPatterns(mixed(30)); // 100 nodes are checked against stricter bounds below
     }
 
     /**
-     * A tenth of a hundred nodes has half of the traffic. With an equal part each, and each class's part for that class
-     * alone, the newcomers got 0.198, 0.252 and 0.128 of what they can do here.
+     * A tenth of a hundred nodes has half of the traffic. When all nodes had equal parts of the allowance, and each
+     * class could use its own part only, the new endpoints got 0.198, 0.252 and 0.128 of their capacity here.
      */
     @Test
     void busyNodesGetMoreOfTheAllowanceThanQuietOnes() {
@@ -494,14 +498,14 @@
     }
 
     /**
-     * Reports that tell of no work make each node think that it has most of the fleet's: a part is never more than an
-     * equal one of N.
+     * Load reports without any load make each node assume that it has most of the fleet's traffic. Its part must still
+     * be no more than an equal part of N.
      */
     @Test
     void reportsOfNoLoadDoNotCauseOverload() {
         for (int fleetSize : FLEET_SIZES) {
             Scenario falseReports = new Scenario(
-                    "boasting",
+                    "false reports",
                     fleetSize,
                     10,
                     2,
@@ -519,7 +523,7 @@
             trafficMultiple = 3;
             addNewEndpoints();
             runUntil(LISTED_AT_US + falseReports.slowStartDurationUs() / 2);
-            assertLoadAndUse("boasting", 0.1);
+            assertLoadAndUse("false reports", 0.1);
         }
     }
 
@@ -528,7 +532,7 @@
         for (int fleetSize : FLEET_SIZES) {
             runSaturated(
                     new Scenario(
-                            "unheard",
+                            "no reports",
                             fleetSize,
                             20,
                             4,
@@ -546,8 +550,9 @@
     }
 
     /**
-     * Nodes that are up for a few seconds have seen one or two of a worker's slots in use, and none is reported. What
-     * each of them has out at the other workers tells what all have there.
+     * Nodes that have been up for a few seconds have seen one or two of an endpoint's slots in use, and no load is
+     * reported. Each node estimates the attempts of all nodes at the other endpoints from its own attempts in flight
+     * there.
      */
     @Test
     void newEndpointsGetTheirPartWithoutLoadReports() {
@@ -572,7 +577,8 @@
     }
 
     /**
-     * Little is borne, nodes have run for long enough to know the slots, and a tenth of them has half of the traffic.
+     * Endpoints withstand little overload, nodes have run for long enough to know the number of slots, and a tenth of
+     * them has half of the traffic.
      */
     @Test
     void unequalTrafficWithoutLoadReportsDoesNotCauseOverload() {
@@ -596,7 +602,7 @@
             trafficMultiple = 2;
             addNewEndpoints();
             runUntil(10 * LISTED_AT_US + unequal.slowStartDurationUs() / 2);
-            assertLoadAndUse("long up", 0.1);
+            assertLoadAndUse("long uptime", 0.1);
         }
     }
 
@@ -609,7 +615,7 @@
                 meanRunTimesUs.add((long) (20 * MILLISECOND * Math.pow(20, settingsRandom.nextDouble())));
             }
             Scenario generated = new Scenario(
-                    "generated " + i,
+                    "random " + i,
                     FLEET_SIZES[i % 3],
                     6 + settingsRandom.nextInt(20),
                     1 + settingsRandom.nextInt(6),
@@ -625,13 +631,16 @@
         }
     }
 
-    /** Down for long, which the list never tells: cold from when it is back, whatever is thought of when it fell. */
+    /**
+     * The endpoint is down for long, and the list does not show it. Its slow start must count from its return, whenever
+     * the nodes assume that it went down.
+     */
     @Test
     void endpointThatWasDownForLongIsInSlowStartWhenItReturns() {
         for (int fleetSize : FLEET_SIZES) {
             setUp(
                     new Scenario(
-                            "back",
+                            "recovered",
                             fleetSize,
                             10,
                             0,
@@ -654,13 +663,13 @@
             endpoint.freeSlotReports.clear();
             endpoint.startedAtUs = nowUs;
             runUntil(nowUs + 8 * SECOND);
-            assertLoadAndUse("back", 0.1);
+            assertLoadAndUse("recovered", 0.1);
         }
     }
 
     /**
-     * It may come back at any moment of the rest that it was given: at the end of that it is taken to have just
-     * started.
+     * An endpoint may return at any moment of its ejection, so at the end of the ejection it must be assumed to have
+     * just started.
      */
     @Test
     void endpointSeenDownBeginsSlowStartWhenItsEjectionEnds() {
@@ -676,7 +685,7 @@
                 SEED);
         harness.nowUs = 100 * SECOND;
         harness.listActiveEndpoints(1);
-        for (int i = 0; i < 20; i++) { // learns what a job takes: 20 ms
+        for (int i = 0; i < 20; i++) { // learns the run time of a request: 20 ms
             harness.submit("l" + i, "c", "a", 60 * SECOND);
             harness.reportStarted("l" + i);
             harness.advance(20 * MILLISECOND);
@@ -688,24 +697,25 @@
         Endpoint endpoint = harness.loadBalancer.endpoints().get("w0");
         OutlierState ejection = endpoint.outlierState;
         for (int i = 0; i < 8; i++) {
-            harness.advance(
-                    Math.max(0, ejection.ejectedUntilUs - harness.nowUs) + SECOND); // and a stretch, as each try counts
+            harness.advance(Math.max(0, ejection.ejectedUntilUs - harness.nowUs)
+                    + SECOND); // and an overload window, as each attempt counts
             harness.submit("b" + i, "c", "a", 60 * SECOND);
             for (Harness.TrackedRequest request : new ArrayList<>(harness.requests.values())) {
                 if (request.attemptsInFlight() > 0) {
                     harness.endAttempt(request.request.id(), AttemptOutcome.CONNECT_FAILED);
                 }
             }
-            assertTrue(ejection.ejectedUntilUs > harness.nowUs, "no rest at " + i + ", seed " + SEED);
+            assertTrue(ejection.ejectedUntilUs > harness.nowUs, "not ejected at " + i + ", seed " + SEED);
             assertTrue(
                     endpoint.slowStartCapacity(ejection.ejectedUntilUs, harness.settings.rules())
                             == harness.settings.rules().slowStartCapacity(),
-                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, harness.settings.rules()) + " after a rest of "
-                            + (ejection.ejectedUntilUs - harness.nowUs) + " us, seed " + SEED);
+                    endpoint.slowStartCapacity(ejection.ejectedUntilUs, harness.settings.rules())
+                            + " after an ejection of " + (ejection.ejectedUntilUs - harness.nowUs) + " us, seed "
+                            + SEED);
         }
     }
 
-    /** All that it had breaks off. */
+    /** Resets all queued and running attempts of an endpoint. */
     private void resetAttempts(SimulatedEndpoint endpoint) {
         List<SentAttempt> lost = new ArrayList<>(endpoint.runningUntilUs.keySet());
         lost.addAll(endpoint.queue);
@@ -723,8 +733,8 @@
     }
 
     /**
-     * One newcomer, and more jobs at each of a hundred nodes than it may send: the sum in the first stretch, over many
-     * fleets.
+     * One new endpoint, and more requests at each of a hundred nodes than it may send there: the sum of the sends in
+     * the first window, over many fleets.
      */
     @Test
     void sumOfFirstSendsAndItsDeviationAreAsDesigned() {
@@ -732,8 +742,8 @@
     }
 
     /**
-     * The same where all see it when they are told, and have their jobs in a stretch that begins within the first and
-     * ends beyond.
+     * The same where all nodes consider the endpoint when they are notified, and get their requests in a window that
+     * begins within the first one and ends after it.
      */
     @Test
     void sumOfSendsIsNoLargerInAWindowThatOverlapsTwo() {
@@ -758,14 +768,16 @@
             }
             sums.add(sum);
         }
-        // One slot, a fifth of it at first and all in 20 s, three times that for a second: 30 calls of 20 ms at first.
+        // One slot, a fifth of it at the start and all of it after 20 s, three times that for a second: 30 calls of 20
+        // ms at
+        // the start.
         double allowedCalls = 3 * (0.2 + 0.8 * delayUs / (20 * SECOND)) * SECOND / (20 * MILLISECOND);
         double expectedMean = Math.pow(Math.sqrt(1 + allowedCalls) - 1, 2);
         double mean = sums.stream().mapToInt(x -> x).average().orElse(0);
         double deviation = Math.sqrt(
                 sums.stream().mapToDouble(x -> (x - mean) * (x - mean)).sum() / (fleets - 1));
         String summary = String.format(
-                "seed %d, quiet for %d us: mean %.1f of %.1f, spread %.1f, of %s",
+                "seed %d, window after %d us: mean %.1f of %.1f, deviation %.1f, of %s",
                 SEED, delayUs, mean, expectedMean, deviation, sums);
         System.out.println(summary);
         assertTrue(mean <= expectedMean + 3 * Math.sqrt(expectedMean / fleets) && mean >= expectedMean * 0.6, summary);
@@ -773,7 +785,10 @@
         assertTrue(sums.stream().allMatch(x -> x <= allowedCalls + 2 * Math.sqrt(allowedCalls) + 2), summary);
     }
 
-    /** What a node sends the newcomer in the stretch that begins so long after it was told. */
+    /**
+     * Number of attempts that a node sends to the new endpoint in the window that begins {@code delayUs} after the
+     * notification.
+     */
     private static int countSendsToNewEndpoint(LoadBalancerSettings settings, long seed, long delayUs) {
         Harness harness = Harness.withLearnedRunTime(settings, seed, 20 * MILLISECOND);
         long listedAtUs = harness.nowUs;
--- a/src/test/java/olivechute/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/olivechute/simulator/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter: what it writes, and what bad lines get. */
+/** Checks the actions that the adapter writes and the errors that it reports for invalid lines. */
 class SimulatorAdapterTest {
     private String errors;
     private int status;
@@ -63,8 +63,10 @@
                 "{\"at_time\":101,\"inbox\":[{\"m\":\"POOL\",\"ref\":0,\"elements\":[]},{\"m\":\"DIRECTORY_UPDATE\","
                         + "\"i\":\"node-0\",\"scope\":\"replace\",\"stamp\":2,\"ref\":0}]}\n{\"at_time\":101.5,\"inbox\":[{\"m\":\"ARRIVAL\","
                         + "\"i\":\"node-0\",\"ref\":\"00000000000000a1\",\"lane\":\"job\",\"customer\":\"a\",\"left\":5.0,\"slots\":1}]}\n";
-        assertTrue(!run(prefix + laterEvents).contains("RELAY"), "gone binds");
-        assertTrue(run(withOptionalSettings + laterEvents).contains("RELAY"), "only draining binds");
+        assertTrue(!run(prefix + laterEvents).contains("RELAY"), "an unlisted endpoint must not be used");
+        assertTrue(
+                run(withOptionalSettings + laterEvents).contains("RELAY"),
+                "an unlisted endpoint may be used where only draining binds");
         run(withOptionalSettings.replace("\"tail_miss\":0.01", "\"tail_miss\":1.5"));
         assertEquals("line 2: result_mix.tail_miss: must be from 0 to 1.0", errors.strip());
         run(withOptionalSettings.replace("\"tail_part\":0.35", "\"tail_part\":\"much\""));
