--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -168,29 +168,29 @@
             }
         }
 
-        void handleEvent(long now, String name, JsonFields e) {
-            switch (name) {
-                case "DIRECTORY_UPDATE" -> onListUpdate(now, e);
-                case "ARRIVAL" -> loadBalancer.onRequest(now, decodeRequest(e));
+        void handleEvent(long nowUs, String eventType, JsonFields event) {
+            switch (eventType) {
+                case "DIRECTORY_UPDATE" -> onListUpdate(nowUs, event);
+                case "ARRIVAL" -> loadBalancer.onRequest(nowUs, decodeRequest(event));
                 case "CLOSED_ATTEMPT" ->
                     loadBalancer.onAttemptEnd(
-                            now,
-                            e.text("ref"),
-                            (int) e.integerOr("n", 0),
-                            decodeOutcome(e),
-                            e.microsOr("took", 0),
-                            e.flag("complete"),
-                            loadReportFields.row(e.list("feedback")));
-                case "SIGNAL" -> onAttemptSignal(now, e);
+                            nowUs,
+                            event.text("ref"),
+                            (int) event.integerOr("n", 0),
+                            decodeOutcome(event),
+                            event.microsOr("took", 0),
+                            event.flag("complete"),
+                            loadReportFields.row(event.list("feedback")));
+                case "SIGNAL" -> onAttemptSignal(nowUs, event);
                 case "PROBE_DONE" ->
                     loadBalancer.onProbeResult(
-                            now,
-                            e.text("executor"),
-                            e.integer("code") == 1,
-                            e.microsOr("took", 0),
-                            loadReportFields.row(e.list("feedback")));
-                case "HANGUP" -> loadBalancer.onClientDisconnected(now, e.text("ref"));
-                case "WAKEUP" -> loadBalancer.onTimer(now, e.integer("mark"));
+                            nowUs,
+                            event.text("executor"),
+                            event.integer("code") == 1,
+                            event.microsOr("took", 0),
+                            loadReportFields.row(event.list("feedback")));
+                case "HANGUP" -> loadBalancer.onClientDisconnected(nowUs, event.text("ref"));
+                case "WAKEUP" -> loadBalancer.onTimer(nowUs, event.integer("mark"));
                 default -> {}
             }
         }
@@ -212,34 +212,34 @@
             loadBalancer.onListUpdate(nowUs, kind, listed);
         }
 
-        private Request decodeRequest(JsonFields e) {
+        private Request decodeRequest(JsonFields event) {
             return new Request(
-                    e.text("ref"),
-                    e.text("lane"),
-                    decodeTenant(e),
-                    e.textOr("key", null),
-                    e.micros("left"),
-                    e.has("cost") ? e.number("cost") * MICROS_PER_SECOND : Double.NaN,
-                    (int) e.integerOr("slots", 1),
-                    e.numberOr("ram_units", Double.NaN),
-                    e.flag("retry"));
+                    event.text("ref"),
+                    event.text("lane"),
+                    decodeTenant(event),
+                    event.textOr("key", null),
+                    event.micros("left"),
+                    event.has("cost") ? event.number("cost") * MICROS_PER_SECOND : Double.NaN,
+                    (int) event.integerOr("slots", 1),
+                    event.numberOr("ram_units", Double.NaN),
+                    event.flag("retry"));
         }
 
-        private void onAttemptSignal(long now, JsonFields e) {
-            long topic = e.integer("topic");
+        private void onAttemptSignal(long nowUs, JsonFields event) {
+            long topic = event.integer("topic");
             if (topic == TOPIC_STARTED || topic == TOPIC_PROGRESS) {
                 AttemptSignal signal = topic == TOPIC_STARTED ? AttemptSignal.STARTED : AttemptSignal.PROGRESS;
                 loadBalancer.onAttemptSignal(
-                        now, e.text("ref"), (int) e.integerOr("n", 0), signal, e.numberOr("amount", 0));
+                        nowUs, event.text("ref"), (int) event.integerOr("n", 0), signal, event.numberOr("amount", 0));
             }
         }
 
-        private String decodeTenant(JsonFields e) {
-            return e.get("customer") instanceof String s ? s : null;
+        private String decodeTenant(JsonFields event) {
+            return event.get("customer") instanceof String s ? s : null;
         }
 
-        private AttemptOutcome decodeOutcome(JsonFields e) {
-            long code = e.integer("code");
+        private AttemptOutcome decodeOutcome(JsonFields event) {
+            long code = event.integer("code");
             if (code < 1 || code > AttemptOutcome.NOT_SENT.ordinal() + 1) {
                 throw new InvalidValueException("code: unknown outcome " + code);
             }
@@ -291,17 +291,17 @@
             writeAction("TIMER", "mark", timerId, "span", delayUs / 1e6);
         }
 
-        private void writeAction(String name, Object... fields) {
+        private void writeAction(String actionType, Object... fields) {
             try {
                 out.writeStartObject();
-                out.writeStringField("m", name);
+                out.writeStringField("m", actionType);
                 out.writeStringField("i", instanceId);
-                for (int f = 0; f < fields.length; f += 2) {
-                    Object value = fields[f + 1];
+                for (int fieldIndex = 0; fieldIndex < fields.length; fieldIndex += 2) {
+                    Object value = fields[fieldIndex + 1];
                     if (value == null) {
                         continue;
                     }
-                    out.writeFieldName((String) fields[f]);
+                    out.writeFieldName((String) fields[fieldIndex]);
                     if (value instanceof Long l) {
                         out.writeNumber(l);
                     } else if (value instanceof Double d) {
--- a/src/test/java/olivechute/loadbalancing/Harness.java
+++ b/src/test/java/olivechute/loadbalancing/Harness.java
@@ -30,7 +30,7 @@
         final List<AttemptOutcome> outcomes = new ArrayList<>();
 
         int attemptsInFlight() {
-            return (int) outcomes.stream().filter(o -> o == null).count();
+            return (int) outcomes.stream().filter(outcome -> outcome == null).count();
         }
     }
 
