--- a/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
@@ -4,13 +4,15 @@
 import java.util.Map;
 import olivechute.discovery.DiscoveryCallException.Reason;
 
-/** How the calls to discovery of this process ended. Counted on the watch's thread, told on any. */
+/**
+ * Counts how the calls of this process to discovery ended. Updated on the watch's thread; may be read on any thread.
+ */
 final class DiscoveryCallCounts {
     private final Map<Reason, Integer> failuresByReason = new EnumMap<>(Reason.class);
     private int answered;
     private int consecutiveFailures;
 
-    /** An answer came; returns how many calls in a row had failed before it. */
+    /** Counts an answered call; returns how many calls in a row had failed before it. */
     synchronized int answered() {
         int failedBefore = consecutiveFailures;
         answered++;
@@ -23,7 +25,7 @@
         consecutiveFailures++;
     }
 
-    /** All of it in one line. */
+    /** Returns all counts in one line for the log. */
     synchronized String describe() {
         return "calls answered " + answered + ", failed " + failuresByReason + ", in a row " + consecutiveFailures;
     }
--- a/src/main/java/olivechute/discovery/DiscoveryCallException.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallException.java
@@ -2,11 +2,14 @@
 
 import java.io.IOException;
 
-/** A call to discovery that brought no list, and why. */
+/** A call to discovery failed without an endpoint list; carries the reason. */
 final class DiscoveryCallException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** Why a call failed, and what an operator can do. docs/runbook.md, 'Discovery', holds them as a table. */
+    /**
+     * Why a call failed and what an operator can do about it. The section 'Discovery' of docs/runbook.md lists the
+     * reasons in a table. Their names and texts appear in the log.
+     */
     enum Reason {
         UNREACHABLE(
                 "no connection came up",
@@ -36,17 +39,20 @@
             this.hasUnreadContent = hasUnreadContent;
         }
 
-        /** What happened, as a clause. */
+        /** Returns what happened, as a clause. */
         String cause() {
             return cause;
         }
 
-        /** What an operator can do, as a clause. */
+        /** Returns what an operator can do, as a clause. */
         String remedy() {
             return remedy;
         }
 
-        /** True if discovery has written something that this node does not know. */
+        /**
+         * Whether discovery sent content that this node could not read, and so may count this node as notified of a
+         * change that it does not have.
+         */
         boolean hasUnreadContent() {
             return hasUnreadContent;
         }
@@ -59,7 +65,12 @@
         this(reason, message, false);
     }
 
-    /** {@code timedOut}: the connection says nothing, and may have broken with nobody to tell. */
+    /**
+     * Creates an exception.
+     *
+     * @param timedOut whether the connection delivers no data; it may be broken without either side having been
+     *     notified
+     */
     DiscoveryCallException(Reason reason, String message, boolean timedOut) {
         super(message);
         this.reason = reason;
--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -20,16 +20,20 @@
 import org.tinylog.Logger;
 
 /**
- * The connection to discovery: opened when a call needs it, kept from one call to the next. One thread makes the calls;
- * any other may close the connection, which ends the call on it.
+ * The connection to discovery, opened when a call needs it and kept alive between calls. {@link EndpointListWatcher}
+ * makes the calls on one thread; any other thread may close the connection, which ends the call in progress.
  */
-@SuppressWarnings("ReferenceEquality") // a move to an equal address is a move
+@SuppressWarnings(
+        "ReferenceEquality") // addresses are compared by identity: moving to an equal address also counts as a move
 final class DiscoveryConnection {
-    /** The version to ask from for the whole list. */
+    /** The version to pass to {@link #call} to request the full list. */
     static final long FULL_LIST = -1;
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
-    /** Bytes of a list: 3,200 servers take 0.7 MB, indented; with room for longer names and addresses. */
+    /**
+     * Maximum size of a list: 3,200 servers take 0.7 MB with indentation, and the limit leaves space for longer names
+     * and addresses.
+     */
     private static final int MAX_LIST_BYTES = 2 * 1024 * 1024;
 
     private static final int STATUS_OK = 200;
@@ -41,20 +45,20 @@
         this.address = address;
     }
 
-    /** Where discovery is by now. */
+    /** Returns the current address of discovery. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Discovery is there from now on: ends the call that is under way. */
+    /** Changes the address of discovery and ends the call in progress. */
     synchronized void moveTo(InetSocketAddress newAddress) {
         address = newAddress;
         close();
     }
 
     /**
-     * Asks the discovery at {@code asked}, unless it moved, for what is newer than a version, or for the {@link #WHOLE}
-     * list; all of the answer is read in the call's time.
+     * Requests the changes since a version, or the {@link #FULL_LIST}, from the discovery at {@code target}. Fails if
+     * the address has changed meanwhile. The complete answer has to be read within the call's timeout.
      */
     EndpointListUpdate call(InetSocketAddress target, long sinceVersion, WatchTimeouts.Call callTimeouts)
             throws DiscoveryCallException {
@@ -104,7 +108,11 @@
         return socket;
     }
 
-    /** A socket's own timeout counts from the last byte: an answer that comes in drops would prolong it for ever. */
+    /**
+     * Writes the request and reads the response before the deadline. The remaining time is set before each read,
+     * because the timeout of a socket restarts with each byte: an answer that trickles in would prolong it
+     * indefinitely.
+     */
     private static HttpResponse exchange(Socket socket, byte[] request, long deadlineNanos)
             throws DiscoveryCallException {
         ResponseParser parser = new ResponseParser(MAX_LIST_BYTES);
@@ -116,7 +124,7 @@
             while (!parser.isComplete()) {
                 long remainingMs = (deadlineNanos - System.nanoTime()) / 1_000_000;
                 if (remainingMs <= 0) {
-                    throw new SocketTimeoutException("no whole answer in time");
+                    throw new SocketTimeoutException("no complete answer in time");
                 }
                 socket.setSoTimeout((int) remainingMs);
                 int count = TimedReads.read(in, buffer, 0, buffer.length);
@@ -144,7 +152,7 @@
         }
     }
 
-    /** Closes the connection, if there is one; the next call opens another. */
+    /** Closes the connection if it is open; the next call opens a new one. */
     synchronized void close() {
         try {
             if (socket != null) {
--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -22,22 +22,27 @@
 import org.tinylog.Logger;
 
 /**
- * Watches the list, call after call on one connection, until one fails; the module then says when to go on, but where
- * lists are pushed to an agent, which is asked from the start on whatever fails. The next call leaves as soon as an
- * answer is read, well within the 200 ms that keep a watch alive. A call that stays silent past its time
- * ({@link WatchTimeouts}) is no failure yet: its connection may have broken with nobody to tell, so the call is made
- * once more, at once, on a new one.
+ * Watches the endpoint list at discovery, on a thread of its own: it makes one call after another on one connection
+ * until a call fails, and posts each update to the event loop. After a failure the load balancer decides when the watch
+ * is restarted; where lists are pushed to an agent, the agent is polled from the start and regardless of failures. The
+ * next call is sent as soon as an answer has been read, well within the 200 ms that keep a watch alive. A call that
+ * exceeds its timeout ({@link WatchTimeouts}) is not a failure yet: its connection may have broken without either side
+ * being notified, so the call is repeated immediately on a new connection.
  *
- * <p>The first call of a process, and the first one at another address, is answered at once: the list held may be of
- * any age. It asks for what is newer than the version held, as all addresses are one service's, which counts versions
- * once for all; a service that counts lower says so in its answer, and is asked for the whole list. Whole lists are
- * dear: of a fleet of a hundred nodes that asks for them at once the last waits for longer than the list that it holds
- * is good for.
+ * <p>The first call of a process, and the first one at a new address, is answered immediately, as the held list may be
+ * of any age. It requests changes since the held version, because all addresses belong to one service with a single
+ * version sequence. A service with a lower version says so in its answer and is then asked for the full list. Full
+ * lists are expensive: if a fleet of a hundred nodes requests them at once, the last node waits for longer than its
+ * held list is valid.
  */
-@SuppressWarnings("ReferenceEquality") // a move to an equal address is a move
+@SuppressWarnings(
+        "ReferenceEquality") // addresses are compared by identity: moving to an equal address also counts as a move
 public final class EndpointListWatcher implements EndpointListSource {
     private static final long MIN_POLL_INTERVAL_NANOS = 50_000_000; // well within the 200 ms that keep a watch alive
-    /** How long a doubtful answer may wait for a second: what is told must be kept to 500 ms after. */
+    /**
+     * How long the answer to the confirming call may take after an implausible list: a change that counts as notified
+     * must be obeyed within 500 ms.
+     */
     private static final int CONFIRMATION_TIMEOUT_MS = 150;
 
     private final EventLoop loop;
@@ -48,21 +53,26 @@
     private final DiscoveryCallCounts callCounts = new DiscoveryCallCounts();
     private final Semaphore watchRequests = new Semaphore(0);
     private final CountDownLatch firstAnswerLatch =
-            new CountDownLatch(1); // open once requests need not wait for the list
+            new CountDownLatch(1); // released once requests no longer have to wait for the list
     private final long startedAtNanos = System.nanoTime();
     private volatile Runnable onCallFailure = () -> {};
     private volatile boolean watching;
     private volatile long heldVersion;
     private volatile long lastAnswerAtNanos; // when the last answer was read
-    // The rest belongs to the watch's own thread.
-    private InetSocketAddress currentAddress; // where the calls go
-    private boolean everAnswered; // a call of this process was
-    private boolean nextCallMayWait; // the last call was answered, at this address
-    private boolean lastCallFailed; // the last call failed
-    private int consecutiveTimeouts; // calls in a row that waited for no news and were not answered in time
-    private long answeredCallSentAtUs; // when the call was sent that was answered last, on the loop's clock
+    private InetSocketAddress currentAddress; // the address that calls are sent to
+    private boolean everAnswered; // whether any call of this process was answered
+    private boolean nextCallMayWait; // whether this address has answered, so that the next call may wait for changes
+    private boolean lastCallFailed; // whether the last call failed
+    private int consecutiveTimeouts; // consecutive calls that did not wait for changes and timed out
+    private long answeredCallSentAtUs; // when the last answered call was sent, on the loop's clock
 
-    /** {@code seed}: the node's own, which keeps its calls out of step with those of others. */
+    /**
+     * Creates a watcher; {@link #start} starts its thread.
+     *
+     * @param lastKnownList the list that the node starts with
+     * @param seed a seed of this node's own, which keeps its calls out of step with those of other nodes
+     * @param lease renewed or invalidated according to how the calls end
+     */
     public EndpointListWatcher(
             EventLoop loop,
             InetSocketAddress address,
@@ -96,7 +106,7 @@
                 lastKnownList.endpoints().isEmpty() ? DiscoveryConnection.FULL_LIST : lastKnownList.version();
     }
 
-    /** Starts the thread; where lists are pushed also the watch. */
+    /** Starts the watch's thread and, where lists are pushed, also the watch. */
     public void start() {
         if (watchTimeouts.pushed()) {
             watch();
@@ -105,8 +115,9 @@
     }
 
     /**
-     * Waits until discovery has answered for the first time or could not be reached, and where lists are pushed until
-     * the agent was asked, but no longer than {@link WatchTimeouts#first}; false if it was that.
+     * Waits until discovery has answered for the first time or could not be reached, or, where lists are pushed, until
+     * the agent was polled, but no longer than {@link WatchTimeouts#firstAnswerTimeoutMs}. Returns false if that time
+     * elapsed.
      */
     public boolean awaitFirstAnswer() throws InterruptedException {
         return firstAnswerLatch.await(watchTimeouts.firstAnswerTimeoutMs(), TimeUnit.MILLISECONDS);
@@ -119,7 +130,7 @@
         }
     }
 
-    /** Watches at another address from now on, at once, whatever call or pause is under way. */
+    /** Watches at another address from now on, immediately, whatever call or pause is in progress. */
     public void moveTo(InetSocketAddress newAddress) {
         if (!newAddress.equals(connection.address())) {
             Logger.info("discovery moves to {}", newAddress);
@@ -129,12 +140,12 @@
         }
     }
 
-    /** Has this done after each call that failed, on the watch's thread. */
+    /** Sets a task that runs on the watch's thread after each failed call. */
     public void onCallFailure(Runnable task) {
         onCallFailure = task;
     }
 
-    /** Where the list stands and how the calls ended, in one line. */
+    /** Returns the version of the list, the time since the last answer and the call counts, in one line for the log. */
     public String describe() {
         return "list version " + heldVersion + ", last answer " + millisSince(lastAnswerAtNanos) + " ms ago, "
                 + callCounts.describe();
@@ -158,7 +169,7 @@
                 connection.close();
                 watching = false;
                 if (currentAddress != connection.address()) {
-                    watch(); // moved: no failure, and nothing to wait for
+                    watch(); // the address changed: not a failure, and no need to wait
                 } else {
                     handleFailure(e);
                 }
@@ -166,14 +177,14 @@
         }
     }
 
-    /** One call, and what its answer says. */
+    /** Makes one call, repeated if it times out, and applies its answer. */
     private void pollOnce() throws DiscoveryCallException, InterruptedException {
         if (currentAddress != connection.address()) {
             currentAddress = connection.address();
             nextCallMayWait = false;
             heldVersion = watchTimeouts.pushed()
                     ? DiscoveryConnection.FULL_LIST
-                    : heldVersion; // another agent, which answers at no cost
+                    : heldVersion; // a different agent, which sends the full list at no cost
             connection.close();
         }
         long startNanos = System.nanoTime();
@@ -182,7 +193,7 @@
         boolean olderVersion = list.version() < heldVersion && !list.complete();
         if (olderVersion) {
             Logger.info(
-                    "discovery {}: version {} where {} was held, the whole list is asked for",
+                    "discovery {}: version {} is lower than the held version {}, requesting the full list",
                     currentAddress,
                     list.version(),
                     heldVersion);
@@ -198,13 +209,14 @@
         nextCallMayWait = true;
         firstAnswerLatch.countDown();
         if (unchanged && System.nanoTime() - startNanos < MIN_POLL_INTERVAL_NANOS) {
-            Thread.sleep(
-                    MIN_POLL_INTERVAL_NANOS / 1_000_000); // a service that never waits is not to be asked without end
+            Thread.sleep(MIN_POLL_INTERVAL_NANOS
+                    / 1_000_000); // a service that answers without waiting must not be polled in a tight loop
         }
     }
 
     /**
-     * An agent that says nothing says so for as long as discovery is down: logged once, and asked again all the while.
+     * Handles a failed call. While discovery is down an agent stays silent, so only its first failure is logged, and it
+     * is polled again all the same.
      */
     private void handleFailure(DiscoveryCallException failure) {
         if (failure.reason() == Reason.UNREADABLE) {
@@ -231,7 +243,10 @@
         }
     }
 
-    /** What is newer than the version held; asked for on a second connection where the first stays silent. */
+    /**
+     * Requests the changes since the held version; repeats the call on a new connection if the first one stays silent
+     * or breaks off.
+     */
     private EndpointListUpdate pollWithRetry() throws DiscoveryCallException {
         try {
             return nextCallMayWait && heldVersion != DiscoveryConnection.FULL_LIST
@@ -243,13 +258,13 @@
             }
             connection.close();
             if (!lastCallFailed) {
-                Logger.info("discovery {}: {}, asked again", currentAddress, e.getMessage());
+                Logger.info("discovery {}: {}, polling again on a new connection", currentAddress, e.getMessage());
             }
             return pollWithoutWaiting();
         }
     }
 
-    /** The same by a call that waits for no news. */
+    /** Requests the same by a call that does not wait for changes. */
     private EndpointListUpdate pollWithoutWaiting() throws DiscoveryCallException {
         WatchTimeouts.Call callTimeouts =
                 heldVersion == DiscoveryConnection.FULL_LIST ? watchTimeouts.fullList() : watchTimeouts.afterFailure();
@@ -317,27 +332,27 @@
         try {
             onCallFailure.run();
         } catch (RuntimeException e) {
-            Logger.error(e, "discovery {}: what follows a failed call failed itself", currentAddress);
+            Logger.error(e, "discovery {}: the task that follows a failed call failed", currentAddress);
         }
     }
 
-    /** The answer itself, or what a second one says where the first would drop most hosts at once. */
+    /** Returns the answer itself, or the answer to a second call if the first would remove most endpoints at once. */
     private EndpointListUpdate confirmIfImplausible(EndpointListUpdate firstAnswer) {
         if (!firstAnswer.complete() || !plausibilityCheck.isImplausible(endpointNames(firstAnswer))) {
             return firstAnswer;
         }
         Logger.warn(
-                "discovery {}: {} hosts where more were listed, asked again",
+                "discovery {}: full list of {} endpoints lacks most of those listed before, polling again",
                 currentAddress,
                 firstAnswer.endpoints().size());
-        // What it says of those that it names is told, whatever becomes of the rest.
+        // The states of the endpoints that it does list apply at once, whatever the second answer says.
         loop.post(new ProxyEvent.ListUpdated(
                 new EndpointListUpdate(firstAnswer.version(), false, firstAnswer.endpoints()),
                 ProxyEvent.ListUpdated.PARTIAL));
         try {
             return call(DiscoveryConnection.FULL_LIST, new WatchTimeouts.Call(0, CONFIRMATION_TIMEOUT_MS));
         } catch (DiscoveryCallException e) {
-            Logger.warn("discovery {}: no second answer, the first holds: {}", currentAddress, e.getMessage());
+            Logger.warn("discovery {}: second call failed, using the first answer: {}", currentAddress, e.getMessage());
             connection.close();
             return firstAnswer;
         }
--- a/src/main/java/olivechute/health/AdaptiveConcurrencyLimit.java
+++ b/src/main/java/olivechute/health/AdaptiveConcurrencyLimit.java
@@ -1,9 +1,10 @@
 package olivechute.health;
 
 /**
- * The most attempts in flight at one endpoint, by additive increase and multiplicative decrease (AIMD): one more for
- * each request served while half of the limit is in use, a quarter fewer when the endpoint rejects one or breaks a
- * connection, at most once in 200 ms. An endpoint that returns from an ejection begins at one. Times are microseconds.
+ * The maximum number of attempts in flight at one endpoint, adapted by additive increase and multiplicative decrease
+ * (AIMD): plus one for each request served while at least half of the limit is in use, minus a quarter when the
+ * endpoint rejects a request or breaks a connection, at most once in 200 ms. An endpoint that returns from an ejection
+ * starts with a limit of one. Used by {@link EndpointConnectionHealth}; times are microseconds.
  */
 final class AdaptiveConcurrencyLimit {
     private static final double MIN_LIMIT = 1;
@@ -15,14 +16,14 @@
     private double limit = INITIAL_LIMIT;
     private long lastDecreaseAtUs = Long.MIN_VALUE / 2;
 
-    /** A request was served while so many were in flight, itself included. */
+    /** Records that a request was served while {@code inFlight} attempts were in flight, itself included. */
     void onServed(int inFlight) {
         if (inFlight >= limit / 2) {
             limit = Math.min(MAX_LIMIT, limit + 1);
         }
     }
 
-    /** The endpoint is overloaded; so many attempts are still in flight. */
+    /** Decreases the limit because the endpoint is overloaded; {@code inFlight} attempts are still in flight. */
     void decrease(long nowUs, int inFlight) {
         if (nowUs - lastDecreaseAtUs >= MIN_DECREASE_INTERVAL_US) {
             limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * Math.min(limit, inFlight + 1));
@@ -30,7 +31,7 @@
         }
     }
 
-    /** Begins anew at one attempt. */
+    /** Resets the limit to one attempt. */
     void resetToMinimum() {
         limit = MIN_LIMIT;
     }
--- a/src/main/java/olivechute/health/AdaptiveTimeout.java
+++ b/src/main/java/olivechute/health/AdaptiveTimeout.java
@@ -1,8 +1,8 @@
 package olivechute.health;
 
 /**
- * How long something may take before it counts as failed: the mean time and four mean deviations, as TCP computes its
- * retransmission timeout (RFC 6298, section 2), within bounds. Times are microseconds. Not safe for several threads.
+ * A timeout that adapts to measured durations: the mean plus four mean deviations, as TCP computes its retransmission
+ * timeout (RFC 6298, section 2), within bounds. Times are microseconds. Not thread-safe.
  */
 public final class AdaptiveTimeout {
     private static final int MIN_SAMPLES = 8;
@@ -19,12 +19,12 @@
     private double deviationUs;
 
     /**
-     * Makes one without samples.
+     * Creates a timeout without samples.
      *
      * @param initialUs the timeout until there are enough samples
-     * @param leastUs bound of the timeout
-     * @param mostUs bound of the timeout
-     * @throws IllegalArgumentException unless {@code 0 <= leastUs <= initialUs <= mostUs}
+     * @param minUs lower bound of the timeout
+     * @param maxUs upper bound of the timeout
+     * @throws IllegalArgumentException unless {@code 0 <= minUs <= initialUs <= maxUs}
      */
     public AdaptiveTimeout(long initialUs, long minUs, long maxUs) {
         if (minUs < 0 || initialUs < minUs || maxUs < initialUs) {
@@ -36,7 +36,7 @@
         this.maxUs = maxUs;
     }
 
-    /** Takes a sample. */
+    /** Adds the duration of a successful operation. */
     public void addSample(long sampleUs) {
         if (sampleCount == 0) {
             meanUs = sampleUs;
@@ -47,7 +47,7 @@
         meanUs += MEAN_WEIGHT * (sampleUs - meanUs);
     }
 
-    /** How long the next one may take. */
+    /** Returns the timeout of the next operation. */
     public long timeoutUs() {
         if (sampleCount < MIN_SAMPLES) {
             return initialUs;
@@ -55,12 +55,15 @@
         return (long) Math.max((double) minUs, Math.min((double) maxUs, meanUs + TIMEOUT_DEVIATIONS * deviationUs));
     }
 
-    /** How long one takes that goes well: two mean deviations less than the mean; 0 while there are too few samples. */
+    /**
+     * Returns the duration of an operation that goes well: the mean minus two mean deviations, or 0 while there are too
+     * few samples.
+     */
     public long lowEstimateUs() {
         return sampleCount < MIN_SAMPLES ? 0 : (long) Math.max(0, meanUs - LOW_ESTIMATE_DEVIATIONS * deviationUs);
     }
 
-    /** The mean, 0 before the first sample. */
+    /** Returns the mean duration, 0 before the first sample. */
     public long meanUs() {
         return (long) meanUs;
     }
--- a/src/main/java/olivechute/health/ConnectTimeEstimator.java
+++ b/src/main/java/olivechute/health/ConnectTimeEstimator.java
@@ -3,9 +3,10 @@
 import java.util.Arrays;
 
 /**
- * What a new connection takes beyond one in use, from the decision to send to the answer: the connect, and what the
- * endpoint's handshake adds to the first request. The difference of the medians of the last answers of either kind, as
- * endpoints that hang answer late on both. Times are microseconds; safe for use by several threads.
+ * Estimates how much longer a request takes on a new connection than on one in use, from the decision to send until the
+ * answer: the connect, and the delay that the endpoint's handshake adds to the first request. It is the difference
+ * between the medians of the latest answers of either kind, as unresponsive endpoints answer late on both. Times are
+ * microseconds. Thread-safe.
  */
 public final class ConnectTimeEstimator {
     private static final int WINDOW_SAMPLES = 15;
@@ -28,17 +29,21 @@
         }
     }
 
-    /** The first answer on a new connection came so long after the connection was asked for. */
+    /**
+     * Adds a sample: the first answer on a new connection came {@code elapsedUs} after the connection was requested.
+     */
     public synchronized void addNewConnectionSample(long elapsedUs) {
         newConnectionMedian.add(elapsedUs);
     }
 
-    /** An answer on a connection in use came so long after its request was to be written. */
+    /**
+     * Adds a sample: an answer on a connection in use came {@code elapsedUs} after its request was due to be written.
+     */
     public synchronized void addReusedConnectionSample(long elapsedUs) {
         reusedConnectionMedian.add(elapsedUs);
     }
 
-    /** What a new connection takes more; 0 while either median is unknown. */
+    /** Returns the extra time of a new connection, 0 while either median is unknown. */
     public synchronized long extraConnectTimeUs() {
         if (newConnectionMedian.sampleCount == 0 || reusedConnectionMedian.sampleCount == 0) {
             return 0;
--- a/src/main/java/olivechute/health/ConnectionHealth.java
+++ b/src/main/java/olivechute/health/ConnectionHealth.java
@@ -14,9 +14,9 @@
 import olivechute.loadbalancing.RetryBudget;
 
 /**
- * The health of all endpoints as their connections show it, for the load balancer: which are ejected, never so many
- * that the others would be overloaded, and which retries the node has a budget for. Runs on the event loop; times are
- * microseconds.
+ * The health of all endpoints as observed on their connections, for the load balancer: which endpoints are ejected,
+ * never so many that the others would be overloaded, and which retries the retry budget allows. Updated by the proxy;
+ * runs on the event loop, and times are microseconds on its clock.
  */
 public final class ConnectionHealth implements HealthView {
     private static final long INITIAL_ACCEPT_TIMEOUT_US = 300_000;
@@ -29,15 +29,16 @@
     private final Map<String, EndpointConnectionHealth> healthByEndpoint = new LinkedHashMap<>();
     private final RetryBudget retryBudget;
     private final EndpointListLease lease;
-    /** By class: the time from the acceptance to the end. */
+    /** By request class: the time from acceptance to the end of an attempt. */
     private final AdaptiveTimeout[] runTimeByClass;
 
     /**
-     * Makes one that knows no endpoint.
+     * Creates a health view without endpoints.
      *
+     * @param classCount number of request classes in the settings
      * @param tenants names of the tenants in the settings
-     * @param random draws from 0 to 1
-     * @param lease the endpoint list's
+     * @param uniformRandom supplies random numbers from 0 to 1
+     * @param lease the lease of the endpoint list
      */
     public ConnectionHealth(
             HealthSettings settings,
@@ -69,17 +70,17 @@
                                 INITIAL_ACCEPT_TIMEOUT_US, settings.minAcceptTimeoutUs(), MAX_ACCEPT_TIMEOUT_US)));
     }
 
-    /** An endpoint is on the list, and its process started at that moment. */
+    /** Records that an endpoint is listed and when its process started. */
     public void onListed(String name, long startedAtUs) {
         healthOf(name).onListed(startedAtUs);
     }
 
-    /** Forgets the endpoints that do not match. */
+    /** Removes the endpoints that do not match. */
     public void retainOnly(Predicate<String> retained) {
         healthByEndpoint.keySet().removeIf(name -> !retained.test(name));
     }
 
-    /** An attempt was sent; {@code first}: it is the first of its request. */
+    /** Records that an attempt was sent; {@code firstAttempt} says whether it is the first of its request. */
     public void onSend(long nowUs, String endpoint, int classIndex, String tenant, boolean firstAttempt) {
         healthOf(endpoint).onSend(classIndex);
         if (firstAttempt) {
@@ -87,12 +88,12 @@
         }
     }
 
-    /** The endpoint accepted an attempt, so long after it was sent. */
+    /** Records that the endpoint accepted an attempt {@code acceptTimeUs} after it was sent. */
     public void onAccepted(String endpoint, int classIndex, long acceptTimeUs) {
         healthOf(endpoint).onAccepted(classIndex, acceptTimeUs);
     }
 
-    /** An attempt ended, {@code ranUs} after its acceptance, negative if it was not accepted. */
+    /** Records the end of an attempt, {@code runTimeUs} after its acceptance; negative if it was not accepted. */
     public void onEnd(long nowUs, String endpoint, int classIndex, AttemptOutcome outcome, long runTimeUs) {
         healthOf(endpoint).onEnd(nowUs, classIndex, outcome, runTimeUs >= 0);
         if (outcome == AttemptOutcome.OK && runTimeUs >= 0) {
@@ -100,12 +101,15 @@
         }
     }
 
-    /** How long this endpoint may take to accept a request. */
+    /** Returns how long the endpoint may take to accept a request. */
     public long acceptTimeoutUs(String endpoint) {
         return healthOf(endpoint).acceptTimeoutUs();
     }
 
-    /** A retry that cannot end in time however well it goes is work for nobody. */
+    /**
+     * Rejects a retry that could not end in time even if it went well, as its work would be wasted; otherwise takes it
+     * from the retry budget.
+     */
     @Override
     public boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome lastOutcome, long timeLeftUs) {
         return timeLeftUs > runTimeByClass[classIndex].lowEstimateUs()
@@ -121,7 +125,7 @@
         return nextRandom.getAsDouble();
     }
 
-    /** Whether one more endpoint may be ejected, for all classes or for one. */
+    /** Whether one more endpoint may be ejected, for all request classes or for one. */
     boolean mayEject(long nowUs, EndpointConnectionHealth candidate, int classIndex) {
         int ejectedCount = 0;
         for (EndpointConnectionHealth endpoint : healthByEndpoint.values()) {
@@ -133,7 +137,10 @@
                 && healthByEndpoint.size() > 1;
     }
 
-    /** The median error rate of the endpoints: where all fail alike the fault is not theirs. */
+    /**
+     * Returns the median error rate of the endpoints. Where all of them fail at a similar rate, the cause is not an
+     * individual endpoint.
+     */
     double medianErrorRate() {
         double[] rates = healthByEndpoint.values().stream()
                 .filter(EndpointConnectionHealth::hasErrorRate)
@@ -143,12 +150,12 @@
         return rates.length == 0 ? 0 : rates[rates.length / 2];
     }
 
-    /** How many retries the node has left, in one line for the log. */
+    /** Returns the retries left in the retry budget as text for the log. */
     public String describeForLog(long nowUs) {
         return "retries left " + Math.round(retryBudget.availableTokens(nowUs));
     }
 
-    /** Passes on what is believed of each endpoint: its name and a line for the log. */
+    /** Passes the name of each endpoint and a one-line description of its health to the consumer. */
     public void describeForLog(long nowUs, BiConsumer<String, String> consumer) {
         healthByEndpoint.forEach((name, health) -> consumer.accept(name, health.describeForLog(nowUs)));
     }
--- a/src/main/java/olivechute/health/EjectionBackoff.java
+++ b/src/main/java/olivechute/health/EjectionBackoff.java
@@ -1,9 +1,10 @@
 package olivechute.health;
 
 /**
- * Ejections that grow with each failure and shrink by half with each success: the first lasts {@code initialUs}, each
- * further one {@code multiplier} times the one before, at most {@code maxUs}. Each is jittered by up to a quarter, so
- * that many nodes do not return at once. Times are microseconds.
+ * Computes ejection periods that grow with each failure and shrink with each success. The first ejection lasts
+ * {@code initialUs}, each further one {@code multiplier} times the previous one, up to {@code maxUs}; a success halves
+ * the number of failures that count. Each period is jittered by up to a quarter, so that the endpoint does not return
+ * at many nodes at once. Times are microseconds.
  */
 final class EjectionBackoff {
     private static final double JITTER_FRACTION = 0.25;
@@ -20,7 +21,7 @@
         this.maxUs = maxUs;
     }
 
-    /** Ejects again, for longer; {@code random} is from 0 to 1. */
+    /** Ejects again, for longer; {@code uniformRandom} is from 0 to 1. */
     void eject(long nowUs, double uniformRandom) {
         double durationUs = initialUs * Math.pow(multiplier, failureLevel++);
         ejectedUntilUs = nowUs
@@ -41,7 +42,7 @@
         return nowUs < ejectedUntilUs;
     }
 
-    /** Whether failures are held against it, ejected or not. */
+    /** Whether failures still count, ejected or not. */
     boolean isOnProbation() {
         return failureLevel > 0;
     }
--- a/src/main/java/olivechute/health/EndpointConnectionHealth.java
+++ b/src/main/java/olivechute/health/EndpointConnectionHealth.java
@@ -7,13 +7,14 @@
 import olivechute.loadbalancing.EndpointHealth;
 
 /**
- * The health of one endpoint as its connections show it. An endpoint that accepts the requests of one class and never
- * those of another is ejected for that class; one that accepts nothing, breaks connections or cannot be connected to
- * time and again is ejected for all, longer each time, and returns with a single ordinary request that it has to accept
- * first. How many are ejected at once is bounded by {@link ConnectionHealth}. Times are microseconds.
+ * The health of one endpoint as observed on its connections. An endpoint that accepts requests of one class but not
+ * those of another is ejected for the latter class. One that accepts nothing, breaks connections or repeatedly cannot
+ * be connected to is ejected for all classes, for longer each time; it returns with a single ordinary request that it
+ * has to accept first. {@link ConnectionHealth} limits how many endpoints are ejected at once. Used on the event loop;
+ * times are microseconds.
  */
 final class EndpointConnectionHealth implements EndpointHealth {
-    /** In place of the index of a class. */
+    /** Used instead of a class index: all request classes. */
     static final int ALL_CLASSES = -1;
 
     private static final long INITIAL_CLASS_EJECTION_US = 1_000_000;
@@ -34,21 +35,21 @@
     private final EjectionBackoff ejection =
             new EjectionBackoff(INITIAL_EJECTION_US, EJECTION_MULTIPLIER, MAX_EJECTION_US);
     private final EjectionBackoff[] classEjections;
-    /** By class: attempts that were neither accepted nor have ended. */
+    /** By request class: attempts that are neither accepted nor ended. */
     private final int[] unacceptedByClass;
 
     private final int[] endCountByOutcome = new int[AttemptOutcome.values().length];
     private int acceptedCount;
     private int inFlightCount;
     private int consecutiveAcceptTimeouts;
-    /** The classes of these timeouts, a bit each. */
+    /** The classes of the consecutive accept timeouts, one bit per class. */
     private int acceptTimeoutClassMask;
 
     private int consecutiveConnectFailures;
     private int consecutiveResets;
     private double errorRate;
     private int responseCount;
-    /** Whether it has accepted nothing since its last ejection. */
+    /** Whether the endpoint has accepted nothing since its last ejection. */
     private boolean awaitingFirstAcceptance;
 
     private long startedAtUs;
@@ -65,7 +66,10 @@
         }
     }
 
-    /** A class on probation is tried by one request at a time. */
+    /**
+     * Returns false while the endpoint or the class is ejected. A class on probation is tried with one request at a
+     * time.
+     */
     @Override
     public boolean admits(long nowUs, int classIndex) {
         EjectionBackoff classEjection = classEjections[classIndex];
@@ -84,7 +88,10 @@
         return acceptTimeout.timeoutUs();
     }
 
-    /** If its process started at another moment than the one known, nothing is held against the new one. */
+    /**
+     * Records that the endpoint is listed. If its process was restarted, failures of the previous process no longer
+     * count.
+     */
     void onListed(long processStartedAtUs) {
         if (processStartedAtUs != startedAtUs) {
             startedAtUs = processStartedAtUs;
@@ -148,13 +155,13 @@
             case ACCEPT_TIMEOUT -> onAcceptTimeout(nowUs, classIndex);
             case CANCEL_UNCONFIRMED -> {
                 if (allEndpoints.mayEject(nowUs, this, ALL_CLASSES)) {
-                    eject(nowUs, "silent and not to be connected to");
+                    eject(nowUs, "silent and cannot be connected to");
                 } else {
                     onAcceptTimeout(nowUs, classIndex);
                 }
             }
             case TIMEOUT, CANCELLED, NOT_SENT, STALE_CONNECTION, SUPPRESSED -> {
-                // tells nothing of the endpoint
+                // these outcomes say nothing about the endpoint
             }
         }
     }
@@ -167,7 +174,10 @@
         }
     }
 
-    /** The fault may be of one class, of the network or of the endpoint: timeouts of several classes say the last. */
+    /**
+     * Ejects the class, or the whole endpoint if accept timeouts occurred in several classes: a timeout in a single
+     * class may be a fault of that class or of the network.
+     */
     private void onAcceptTimeout(long nowUs, int classIndex) {
         consecutiveAcceptTimeouts++;
         acceptTimeoutClassMask |= 1 << Math.min(HIGHEST_CLASS_BIT, classIndex);
@@ -202,12 +212,14 @@
         return responseCount >= MIN_RESPONSES;
     }
 
-    /** Whether it is ejected, for all classes or also for this one. */
+    /** Whether the endpoint is ejected for all classes, or for the given one. */
     boolean isEjected(long nowUs, int classIndex) {
         return ejection.isEjected(nowUs) || (classIndex != ALL_CLASSES && classEjections[classIndex].isEjected(nowUs));
     }
 
-    /** What is believed of it and why, in one line for the log. */
+    /**
+     * Returns the state of the endpoint, its counters and the reason for its last ejection, as one line for the log.
+     */
     String describeForLog(long nowUs) {
         List<String> parts = new ArrayList<>();
         parts.add(describeState(nowUs));
--- a/src/main/java/olivechute/health/IdleReusePolicy.java
+++ b/src/main/java/olivechute/health/IdleReusePolicy.java
@@ -1,25 +1,30 @@
 package olivechute.health;
 
 /**
- * Whether a connection to one endpoint that has been idle for a while is worth another request. Some machines on the
- * way forget idle connections and notify nobody; the next request on one then breaks. The part that broke is kept by
- * idle time, in ranges that double, and fades, so that a way that has been repaired is found out. Times are
- * microseconds.
+ * Decides for how long an idle connection to one endpoint may be reused. Some middleboxes on the path drop idle
+ * connections without notifying either side; the next request on such a connection fails. The fraction of failed reuses
+ * is tracked by idle time, in ranges that double, and decays over time, so that a path that was repaired is noticed.
+ * Times are microseconds.
  */
 public final class IdleReusePolicy {
-    /** The first range is of idle times up to 25 ms, the next up to 50 ms and so on; the last has no upper end. */
+    /**
+     * End of the first range of idle times: 25 ms. The next range ends at 50 ms and so on; the last one is unbounded.
+     */
     private static final long FIRST_RANGE_END_US = 25_000;
 
     private static final int RANGE_COUNT = 10;
     private static final double SAMPLE_WEIGHT = 0.15;
     private static final double HALF_LIFE_US = 10e6;
-    /** A broken reuse costs a round trip and an attempt, a new connection up to three round trips and work there. */
+    /**
+     * A failed reuse costs a round trip and an attempt; a new connection costs up to three round trips and work at the
+     * endpoint.
+     */
     private static final double MAX_BROKEN_FRACTION = 0.6;
 
     private final double[] brokenFraction = new double[RANGE_COUNT];
     private final long[] updatedAtUs = new long[RANGE_COUNT];
 
-    /** A connection that had been idle for so long was used again, and broke or did not. */
+    /** Records that a connection was reused after {@code idleUs} of idle time, and whether it broke. */
     public void onReuse(long nowUs, long idleUs, boolean broke) {
         int range = rangeIndex(idleUs);
         brokenFraction[range] = decayedBrokenFraction(nowUs, range)
@@ -27,10 +32,10 @@
         updatedAtUs[range] = nowUs;
     }
 
-    /** The longest idle time after which a connection is worth another request. */
+    /** Returns the longest idle time after which a connection should be reused. */
     public long maxIdleUs(long nowUs) {
         for (int range = 0; range < RANGE_COUNT; range++) {
-            // What is kept only fades: most ranges need no power of it.
+            // The stored fraction can only decay, so the decay is computed only if the stored value is above the limit.
             if (brokenFraction[range] > MAX_BROKEN_FRACTION
                     && decayedBrokenFraction(nowUs, range) > MAX_BROKEN_FRACTION) {
                 return range == 0 ? 0 : FIRST_RANGE_END_US << (range - 1);
@@ -39,7 +44,7 @@
         return Long.MAX_VALUE;
     }
 
-    /** The part of connections idle for so long that broke lately. */
+    /** Returns the recent fraction of reuses after such an idle time that broke. */
     public double brokenFraction(long nowUs, long idleUs) {
         return decayedBrokenFraction(nowUs, rangeIndex(idleUs));
     }
--- a/src/main/java/olivechute/proxy/ActiveRequest.java
+++ b/src/main/java/olivechute/proxy/ActiveRequest.java
@@ -8,12 +8,13 @@
 import olivechute.loadbalancing.RequestClass;
 
 /**
- * A client's request from its arrival to its answer and the end of its last attempt. Everything is the event loop's;
- * what the check before the first byte reads, on any thread, is volatile. Times are microseconds.
+ * The state of one client request from its arrival until it is answered and its last attempt has ended. Owned by the
+ * event loop; the fields that the check before the first byte reads, on any thread, are volatile. Times are
+ * microseconds on the event loop's clock.
  */
-@SuppressWarnings("ReferenceEquality") // two attempts with equal fields are still two attempts
+@SuppressWarnings("ReferenceEquality") // attempts are compared by identity: two with equal fields are still distinct
 final class ActiveRequest implements PreSendCheck {
-    /** An answer that is given this long before the client gives up still reaches it. */
+    /** An answer is sent at least this long before the client's deadline, so that it still reaches the client. */
     static final long DEADLINE_MARGIN_US = 12_000;
 
     private static final long NOT_STARTED = -1;
@@ -23,39 +24,42 @@
     final int classIndex;
     final RequestClass requestClass;
     final long openedAtUs;
-    /** When the request is given up: its client's deadline, or the end of a drain. */
+    /** When the node gives up the request: the client's deadline, or the end of a drain if that is earlier. */
     volatile long giveUpAtUs;
 
     TimerWheel.Timer deadlineTimer;
     volatile boolean answered;
 
-    /** The attempt in flight, or {@code null}. */
+    /** The attempt in flight, {@code null} if there is none. */
     volatile UpstreamRequest inFlightAttempt;
-    /** When the first attempt was sent that may have been executed, or {@link RequestRules#NEVER}. */
+    /** When the first attempt that the endpoint may have executed was sent, or {@link RequestRules#NEVER}. */
     volatile long possiblyExecutedSinceUs = RequestRules.NEVER;
 
     int attemptCount;
-    /** Attempts of which nothing was written. */
+    /** Number of attempts that were suppressed before a byte was written. */
     int suppressedAttempts;
-    /** How the last attempt ended, or {@code null}. */
+    /** Outcome of the last attempt that ended, {@code null} before the first. */
     AttemptOutcome lastOutcome;
-    /** Whether a reused idle connection broke under it: it takes no other one. */
+    /** Whether an attempt failed on a reused idle connection; later attempts then use only new connections. */
     boolean needsNewConnection;
 
-    /** The timer that watches for the acceptance of the attempt in flight. */
+    /** Fires if the endpoint does not accept the attempt in flight in time. */
     TimerWheel.Timer acceptTimer;
 
-    /** When the attempt in flight was sent; 0 before the first. */
+    /** When the latest attempt was sent; 0 before the first. */
     long sentAtUs;
 
     long acceptedAtUs;
     /** Whether the endpoint accepted the attempt in flight. */
     boolean attemptAccepted;
-    /** Whether its endpoint was told to cancel it, as it is in doubt which attempt a status was of. */
+    /**
+     * Whether the endpoint was asked to cancel the attempt in flight because a status event may concern an earlier
+     * attempt.
+     */
     boolean cancelRequested;
-    /** Whether the endpoint reported that the attempt in flight is over. */
+    /** Whether the endpoint reported the end of the attempt in flight. */
     boolean attemptEndReported;
-    /** When the attempt in flight began to run; {@link #started()} tells whether it did. */
+    /** When the attempt in flight started to run; see {@link #started()} for whether it did. */
     long startedAtUs = NOT_STARTED;
 
     private final LoadBalancerSettings settings;
@@ -63,7 +67,11 @@
     private List<String> triedEndpoints = List.of();
     private List<String> endpointsWithoutEndReport = List.of();
 
-    /** {@code listIsCurrent}: whether requests may be sent by the endpoint list at a time; asked on any thread. */
+    /**
+     * Creates the state of a request that has just arrived.
+     *
+     * @param listIsCurrent whether requests may be sent by the endpoint list at a given time; called on any thread
+     */
     ActiveRequest(
             ProxyEvent.RequestArrived arrival,
             LoadBalancerSettings settings,
@@ -103,12 +111,15 @@
         startedAtUs = NOT_STARTED;
     }
 
-    /** Microseconds from the send to the acceptance, negative if it was not accepted. */
+    /** Microseconds from sending the attempt to its acceptance, negative if it was not accepted. */
     long acceptanceDelayUs() {
         return attemptAccepted ? acceptedAtUs - sentAtUs : -1;
     }
 
-    /** An attempt that may have reached its endpoint ended: status events of it may still come. */
+    /**
+     * Records the end of an attempt that may have reached its endpoint, so that later status events from there are
+     * treated as possibly belonging to it.
+     */
     void recordPossiblyReached(String endpoint, AttemptOutcome outcome) {
         triedEndpoints = append(triedEndpoints, endpoint);
         boolean answeredByEndpoint = outcome == AttemptOutcome.ERROR || outcome == AttemptOutcome.REJECTED;
@@ -123,12 +134,12 @@
         return extended;
     }
 
-    /** Whether an attempt before the one in flight may have reached this endpoint. */
+    /** Whether an earlier attempt may have reached this endpoint. */
     boolean wasTriedBefore(String endpoint) {
         return triedEndpoints.contains(endpoint);
     }
 
-    /** The same, where the endpoint never reported how that attempt ended. */
+    /** Whether an earlier attempt may have reached this endpoint and the endpoint never reported how it ended. */
     boolean wasTriedWithoutEndReport(String endpoint) {
         return endpointsWithoutEndReport.contains(endpoint);
     }
@@ -139,7 +150,8 @@
     }
 
     /**
-     * Whether an attempt may begin now, whichever it is; its last byte arrives within {@code transitUs} and the slack.
+     * Whether any attempt at this request may be sent now. Its last byte is assumed to arrive within
+     * {@code transitTimeUs} plus the answer slack.
      */
     boolean maySendAttempt(long nowUs, long transitTimeUs) {
         long arrivesAtUs = nowUs + transitTimeUs + settings.rules().answerSlackUs();
--- a/src/main/java/olivechute/proxy/AttemptTracker.java
+++ b/src/main/java/olivechute/proxy/AttemptTracker.java
@@ -6,10 +6,11 @@
 import olivechute.loadbalancing.LoadBalancer;
 
 /**
- * Follows the attempt in flight of each request from its send to its acceptance and start, and tells the load balancer
- * and the health of connections. On the event loop.
+ * Tracks the attempt in flight of each request from sending to acceptance, start and end, and reports each step to the
+ * load balancer and to {@link ConnectionHealth}. Used by {@link RequestDispatcher} on the event loop; times are
+ * microseconds.
  */
-@SuppressWarnings("ReferenceEquality") // two attempts with equal fields are still two attempts
+@SuppressWarnings("ReferenceEquality") // attempts are compared by identity: two with equal fields are still distinct
 final class AttemptTracker {
     private final EventLoop loop;
     private final UpstreamTransport transport;
@@ -33,12 +34,14 @@
     }
 
     /**
-     * An endpoint accepts a request as soon as it has it. One that does not is cut off, or its connection fell silent:
-     * what waits there until the deadline is neither served nor free for another endpoint, and the load balancer takes
-     * it for queued. The first request on a new connection may wait for its handshake as well: cancelled sooner it may
-     * reach its endpoint after the cancellation, and run there beside its retry.
+     * Cancels an attempt that was not accepted in time. An endpoint accepts a request as soon as it has received it, so
+     * a missing acceptance means that the endpoint cannot be reached or that its connection no longer delivers data. A
+     * request left waiting there until its deadline would not be served and could not be sent to another endpoint, and
+     * the load balancer would count it as queued. The first request on a new connection gets extra time for the
+     * handshake: if it was cancelled earlier, it could reach the endpoint after the cancellation and run there
+     * concurrently with its retry.
      *
-     * @param allowedUs how long was waited for the handshake already
+     * @param handshakeWaitedUs the part of the handshake allowance that has already been waited for
      */
     private void onAcceptTimeout(ActiveRequest request, UpstreamRequest attempt, long handshakeWaitedUs) {
         if (request.inFlightAttempt != attempt || request.attemptAccepted) {
@@ -62,7 +65,10 @@
         }
     }
 
-    /** The load balancer hears of a start once, also where only a later status event came through. */
+    /**
+     * Reports the start of the attempt to the load balancer once, even if the start event was lost and only a later
+     * status event arrived.
+     */
     void onStarted(ActiveRequest request) {
         if (!request.started()) {
             request.startedAtUs = loop.now();
@@ -77,7 +83,10 @@
                 loop.now(), request.id, request.inFlightAttempt.attemptNumber(), AttemptSignal.PROGRESS, fractionDone);
     }
 
-    /** Notes what the end of the attempt says of later ones; it is in flight no more. */
+    /**
+     * Clears the attempt in flight and records what its outcome means for later attempts. Returns the attempt that
+     * ended.
+     */
     UpstreamRequest onEnd(ActiveRequest request, AttemptOutcome outcome, long nowUs) {
         UpstreamRequest attempt = request.inFlightAttempt;
         request.inFlightAttempt = null;
@@ -90,7 +99,7 @@
         return attempt;
     }
 
-    /** Tells the health of connections how the attempt ended. */
+    /** Reports the outcome of the attempt to {@link ConnectionHealth}. */
     void reportEndToHealth(ActiveRequest request, UpstreamRequest attempt, AttemptOutcome outcome, long nowUs) {
         long runTimeUs = request.attemptAccepted ? nowUs - request.acceptedAtUs : -1;
         health.onEnd(nowUs, attempt.endpoint(), request.classIndex, outcome, runTimeUs);
--- a/src/main/java/olivechute/proxy/BodyMemoryBudget.java
+++ b/src/main/java/olivechute/proxy/BodyMemoryBudget.java
@@ -1,18 +1,22 @@
 package olivechute.proxy;
 
 /**
- * Bounds the bytes that the bodies of all open requests have in sum; each body is bounded by itself. On the event loop.
+ * Limits the total size of the bodies of all open requests, in bytes; the size of each single body is limited
+ * elsewhere. Used on the event loop.
  */
 public final class BodyMemoryBudget {
     private final long maxBytes;
     private long reservedBytes;
 
-    /** Makes a budget of so many bytes. */
+    /** Creates a budget of {@code maxBytes} bytes. */
     public BodyMemoryBudget(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Reserves bytes; false if that would be too many. A single body always has its place. */
+    /**
+     * Reserves bytes; returns false if the budget would be exceeded. A body is always accepted while nothing else is
+     * reserved.
+     */
     public boolean tryReserve(int bytes) {
         if (reservedBytes > 0 && reservedBytes + bytes > maxBytes) {
             return false;
@@ -21,7 +25,7 @@
         return true;
     }
 
-    /** Gives back what was reserved. */
+    /** Releases bytes that were reserved. */
     public void release(int bytes) {
         reservedBytes -= bytes;
     }
--- a/src/main/java/olivechute/proxy/ClientStream.java
+++ b/src/main/java/olivechute/proxy/ClientStream.java
@@ -1,19 +1,28 @@
 package olivechute.proxy;
 
-/** The client's side of one request. Exactly one of the answers is sent, once, on the event loop; none may block. */
+/**
+ * The client side of one request, through which the event loop answers it. Exactly one of the four answers is sent,
+ * once; no method may block.
+ */
 public interface ClientStream {
-    /** The result that an endpoint made. */
+    /** Sends the result that an endpoint returned. */
     void sendResult(byte[] result);
 
-    /** Rejected, with no effect; a {@code retryAfterUs} of 0 gives no advice. */
+    /**
+     * Sends a rejection: the request had no effect. A {@code retryAfterUs} of 0 sends no Retry-After advice; otherwise
+     * it is in microseconds.
+     */
     void sendRejection(long retryAfterUs);
 
-    /** Failed; it may have taken effect. */
+    /** Sends a failure: the request may have taken effect. */
     void sendFailure();
 
-    /** Another open request has this id. */
+    /** Sends the error for a request whose id another open or recently ended request has. */
     void sendDuplicateId();
 
-    /** False once the client is known to have gone; on any thread, and ahead of the event that tells the event loop. */
+    /**
+     * Returns false once the client is known to have disconnected or cancelled. May be called on any thread, and may
+     * change before the event loop receives the corresponding event.
+     */
     boolean isPresent();
 }
--- a/src/main/java/olivechute/proxy/EndpointListSource.java
+++ b/src/main/java/olivechute/proxy/EndpointListSource.java
@@ -1,7 +1,10 @@
 package olivechute.proxy;
 
-/** Where the endpoint list comes from: one watch at a time, whose updates come as events. Called on the event loop. */
+/**
+ * Source of the endpoint list: at most one watch is active, and its updates are posted to the event loop as events.
+ * Called on the event loop.
+ */
 public interface EndpointListSource {
-    /** Starts watching, or starts anew after a failure. */
+    /** Starts the watch, or restarts it after a failure. */
     void watch();
 }
--- a/src/main/java/olivechute/proxy/EndpointListState.java
+++ b/src/main/java/olivechute/proxy/EndpointListState.java
@@ -11,7 +11,10 @@
 import olivechute.log.RequestLogFields;
 import org.tinylog.Logger;
 
-/** The endpoint list that this node has, and whether requests may be sent by it. On the event loop. */
+/**
+ * The endpoint list that this node holds, and whether requests may be sent by it. Passes each update on to the
+ * connection health, the transport and the lease. Updated on the event loop; times are microseconds on its clock.
+ */
 final class EndpointListState {
     private final EndpointListLease lease;
     private final ConnectionHealth health;
@@ -19,7 +22,11 @@
     private final Map<String, EndpointState> stateByEndpoint = new HashMap<>();
     private boolean lastLoggedCurrent;
 
-    /** Each list that is taken over renews {@code lease}, and is passed on to the others. */
+    /**
+     * Creates the state without endpoints.
+     *
+     * @param lease renewed by each list that is applied
+     */
     EndpointListState(EndpointListLease lease, ConnectionHealth health, UpstreamTransport transport) {
         this.lease = lease;
         this.health = health;
@@ -27,11 +34,11 @@
     }
 
     /**
-     * Takes over an update of the list.
+     * Applies an update of the list.
      *
-     * @param asOfUs when it was complete, or {@link ProxyEvent.ListUpdated#PARTIAL}
-     * @param log whether each of its endpoints is logged at debug
-     * @return its endpoints
+     * @param asOfUs when the list was complete, or {@link ProxyEvent.ListUpdated#PARTIAL}
+     * @param logEndpoints whether each endpoint in the update is logged at debug level
+     * @return the endpoints in the update
      */
     List<EndpointInfo> update(EndpointListUpdate update, long asOfUs, boolean logEndpoints) {
         if (update.complete()) {
@@ -58,22 +65,25 @@
         }
         transport.onListUpdate(update);
         if (asOfUs != ProxyEvent.ListUpdated.PARTIAL) {
-            lease.onRenewed(asOfUs); // only now: what was suppressed is not to go by the list before
+            lease.onRenewed(
+                    asOfUs); // renewed last: attempts that were suppressed under the old list must not be sent by it
         }
         return endpoints;
     }
 
-    /** What the list says of an endpoint; {@link EndpointState#REMOVED} if nothing. */
+    /** Returns the listed state of an endpoint, {@link EndpointState#REMOVED} if it is not listed. */
     EndpointState stateOf(String endpoint) {
         return stateByEndpoint.getOrDefault(endpoint, EndpointState.REMOVED);
     }
 
-    /** Whether requests may be sent by the list. On any thread. */
+    /** Whether the list is recent enough to send requests by it. May be called on any thread. */
     boolean isCurrent(long nowUs) {
         return lease.holds(nowUs);
     }
 
-    /** Logs once when the list goes out of date, with so many open requests, and once when it is renewed. */
+    /**
+     * Logs once when the list goes out of date, with the number of open requests, and once when it is current again.
+     */
     void logIfCurrencyChanged(long nowUs, int openRequests) {
         boolean current = isCurrent(nowUs);
         if (current && !lastLoggedCurrent) {
--- a/src/main/java/olivechute/proxy/EventLoop.java
+++ b/src/main/java/olivechute/proxy/EventLoop.java
@@ -10,16 +10,20 @@
 import org.tinylog.Logger;
 
 /**
- * Runs events one at a time. There is no fixed thread: a thread that posts an event runs queued events itself if nobody
- * does, so that no thread has to be woken for it; the loop's own thread runs timers and what posters leave. "On the
- * event loop" means: on the thread that holds the turn. What an event wants written is written after the turn.
+ * Runs events one at a time, without a fixed executor thread. A thread that posts an event runs the queued events
+ * itself if no other thread is doing so, which saves waking a thread for each event; the loop's own thread runs timers
+ * and the events that posting threads leave to it. "On the event loop" means on the thread that holds the execution
+ * lock. Writes that an event causes are deferred until the lock is released, see {@link #defer}.
  */
 public final class EventLoop {
-    /** What is due runs at most this much later, in microseconds, on a machine that is not busy. */
+    /** Resolution of timers: on an idle machine a due task runs at most this many microseconds late. */
     public static final long TICK_US = 4000;
 
     private static final int QUEUE_CAPACITY = 4096;
-    /** A poster leaves further events to the loop's own thread, as its own peer waits meanwhile. */
+    /**
+     * Events that a posting thread runs before it hands over to the loop's own thread, because the peer of its own
+     * connection is waiting meanwhile.
+     */
     private static final int MAX_EVENTS_PER_POSTER = 4;
 
     private static final long QUEUE_FULL_RETRY_NANOS = 200_000;
@@ -28,7 +32,7 @@
 
     final MpscAtomicArrayQueue<ProxyEvent> queue = new MpscAtomicArrayQueue<>(QUEUE_CAPACITY);
     private final DelegatingLock executionLock = new DelegatingLock();
-    /** Posted by the holder of the turn, which must never wait for itself. */
+    /** Events posted by the lock holder itself, which must never wait for space in the queue that only it empties. */
     private final ArrayDeque<ProxyEvent> postedByLockHolder = new ArrayDeque<>();
 
     private final List<Runnable> deferredTasks = new ArrayList<>();
@@ -36,20 +40,26 @@
     private final long startedAtNanos = System.nanoTime();
     private final TimerWheel timerWheel = new TimerWheel(TICK_US, now());
     private volatile Thread lockHolder;
-    /** Whether the turn was left to the loop's own thread. */
+    /** Whether a posting thread handed the execution lock over to the loop's own thread. */
     private volatile boolean handedToLoopThread;
-    /** When the loop's own thread is needed next. */
+    /** When the loop's own thread has to run timers next, in microseconds on the loop's clock. */
     private volatile long wakeAtUs = Long.MIN_VALUE;
 
     private Thread loopThread;
     private Consumer<ProxyEvent> eventHandler;
 
-    /** Microseconds since the Unix epoch at the start of the process, monotonic from then on. */
+    /**
+     * Returns microseconds since the Unix epoch as read at the start of the process, advanced by a monotonic clock
+     * since.
+     */
     public long now() {
         return startedAtUs + (System.nanoTime() - startedAtNanos) / NANOS_PER_MICRO;
     }
 
-    /** Posts an event, and runs it if nobody else does; waits while the queue is full. On any thread. */
+    /**
+     * Posts an event, and runs it if no other thread is running events. Waits while the queue is full. May be called on
+     * any thread.
+     */
     public void post(ProxyEvent event) {
         if (Thread.currentThread() == lockHolder) {
             postedByLockHolder.add(event);
@@ -63,12 +73,15 @@
         }
     }
 
-    /** Runs a task once the turn is over, on the thread that held it; to be called on the event loop. */
+    /**
+     * Defers a task until the execution lock is released; it then runs on the thread that held the lock. Call on the
+     * event loop.
+     */
     public void defer(Runnable task) {
         deferredTasks.add(task);
     }
 
-    /** Whether this is the loop's own thread, whose delay would delay every timer. */
+    /** Whether the current thread is the loop's own thread; blocking it would delay every timer. */
     public boolean onLoopThread() {
         return Thread.currentThread() == loopThread;
     }
@@ -83,12 +96,14 @@
         return timerWheel.schedule(dueUs, task);
     }
 
-    /** Runs a task on the event loop at a moment; to be called on the event loop. */
+    /** Runs a task on the event loop at {@code dueUs}. Call on the event loop. */
     public void runAt(long dueUs, Runnable task) {
         scheduleTimer(dueUs, task);
     }
 
-    /** Runs a task on the event loop again and again; to be called there or before it starts. */
+    /**
+     * Runs a task on the event loop every {@code periodUs} microseconds. Call on the event loop or before it starts.
+     */
     public void runPeriodically(long periodUs, Runnable task) {
         timerWheel.schedule(now() + periodUs, () -> {
             runPeriodically(periodUs, task);
@@ -96,7 +111,10 @@
         });
     }
 
-    /** Starts the loop's own thread; the handler gets every event. What was posted before waits for this. */
+    /**
+     * Starts the loop's own thread. The handler receives every event except tasks; events that were posted earlier are
+     * run from now on.
+     */
     public void start(Consumer<ProxyEvent> newEventHandler) {
         this.eventHandler = newEventHandler;
         loopThread = new Thread(null, this::runLoopThread, "loop", STACK_BYTES);
@@ -112,7 +130,8 @@
                 if (executionLock.tryAcquireOrDelegate()) {
                     runAsLockHolder(Integer.MAX_VALUE);
                 } else {
-                    LockSupport.parkNanos(this, TICK_US * NANOS_PER_MICRO); // the holder sees to the tick
+                    LockSupport.parkNanos(
+                            this, TICK_US * NANOS_PER_MICRO); // the lock holder fires the timers of this tick
                 }
             }
             long idleUs = wakeAtUs - now();
@@ -122,7 +141,10 @@
         }
     }
 
-    /** Runs what is queued and due, as the holder of the turn; after so many events the loop's own thread goes on. */
+    /**
+     * Runs queued events and due timers as the lock holder. After {@code maxEvents} events the lock is handed over to
+     * the loop's own thread.
+     */
     private void runAsLockHolder(int maxEvents) {
         lockHolder = Thread.currentThread();
         int eventCount = 0;
@@ -135,7 +157,7 @@
             if (eventCount < maxEvents && !postedByLockHolder.isEmpty()) {
                 continue;
             }
-            // What is to be written goes along with this thread: once released, the list is another's.
+            // Take the deferred tasks now: once the lock is released, another thread may use the list.
             Runnable singleTask = deferredTasks.size() == 1 ? deferredTasks.get(0) : null;
             Runnable[] allTasks = deferredTasks.size() > 1 ? deferredTasks.toArray(Runnable[]::new) : null;
             deferredTasks.clear();
@@ -153,7 +175,7 @@
         }
     }
 
-    /** The turn goes on: what is to be written after it stays in the list. */
+    /** Puts the deferred tasks back, as the lock could not be released and the thread continues as its holder. */
     private void restoreDeferredTasks(Runnable singleTask, Runnable[] allTasks) {
         if (singleTask != null) {
             deferredTasks.add(singleTask);
@@ -163,9 +185,10 @@
     }
 
     /**
-     * The next event that is there. A poster that was stopped between taking its place in the queue and filling it is
-     * not waited for: {@code poll} would spin until it goes on, which it never does where one thread runs at a time. It
-     * requests the turn once it has.
+     * Returns the next available event, or {@code null}. Uses {@code relaxedPoll}, which does not wait for a poster
+     * that was preempted between claiming its queue slot and filling it: {@code poll} would spin until that poster
+     * continues, which never happens where only one thread runs at a time. The poster requests the lock after it has
+     * filled the slot, so its event is not lost.
      */
     private ProxyEvent nextEvent() {
         ProxyEvent event = postedByLockHolder.poll();
@@ -180,7 +203,7 @@
                 eventHandler.accept(event);
             }
         } catch (RuntimeException | Error e) {
-            // One faulty event must not end the node, and all other requests with it.
+            // A faulty event must not end the process and with it all other requests.
             Logger.error(e, "event failed");
         }
     }
@@ -207,7 +230,7 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            // The thread that runs the turn has a request of its own, which must not pay for it.
+            // The thread that runs the deferred task is handling a request of its own, which must not fail with it.
             Logger.error(e, "write failed");
         }
     }
--- a/src/main/java/olivechute/proxy/JobStatusHandler.java
+++ b/src/main/java/olivechute/proxy/JobStatusHandler.java
@@ -4,9 +4,12 @@
 import olivechute.loadbalancing.AttemptOutcome;
 import olivechute.loadbalancing.LoadReport;
 
-/** Decides what a job status event of an endpoint means for the attempt in flight. On the event loop. */
+/**
+ * Applies job status events of an endpoint to the attempt in flight of a request. Used by {@link RequestDispatcher} on
+ * the event loop.
+ */
 final class JobStatusHandler {
-    /** Ends the attempt in flight of a request. */
+    /** Ends the attempt in flight of a request with an outcome. */
     interface AttemptFinisher {
         void finish(ActiveRequest request, AttemptOutcome outcome, LoadReport load);
     }
@@ -16,7 +19,11 @@
     private final BiConsumer<ActiveRequest, byte[]> resultSender;
     private final AttemptFinisher attemptFinisher;
 
-    /** {@code sendResult}: answers the client with a result, unless it was answered. */
+    /**
+     * Creates a handler.
+     *
+     * @param resultSender sends the result to the client unless the request was already answered
+     */
     JobStatusHandler(
             UpstreamTransport transport,
             AttemptTracker attemptTracker,
@@ -28,7 +35,7 @@
         this.attemptFinisher = attemptFinisher;
     }
 
-    /** The request has an attempt in flight. */
+    /** Applies a status event to a request, which must have an attempt in flight. */
     void onStatus(ActiveRequest request, ProxyEvent.JobStatusReceived event) {
         boolean fromAttemptEndpoint = request.inFlightAttempt.endpoint().equals(event.endpoint());
         if (!fromAttemptEndpoint || mayConcernEarlierAttempt(request, event.status())) {
@@ -50,11 +57,13 @@
     }
 
     /**
-     * A status event names no attempt. If an earlier attempt went to the same endpoint, the event may be of that one,
-     * repeated or late, and is for certain if nothing of the present one was written. A result counts either way. If
-     * the endpoint never reported how the earlier attempt ended, a start counts only once the present one is accepted;
-     * and an end, taken for the present one's, would let another attempt go out beside it: so the endpoint is told to
-     * cancel the present one, which ends once that is confirmed. True if that is all there is to do.
+     * Handles the case that a status event may concern an earlier attempt; returns true if the event needs no further
+     * handling. Status events do not identify the attempt. If an earlier attempt went to the same endpoint, the event
+     * may be a repeated or late one of that attempt, and certainly is if nothing of the present attempt was written. A
+     * result counts for either attempt. If the endpoint never reported how the earlier attempt ended, a start counts
+     * only once the present attempt is accepted. An end is not taken as the end of the present attempt, which could
+     * allow another attempt to run concurrently with it: the endpoint is asked to cancel the present attempt, which
+     * ends once the cancellation is confirmed.
      */
     private boolean mayConcernEarlierAttempt(ActiveRequest request, ProxyEvent.JobStatus status) {
         String endpoint = request.inFlightAttempt.endpoint();
--- a/src/main/java/olivechute/proxy/Payload.java
+++ b/src/main/java/olivechute/proxy/Payload.java
@@ -1,12 +1,12 @@
 package olivechute.proxy;
 
 /**
- * The parts of a request that are passed on unchanged.
+ * The parts of a client's request that are forwarded to the endpoint unchanged.
  *
- * @param target the target of the request line
- * @param idempotencyKey {@code null} without one
- * @param bytes holds the body; nothing writes to it until the request has ended
- * @param from index of the body's first byte
- * @param length bytes of the body
+ * @param requestTarget the target of the request line
+ * @param idempotencyKey the idempotency key, {@code null} without one
+ * @param bytes array that holds the body; it must not be modified until the request has ended
+ * @param offset index of the first byte of the body
+ * @param length length of the body in bytes
  */
 public record Payload(String requestTarget, String idempotencyKey, byte[] bytes, int offset, int length) {}
--- a/src/main/java/olivechute/proxy/PreSendCheck.java
+++ b/src/main/java/olivechute/proxy/PreSendCheck.java
@@ -1,16 +1,18 @@
 package olivechute.proxy;
 
 /**
- * Checks directly before an attempt's first byte that it may still be sent: since the decision the client may have
- * gone, the request may have been answered, or its deduplication window may have ended.
+ * Checks immediately before the first byte of an attempt is written that it may still be sent. Since the decision to
+ * send it, the client may have disconnected, the request may have been answered, or its deduplication window may have
+ * ended. Called by the upstream transport on any thread.
  */
 public interface PreSendCheck {
     /**
-     * Whether the attempt may still begin. On any thread; does not wait. Its last byte is taken to arrive within
-     * {@code transitUs} and the settings' answer slack: a retry that would arrive after its class's deduplication
-     * window is held back.
+     * Returns whether the attempt may still be sent; does not block. Its last byte is assumed to arrive within
+     * {@code transitTimeUs} plus the configured answer slack; a retry that would arrive after the deduplication window
+     * of its request class is not sent.
      *
-     * @param transitUs the connect timeout where the endpoint may still do its handshake, otherwise 0
+     * @param transitTimeUs the connect timeout in microseconds if the endpoint may still have to complete its
+     *     handshake, otherwise 0
      */
     boolean maySendFirstByte(UpstreamRequest attempt, long nowUs, long transitTimeUs);
 }
--- a/src/main/java/olivechute/proxy/ProxyEvent.java
+++ b/src/main/java/olivechute/proxy/ProxyEvent.java
@@ -4,38 +4,41 @@
 import olivechute.loadbalancing.LoadReport;
 import olivechute.loadbalancing.Request;
 
-/** What connections of clients, connections to endpoints and discovery report to the event loop. */
+/** Events that client connections, endpoint connections and discovery post to the event loop. */
 public sealed interface ProxyEvent {
-    /** A client's request arrived; {@code receivedAtUs} is when its last byte came, on the loop's clock. */
+    /**
+     * A client's request arrived; {@code receivedAtUs} is when its last byte was received, in microseconds on the
+     * loop's clock.
+     */
     record RequestArrived(Request request, Payload payload, ClientStream client, long receivedAtUs)
             implements ProxyEvent {}
 
-    /** The client of a request closed or cancelled. */
+    /** The client of a request closed its connection or cancelled the request. */
     record ClientDisconnected(String requestId, ClientStream client) implements ProxyEvent {}
 
     /** An endpoint accepted the request of an attempt. */
     record AttemptAccepted(String requestId, int attemptNumber) implements ProxyEvent {}
 
-    /** An attempt ended other than by a job status. */
+    /** An attempt ended other than by a job status event. */
     record AttemptEnded(String requestId, int attemptNumber, AttemptOutcome outcome, LoadReport loadReport)
             implements ProxyEvent {}
 
-    /** What an endpoint says of a request that it accepted. */
+    /** Status that an endpoint reports for a request that it accepted. */
     enum JobStatus {
-        /** It left the endpoint's queue. */
+        /** The request left the endpoint's queue and started to run. */
         STARTED,
-        /** It still runs. */
+        /** The request is still running. */
         RUNNING,
-        /** It is done, with a result. */
+        /** The request completed with a result. */
         DONE,
-        /** It failed. */
+        /** The request failed. */
         FAILED,
-        /** The endpoint gave it back without having run it. */
+        /** The endpoint returned the request without having run it. */
         RETURNED,
-        /** The endpoint lost it. */
+        /** The endpoint lost the request. */
         LOST;
 
-        /** Whether the attempt there is over. */
+        /** Whether the attempt at this endpoint has ended. */
         boolean endsAttempt() {
             return this != STARTED && this != RUNNING;
         }
@@ -44,22 +47,25 @@
     /**
      * An endpoint reported the status of a request.
      *
-     * @param progress the part that is done, from 0 to 1
-     * @param result {@code null} unless it is done
+     * @param progress fraction of the work that is done, from 0 to 1
+     * @param result the result if the request is done, otherwise {@code null}
      */
     record JobStatusReceived(
             String requestId, String endpoint, JobStatus status, double progress, byte[] result, LoadReport loadReport)
             implements ProxyEvent {}
 
-    /** The endpoint list changed, or was confirmed; {@code asOfUs} is when it was complete, on the loop's clock. */
+    /**
+     * The endpoint list changed or was confirmed; {@code completeAsOfUs} is when the list was complete, in microseconds
+     * on the loop's clock.
+     */
     record ListUpdated(EndpointListUpdate update, long completeAsOfUs) implements ProxyEvent {
-        /** An answer that says nothing of the rest of the list. */
+        /** Value of {@code completeAsOfUs} for an update that does not cover the rest of the list. */
         public static final long PARTIAL = Long.MIN_VALUE;
     }
 
-    /** The watch on the endpoint list failed or broke. */
+    /** The watch of the endpoint list failed or was interrupted. */
     record ListWatchFailed() implements ProxyEvent {}
 
-    /** A task to run on the loop. */
+    /** A task to run on the event loop. */
     record Task(Runnable task) implements ProxyEvent {}
 }
--- a/src/main/java/olivechute/proxy/RecentRequestIds.java
+++ b/src/main/java/olivechute/proxy/RecentRequestIds.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * The ids of requests that ended recently and of which something was sent upstream. Status events of them may still
- * come, so no new request may have such an id. Bounded in number. On the event loop; times are microseconds on its
- * clock.
+ * Ids of requests that ended recently and of which something was sent upstream. Late status events for them may still
+ * arrive, so a new request with such an id is rejected as a duplicate. The number of ids is bounded. Used on the event
+ * loop; times are microseconds on its clock.
  */
 final class RecentRequestIds {
-    /** How long status events of a request that has ended may still come. */
+    /** How long status events of an ended request may still arrive. */
     private static final long RETAINED_US = 10_000_000;
 
     private static final int MAX_IDS = 4096;
 
     private final Map<String, Long> endedAtUs = new LinkedHashMap<>();
 
-    /** A request ended now; those that ended too long ago are forgotten. */
+    /** Adds a request that ended now, and drops the ids that are too old or exceed the maximum. */
     void add(String id, long nowUs) {
         endedAtUs.put(id, nowUs);
         for (Iterator<Long> endTimes = endedAtUs.values().iterator(); endTimes.hasNext(); ) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Whether it ended so recently that status events of it may still come. */
+    /** Whether the request ended so recently that status events for it may still arrive. */
     boolean contains(String id, long nowUs) {
         Long ended = endedAtUs.get(id);
         return ended != null && nowUs - ended < RETAINED_US;
--- a/src/main/java/olivechute/proxy/RequestAccounting.java
+++ b/src/main/java/olivechute/proxy/RequestAccounting.java
@@ -3,7 +3,8 @@
 import olivechute.loadbalancing.LoadBalancerSettings;
 
 /**
- * Counts what becomes of each request, and the rules that were broken as far as the node can see. On the event loop.
+ * Reports the outcome of each request to {@link RequestMetrics}, and violations of {@link RequestRules} as far as this
+ * node can detect them. Used by {@link RequestDispatcher} on the event loop.
  */
 final class RequestAccounting {
     private final EventLoop loop;
@@ -22,7 +23,7 @@
         metrics.onReceived(classIndex);
     }
 
-    /** Rejected at a limit of the node, before it was opened. */
+    /** Counts a request that was rejected at a limit of the node before it was opened. */
     void onRejectedAtLimit(int classIndex) {
         metrics.onRejected(classIndex);
     }
@@ -51,7 +52,7 @@
         }
     }
 
-    /** Whatever the answer is, it must come in time. */
+    /** Counts a violation if the answer, whatever it is, is sent too late. */
     void onAnswer(ActiveRequest request) {
         if (metricsEnabled && !RequestRules.answeredInTime(settings, request.arrival, loop.now())) {
             metrics.onRuleViolated();
@@ -59,10 +60,10 @@
     }
 
     /**
-     * The load balancer wants another attempt.
+     * Counts a violation if the load balancer requests an attempt that the rules forbid.
      *
-     * @param allowed whether the dispatcher's own checks allow it
-     * @param sendable whether it is to be sent at all
+     * @param allowed whether the dispatcher's own checks allow the attempt
+     * @param sendable whether the attempt is going to be sent
      */
     void onAttemptRequested(ActiveRequest request, boolean allowed, boolean sendable, long nowUs) {
         boolean outsideRetryWindow = metricsEnabled
--- a/src/main/java/olivechute/proxy/RequestDispatcher.java
+++ b/src/main/java/olivechute/proxy/RequestDispatcher.java
@@ -22,10 +22,11 @@
 import org.tinylog.Logger;
 
 /**
- * Runs requests through the load balancer and enforces what holds for every front: one final answer, one attempt at a
- * request at a time, none after the answer or past the deadline. All of it runs on the event loop.
+ * Opens requests, has the load balancer assign them to endpoints, and enforces the invariants that hold for every
+ * client protocol: one final answer per request, at most one attempt in flight, and no attempt after the answer or the
+ * deadline. Constructed with the node; all of it runs on the event loop, and times are microseconds on its clock.
  */
-@SuppressWarnings("ReferenceEquality") // two attempts with equal fields are still two attempts
+@SuppressWarnings("ReferenceEquality") // attempts are compared by identity: two with equal fields are still distinct
 public final class RequestDispatcher implements LoadBalancer.Helper, Consumer<ProxyEvent> {
     private final EventLoop loop;
     private final LoadBalancerSettings settings;
@@ -34,7 +35,7 @@
     private final RequestAccounting requestAccounting;
     private final ConnectionHealth health;
     private final EndpointListState endpointList;
-    /** A field, so that requests do not allocate one each. */
+    /** Held in a field so that each request does not allocate its own method reference. */
     private final LongPredicate listIsCurrent;
 
     private final LoadBalancer loadBalancer;
@@ -48,7 +49,7 @@
     private long answerAllByUs = Long.MAX_VALUE;
     private final RequestLog requestLog = new RequestLog();
 
-    /** Counts nothing, and sends by its list however old that is. */
+    /** Creates a dispatcher without metrics whose endpoint list never expires. */
     public RequestDispatcher(
             EventLoop loop,
             LoadBalancerSettings settings,
@@ -70,11 +71,12 @@
     }
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
-     * @param maxOpenRequests requests that may be open at once
-     * @param maxBodyBytes bytes that the bodies of open requests may have in sum
-     * @param lease nothing is sent while it does not hold; each list that is taken over renews it
+     * @param seed seeds the random numbers of the load balancer and the connection health
+     * @param maxOpenRequests maximum number of requests open at once
+     * @param maxBodyBytes maximum total size of the bodies of open requests, in bytes
+     * @param lease requests are sent only while it holds; each list that is applied renews it
      */
     public RequestDispatcher(
             EventLoop loop,
@@ -107,12 +109,18 @@
         this.jobStatusHandler = new JobStatusHandler(transport, attemptTracker, this::sendResult, this::endAttempt);
     }
 
-    /** How many requests may be open from now on; those that are open stay. Runs on the loop. */
+    /**
+     * Sets the maximum number of open requests from now on; requests that are already open continue. Call on the event
+     * loop.
+     */
     public void limitOpenRequests(int limit) {
         maxOpenRequests = limit;
     }
 
-    /** All requests, open or to come, are answered by this moment at the latest. Runs on the loop. */
+    /**
+     * Ensures that all requests, current and future, are answered by {@code timeUs} at the latest. Call on the event
+     * loop.
+     */
     public void answerAllBy(long timeUs) {
         answerAllByUs = timeUs;
         for (ActiveRequest request : requestsById.values()) {
@@ -129,12 +137,12 @@
                 loop.scheduleTimer(request.giveUpAtUs - ActiveRequest.DEADLINE_MARGIN_US, () -> onDeadline(request));
     }
 
-    /** Logs no request from now on: they are made up to warm up the code. */
+    /** Disables request logging: the requests that follow are synthetic ones that warm up the code. */
     public void disableRequestLog() {
         requestLog.disable();
     }
 
-    /** Starts the load balancer with the endpoint list as this node last had it; runs on the loop. */
+    /** Starts the load balancer with the last known endpoint list. Call on the event loop. */
     public void start(EndpointListUpdate lastKnownList) {
         loadBalancer.start(loop.now());
         onListUpdate(ListUpdateKind.RESTORED, lastKnownList, ProxyEvent.ListUpdated.PARTIAL);
@@ -166,7 +174,10 @@
         }
     }
 
-    /** Logs what is believed of each endpoint and why, a line for each. Runs on the loop. */
+    /**
+     * Logs the state of each endpoint and the reason for it, one line per endpoint, and then the open requests and the
+     * retries left. Call on the event loop.
+     */
     public void logStatus() {
         health.describeForLog(
                 loop.now(),
@@ -180,8 +191,8 @@
         String id = received.id();
         long nowUs = loop.now();
         if (requestsById.containsKey(id) || recentRequestIds.contains(id, nowUs)) {
-            // Two requests of one id would share their attempts and answers; late status events of the first may still
-            // come.
+            // Two requests with the same id would share their attempts and answers, and late status events of the first
+            // may still arrive.
             arrival.client().sendDuplicateId();
             return;
         }
@@ -201,7 +212,7 @@
         try {
             loadBalancer.onRequest(nowUs, received.withTimeLeft(Math.max(0, giveUpAtUs - nowUs)));
         } catch (RuntimeException e) {
-            Logger.error(e, "the load balancer failed on a new request");
+            Logger.error(e, "load balancer failed on a new request");
             fail(id);
         }
     }
@@ -213,7 +224,7 @@
         }
     }
 
-    /** The client has gone: what is in flight for it and not written yet goes nowhere any more. */
+    /** Ends a request whose client has disconnected; an attempt that is in flight and not yet written is suppressed. */
     private void endRequestOfDisconnectedClient(ActiveRequest request) {
         if (!request.answered) {
             request.answered = true;
@@ -226,7 +237,7 @@
         }
     }
 
-    /** The event that says so may still be on its way. */
+    /** Ends the request if its client has disconnected, as the corresponding event may not have arrived yet. */
     private void endIfClientDisconnected(ActiveRequest request) {
         if (!request.arrival.client().isPresent()) {
             endRequestOfDisconnectedClient(request);
@@ -238,13 +249,17 @@
             timeOutAttempt(request);
         }
         if (!request.answered) {
-            // The load balancer answers what it has queued in time; this guards the rule should it not.
+            // The load balancer should have answered queued requests before the deadline; this is the safeguard if it
+            // did not.
             RequestLogFields.logUnanswered(request.id);
             fail(request.id);
         }
     }
 
-    /** The attempt takes too long. If nothing of it was written, which may be a connect's fault, it never ran. */
+    /**
+     * Ends an attempt that takes too long. If nothing of it was written, for example because the connect is slow, it
+     * never ran and counts as suppressed.
+     */
     private void timeOutAttempt(ActiveRequest request) {
         boolean suppressed = transport.cancelWithoutReport(request.inFlightAttempt, request.attemptAccepted);
         endAttempt(request, suppressed ? AttemptOutcome.SUPPRESSED : AttemptOutcome.TIMEOUT, LoadReport.NONE);
@@ -287,7 +302,7 @@
         removeIfDone(request);
     }
 
-    /** Forgets a request that is answered and has no attempt in flight. */
+    /** Removes a request once it is answered and has no attempt in flight. */
     private void removeIfDone(ActiveRequest request) {
         if (request.answered && request.inFlightAttempt == null && requestsById.remove(request.id, request)) {
             request.deadlineTimer.cancel();
@@ -330,7 +345,7 @@
         }
     }
 
-    // What the load balancer asks for.
+    // Operations requested by the load balancer.
 
     @Override
     public void send(String id, String endpoint, long timeoutUs) {
@@ -351,7 +366,7 @@
 
     @Override
     public void probe(String endpoint) {
-        Logger.warn("no probe of {}: nodes may not probe endpoints", endpoint);
+        Logger.warn("probe of endpoint {} ignored: nodes may not probe endpoints", endpoint);
     }
 
     @Override
@@ -377,8 +392,8 @@
 
     /**
      * Sends an attempt unless a rule forbids it: the request must be unanswered, have attempts and time left and none
-     * in flight, its client present, the endpoint neither draining nor removed, and the endpoint list current. What
-     * fails a check ends as not sent.
+     * in flight, its client must be present, the endpoint must be neither draining nor removed, and the endpoint list
+     * must be current. An attempt that fails a check ends as NOT_SENT.
      */
     private void sendAttempt(ActiveRequest request, String endpoint, long timeoutUs) {
         int attemptNumber = request.attemptCount++;
--- a/src/main/java/olivechute/proxy/RequestLog.java
+++ b/src/main/java/olivechute/proxy/RequestLog.java
@@ -4,11 +4,14 @@
 import olivechute.log.RequestLogFields;
 import org.tinylog.Logger;
 
-/** Logs what becomes of requests, at debug; nothing while it is disabled. On the event loop. */
+/**
+ * Logs the outcomes of attempts and rejected requests at debug level, until it is disabled. Used by
+ * {@link RequestDispatcher} on the event loop.
+ */
 final class RequestLog {
     private boolean disabled;
 
-    /** From now on requests are made up to warm up the code. */
+    /** Disables the log: the requests that follow are synthetic ones that warm up the code. */
     void disable() {
         disabled = true;
     }
@@ -36,10 +39,13 @@
         }
     }
 
-    /** Rejected before it was opened, as too many requests are open or their bodies are too large. */
+    /**
+     * Logs a request that was rejected before it was opened, as too many requests are open or their bodies are too
+     * large in total.
+     */
     void onRejectedAtLimit(String id, int openRequests) {
         if (!disabled && RequestLogFields.isEnabled()) {
-            Logger.debug("request {} rejected at the limit of this node, {} requests open", id, openRequests);
+            Logger.debug("request {} rejected at a limit of this node, {} requests open", id, openRequests);
         }
     }
 }
--- a/src/main/java/olivechute/proxy/RequestMetrics.java
+++ b/src/main/java/olivechute/proxy/RequestMetrics.java
@@ -1,13 +1,14 @@
 package olivechute.proxy;
 
 /**
- * Is told on the event loop what becomes of each request: {@link #onReceived} once, then once one of {@link #onServed},
- * {@link #onRejected}, {@link #onFailed}, {@link #onClientGone}. Requests that are open when the process ends have no
- * end here. Unreadable, unauthorized and duplicate messages are not counted. What is counted is the node's decision,
- * not whether the answer arrived. A class is named by its index in the settings.
+ * Receives the outcome of each request, on the event loop: {@link #onReceived} once, then exactly one of
+ * {@link #onServed}, {@link #onRejected}, {@link #onFailed} and {@link #onClientDisconnected}. Requests that are open when the
+ * process ends have no outcome here. Malformed, unauthorized and duplicate requests are not counted. The node's
+ * decision is counted, whether or not the answer reached the client. Request classes are given by their index in the
+ * settings.
  */
 public interface RequestMetrics {
-    /** Counts nothing. */
+    /** Discards everything. */
     RequestMetrics NONE = new RequestMetrics() {
         @Override
         public void onReceived(int requestClass) {
@@ -48,23 +49,27 @@
     /** A request arrived. */
     void onReceived(int requestClass);
 
-    /** It was served; {@code late}: after its latency objective, see {@link RequestRules#missedObjective}. */
+    /**
+     * The request was served; {@code late} says that it missed its latency objective, see
+     * {@link RequestRules#missesLatencyObjective}.
+     */
     void onServed(int requestClass, boolean late);
 
-    /** It was rejected, by the load balancer or at a limit of the node. */
+    /** The request was rejected, by the load balancer or at a limit of the node. */
     void onRejected(int requestClass);
 
-    /** It failed. */
+    /** The request failed. */
     void onFailed(int requestClass);
 
-    /** Its client closed or cancelled before it was answered. */
+    /** The client closed its connection or cancelled before the request was answered. */
     void onClientDisconnected(int requestClass);
 
-    /** Its first attempt is sent, so many microseconds after it arrived. */
+    /** The first attempt was sent, {@code delayUs} microseconds after the request arrived. */
     void onFirstSend(long delayUs);
 
     /**
-     * A rule was broken as far as the node can see, or would have been had it not been stopped: {@link RequestRules}.
+     * A rule of {@link RequestRules} was violated as far as this node can detect it, or would have been if the node had
+     * not prevented it.
      */
     void onRuleViolated();
 }
--- a/src/main/java/olivechute/proxy/RequestRules.java
+++ b/src/main/java/olivechute/proxy/RequestRules.java
@@ -7,21 +7,21 @@
 import olivechute.loadbalancing.RequestClass;
 
 /**
- * Checks the rules on answers and retries as far as one node can. Not checked: deduplication scopes narrower than ALL,
- * drains, slow start. Times are microseconds on the event loop's clock.
+ * Checks the rules on answers and retries as far as a single node can. Not checked: deduplication scopes narrower than
+ * ALL, drains and slow start. Times are microseconds on the event loop's clock.
  */
 final class RequestRules {
-    /** By so much each time limit of the rules is longer on sockets. */
+    /** Tolerance that is added to each time limit of the rules when it is measured on sockets. */
     static final long SOCKET_TOLERANCE_US = 50_000;
-    /** In place of a time: no attempt at a request may have been executed. */
+    /** Used instead of a time: no attempt at the request may have been executed. */
     static final long NEVER = Long.MAX_VALUE;
 
     private RequestRules() {}
 
     /**
-     * Whether an answer sent now misses the class's latency objective, which is at most its deadline. Running time
-     * counts from the reported start; without one the client's estimate is used, else 0. For a marked retry the time
-     * since the first try counts too.
+     * Whether an answer sent now misses the latency objective of the request class, which is at most its deadline.
+     * Running time counts from the reported start; if no start was reported, the client's estimate is used, or 0
+     * without one. For a marked retry the time since the client's first try counts too.
      *
      * @param startedAtUs negative if no start was reported
      */
@@ -41,7 +41,7 @@
                 > Math.min((double) requestClass.deadlineUs(), objectiveUs);
     }
 
-    /** False if an answer sent now is later than the rules allow after the client gave up. */
+    /** Whether an answer sent now is within the time that the rules allow after the client's deadline. */
     static boolean answeredInTime(LoadBalancerSettings settings, ProxyEvent.RequestArrived arrival, long nowUs) {
         long giveUpAtUs = arrival.receivedAtUs() + arrival.request().timeLeftUs();
         return nowUs <= giveUpAtUs + settings.rules().answerSlackUs() + SOCKET_TOLERANCE_US;
@@ -50,13 +50,16 @@
     /**
      * Whether another attempt may be sent.
      *
-     * @param possiblyExecutedSinceUs when the first attempt was sent that may have been executed, or {@link #NEVER}
+     * @param possiblyExecutedSinceUs when the first attempt that may have been executed was sent, or {@link #NEVER}
      */
     static boolean mayRetry(RequestClass requestClass, long possiblyExecutedSinceUs, long nowUs) {
         return mayArriveAt(requestClass, possiblyExecutedSinceUs, nowUs - SOCKET_TOLERANCE_US);
     }
 
-    /** Whether the last byte of another attempt may arrive at this moment; without the tolerance of sockets. */
+    /**
+     * Whether the last byte of another attempt may arrive at {@code arrivesAtUs}; does not include the socket
+     * tolerance.
+     */
     static boolean mayArriveAt(RequestClass requestClass, long possiblyExecutedSinceUs, long arrivesAtUs) {
         Idempotency idempotency = requestClass.idempotency();
         boolean withinWindow = arrivesAtUs - possiblyExecutedSinceUs <= requestClass.deduplicationWindowUs();
@@ -65,7 +68,7 @@
                 || (idempotency == Idempotency.KEYED && withinWindow);
     }
 
-    /** Whether the request may be rejected, which invites its client to try again at any node. */
+    /** Whether the request may be rejected; a rejection invites the client to retry at any node. */
     static boolean mayReject(RequestClass requestClass, long possiblyExecutedSinceUs) {
         Idempotency idempotency = requestClass.idempotency();
         boolean sharedByAll = requestClass.deduplicationScope() == DeduplicationScope.ALL;
--- a/src/main/java/olivechute/proxy/ResolvedEndpoint.java
+++ b/src/main/java/olivechute/proxy/ResolvedEndpoint.java
@@ -2,5 +2,5 @@
 
 import olivechute.loadbalancing.EndpointInfo;
 
-/** An endpoint as discovery lists it, and the address at which this node reaches it, as ADDRESS:PORT. */
+/** An endpoint as discovery lists it, and the address at which this node connects to it, in the form ADDRESS:PORT. */
 public record ResolvedEndpoint(EndpointInfo info, String address) {}
--- a/src/main/java/olivechute/proxy/TimerWheel.java
+++ b/src/main/java/olivechute/proxy/TimerWheel.java
@@ -5,13 +5,13 @@
 import org.tinylog.Logger;
 
 /**
- * Timers with the resolution of a tick, on a hashed wheel. Times are microseconds on one clock. Not safe for several
- * threads.
+ * Timers with a resolution of one tick, in a hashed timer wheel. Times are microseconds on one clock. Not thread-safe;
+ * used on the event loop.
  */
 final class TimerWheel {
     private static final int SLOT_COUNT = 1024;
 
-    /** A timer; once cancelled it does not fire. */
+    /** A scheduled task; it does not run once it is cancelled. */
     final class Timer {
         private final long dueTick;
         private Runnable task;
@@ -21,7 +21,7 @@
             this.task = task;
         }
 
-        /** Leaves its slot at once: an empty slot wakes nobody. */
+        /** Cancels the timer and removes it from its slot, so that an empty slot causes no wakeup. */
         void cancel() {
             if (task != null) {
                 task = null;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Fires at the first tick at or after {@code dueUs}, never within this call. */
+    /** Schedules a task for the first tick at or after {@code dueUs}; it never runs within this call. */
     Timer schedule(long dueUs, Runnable task) {
         long dueTick = Math.max(currentTick + 1, (dueUs + tickUs - 1) / tickUs);
         Timer timer = new Timer(dueTick, task);
@@ -54,7 +54,7 @@
         return slots.get((int) (tickNumber % SLOT_COUNT));
     }
 
-    /** Runs what is due. */
+    /** Runs all tasks that are due at {@code nowUs}. */
     void fireUntil(long nowUs) {
         while (currentTick < nowUs / tickUs) {
             currentTick++;
@@ -75,14 +75,17 @@
         });
         for (Timer timer : due) {
             Runnable task = timer.task;
-            if (task != null) { // a timer that fired before it may have cancelled it
+            if (task != null) { // an earlier timer of this tick may have cancelled it
                 timer.task = null;
                 runTask(task);
             }
         }
     }
 
-    /** One faulty timer must not take those along that are due with it: others are deadlines of requests. */
+    /**
+     * Runs a task and logs its failure: it must not prevent the other timers of the same tick, which include request
+     * deadlines.
+     */
     private static void runTask(Runnable task) {
         try {
             task.run();
@@ -91,7 +94,7 @@
         }
     }
 
-    /** How long until the next tick that holds a timer, at most one revolution of the wheel. */
+    /** Returns the microseconds until the next tick that holds a timer, at most one revolution of the wheel. */
     long timeToNextTimerUs(long nowUs) {
         for (int i = 1; i < SLOT_COUNT; i++) {
             if (!slot(currentTick + i).isEmpty()) {
--- a/src/main/java/olivechute/proxy/UpstreamRequest.java
+++ b/src/main/java/olivechute/proxy/UpstreamRequest.java
@@ -1,14 +1,14 @@
 package olivechute.proxy;
 
 /**
- * One attempt at a request at one endpoint.
+ * One attempt to have an endpoint execute a request.
  *
- * @param requestId names the request
- * @param attempt number of the attempt, from 0
+ * @param requestId id of the request
+ * @param attemptNumber number of the attempt within the request, from 0
  * @param endpoint name of the endpoint
- * @param timeoutUs how long the node waits for its end, in microseconds
- * @param newConnection whether it must not use a connection that was idle, as such a one broke under this request
- * @param preSendCheck asked directly before the first byte
+ * @param timeoutUs how long the node waits for the attempt to end, in microseconds
+ * @param requiresNewConnection whether the attempt must not use an idle connection, as an earlier attempt failed on one
+ * @param preSendCheck called immediately before the first byte is written
  */
 public record UpstreamRequest(
         String requestId,
--- a/src/test/java/olivechute/discovery/DiscoveryCallReasonTableTest.java
+++ b/src/test/java/olivechute/discovery/DiscoveryCallReasonTableTest.java
@@ -9,7 +9,7 @@
 import olivechute.error.Runbook;
 import org.testng.annotations.Test;
 
-/** The operators' table of failed calls to discovery says what the code says. */
+/** The runbook's table of failed calls to discovery must match the reasons in the code. */
 public class DiscoveryCallReasonTableTest {
     @Test
     public void runbookTableMatchesTheReasons() throws IOException {
--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -36,19 +36,19 @@
 import org.testng.annotations.Test;
 
 /**
- * The watch against discoveries on loopback sockets that fall silent; {@link #PATIENCE} only ends a test that would
- * hang.
+ * Tests of the watch against stub discoveries on loopback sockets that fall silent; {@link #TEST_TIMEOUT_SECONDS} only
+ * ends a test that would otherwise hang.
  */
 public class EndpointListWatcherTest {
-    private static final int TEST_TIMEOUT_SECONDS = 20; // seconds
-    private static final int NOTIFIED_AFTER_MS = 6000; // the protocol's
+    private static final int TEST_TIMEOUT_SECONDS = 20;
+    private static final int NOTIFIED_AFTER_MS = 6000; // the protocol's bound
     private static final byte[] CHANGED_LIST = answer(
             8,
             "{\"name\":\"h\",\"address\":\"127.0.0.1:9\",\"zone\":\"a\",\"type\":\"k\","
                     + "\"status\":\"leaving\",\"since_ms\":0}");
     private static final byte[] UNCHANGED_LIST = answer(7, "");
 
-    /** A call that a discovery has got, on which of its connections, and how to answer it. */
+    /** A call that a stub discovery received, the number of its connection, and how to answer it. */
     private record Call(HttpRequest request, int connectionNumber, Socket socket, long receivedAtNanos) {
         void write(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Takes calls and hands them to the test; says nothing by itself. */
+    /** Accepts calls and passes them to the test; sends nothing by itself. */
     private final class StubDiscovery {
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
@@ -109,7 +109,7 @@
     }
 
     private final List<AutoCloseable> openResources = new CopyOnWriteArrayList<>();
-    private BlockingQueue<ProxyEvent> events; // of the test's own watch; an earlier one may still report its end
+    private BlockingQueue<ProxyEvent> events; // belongs to this test's watcher; an earlier one may still post its end
     private EndpointListWatcher watch;
 
     private static byte[] answer(int index, String entries) {
@@ -127,7 +127,7 @@
         return new ServiceRules(0, 10_000_000, drainGrace, 0.3, 8_900_000, 3, 1_000_000, false);
     }
 
-    /** Calls are silent after so many milliseconds: the first, or those that wait for nothing. */
+    /** Timeouts in milliseconds: of calls that wait for changes, and of calls that do not wait. */
     private static WatchTimeouts timeouts(int watchTimeoutMs, int immediateTimeoutMs) {
         return new WatchTimeouts(false, rules(0), () -> 0) {
             @Override
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Starts a watch. Where a version is known its first call, which asks for news without a wait, is answered with
-     * none.
+     * Starts a watch. If a version is known, the watch's first call, which requests changes without waiting, is
+     * answered with an unchanged list.
      */
     private void watch(StubDiscovery discovery, EndpointListUpdate lastKnownList, WatchTimeouts timeouts)
             throws Exception {
@@ -197,7 +197,7 @@
         openResources.clear();
     }
 
-    /** What the first answer of a silent call holds: nothing at all, part of a head, a head and part of a body. */
+    /** How many bytes of an answer the silent call receives: none, part of the head, the head and part of the body. */
     @DataProvider
     public Object[][] partialAnswers() {
         return new Object[][] {{0}, {20}, {CHANGED_LIST.length - 5}};
@@ -216,10 +216,10 @@
         second.write(CHANGED_LIST);
         assertListUpdated(8);
         assertEquals(registry.nextCall().target(), "/registry/instances?since=8&timeout_ms=300");
-        assertTrue(events.isEmpty(), "a silence that the second call mended is no failure");
+        assertTrue(events.isEmpty(), "a silent call whose repetition succeeds is not a failure");
     }
 
-    /** With the figures that serve. */
+    /** Uses the timeouts of the product. */
     @Test
     public void silentWatchIsRepeatedBeforeTheMissedChangeCountsAsNotified() throws Exception {
         StubDiscovery registry = new StubDiscovery();
@@ -293,8 +293,8 @@
     }
 
     /**
-     * It takes three times as long for each answer as a first call is waited for: to be given up each time would bring
-     * none, for ever.
+     * Discovery takes three times as long for each answer as the first call waits. If every call was abandoned after
+     * the same timeout, no answer would ever arrive.
      */
     @Test
     public void slowDiscoveryIsGivenLongerTimeouts() throws Exception {
@@ -336,8 +336,8 @@
     }
 
     /**
-     * A watch that is refused is over. Its next call is answered in its turn, also with nothing, so that the lease of
-     * the list is renewed soon.
+     * A rejected watch is over. Its next call is answered in turn, even without changes, so that the lease of the list
+     * is renewed soon.
      */
     @Test
     public void callAfterARejectionDoesNotWaitForChanges() throws Exception {
@@ -353,7 +353,7 @@
         assertEquals(registry.nextCall().target(), "/registry/instances?since=7&timeout_ms=300");
     }
 
-    /** Calls at the old address before the move: the first is silent, or the first and the second. */
+    /** Number of silent calls at the old address before the move. */
     @DataProvider
     public Object[][] silentCalls() {
         return new Object[][] {{1}, {2}};
@@ -376,7 +376,10 @@
         assertTrue(oldDiscovery.calls.isEmpty());
     }
 
-    /** One that counts lower is another service: its whole list is asked for as soon as it has said so. */
+    /**
+     * A discovery with a lower version is a different service, and is asked for its full list as soon as it has
+     * answered.
+     */
     @Test
     public void moveToADiscoveryWithALowerVersionRequestsTheFullList() throws Exception {
         StubDiscovery oldDiscovery = new StubDiscovery();
@@ -397,7 +400,10 @@
         assertTrue(oldDiscovery.calls.isEmpty());
     }
 
-    /** What was written counts as notified, read or not: it is asked for again at once, not after a pause. */
+    /**
+     * A change that discovery wrote counts as notified even if it was not read, so it is requested again immediately,
+     * without a pause.
+     */
     @Test
     public void truncatedAnswerIsRequestedAgainImmediately() throws Exception {
         StubDiscovery registry = new StubDiscovery();
@@ -409,10 +415,10 @@
         assertEquals(second.target(), "/registry/instances?since=7&timeout_ms=1");
         second.write(CHANGED_LIST);
         assertListUpdated(8);
-        assertTrue(events.isEmpty(), "a break that the second call mended is no failure");
+        assertTrue(events.isEmpty(), "a truncated answer whose repetition succeeds is not a failure");
     }
 
-    /** Lists may be long, and indented: the fleet has up to 3,200 servers. */
+    /** Lists may be long and indented: the fleet has up to 3,200 servers. */
     @Test
     public void listOfThousandsOfServersIsRead() throws Exception {
         int servers = 3200;
@@ -435,7 +441,7 @@
 
     // ---- lists that are pushed to an agent -----------------------------------------------------------------
 
-    /** An agent's times, and a grace long enough for a busy machine. */
+    /** The timeouts for an agent, with a drain grace long enough for a busy machine. */
     private static WatchTimeouts pushedTimeouts() {
         return new WatchTimeouts(true, rules(4_000_000), () -> 0.5) {
             @Override
@@ -454,7 +460,10 @@
         watch.start();
     }
 
-    /** Nobody asked an agent at all: the decisions ask only where the settings say that lists have to be asked for. */
+    /**
+     * Guards against an agent that is never polled, as the load balancer requests a watch only where the settings say
+     * that lists are polled.
+     */
     @Test
     public void agentIsPolledFromTheStartWithoutARequest() throws Exception {
         StubDiscovery agent = new StubDiscovery();
@@ -463,7 +472,7 @@
         assertTrue(first.target().startsWith("/registry/instances?since=7&"), first.target());
         first.write(CHANGED_LIST);
         watch.awaitFirstAnswer();
-        assertFalse(events.isEmpty(), "the list is on its way to the decisions before the node takes anything");
+        assertFalse(events.isEmpty(), "the list is posted before the node accepts requests");
         assertListUpdated(8);
         assertTrue(agent.nextCall().target().contains("since=8&"));
     }
@@ -473,11 +482,11 @@
         StubDiscovery agent = new StubDiscovery();
         startPushed(agent);
         for (int i = 1; i <= 6; i++) {
-            assertEquals(agent.nextCall().connectionNumber(), i); // a silent connection is given up each time
+            assertEquals(agent.nextCall().connectionNumber(), i); // a silent connection is abandoned each time
         }
         agent.nextCall().write(CHANGED_LIST);
         assertListUpdated(8);
-        assertTrue(events.isEmpty(), "an agent's silence is no failure of a call that the decisions made");
+        assertTrue(events.isEmpty(), "a silent agent is not a failure of a watch that the load balancer requested");
     }
 
     @Test
@@ -489,7 +498,7 @@
         assertListUpdated(8);
     }
 
-    /** A list that is broken is no list: the former one is kept, and the whole one asked for. */
+    /** An invalid list is discarded: the previous list stays in use, and the full list is requested. */
     @Test
     public void invalidListIsIgnoredAndTheFullListRequested() throws Exception {
         StubDiscovery agent = new StubDiscovery();
@@ -502,7 +511,8 @@
     }
 
     /**
-     * What a doubtful whole list says of the hosts that it names counts at once, while the rest is asked for once more.
+     * The states in an implausible full list apply at once to the endpoints that it names, while the full list is
+     * requested again.
      */
     @Test
     public void implausibleListAppliesToItsNamedEndpointsAtOnce() throws Exception {
@@ -522,7 +532,7 @@
                         true));
         ProxyEvent event = nextEvent();
         EndpointListUpdate list = ((ProxyEvent.ListUpdated) event).update();
-        assertFalse(list.complete(), "a change of one host");
+        assertFalse(list.complete(), "a change of one endpoint");
         assertEquals(list.endpoints().get(0).info().state(), EndpointState.DRAINING);
         assertEquals(registry.nextCall().target(), "/registry/instances");
     }
--- a/src/test/java/olivechute/health/ConnectTimeEstimatorTest.java
+++ b/src/test/java/olivechute/health/ConnectTimeEstimatorTest.java
@@ -23,7 +23,7 @@
         assertEquals(estimator.extraConnectTimeUs(), 0);
     }
 
-    /** Some hosts hang, and some dials come up late. */
+    /** Some endpoints are unresponsive, and some connects are slow. */
     @Test
     public void occasionalOutliersDoNotMoveTheEstimate() {
         ConnectTimeEstimator estimator = new ConnectTimeEstimator();
--- a/src/test/java/olivechute/health/ConnectionHealthTest.java
+++ b/src/test/java/olivechute/health/ConnectionHealthTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the sockets show of hosts, in virtual time. Class 0 is 'verify', class 1 'sign'. */
+/** Tests of the health of endpoints in virtual time. Class 0 is 'verify', class 1 is 'sign'. */
 public class ConnectionHealthTest {
     private static final long MS = 1000;
     private static final long S = 1_000_000;
@@ -63,7 +63,7 @@
         acceptAndServe("s0", 0);
         endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
         assertFalse(admits("s0", 1));
-        assertTrue(admits("s0", 0), "the other class goes on there");
+        assertTrue(admits("s0", 0), "the other class is still admitted");
         nowUs += 1 * S + 1;
         assertTrue(admits("s0", 1));
         endUnaccepted("s0", 1, AttemptOutcome.ACCEPT_TIMEOUT);
@@ -78,14 +78,17 @@
         assertTrue(describe("s0").contains("class 1 ejected for 1000 ms"), describe("s0"));
     }
 
-    /** zone+vast: a host that is silent and cannot be dialled is gone for all classes, and one such end says it. */
+    /**
+     * As in the scenario zone+vast: an endpoint that is silent and cannot be connected to is ejected for all classes
+     * after a single such attempt.
+     */
     @Test
     public void unconfirmedCancellationEjectsTheEndpointForAllClasses() {
         acceptAndServe("s0", 0);
         endUnaccepted("s0", 0, AttemptOutcome.CANCEL_UNCONFIRMED);
         assertFalse(admits("s0", 0));
         assertFalse(admits("s0", 1));
-        assertTrue(describe("s0").contains("silent and not to be connected to"), describe("s0"));
+        assertTrue(describe("s0").contains("silent and cannot be connected to"), describe("s0"));
         nowUs += 1 * S;
         assertTrue(admits("s0", 1));
     }
@@ -96,11 +99,11 @@
         nowUs += 2 * S;
         assertTrue(admits("s0", 1));
         send("s0", 1);
-        assertFalse(admits("s0", 1), "one is on its way");
+        assertFalse(admits("s0", 1), "one request is waiting for its acceptance");
         health.onAccepted("s0", 1, 30 * MS);
         assertTrue(admits("s0", 1));
         send("s0", 1);
-        assertTrue(admits("s0", 1), "trusted again");
+        assertTrue(admits("s0", 1), "off probation");
     }
 
     @Test
@@ -209,13 +212,13 @@
                 .filter(h -> !admits("s" + h, 0))
                 .count();
         assertEquals(ejectedCount, 3);
-        for (int h = 0; h < 9; h++) { // back, cold, all together
+        for (int h = 0; h < 9; h++) { // all of them restarted at once
             health.onListed("s" + h, nowUs);
             assertTrue(admits("s" + h, 0));
         }
     }
 
-    /** Whatever happens, in whatever order: never more alone than the settings say, and none for good. */
+    /** Random sequences of outcomes: never more endpoints are ejected than the settings allow, and none permanently. */
     @Test
     public void ejectionsNeverExceedTheSettings() {
         for (long seed = 1; seed <= 200; seed++) {
@@ -241,7 +244,7 @@
                     }
                     assertTrue(
                             ejectedForClass <= 3 + 4,
-                            "seed " + seed + " step " + i + ": " + ejectedForClass + " alone");
+                            "seed " + seed + " step " + i + ": " + ejectedForClass + " ejected");
                 }
                 int ejectedForAllClasses = 0;
                 for (int h = 0; h < 9; h++) {
@@ -250,7 +253,7 @@
                 }
                 assertTrue(
                         ejectedForAllClasses <= 3,
-                        "seed " + seed + " step " + i + ": " + ejectedForAllClasses + " alone with all");
+                        "seed " + seed + " step " + i + ": " + ejectedForAllClasses + " ejected for all classes");
             }
             nowUs += 30 * S;
             for (int h = 0; h < 9; h++) {
--- a/src/test/java/olivechute/health/IdleReusePolicyTest.java
+++ b/src/test/java/olivechute/health/IdleReusePolicyTest.java
@@ -30,7 +30,8 @@
         }
         assertEquals(policy.maxIdleUs(nowUs), 200 * MS);
         assertTrue(policy.brokenFraction(nowUs, 300 * MS) > 0.9);
-        assertEquals(policy.maxIdleUs(nowUs + 20 * S), Long.MAX_VALUE, "tried again after a while");
+        assertEquals(
+                policy.maxIdleUs(nowUs + 20 * S), Long.MAX_VALUE, "idle connections are tried again after a while");
     }
 
     @Test
--- a/src/test/java/olivechute/proxy/AnswerLog.java
+++ b/src/test/java/olivechute/proxy/AnswerLog.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A client's side that writes down how its stream was answered, each after a prefix, and may be said to have left. */
+/** A {@link ClientStream} that records each answer after a prefix, and whose client can be marked as disconnected. */
 public final class AnswerLog implements ClientStream {
     public final List<String> answers;
     public volatile boolean clientPresent = true;
     private final String prefix;
 
-    /** With a list of its own. */
+    /** Creates a log with its own list and no prefix. */
     public AnswerLog() {
         this("", new CopyOnWriteArrayList<>());
     }
@@ -26,7 +26,7 @@
 
     @Override
     public void sendRejection(long retryAfter) {
-        answers.add(prefix + "refused");
+        answers.add(prefix + "rejected");
     }
 
     @Override
--- a/src/test/java/olivechute/proxy/DelegatingLockTest.java
+++ b/src/test/java/olivechute/proxy/DelegatingLockTest.java
@@ -10,17 +10,18 @@
 import org.jetbrains.kotlinx.lincheck.strategy.managed.modelchecking.ModelCheckingOptions;
 import org.testng.annotations.Test;
 
-/** The turn under every interleaving that the model checker finds: one holder at a time, and nothing left behind. */
+/** Model checks the lock under many interleavings: one holder at a time, and every request is served. */
 public class DelegatingLockTest {
     /**
-     * Threads that hand in work as posters to the loop do. What they hand in is counted without any guard but the turn.
+     * Threads that post work as the posters of the event loop do. The counter of handled items is guarded by nothing
+     * but the lock.
      */
     public static class ConcurrentPosters {
         private final DelegatingLock lock = new DelegatingLock();
         private final MpscAtomicArrayQueue<Integer> queue = new MpscAtomicArrayQueue<>(16);
         private final AtomicInteger activeHolders = new AtomicInteger();
         private final AtomicInteger postedCount = new AtomicInteger();
-        private int handledCount; // plain on purpose: two holders at once would lose a count
+        private int handledCount; // not volatile on purpose: two holders at once would lose an increment
         private boolean twoHoldersSeen;
 
         @Operation
@@ -41,12 +42,12 @@
             } while (!lock.tryRelease(requests));
         }
 
-        /** After each run: all that was posted is done, by one at a time. */
+        /** After each run: every posted item was handled, by one holder at a time. */
         @Validate
         public void everyItemIsHandledByOneHolderAtATime() {
             if (twoHoldersSeen || handledCount != postedCount.get()) {
                 throw new IllegalStateException(
-                        "two " + twoHoldersSeen + ", posted " + postedCount + ", done " + handledCount);
+                        "two holders " + twoHoldersSeen + ", posted " + postedCount + ", handled " + handledCount);
             }
         }
     }
--- a/src/test/java/olivechute/proxy/EventLoopTest.java
+++ b/src/test/java/olivechute/proxy/EventLoopTest.java
@@ -9,12 +9,11 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 import org.testng.annotations.Test;
 
-/** What posters and the loop do to each other. */
+/** Tests of the event loop with several posting threads and with failing events. */
 public class EventLoopTest {
     /**
-     * A poster that is stopped in the middle of handing in: its place in the queue is taken and still empty. Guards
-     * against a holder of the turn that spins until the place is filled. Where one thread runs at a time it spun for
-     * good.
+     * A posting thread is preempted after it has claimed its queue slot and before it has filled it. Guards against a
+     * lock holder that spins until the slot is filled, which never ends where only one thread runs at a time.
      */
     @Test(timeOut = 20_000)
     public void posterStoppedMidOfferDoesNotBlockOtherPosters() throws Exception {
@@ -23,16 +22,16 @@
         loop.start(event -> {});
         long claimedIndex = (long) producerIndex(loop).get(loop.queue);
         producerIndex(loop).set(loop.queue, claimedIndex + 1);
-        loop.post(new ProxyEvent.Task(() -> handled.add("behind it")));
-        assertEquals(handled, List.of(), "nothing overtakes");
-        slots(loop).set((int) claimedIndex, new ProxyEvent.Task(() -> handled.add("the stopped one's")));
+        loop.post(new ProxyEvent.Task(() -> handled.add("posted after it")));
+        assertEquals(handled, List.of(), "an event must not overtake the claimed slot");
+        slots(loop).set((int) claimedIndex, new ProxyEvent.Task(() -> handled.add("the stopped poster's")));
         CountDownLatch lastHandled = new CountDownLatch(1);
         loop.post(new ProxyEvent.Task(() -> {
             handled.add("after both");
             lastHandled.countDown();
         }));
         lastHandled.await();
-        assertEquals(handled, List.of("the stopped one's", "behind it", "after both"));
+        assertEquals(handled, List.of("the stopped poster's", "posted after it", "after both"));
     }
 
     @Test(timeOut = 20_000)
--- a/src/test/java/olivechute/proxy/PreSendCheckTest.java
+++ b/src/test/java/olivechute/proxy/PreSendCheckTest.java
@@ -25,8 +25,8 @@
 import org.testng.annotations.Test;
 
 /**
- * What the last look at an upstream request sees of its stream, and what becomes of one that is held back. On a loop
- * that does not start by itself.
+ * Tests of the check before the first byte of an attempt, and of what follows when it suppresses one. The event loop is
+ * not started unless a test needs it.
  */
 public class PreSendCheckTest extends StubUpstreamTransport {
     private static final long MS = 1000;
@@ -114,7 +114,7 @@
     public void noAttemptStartsOnceTheClientIsKnownToHaveGone() {
         UpstreamRequest attempt = openRequest("verify");
         assertEquals(maySend(attempt, loop.now(), 0), true);
-        client.clientPresent = false; // the event that tells the loop is still on its way
+        client.clientPresent = false; // the corresponding event has not reached the loop yet
         assertEquals(maySend(attempt, loop.now(), 0), false);
     }
 
@@ -140,8 +140,8 @@
     @DataProvider
     public Object[][] deduplicationWindowCases() {
         return new Object[][] {
-            // class, how the first upstream request ended, so long before the window's end, transit: may the second
-            // begin?
+            // request class, outcome of the first attempt, time before the end of the window, transit time, whether the
+            // second attempt may be sent
             {"sign", AttemptOutcome.RESET, ANSWER_SLACK + 100 * MS, 0L, true},
             {"sign", AttemptOutcome.RESET, ANSWER_SLACK - 1, 0L, false},
             {"sign", AttemptOutcome.RESET, ANSWER_SLACK + 250 * MS, 200 * MS, true},
@@ -152,7 +152,10 @@
         };
     }
 
-    /** The window counts from the first that may have run, to the moment at which the repeat's last byte has come. */
+    /**
+     * The deduplication window lasts from the first attempt that may have been executed to the arrival of the retry's
+     * last byte.
+     */
     @Test(dataProvider = "deduplicationWindowCases")
     public void retryStartsOnlyIfItArrivesWithinTheDeduplicationWindow(
             String requestClass, AttemptOutcome outcome, long beforeWindowEndUs, long transitTimeUs, boolean allowed) {
@@ -161,7 +164,8 @@
         long latestSendUs = loop.now();
         endLastAttempt(outcome);
         assertEquals(sentAttempts.size(), 2);
-        // Between these two the first was sent: what is allowed is so for the earlier, what is not for the later one.
+        // The first attempt was sent between these two times: check a permitted retry against the earlier and a
+        // forbidden one against the later.
         assertEquals(
                 maySend(
                         lastAttempt(),
@@ -184,14 +188,17 @@
     public void unwrittenAttemptIsSuppressedOnceTheClientHasGone() {
         openRequest("verify");
         dispatcher.accept(new ProxyEvent.ClientDisconnected("a", client));
-        assertEquals(recordedCalls, List.of("withhold 0"));
+        assertEquals(recordedCalls, List.of("suppress 0"));
         endLastAttempt(AttemptOutcome.SUPPRESSED);
         assertEquals(sentAttempts.size(), 1);
-        openRequest("verify"); // of the first nothing was written, so that its id is free
+        openRequest("verify"); // nothing of the first request was written, so its id may be used again
         assertEquals(sentAttempts.size(), 2);
     }
 
-    /** It never ran: also a class that must not run twice is sent again, and refused rather than failed in the end. */
+    /**
+     * A suppressed attempt never ran: even a request class that must not run twice is retried, and finally rejected
+     * rather than failed.
+     */
     @Test
     public void suppressedAttemptIsRetriedAtAnotherEndpoint() {
         openRequest("pay");
@@ -199,10 +206,10 @@
         assertEquals(sentAttempts.size(), 2);
         endLastAttempt(AttemptOutcome.SUPPRESSED);
         endLastAttempt(AttemptOutcome.SUPPRESSED);
-        assertEquals(recordedCalls, List.of("refused"));
+        assertEquals(recordedCalls, List.of("rejected"));
     }
 
-    // ---- news of which upstream request? ------------------------------------------------------------------
+    // ---- status events that may concern an earlier attempt ------------------------------------------------
 
     @DataProvider
     public Object[][] endStatuses() {
@@ -211,7 +218,10 @@
         };
     }
 
-    /** Late, the end of the first was taken for the end of the second, and a third went out while that ran. */
+    /**
+     * Guards against taking a late end of the first attempt for the end of the second, which let a third attempt be
+     * sent while the second was running.
+     */
     @Test(dataProvider = "endStatuses")
     public void endThatMayBeOfAnEarlierAttemptAtTheSameEndpointCancelsTheAttemptInFlight(ProxyEvent.JobStatus status) {
         listOnlyOneEndpoint();
@@ -222,7 +232,7 @@
         reportStatus(status);
         reportStatus(status);
         assertEquals(sentAttempts.size(), 2);
-        assertEquals(recordedCalls, List.of("withdraw 1 accepted"));
+        assertEquals(recordedCalls, List.of("cancel and report 1 accepted"));
         reportStatus(ProxyEvent.JobStatus.DONE);
         assertEquals(recordedCalls.get(1), "served");
     }
@@ -235,11 +245,14 @@
         awaitAttempts(2);
         reportStatus(ProxyEvent.JobStatus.STARTED);
         reportStatus(ProxyEvent.JobStatus.LOST);
-        assertEquals(recordedCalls, List.of("withdraw 1"));
+        assertEquals(recordedCalls, List.of("cancel and report 1"));
         assertEquals(sentAttempts.size(), 2);
     }
 
-    /** A call that gets no answer is made again: here while the second is being dialled, which cannot have ended. */
+    /**
+     * An endpoint repeats a status event that is not acknowledged; here it arrives while the second attempt is still
+     * connecting and cannot have ended.
+     */
     @Test(dataProvider = "endStatuses")
     public void repeatedStatusIsIgnoredBeforeTheNextAttemptIsWritten(ProxyEvent.JobStatus status) {
         listOnlyOneEndpoint();
@@ -282,29 +295,37 @@
     public Object[][] deadlineCases() {
         return new Object[][] {
             {"pay", true, "failed"},
-            {"pay", false, "refused"},
-            {"verify", true, "refused"},
-            {"verify", false, "refused"}
+            {"pay", false, "rejected"},
+            {"verify", true, "rejected"},
+            {"verify", false, "rejected"}
         };
     }
 
     /**
-     * At the deadline: what may have run of a class that is unsafe to repeat fails, and what was never written may be
-     * handed in anew.
+     * At the deadline a request that may have run fails if its class is unsafe to repeat; one that was never written is
+     * rejected, so that the client may retry.
      */
     @Test(dataProvider = "deadlineCases")
     public void requestNeverWrittenIsRejectedAtItsDeadline(String requestClass, boolean written, String answer) {
         hasWrittenBytes = written;
         loop.start(dispatcher);
         Request request = new Request(
-                "a", requestClass, null, "k", S / 4, Double.NaN, 1, Double.NaN, false); // before it has to be accepted
+                "a",
+                requestClass,
+                null,
+                "k",
+                S / 4,
+                Double.NaN,
+                1,
+                Double.NaN,
+                false); // expires before the accept timeout
         loop.post(new ProxyEvent.RequestArrived(
                 request, new Payload("/" + requestClass, null, new byte[1], 0, 1), client, loop.now()));
         for (int i = 0; i < 2500 && recordedCalls.size() < 2; i++) {
             LockSupport.parkNanos(2_000_000);
         }
         assertEquals(sentAttempts.size(), 1);
-        assertEquals(recordedCalls, List.of("give up 0", answer));
+        assertEquals(recordedCalls, List.of("cancel 0", answer));
     }
 
     private void listOnlyOneEndpoint() {
@@ -318,8 +339,8 @@
     }
 
     /**
-     * The list said anew: the module looks for places when it hears of it, and one that has just turned a job away has
-     * to rest.
+     * Repeats the list update until enough attempts were sent: the load balancer dispatches queued requests when it
+     * receives a list, and waits for a while before it uses an endpoint that has just rejected one.
      */
     private void awaitAttempts(int expectedAttempts) {
         for (int i = 0; i < 500 && sentAttempts.size() < expectedAttempts; i++) {
@@ -341,17 +362,17 @@
 
     @Override
     public void suppressIfUnwritten(UpstreamRequest attempt) {
-        recordedCalls.add("withhold " + attempt.attemptNumber());
+        recordedCalls.add("suppress " + attempt.attemptNumber());
     }
 
     @Override
     public boolean cancelWithoutReport(UpstreamRequest attempt, boolean accepted) {
-        recordedCalls.add("give up " + attempt.attemptNumber());
+        recordedCalls.add("cancel " + attempt.attemptNumber());
         return !hasWrittenBytes;
     }
 
     @Override
     public void cancelAndReportEnd(UpstreamRequest attempt, boolean accepted) {
-        recordedCalls.add("withdraw " + attempt.attemptNumber() + (accepted ? " accepted" : ""));
+        recordedCalls.add("cancel and report " + attempt.attemptNumber() + (accepted ? " accepted" : ""));
     }
 }
--- a/src/test/java/olivechute/proxy/RecentRequestIdsTest.java
+++ b/src/test/java/olivechute/proxy/RecentRequestIdsTest.java
@@ -17,7 +17,7 @@
         assertFalse(recentIds.contains("a", 11 * S));
     }
 
-    /** Of those that ended in ten seconds the oldest go where there are too many. */
+    /** If more than 4,096 requests ended within ten seconds, the oldest ids are dropped. */
     @Test
     public void oldestIdIsDroppedAboveTheMaximum() {
         RecentRequestIds recentIds = new RecentRequestIds();
--- a/src/test/java/olivechute/proxy/RequestDispatcherTest.java
+++ b/src/test/java/olivechute/proxy/RequestDispatcherTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the dispatcher bounds itself, on a loop that never starts. */
+/** Tests of the limits that the dispatcher enforces itself. The event loop is started only where a test needs it. */
 public class RequestDispatcherTest extends StubUpstreamTransport {
     private static final int BODY_BYTES = 64 * 1024;
     private static final long S = 1_000_000;
@@ -55,12 +55,12 @@
         openRequest(dispatcher, "a");
         openRequest(dispatcher, "b");
         openRequest(dispatcher, "c");
-        assertEquals(answers, List.of("c refused"));
+        assertEquals(answers, List.of("c rejected"));
         dispatcher.accept(new ProxyEvent.JobStatusReceived(
                 "a", "s1", ProxyEvent.JobStatus.DONE, 1, new byte[0], LoadReport.NONE));
         openRequest(dispatcher, "d");
         openRequest(dispatcher, "e");
-        assertEquals(answers, List.of("c refused", "a served", "e refused"));
+        assertEquals(answers, List.of("c rejected", "a served", "e rejected"));
     }
 
     private static LoadBalancerSettings settings() {
--- a/src/test/java/olivechute/proxy/RequestMetricsTest.java
+++ b/src/test/java/olivechute/proxy/RequestMetricsTest.java
@@ -22,7 +22,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Lives of streams, and what a tally hears of each: taken once, one end, once. On a loop that never starts. */
+/**
+ * Tests that the metrics count each request once when it is received and once when it ends, and tests of the request
+ * rules. The event loop is never started.
+ */
 public class RequestMetricsTest extends StubUpstreamTransport {
     private static final long MS = 1000;
     private static final long S = 1_000_000;
@@ -62,7 +65,7 @@
     private final class RecordingMetrics implements RequestMetrics {
         @Override
         public void onReceived(int requestClass) {
-            recordedEvents.add("taken " + requestClass);
+            recordedEvents.add("received " + requestClass);
         }
 
         @Override
@@ -72,7 +75,7 @@
 
         @Override
         public void onRejected(int requestClass) {
-            recordedEvents.add("refused " + requestClass);
+            recordedEvents.add("rejected " + requestClass);
         }
 
         @Override
@@ -92,7 +95,7 @@
 
         @Override
         public void onRuleViolated() {
-            recordedEvents.add("broken");
+            recordedEvents.add("violation");
         }
     }
 
@@ -115,7 +118,7 @@
         switch (words[0]) {
             case "open" -> openRequest("a", words[1], words.length > 2 ? Long.parseLong(words[2]) * MS : 0, 1);
             case "another" -> openRequest("b", words[1], 0, 50);
-            case "leave" -> dispatcher.accept(new ProxyEvent.ClientDisconnected("a", client));
+            case "disconnect" -> dispatcher.accept(new ProxyEvent.ClientDisconnected("a", client));
             case "end" ->
                 dispatcher.accept(new ProxyEvent.AttemptEnded(
                         "a", lastAttempt.attemptNumber(), AttemptOutcome.valueOf(words[1]), LoadReport.NONE));
@@ -126,21 +129,29 @@
     @DataProvider
     public Object[][] requestLifecycles() {
         return new Object[][] {
-            // steps, what the tally hears, the client's answers
-            {"open verify, DONE", "taken 0, sent after 0 ms, served 0", "served"},
-            {"open verify 100, STARTED, RUNNING, DONE, DONE, FAILED", "taken 0, sent after 100 ms, served 0", "served"},
-            {"open sign 300, DONE", "taken 1, sent after 300 ms, late 1", "served"},
-            {"open sign, leave, DONE, leave", "taken 1, sent after 0 ms, gone 1", ""},
-            {"open verify, leave, end ERROR", "taken 0, sent after 0 ms, gone 0", ""},
-            {"open pay, DONE, leave", "taken 2, sent after 0 ms, served 2", "served"},
-            {"open pay, FAILED", "taken 2, sent after 0 ms, failed 2", "failed"},
-            {"open pay, RETURNED, DONE", "taken 2, sent after 0 ms, served 2", "served"},
-            {"open verify, end CONNECT_FAILED, end RESET, end RESET", "taken 0, sent after 0 ms, refused 0", "refused"},
-            {"open verify, RETURNED, leave", "taken 0, sent after 0 ms, gone 0", ""},
-            {"open verify, open verify, DONE", "taken 0, sent after 0 ms, served 0", "duplicate, served"},
-            {"open verify, DONE, open verify", "taken 0, sent after 0 ms, served 0", "served, duplicate"},
-            {"another pay, open verify, leave", "taken 2, sent after 0 ms, taken 0, refused 0", "refused"},
-            {"open pay 6000", "taken 2, broken, refused 2", "refused"},
+            // steps, calls of the metrics, answers to the client
+            {"open verify, DONE", "received 0, sent after 0 ms, served 0", "served"},
+            {
+                "open verify 100, STARTED, RUNNING, DONE, DONE, FAILED",
+                "received 0, sent after 100 ms, served 0",
+                "served"
+            },
+            {"open sign 300, DONE", "received 1, sent after 300 ms, late 1", "served"},
+            {"open sign, disconnect, DONE, disconnect", "received 1, sent after 0 ms, gone 1", ""},
+            {"open verify, disconnect, end ERROR", "received 0, sent after 0 ms, gone 0", ""},
+            {"open pay, DONE, disconnect", "received 2, sent after 0 ms, served 2", "served"},
+            {"open pay, FAILED", "received 2, sent after 0 ms, failed 2", "failed"},
+            {"open pay, RETURNED, DONE", "received 2, sent after 0 ms, served 2", "served"},
+            {
+                "open verify, end CONNECT_FAILED, end RESET, end RESET",
+                "received 0, sent after 0 ms, rejected 0",
+                "rejected"
+            },
+            {"open verify, RETURNED, disconnect", "received 0, sent after 0 ms, gone 0", ""},
+            {"open verify, open verify, DONE", "received 0, sent after 0 ms, served 0", "duplicate, served"},
+            {"open verify, DONE, open verify", "received 0, sent after 0 ms, served 0", "served, duplicate"},
+            {"another pay, open verify, disconnect", "received 2, sent after 0 ms, received 0, rejected 0", "rejected"},
+            {"open pay 6000", "received 2, violation, rejected 2", "rejected"},
         };
     }
 
@@ -167,7 +178,8 @@
     public Object[][] objectiveCases() {
         double noEstimate = Double.NaN;
         return new Object[][] {
-            // class, told work, waited, ran (negative: no start was told), left, marked repeat: late?
+            // request class, estimated work, time to the answer, run time (negative: no start was reported), time left,
+            // marked retry, whether it is late
             {VERIFY, noEstimate, 200 * MS, -1L, 5 * S, false, false},
             {VERIFY, noEstimate, 201 * MS, -1L, 5 * S, false, true},
             {VERIFY, 100.0 * MS, 400 * MS, -1L, 5 * S, false, false},
@@ -206,7 +218,7 @@
                 late);
     }
 
-    /** Without marks a repeat cannot be told from a client that waits less. */
+    /** If the settings do not mark retries, a retry cannot be told from a client with a shorter deadline. */
     @Test
     public void unmarkedRetriesCountFromTheirArrival() {
         Request request = new Request("a", "sign", null, "k", S, Double.NaN, 1, Double.NaN, true);
@@ -219,7 +231,7 @@
     @DataProvider
     public Object[][] retryRuleCases() {
         return new Object[][] {
-            // class, since when one may have run (negative: none), may be repeated, may be refused
+            // request class, time since a possible execution (negative: none), may be retried, may be rejected
             {VERIFY, -1L, true, true},
             {VERIFY, 9 * S, true, true},
             {PAY, -1L, true, true},
--- a/src/test/java/olivechute/proxy/StubUpstreamTransport.java
+++ b/src/test/java/olivechute/proxy/StubUpstreamTransport.java
@@ -1,13 +1,13 @@
 package olivechute.proxy;
 
 /**
- * Upstream hosts that take everything and do nothing: a test tells what becomes of it, and overrides what it wants to
- * see.
+ * A transport whose endpoints accept every attempt and never respond. Tests post the events themselves and override the
+ * methods that they observe.
  */
 abstract class StubUpstreamTransport implements UpstreamTransport {
     @Override
     public void onListUpdate(EndpointListUpdate update) {
-        // there is nothing to reach
+        // no endpoint to connect to
     }
 
     @Override
@@ -17,7 +17,7 @@
 
     @Override
     public void send(UpstreamRequest attempt) {
-        // the test tells what becomes of it
+        // the test posts the outcome
     }
 
     @Override
@@ -27,7 +27,7 @@
 
     @Override
     public void suppressIfUnwritten(UpstreamRequest attempt) {
-        // nothing is under way
+        // no connection is open
     }
 
     @Override
@@ -42,11 +42,11 @@
 
     @Override
     public void cancelAndReportEnd(UpstreamRequest attempt, boolean accepted) {
-        // nothing is under way
+        // no connection is open
     }
 
     @Override
     public void closeIdleConnections(String endpoint) {
-        // there are no connections
+        // no connection is open
     }
 }
--- a/src/test/java/olivechute/proxy/TimerWheelTest.java
+++ b/src/test/java/olivechute/proxy/TimerWheelTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The wheel: never early, at most a tick late, also past one turn. */
+/** Timers fire never early and at most one tick late, also after a full revolution of the wheel. */
 public class TimerWheelTest {
     @Test
     public void timersFireInTheirTickAndOnlyOnce() {
