--- a/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
@@ -9,13 +9,13 @@
  */
 final class DiscoveryCallCounts {
     private final Map<Reason, Integer> failuresByReason = new EnumMap<>(Reason.class);
-    private int answered;
+    private int answeredCalls;
     private int consecutiveFailures;
 
     /** Counts an answered call; returns how many calls in a row had failed before it. */
-    synchronized int answered() {
+    synchronized int recordAnswer() {
         int failedBefore = consecutiveFailures;
-        answered++;
+        answeredCalls++;
         consecutiveFailures = 0;
         return failedBefore;
     }
@@ -27,6 +27,6 @@
 
     /** Returns all counts in one line for the log. */
     synchronized String describe() {
-        return "calls answered " + answered + ", failed " + failuresByReason + ", in a row " + consecutiveFailures;
+        return "calls answered " + answeredCalls + ", failed " + failuresByReason + ", in a row " + consecutiveFailures;
     }
 }
--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -285,7 +285,7 @@
         try {
             EndpointListUpdate list = connection.call(currentAddress, sinceVersion, callTimeouts);
             answeredCallSentAtUs = sentAtUs;
-            int failedBefore = callCounts.answered();
+            int failedBefore = callCounts.recordAnswer();
             Logger.debug(
                     "discovery {}: answered after {} ms, version {} to {}, {} entries{}",
                     currentAddress,
--- a/src/main/java/olivechute/proxy/RequestMetrics.java
+++ b/src/main/java/olivechute/proxy/RequestMetrics.java
@@ -2,10 +2,10 @@
 
 /**
  * Receives the outcome of each request, on the event loop: {@link #onReceived} once, then exactly one of
- * {@link #onServed}, {@link #onRejected}, {@link #onFailed} and {@link #onClientDisconnected}. Requests that are open when the
- * process ends have no outcome here. Malformed, unauthorized and duplicate requests are not counted. The node's
- * decision is counted, whether or not the answer reached the client. Request classes are given by their index in the
- * settings.
+ * {@link #onServed}, {@link #onRejected}, {@link #onFailed} and {@link #onClientDisconnected}. Requests that are open
+ * when the process ends have no outcome here. Malformed, unauthorized and duplicate requests are not counted. The
+ * node's decision is counted, whether or not the answer reached the client. Request classes are given by their index in
+ * the settings.
  */
 public interface RequestMetrics {
     /** Discards everything. */
--- a/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
+++ b/src/test/java/olivechute/discovery/EndpointListWatcherTest.java
@@ -110,7 +110,7 @@
 
     private final List<AutoCloseable> openResources = new CopyOnWriteArrayList<>();
     private BlockingQueue<ProxyEvent> events; // belongs to this test's watcher; an earlier one may still post its end
-    private EndpointListWatcher watch;
+    private EndpointListWatcher watcher;
 
     private static byte[] answer(int index, String entries) {
         return MessageWriter.response(
@@ -151,15 +151,15 @@
      * Starts a watch. If a version is known, the watch's first call, which requests changes without waiting, is
      * answered with an unchanged list.
      */
-    private void watch(StubDiscovery discovery, EndpointListUpdate lastKnownList, WatchTimeouts timeouts)
+    private void startWatch(StubDiscovery discovery, EndpointListUpdate lastKnownList, WatchTimeouts timeouts)
             throws Exception {
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(
+        watcher = new EndpointListWatcher(
                 loop, discovery.address(), lastKnownList, timeouts, EndpointListLease.nonExpiring());
-        watch.start();
-        watch.watch();
+        watcher.start();
+        watcher.watch();
         if (!lastKnownList.endpoints().isEmpty()) {
             Call first = discovery.nextCall();
             assertEquals(first.target(), "/registry/instances?since=7&timeout_ms=1");
@@ -205,27 +205,27 @@
 
     @Test(dataProvider = "partialAnswers")
     public void silentWatchIsRepeatedOnANewConnection(int bytes) throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
-        Call first = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
+        Call first = discovery.nextCall();
         assertEquals(first.target(), "/registry/instances?since=7&timeout_ms=300");
         first.write(Arrays.copyOf(CHANGED_LIST, bytes));
-        Call second = registry.nextCall();
+        Call second = discovery.nextCall();
         assertEquals(second.connectionNumber(), 2);
         assertEquals(second.target(), "/registry/instances?since=7&timeout_ms=1");
         second.write(CHANGED_LIST);
         assertListUpdated(8);
-        assertEquals(registry.nextCall().target(), "/registry/instances?since=8&timeout_ms=300");
+        assertEquals(discovery.nextCall().target(), "/registry/instances?since=8&timeout_ms=300");
         assertTrue(events.isEmpty(), "a silent call whose repetition succeeds is not a failure");
     }
 
     /** Uses the timeouts of the product. */
     @Test
     public void silentWatchIsRepeatedBeforeTheMissedChangeCountsAsNotified() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), new WatchTimeouts(false, rules(0), () -> 0));
-        Call first = registry.nextCall();
-        Call second = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), new WatchTimeouts(false, rules(0), () -> 0));
+        Call first = discovery.nextCall();
+        Call second = discovery.nextCall();
         long waitMs = Long.parseLong(first.target().replaceAll(".*timeout_ms=", ""));
         assertTrue((second.receivedAtNanos() - first.receivedAtNanos()) / 1_000_000
                 < Math.max(NOTIFIED_AFTER_MS, waitMs + 2000));
@@ -233,9 +233,9 @@
 
     @Test
     public void slowlyTricklingAnswerTimesOutLikeASilentOne() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
-        Call first = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
+        Call first = discovery.nextCall();
         Threads.start("drops", () -> {
             try {
                 first.write("HTTP/1.1 200 OK\r\nX-Drops: ".getBytes(StandardCharsets.UTF_8));
@@ -247,7 +247,7 @@
                 return;
             }
         });
-        Call second = registry.nextCall();
+        Call second = discovery.nextCall();
         assertEquals(second.connectionNumber(), 2);
         second.write(CHANGED_LIST);
         assertListUpdated(8);
@@ -255,38 +255,38 @@
 
     @Test
     public void silentFullListCallIsRepeatedForTheFullList() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, new EndpointListUpdate(0, true, List.of()), timeouts(SHORT_TIMEOUT_MS, SHORT_TIMEOUT_MS));
-        assertEquals(registry.nextCall().target(), "/registry/instances");
-        Call second = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, new EndpointListUpdate(0, true, List.of()), timeouts(SHORT_TIMEOUT_MS, SHORT_TIMEOUT_MS));
+        assertEquals(discovery.nextCall().target(), "/registry/instances");
+        Call second = discovery.nextCall();
         assertEquals(second.target(), "/registry/instances");
         assertEquals(second.connectionNumber(), 2);
     }
 
     @Test
     public void secondCallIsAnsweredEvenWithoutChanges() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
-        registry.nextCall();
-        Call second = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
+        discovery.nextCall();
+        Call second = discovery.nextCall();
         assertTrue(second.target().endsWith("timeout_ms=1"), second.target());
         second.write(UNCHANGED_LIST);
         assertListUpdated(7);
-        Call third = registry.nextCall();
+        Call third = discovery.nextCall();
         assertEquals(third.connectionNumber(), 2);
         assertFalse(third.target().endsWith("timeout_ms=1"), third.target());
     }
 
     @Test
     public void secondSilenceIsAFailureAndTheLoadBalancerRestartsTheWatch() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(SHORT_TIMEOUT_MS, SHORT_TIMEOUT_MS));
-        registry.nextCall();
-        registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(SHORT_TIMEOUT_MS, SHORT_TIMEOUT_MS));
+        discovery.nextCall();
+        discovery.nextCall();
         assertTrue(nextEvent() instanceof ProxyEvent.ListWatchFailed);
-        assertTrue(registry.calls.isEmpty());
-        watch.watch();
-        Call third = registry.nextCall();
+        assertTrue(discovery.calls.isEmpty());
+        watcher.watch();
+        Call third = discovery.nextCall();
         assertEquals(third.connectionNumber(), 3);
         third.write(CHANGED_LIST);
         assertListUpdated(8);
@@ -298,11 +298,11 @@
      */
     @Test
     public void slowDiscoveryIsGivenLongerTimeouts() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, new EndpointListUpdate(0, true, List.of()), timeouts(NO_TIMEOUT_MS, SHORT_TIMEOUT_MS));
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, new EndpointListUpdate(0, true, List.of()), timeouts(NO_TIMEOUT_MS, SHORT_TIMEOUT_MS));
         Threads.start("slow", () -> {
             try {
-                for (Call call = registry.calls.take(); ; call = registry.calls.take()) {
+                for (Call call = discovery.calls.take(); ; call = discovery.calls.take()) {
                     Thread.sleep(3 * SHORT_TIMEOUT_MS);
                     answerUnlessClosed(call);
                 }
@@ -312,7 +312,7 @@
         });
         ProxyEvent event = nextEvent();
         for (int failed = 0; event instanceof ProxyEvent.ListWatchFailed && failed < 5; failed++) {
-            watch.watch();
+            watcher.watch();
             event = nextEvent();
         }
         assertTrue(event instanceof ProxyEvent.ListUpdated, String.valueOf(event));
@@ -328,11 +328,11 @@
 
     @Test
     public void rejectedCallIsAnImmediateFailure() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
-        registry.nextCall().write(MessageWriter.response(503, new byte[0], true));
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        discovery.nextCall().write(MessageWriter.response(503, new byte[0], true));
         assertTrue(nextEvent() instanceof ProxyEvent.ListWatchFailed);
-        assertTrue(registry.calls.isEmpty());
+        assertTrue(discovery.calls.isEmpty());
     }
 
     /**
@@ -341,16 +341,16 @@
      */
     @Test
     public void callAfterARejectionDoesNotWaitForChanges() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
-        registry.nextCall().write(MessageWriter.response(503, new byte[0], true));
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        discovery.nextCall().write(MessageWriter.response(503, new byte[0], true));
         assertTrue(nextEvent() instanceof ProxyEvent.ListWatchFailed);
-        watch.watch();
-        Call nextCall = registry.nextCall();
+        watcher.watch();
+        Call nextCall = discovery.nextCall();
         assertEquals(nextCall.target(), "/registry/instances?since=7&timeout_ms=1");
         nextCall.write(UNCHANGED_LIST);
         assertListUpdated(7);
-        assertEquals(registry.nextCall().target(), "/registry/instances?since=7&timeout_ms=300");
+        assertEquals(discovery.nextCall().target(), "/registry/instances?since=7&timeout_ms=300");
     }
 
     /** Number of silent calls at the old address before the move. */
@@ -363,11 +363,11 @@
     public void moveDuringASilentCallPollsTheNewAddressImmediately(int calls) throws Exception {
         StubDiscovery oldDiscovery = new StubDiscovery();
         StubDiscovery newDiscovery = new StubDiscovery();
-        watch(oldDiscovery, knownList(), timeouts(calls == 1 ? NO_TIMEOUT_MS : SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
+        startWatch(oldDiscovery, knownList(), timeouts(calls == 1 ? NO_TIMEOUT_MS : SHORT_TIMEOUT_MS, NO_TIMEOUT_MS));
         for (int i = 0; i < calls; i++) {
             oldDiscovery.nextCall();
         }
-        watch.moveTo(newDiscovery.address());
+        watcher.moveTo(newDiscovery.address());
         Call moved = newDiscovery.nextCall();
         assertEquals(moved.target(), "/registry/instances?since=7&timeout_ms=1");
         moved.write(CHANGED_LIST);
@@ -384,9 +384,9 @@
     public void moveToADiscoveryWithALowerVersionRequestsTheFullList() throws Exception {
         StubDiscovery oldDiscovery = new StubDiscovery();
         StubDiscovery newDiscovery = new StubDiscovery();
-        watch(oldDiscovery, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        startWatch(oldDiscovery, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
         oldDiscovery.nextCall();
-        watch.moveTo(newDiscovery.address());
+        watcher.moveTo(newDiscovery.address());
         newDiscovery.nextCall().write(answer(3, ""));
         Call fullListCall = newDiscovery.nextCall();
         assertEquals(fullListCall.target(), "/registry/instances");
@@ -406,12 +406,12 @@
      */
     @Test
     public void truncatedAnswerIsRequestedAgainImmediately() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
-        Call first = registry.nextCall();
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, knownList(), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        Call first = discovery.nextCall();
         first.write(Arrays.copyOf(CHANGED_LIST, CHANGED_LIST.length - 5));
         first.socket().close();
-        Call second = registry.nextCall();
+        Call second = discovery.nextCall();
         assertEquals(second.target(), "/registry/instances?since=7&timeout_ms=1");
         second.write(CHANGED_LIST);
         assertListUpdated(8);
@@ -431,9 +431,9 @@
                             i));
         }
         text.append("\n  ]\n}");
-        StubDiscovery registry = new StubDiscovery();
-        watch(registry, new EndpointListUpdate(0, true, List.of()), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
-        registry.nextCall().write(MessageWriter.response(200, text.toString().getBytes(StandardCharsets.UTF_8), true));
+        StubDiscovery discovery = new StubDiscovery();
+        startWatch(discovery, new EndpointListUpdate(0, true, List.of()), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        discovery.nextCall().write(MessageWriter.response(200, text.toString().getBytes(StandardCharsets.UTF_8), true));
         ProxyEvent event = nextEvent();
         assertTrue(event instanceof ProxyEvent.ListUpdated, String.valueOf(event));
         assertEquals(((ProxyEvent.ListUpdated) event).update().endpoints().size(), servers);
@@ -455,9 +455,9 @@
         events = new LinkedBlockingQueue<>();
         EventLoop loop = new EventLoop();
         loop.start(events::add);
-        watch = new EndpointListWatcher(
+        watcher = new EndpointListWatcher(
                 loop, agent.address(), knownList(), pushedTimeouts(), EndpointListLease.nonExpiring());
-        watch.start();
+        watcher.start();
     }
 
     /**
@@ -471,7 +471,7 @@
         Call first = agent.nextCall();
         assertTrue(first.target().startsWith("/registry/instances?since=7&"), first.target());
         first.write(CHANGED_LIST);
-        watch.awaitFirstAnswer();
+        watcher.awaitFirstAnswer();
         assertFalse(events.isEmpty(), "the list is posted before the node accepts requests");
         assertListUpdated(8);
         assertTrue(agent.nextCall().target().contains("since=8&"));
@@ -516,14 +516,15 @@
      */
     @Test
     public void implausibleListAppliesToItsNamedEndpointsAtOnce() throws Exception {
-        StubDiscovery registry = new StubDiscovery();
+        StubDiscovery discovery = new StubDiscovery();
         List<ResolvedEndpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             endpoints.add(new ResolvedEndpoint(
                     new EndpointInfo("h" + i, "a", "k", 0, EndpointState.ACTIVE, 1, 0), "127.0.0.1:9"));
         }
-        watch(registry, new EndpointListUpdate(7, true, endpoints), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
-        registry.nextCall()
+        startWatch(discovery, new EndpointListUpdate(7, true, endpoints), timeouts(NO_TIMEOUT_MS, NO_TIMEOUT_MS));
+        discovery
+                .nextCall()
                 .write(MessageWriter.response(
                         200,
                         ("{\"index\":8,\"snapshot\":true,\"endpoints\":[{\"name\":\"h0\","
@@ -534,6 +535,6 @@
         EndpointListUpdate list = ((ProxyEvent.ListUpdated) event).update();
         assertFalse(list.complete(), "a change of one endpoint");
         assertEquals(list.endpoints().get(0).info().state(), EndpointState.DRAINING);
-        assertEquals(registry.nextCall().target(), "/registry/instances");
+        assertEquals(discovery.nextCall().target(), "/registry/instances");
     }
 }
