--- a/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
+++ b/src/test/java/olivechute/loadbalancing/ShareLoadBalancerTest.java
@@ -481,7 +481,7 @@
                 .map(request -> request.endpoints.get(0))
                 .distinct()
                 .count();
-        assertTrue(used <= 10, used + " workers used");
+        assertTrue(used <= 10, used + " endpoints used");
     }
 
     @Test
