--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -182,9 +182,8 @@
         if (currentAddress != connection.address()) {
             currentAddress = connection.address();
             nextCallMayWait = false;
-            heldVersion = watchTimeouts.pushed()
-                    ? DiscoveryConnection.FULL_LIST
-                    : heldVersion; // a different agent, which sends the full list at no cost
+            // A different agent sends the full list at no cost.
+            heldVersion = watchTimeouts.pushed() ? DiscoveryConnection.FULL_LIST : heldVersion;
             connection.close();
         }
         long startNanos = System.nanoTime();
@@ -209,8 +208,8 @@
         nextCallMayWait = true;
         firstAnswerLatch.countDown();
         if (unchanged && System.nanoTime() - startNanos < MIN_POLL_INTERVAL_NANOS) {
-            Thread.sleep(MIN_POLL_INTERVAL_NANOS
-                    / 1_000_000); // a service that answers without waiting must not be polled in a tight loop
+            // A service that answers without waiting must not be polled in a tight loop.
+            Thread.sleep(MIN_POLL_INTERVAL_NANOS / 1_000_000);
         }
     }
 
