--- a/src/main/java/olivechute/cli/StoreCommand.java
+++ b/src/main/java/olivechute/cli/StoreCommand.java
@@ -41,12 +41,12 @@
             // The driver is a client like any other: that the lead is its own process saves it nothing but a hop.
             new RolloutController(
                             RatisStore.connect(own.region(), own.replicas(), PATIENCE),
-                            replica::leads,
+                            replica::isLeader,
                             System::currentTimeMillis,
                             rollout,
                             own.id())
                     .start();
-            FleetException fault = replica.ended().join();
+            FleetException fault = replica.terminated().join();
             if (fault == null) {
                 return 0;
             }
--- a/src/main/java/olivechute/controller/FleetState.java
+++ b/src/main/java/olivechute/controller/FleetState.java
@@ -40,7 +40,7 @@
      * place.
      */
     void apply(Store.Changes changes) {
-        if (changes.whole()) {
+        if (changes.complete()) {
             Set<String> missingKeys = new TreeSet<>(entries.keySet());
             changes.entries().forEach(e -> missingKeys.remove(e.key()));
             missingKeys.forEach(this::remove);
--- a/src/main/java/olivechute/store/BatchExecutor.java
+++ b/src/main/java/olivechute/store/BatchExecutor.java
@@ -9,85 +9,85 @@
 
 /** Carries out batches of writes: first all checks, then all writes. */
 final class BatchExecutor {
-    private final StoreLimits bounds;
+    private final StoreLimits limits;
 
-    BatchExecutor(StoreLimits bounds) {
-        this.bounds = bounds;
+    BatchExecutor(StoreLimits limits) {
+        this.limits = limits;
     }
 
     /** The state after the batch. */
     StoreState apply(StoreState state, Batch batch) throws CommandRejectedException {
-        measure(batch);
+        validate(batch);
         for (Fence fence : batch.getFencesList()) {
-            hold(state, fence);
+            checkFence(state, fence);
         }
         for (Put put : batch.getPutsList()) {
-            allow(state, put);
+            checkPreconditions(state, put);
         }
-        StateTransaction draft = new StateTransaction(state, bounds);
+        StateTransaction transaction = new StateTransaction(state, limits);
         for (Put put : batch.getPutsList()) {
             if (put.getDelete()) {
-                draft.delete(put.getKey());
+                transaction.delete(put.getKey());
             } else {
-                draft.put(put.getKey(), put.getValue(), put.getSession());
+                transaction.put(put.getKey(), put.getValue(), put.getSession());
             }
         }
-        if (draft.keys() > bounds.keys() && draft.keys() > state.entries().size()) {
+        if (transaction.keyCount() > limits.maxKeys() && transaction.keyCount() > state.entries().size()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_MANY, "with these writes there are " + draft.keys() + " keys, over " + bounds.keys());
+                    ErrorCode.TOO_MANY, "with these writes there are " + transaction.keyCount() + " keys, over " + limits.maxKeys());
         }
-        if (draft.bytes() > bounds.bytes() && draft.bytes() > state.bytes()) {
+        if (transaction.totalBytes() > limits.maxTotalBytes() && transaction.totalBytes() > state.totalBytes()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY,
-                    "with these writes there are " + draft.bytes() + " bytes, over " + bounds.bytes());
+                    "with these writes there are " + transaction.totalBytes() + " bytes, over " + limits.maxTotalBytes());
         }
-        return draft.done();
+        return transaction.commit();
     }
 
-    private void measure(Batch batch) throws CommandRejectedException {
-        if (batch.getPutsCount() > bounds.batch() || batch.getFencesCount() > bounds.batch()) {
+    private void validate(Batch batch) throws CommandRejectedException {
+        if (batch.getPutsCount() > limits.maxBatchSize() || batch.getFencesCount() > limits.maxBatchSize()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_LARGE,
                     "a batch of " + batch.getPutsCount() + " writes and " + batch.getFencesCount() + " fences, over "
-                            + bounds.batch());
+                            + limits.maxBatchSize());
         }
         Set<String> keys = new HashSet<>();
         for (Put put : batch.getPutsList()) {
-            KeyValidator.check("key", put.getKey(), bounds);
+            KeyValidator.validate("key", put.getKey(), limits);
             if (!keys.add(put.getKey())) {
                 throw new CommandRejectedException(
                         ErrorCode.MALFORMED, "key '" + put.getKey() + "' is twice in a batch");
             }
-            if (put.getValue().size() > bounds.valueBytes()) {
+            if (put.getValue().size() > limits.maxValueBytes()) {
                 throw new CommandRejectedException(
                         ErrorCode.TOO_LARGE,
                         "the value of '" + put.getKey() + "' has "
-                                + put.getValue().size() + " bytes, over " + bounds.valueBytes());
+                                + put.getValue().size() + " bytes, over " + limits.maxValueBytes());
             }
         }
     }
 
-    private static void hold(StoreState state, Fence fence) throws CommandRejectedException {
-        long highest = state.fences().getOrDefault(fence.getDomain(), 0L);
-        if (fence.getNumber() < highest) {
+    private static void checkFence(StoreState state, Fence fence) throws CommandRejectedException {
+        long newestToken = state.fences().getOrDefault(fence.getDomain(), 0L);
+        if (fence.getNumber() < newestToken) {
             throw new CommandRejectedException(
                     ErrorCode.STALE_FENCE,
-                    "fence " + fence.getNumber() + " of '" + fence.getDomain() + "', " + highest + " was given since");
+                    "fence " + fence.getNumber() + " of '" + fence.getDomain() + "', " + newestToken + " was given since");
         }
-        LeaseEntry lease = state.leases().named(fence.getDomain());
+        LeaseEntry lease = state.leases().findByName(fence.getDomain());
         if (lease == null || lease.session() != fence.getNumber()) {
             throw new CommandRejectedException(
                     ErrorCode.SESSION_ENDED, "fence " + fence.getNumber() + " of '" + fence.getDomain() + "'");
         }
     }
 
-    private static void allow(StoreState state, Put put) throws CommandRejectedException {
-        if (put.getSession() != 0 && !put.getDelete() && state.leases().of(put.getSession()) == null) {
+    private static void checkPreconditions(StoreState state, Put put) throws CommandRejectedException {
+        if (put.getSession() != 0 && !put.getDelete() && state.leases().findBySession(put.getSession()) == null) {
             throw new CommandRejectedException(
                     ErrorCode.SESSION_ENDED, "session " + put.getSession() + " that '" + put.getKey() + "' goes with");
         }
-        VersionedValue present = state.entries().get(put.getKey());
-        long version = present == null ? 0 : present.version();
+        VersionedValue stored = state.entries().get(put.getKey());
+        long version = stored == null ? 0 : stored.version();
         if (put.getConditional() && put.getIfVersion() != version) {
             throw new CommandRejectedException(
                     ErrorCode.CONFLICT,
--- a/src/main/java/olivechute/store/ChangeHistory.java
+++ b/src/main/java/olivechute/store/ChangeHistory.java
@@ -11,32 +11,32 @@
  * @param size number of keys over all versions
  * @param from the lowest version after which every change is known
  */
-record ChangeHistory(TreePMap<Long, List<String>> changed, int size, long from) {
+record ChangeHistory(TreePMap<Long, List<String>> keysByVersion, int keyCount, long completeSince) {
     /** One that begins after a version. */
-    static ChangeHistory after(long version) {
+    static ChangeHistory startingAfter(long version) {
         return new ChangeHistory(TreePMap.empty(), 0, version);
     }
 
     /** With the keys that changed at a version, less the oldest ones over the bound. */
-    ChangeHistory with(long version, List<String> keys, int bound) {
-        TreePMap<Long, List<String>> kept = changed.plus(version, keys);
-        int left = size + keys.size();
-        long begin = from;
-        while (left > bound) {
-            begin = kept.firstKey();
-            left -= kept.get(begin).size();
-            kept = kept.minus(begin);
+    ChangeHistory append(long version, List<String> keys, int maxKeys) {
+        TreePMap<Long, List<String>> remaining = keysByVersion.plus(version, keys);
+        int remainingKeys = keyCount + keys.size();
+        long start = completeSince;
+        while (remainingKeys > maxKeys) {
+            start = remaining.firstKey();
+            remainingKeys -= remaining.get(start).size();
+            remaining = remaining.minus(start);
         }
-        return new ChangeHistory(kept, left, begin);
+        return new ChangeHistory(remaining, remainingKeys, start);
     }
 
     /** Whether every change after this version is known. */
-    boolean reaches(long since) {
-        return since >= from;
+    boolean covers(long since) {
+        return since >= completeSince;
     }
 
     /** The keys of each version after this one, oldest first. */
-    Iterable<List<String>> since(long version) {
-        return changed.tailMap(version, false).values();
+    Iterable<List<String>> changesSince(long version) {
+        return keysByVersion.tailMap(version, false).values();
     }
 }
--- a/src/main/java/olivechute/store/CommandRejectedException.java
+++ b/src/main/java/olivechute/store/CommandRejectedException.java
@@ -7,12 +7,12 @@
 final class CommandRejectedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    private final transient Refusal refusal;
+    private final transient Refusal rejection;
 
     /** {@code version}: the present one of the key in question, 0 where that says nothing. */
     CommandRejectedException(ErrorCode kind, String text, long version) {
         super(text, null, false, false);
-        refusal = Refusal.newBuilder()
+        rejection = Refusal.newBuilder()
                 .setKind(kind.name())
                 .setText(text)
                 .setVersion(version)
@@ -23,7 +23,7 @@
         this(kind, text, 0);
     }
 
-    Refusal refusal() {
-        return refusal;
+    Refusal rejection() {
+        return rejection;
     }
 }
--- a/src/main/java/olivechute/store/EntrySizes.java
+++ b/src/main/java/olivechute/store/EntrySizes.java
@@ -7,7 +7,7 @@
     private EntrySizes() {}
 
     /** Bytes of a text in UTF-8; each half of a pair counts two. */
-    static int of(String text) {
+    static int sizeInBytes(String text) {
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -16,7 +16,7 @@
         return bytes;
     }
 
-    static long of(String key, ByteString value) {
-        return (long) of(key) + value.size();
+    static long sizeInBytes(String key, ByteString value) {
+        return (long) sizeInBytes(key) + value.size();
     }
 }
--- a/src/main/java/olivechute/store/FeatureLevels.java
+++ b/src/main/java/olivechute/store/FeatureLevels.java
@@ -6,50 +6,50 @@
 
 /** Keeps the group's feature level at or below what every replica knows. */
 final class FeatureLevels {
-    private final StoreLimits bounds;
+    private final StoreLimits limits;
 
-    FeatureLevels(StoreLimits bounds) {
-        this.bounds = bounds;
+    FeatureLevels(StoreLimits limits) {
+        this.limits = limits;
     }
 
     /** Notes what a replica knows; 0 strikes it off. */
-    StoreState announce(StoreState state, Announce told) throws CommandRejectedException {
-        KeyValidator.check("replica's name", told.getReplica(), bounds);
-        StateTransaction draft = new StateTransaction(state, bounds);
-        if (told.getKnows() == 0) {
-            draft.announced = draft.announced.minus(told.getReplica());
-            return draft.done();
+    StoreState announce(StoreState state, Announce announcement) throws CommandRejectedException {
+        KeyValidator.validate("replica's name", announcement.getReplica(), limits);
+        StateTransaction transaction = new StateTransaction(state, limits);
+        if (announcement.getKnows() == 0) {
+            transaction.announcedLevels = transaction.announcedLevels.minus(announcement.getReplica());
+            return transaction.commit();
         }
-        if (Integer.compareUnsigned(told.getKnows(), state.level()) < 0) {
+        if (Integer.compareUnsigned(announcement.getKnows(), state.featureLevel()) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "replica '" + told.getReplica() + "' knows level " + told.getKnows() + ", the group is at "
-                            + state.level());
+                    "replica '" + announcement.getReplica() + "' knows level " + announcement.getKnows() + ", the group is at "
+                            + state.featureLevel());
         }
-        draft.announced = draft.announced.plus(told.getReplica(), told.getKnows());
-        if (draft.announced.size() > bounds.members()) {
+        transaction.announcedLevels = transaction.announcedLevels.plus(announcement.getReplica(), announcement.getKnows());
+        if (transaction.announcedLevels.size() > limits.maxReplicas()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_MANY, "over " + bounds.members() + " replicas told their feature level");
+                    ErrorCode.TOO_MANY, "over " + limits.maxReplicas() + " replicas told their feature level");
         }
-        return draft.done();
+        return transaction.commit();
     }
 
     StoreState raise(StoreState state, int level) throws CommandRejectedException {
-        if (Integer.compareUnsigned(level, state.level()) <= 0) {
+        if (Integer.compareUnsigned(level, state.featureLevel()) <= 0) {
             return state;
         }
-        if (state.announced().isEmpty()) {
+        if (state.announcedLevels().isEmpty()) {
             throw new CommandRejectedException(ErrorCode.LEVEL_TOO_LOW, "no replica told which level it knows");
         }
-        int lowest = Collections.min(state.announced().values(), Integer::compareUnsigned);
-        if (Integer.compareUnsigned(lowest, level) < 0) {
+        int lowestKnown = Collections.min(state.announcedLevels().values(), Integer::compareUnsigned);
+        if (Integer.compareUnsigned(lowestKnown, level) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
                     "level " + Integer.toUnsignedString(level) + ", but a replica knows only "
-                            + Integer.toUnsignedString(lowest) + ": " + state.announced());
+                            + Integer.toUnsignedString(lowestKnown) + ": " + state.announcedLevels());
         }
-        StateTransaction draft = new StateTransaction(state, bounds);
-        draft.level(level);
-        return draft.done();
+        StateTransaction transaction = new StateTransaction(state, limits);
+        transaction.featureLevel(level);
+        return transaction.commit();
     }
 }
--- a/src/main/java/olivechute/store/KeyValidator.java
+++ b/src/main/java/olivechute/store/KeyValidator.java
@@ -6,14 +6,14 @@
 final class KeyValidator {
     private KeyValidator() {}
 
-    static void check(String what, String text, StoreLimits bounds) throws CommandRejectedException {
-        if (text.isEmpty()) {
-            throw new CommandRejectedException(ErrorCode.MALFORMED, "an empty " + what);
+    static void validate(String label, String value, StoreLimits limits) throws CommandRejectedException {
+        if (value.isEmpty()) {
+            throw new CommandRejectedException(ErrorCode.MALFORMED, "an empty " + label);
         }
-        int bytes = EntrySizes.of(text);
-        if (bytes > bounds.keyBytes()) {
+        int bytes = EntrySizes.sizeInBytes(value);
+        if (bytes > limits.maxKeyBytes()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_LARGE, "a " + what + " of " + bytes + " bytes, over " + bounds.keyBytes());
+                    ErrorCode.TOO_LARGE, "a " + label + " of " + bytes + " bytes, over " + limits.maxKeyBytes());
         }
     }
 }
--- a/src/main/java/olivechute/store/LeaseManager.java
+++ b/src/main/java/olivechute/store/LeaseManager.java
@@ -6,10 +6,10 @@
 
 /** Takes, prolongs and ends leases. */
 final class LeaseManager {
-    private final StoreLimits bounds;
+    private final StoreLimits limits;
 
-    LeaseManager(StoreLimits bounds) {
-        this.bounds = bounds;
+    LeaseManager(StoreLimits limits) {
+        this.limits = limits;
     }
 
     /**
@@ -17,87 +17,87 @@
      * ends after that.
      */
     StoreState advance(StoreState state, long nowMs) {
-        StateTransaction draft = new StateTransaction(state, bounds);
-        draft.clock(nowMs);
-        for (LeaseEntry next = draft.leases.next();
-                next != null && next.endsMs() <= nowMs;
-                next = draft.leases.next()) {
-            draft.end(next);
+        StateTransaction transaction = new StateTransaction(state, limits);
+        transaction.advanceClock(nowMs);
+        for (LeaseEntry lease = transaction.leases.nextToExpire();
+                lease != null && lease.expiresAtMs() <= nowMs;
+                lease = transaction.leases.nextToExpire()) {
+            transaction.endLease(lease);
         }
-        return draft.done();
+        return transaction.commit();
     }
 
-    StoreState acquire(StoreState state, Acquire asked) throws CommandRejectedException {
-        KeyValidator.check("lease's name", asked.getName(), bounds);
-        KeyValidator.check("lease's owner", asked.getOwner(), bounds);
-        if (asked.getTtlMs() <= 0) {
-            throw new CommandRejectedException(ErrorCode.MALFORMED, "lease '" + asked.getName() + "' without a term");
+    StoreState acquire(StoreState state, Acquire request) throws CommandRejectedException {
+        KeyValidator.validate("lease's name", request.getName(), limits);
+        KeyValidator.validate("lease's owner", request.getOwner(), limits);
+        if (request.getTtlMs() <= 0) {
+            throw new CommandRejectedException(ErrorCode.MALFORMED, "lease '" + request.getName() + "' without a term");
         }
-        LeaseEntry before = state.leases().named(asked.getName());
-        if (before != null && !before.owner().equals(asked.getOwner())) {
+        LeaseEntry held = state.leases().findByName(request.getName());
+        if (held != null && !held.owner().equals(request.getOwner())) {
             throw new CommandRejectedException(
                     ErrorCode.LEASE_HELD,
-                    "'" + before.owner() + "' has '" + asked.getName() + "' for " + (before.endsMs() - state.clockMs())
+                    "'" + held.owner() + "' has '" + request.getName() + "' for " + (held.expiresAtMs() - state.clockMs())
                             + " ms more unless it prolongs it");
         }
-        if (before == null && state.leases().size() >= bounds.leases()) {
+        if (held == null && state.leases().size() >= limits.maxLeases()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY, "there are " + state.leases().size() + " leases");
         }
-        StateTransaction draft = new StateTransaction(state, bounds);
-        if (before != null) {
-            draft.end(before);
+        StateTransaction transaction = new StateTransaction(state, limits);
+        if (held != null) {
+            transaction.endLease(held);
         }
-        long session = draft.number();
-        draft.leases = draft.leases.with(new LeaseEntry(
-                asked.getName(),
-                asked.getOwner(),
+        long session = transaction.allocateSession();
+        transaction.leases = transaction.leases.with(new LeaseEntry(
+                request.getName(),
+                request.getOwner(),
                 session,
-                asked.getTtlMs(),
-                LeaseEntry.end(state.clockMs(), asked.getTtlMs())));
-        draft.fences = draft.fences.plus(asked.getName(), session);
-        forget(draft);
-        return draft.done();
+                request.getTtlMs(),
+                LeaseEntry.expiryMs(state.clockMs(), request.getTtlMs())));
+        transaction.fences = transaction.fences.plus(request.getName(), session);
+        evictOldestFence(transaction);
+        return transaction.commit();
     }
 
     StoreState renew(StoreState state, long session) throws CommandRejectedException {
-        LeaseEntry lease = state.leases().of(session);
+        LeaseEntry lease = state.leases().findBySession(session);
         if (lease == null) {
             throw new CommandRejectedException(ErrorCode.SESSION_ENDED, "session " + session);
         }
-        StateTransaction draft = new StateTransaction(state, bounds);
-        draft.leases = draft.leases.with(lease.renewed(state.clockMs()));
-        return draft.done();
+        StateTransaction transaction = new StateTransaction(state, limits);
+        transaction.leases = transaction.leases.with(lease.renewed(state.clockMs()));
+        return transaction.commit();
     }
 
     /** Ends a lease; one that ended already is as well. */
     StoreState release(StoreState state, long session) {
-        LeaseEntry lease = state.leases().of(session);
+        LeaseEntry lease = state.leases().findBySession(session);
         if (lease == null) {
             return state;
         }
-        StateTransaction draft = new StateTransaction(state, bounds);
-        draft.end(lease);
-        return draft.done();
+        StateTransaction transaction = new StateTransaction(state, limits);
+        transaction.endLease(lease);
+        return transaction.commit();
     }
 
     /**
      * A fence needs its lease, and each new session is higher than all before: a domain without a lease may be
      * forgotten.
      */
-    private void forget(StateTransaction draft) {
-        if (draft.fences.size() <= 2 * bounds.leases()) {
+    private void evictOldestFence(StateTransaction transaction) {
+        if (transaction.fences.size() <= 2 * limits.maxLeases()) {
             return;
         }
-        Map.Entry<String, Long> lowest = null;
-        for (Map.Entry<String, Long> fence : draft.fences.entrySet()) {
-            if (draft.leases.named(fence.getKey()) == null
-                    && (lowest == null || fence.getValue() < lowest.getValue())) {
-                lowest = fence;
+        Map.Entry<String, Long> oldest = null;
+        for (Map.Entry<String, Long> fence : transaction.fences.entrySet()) {
+            if (transaction.leases.findByName(fence.getKey()) == null
+                    && (oldest == null || fence.getValue() < oldest.getValue())) {
+                oldest = fence;
             }
         }
-        if (lowest != null) {
-            draft.fences = draft.fences.minus(lowest.getKey());
+        if (oldest != null) {
+            transaction.fences = transaction.fences.minus(oldest.getKey());
         }
     }
 }
--- a/src/main/java/olivechute/store/LeaseTable.java
+++ b/src/main/java/olivechute/store/LeaseTable.java
@@ -5,34 +5,34 @@
 
 /** The leases held, by session, by name and by the moment they end. */
 record LeaseTable(
-        TreePMap<Long, LeaseEntry> bySession, TreePMap<String, LeaseEntry> byName, TreePSet<LeaseEntry> byEnd) {
-    static final LeaseTable NONE = new LeaseTable(TreePMap.empty(), TreePMap.empty(), TreePSet.empty());
+        TreePMap<Long, LeaseEntry> bySession, TreePMap<String, LeaseEntry> byName, TreePSet<LeaseEntry> byExpiry) {
+    static final LeaseTable EMPTY = new LeaseTable(TreePMap.empty(), TreePMap.empty(), TreePSet.empty());
 
     /** With this lease, in place of the one of its name. */
     LeaseTable with(LeaseEntry lease) {
-        LeaseEntry before = byName.get(lease.name());
-        LeaseTable rest = before == null ? this : without(before);
+        LeaseEntry replaced = byName.get(lease.name());
+        LeaseTable others = replaced == null ? this : without(replaced);
         return new LeaseTable(
-                rest.bySession.plus(lease.session(), lease),
-                rest.byName.plus(lease.name(), lease),
-                rest.byEnd.plus(lease));
+                others.bySession.plus(lease.session(), lease),
+                others.byName.plus(lease.name(), lease),
+                others.byExpiry.plus(lease));
     }
 
     LeaseTable without(LeaseEntry lease) {
-        return new LeaseTable(bySession.minus(lease.session()), byName.minus(lease.name()), byEnd.minus(lease));
+        return new LeaseTable(bySession.minus(lease.session()), byName.minus(lease.name()), byExpiry.minus(lease));
     }
 
-    LeaseEntry of(long session) {
+    LeaseEntry findBySession(long session) {
         return bySession.get(session);
     }
 
-    LeaseEntry named(String name) {
+    LeaseEntry findByName(String name) {
         return byName.get(name);
     }
 
     /** The one that ends next, null where none is held. */
-    LeaseEntry next() {
-        return byEnd.isEmpty() ? null : byEnd.first();
+    LeaseEntry nextToExpire() {
+        return byExpiry.isEmpty() ? null : byExpiry.first();
     }
 
     int size() {
--- a/src/main/java/olivechute/store/MemoryStore.java
+++ b/src/main/java/olivechute/store/MemoryStore.java
@@ -20,21 +20,21 @@
  */
 public final class MemoryStore implements Store {
     private final LongSupplier clockMs;
-    private final StoreStateMachine machine;
+    private final StoreStateMachine stateMachine;
     private final WatchRegistry watches;
     private final CompletableFuture<Void> closed = new CompletableFuture<>();
     private StoreState state = StoreState.EMPTY;
 
     /** {@code clockMs}: ms since the epoch, or since whatever the caller likes. */
     public MemoryStore(LongSupplier clockMs) {
-        this(clockMs, StoreLimits.USUAL);
+        this(clockMs, StoreLimits.DEFAULTS);
     }
 
     /** With bounds of its own. */
-    public MemoryStore(LongSupplier clockMs, StoreLimits bounds) {
+    public MemoryStore(LongSupplier clockMs, StoreLimits limits) {
         this.clockMs = clockMs;
-        machine = new StoreStateMachine(bounds);
-        watches = new WatchRegistry(bounds, state);
+        stateMachine = new StoreStateMachine(limits);
+        watches = new WatchRegistry(limits, state);
     }
 
     @Override
@@ -54,27 +54,27 @@
 
     @Override
     public Changes watch(String prefix, long since, Duration wait) throws StoreException {
-        open();
+        checkOpen();
         Query query = StoreMessages.watch(prefix, since, wait);
         long deadlineMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
                 + query.getWatch().getWaitMs();
-        CompletableFuture<Reply> answer = watches.register(query.getWatch().getPrefix(), since, deadlineMs);
+        CompletableFuture<Reply> pending = watches.register(query.getWatch().getPrefix(), since, deadlineMs);
         try {
-            CompletableFuture.anyOf(answer, closed).get(query.getWatch().getWaitMs(), TimeUnit.MILLISECONDS);
+            CompletableFuture.anyOf(pending, closed).get(query.getWatch().getWaitMs(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             watches.expire(deadlineMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            answer.cancel(false);
+            pending.cancel(false);
             throw new StoreException(ErrorCode.NOT_REACHED, "a watch that was interrupted", e);
         } catch (ExecutionException e) {
             throw new StoreException(ErrorCode.NOT_REACHED, "a watch that failed", e);
         }
-        if (!answer.isDone()) {
-            answer.cancel(false);
-            open();
+        if (!pending.isDone()) {
+            pending.cancel(false);
+            checkOpen();
         }
-        return StoreMessages.changes(answer.join());
+        return StoreMessages.changes(pending.join());
     }
 
     @Override
@@ -104,28 +104,28 @@
     }
 
     private Reply apply(Command command) throws StoreException {
-        open();
-        StoreState now;
+        checkOpen();
+        StoreState current;
         Reply reply;
         synchronized (this) {
-            CommandResult applied =
-                    machine.apply(state, StoreMessages.stamped(command, clockMs.getAsLong()), state.index() + 1);
-            state = applied.state();
-            now = state;
-            reply = applied.reply();
+            CommandResult result =
+                    stateMachine.apply(state, StoreMessages.withClock(command, clockMs.getAsLong()), state.index() + 1);
+            state = result.state();
+            current = state;
+            reply = result.reply();
         }
-        watches.onChange(now);
+        watches.onChange(current);
         return reply;
     }
 
     private Reply query(Query query) throws StoreException {
-        open();
+        checkOpen();
         synchronized (this) {
-            return machine.query(state, query);
+            return stateMachine.query(state, query);
         }
     }
 
-    private void open() throws StoreException {
+    private void checkOpen() throws StoreException {
         if (closed.isDone()) {
             throw new StoreException(ErrorCode.NOT_REACHED, "the store in memory is closed");
         }
--- a/src/main/java/olivechute/store/QueryExecutor.java
+++ b/src/main/java/olivechute/store/QueryExecutor.java
@@ -42,12 +42,12 @@
      * was at: nothing changed yet.
      */
     static Reply watch(StoreState state, String prefix, long since) {
-        if (!state.history().reaches(since)) {
+        if (!state.history().covers(since)) {
             return list(state, prefix);
         }
         Reply.Builder reply = Reply.newBuilder().setVersion(Math.max(since, state.version()));
         List<Entry> entries = new ArrayList<>();
-        for (String key : changed(state, prefix, since)) {
+        for (String key : changedKeys(state, prefix, since)) {
             VersionedValue stored = state.entries().get(key);
             if (stored == null) {
                 reply.addRemoved(key);
@@ -60,26 +60,26 @@
     }
 
     /** Whether a watch has something to tell. */
-    static boolean tells(Reply reply) {
+    static boolean hasChanges(Reply reply) {
         return reply.getWhole() || reply.getEntriesCount() > 0 || reply.getRemovedCount() > 0;
     }
 
-    static Reply status(StoreState state, int knows) {
+    static Reply status(StoreState state, int supportedLevel) {
         return Reply.newBuilder()
                 .setVersion(state.version())
                 .setStatus(Status.newBuilder()
                         .setVersion(state.version())
-                        .setLevel(state.level())
-                        .setKnows(knows)
+                        .setLevel(state.featureLevel())
+                        .setKnows(supportedLevel)
                         .setKeys(state.entries().size())
-                        .setBytes(state.bytes())
+                        .setBytes(state.totalBytes())
                         .setSessions(state.leases().size()))
                 .build();
     }
 
-    private static TreeSet<String> changed(StoreState state, String prefix, long since) {
+    private static TreeSet<String> changedKeys(StoreState state, String prefix, long since) {
         TreeSet<String> keys = new TreeSet<>();
-        for (List<String> each : state.history().since(since)) {
+        for (List<String> each : state.history().changesSince(since)) {
             for (String key : each) {
                 if (key.startsWith(prefix)) {
                     keys.add(key);
--- a/src/main/java/olivechute/store/SnapshotCodec.java
+++ b/src/main/java/olivechute/store/SnapshotCodec.java
@@ -21,41 +21,41 @@
     /** The format that this program writes and the highest that it reads. */
     public static final int FORMAT = 1;
 
-    private static final int PIECE_BYTES = 256 << 10;
+    private static final int FRAME_BYTES = 256 << 10;
 
     private SnapshotCodec() {}
 
     /** Writes a state and flushes; the stream stays open. The same state gives the same bytes. */
-    public static void write(StoreState state, OutputStream to) throws IOException {
-        write(state, to, PIECE_BYTES);
+    public static void write(StoreState state, OutputStream output) throws IOException {
+        write(state, output, FRAME_BYTES);
     }
 
     /** {@code most}: bytes at which a piece ends, over which it goes by one entry at most. */
-    static void write(StoreState state, OutputStream to, int most) throws IOException {
-        SnapshotFrames.Writer out = new SnapshotFrames.Writer(to);
-        out.piece(head(state));
-        Filling filling = new Filling(out, most);
+    static void write(StoreState state, OutputStream output, int frameBytes) throws IOException {
+        SnapshotFrames.Writer writer = new SnapshotFrames.Writer(output);
+        writer.writeFrame(header(state));
+        FrameBuilder frames = new FrameBuilder(writer, frameBytes);
         for (LeaseEntry lease : state.leases().bySession().values()) {
-            filling.next().addLeases(lease.wire());
-            filling.count(EntrySizes.of(lease.name()) + (long) EntrySizes.of(lease.owner()));
+            frames.current().addLeases(lease.toMessage());
+            frames.addBytes(EntrySizes.sizeInBytes(lease.name()) + (long) EntrySizes.sizeInBytes(lease.owner()));
         }
         for (Map.Entry<String, Long> fence : state.fences().entrySet()) {
-            filling.next()
+            frames.current()
                     .addFences(Fence.newBuilder().setDomain(fence.getKey()).setNumber(fence.getValue()));
-            filling.count(EntrySizes.of(fence.getKey()));
+            frames.addBytes(EntrySizes.sizeInBytes(fence.getKey()));
         }
         for (Map.Entry<String, VersionedValue> each : state.entries().entrySet()) {
             VersionedValue stored = each.getValue();
-            filling.next()
+            frames.current()
                     .addEntries(Entry.newBuilder()
                             .setKey(each.getKey())
                             .setValue(stored.value())
                             .setVersion(stored.version()))
                     .addEntrySessions(stored.session());
-            filling.count(EntrySizes.of(each.getKey(), stored.value()));
+            frames.addBytes(EntrySizes.sizeInBytes(each.getKey(), stored.value()));
         }
-        filling.flush();
-        out.end();
+        frames.flush();
+        writer.finish();
     }
 
     /**
@@ -64,79 +64,79 @@
      * @throws DiskException DATA_CORRUPT with the first piece that is not as written; LEVEL_TOO_LOW for a format of a
      *     newer program
      */
-    public static StoreState read(InputStream from) throws IOException, DiskException {
-        SnapshotFrames.Reader in = new SnapshotFrames.Reader(from);
-        byte[] first = in.piece();
-        Snapshot head = parse(in, first);
-        if (first.length == 0 || head.getFormat() == 0) {
-            throw in.corrupt("holds no format");
+    public static StoreState read(InputStream input) throws IOException, DiskException {
+        SnapshotFrames.Reader reader = new SnapshotFrames.Reader(input);
+        byte[] first = reader.readFrame();
+        Snapshot header = parse(reader, first);
+        if (first.length == 0 || header.getFormat() == 0) {
+            throw reader.corruptFrame("holds no format");
         }
-        if (Integer.compareUnsigned(head.getFormat(), FORMAT) > 0) {
+        if (Integer.compareUnsigned(header.getFormat(), FORMAT) > 0) {
             throw new DiskException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "snapshot of format " + Integer.toUnsignedString(head.getFormat()) + ", this program reads up to "
+                    "snapshot of format " + Integer.toUnsignedString(header.getFormat()) + ", this program reads up to "
                             + FORMAT);
         }
-        SnapshotLoader restoring = new SnapshotLoader(head);
-        for (byte[] bytes = in.piece(); bytes.length > 0; bytes = in.piece()) {
-            String wrong = restoring.add(parse(in, bytes));
-            if (wrong != null) {
-                throw in.corrupt(wrong);
+        SnapshotLoader loader = new SnapshotLoader(header);
+        for (byte[] bytes = reader.readFrame(); bytes.length > 0; bytes = reader.readFrame()) {
+            String problem = loader.addFrame(parse(reader, bytes));
+            if (problem != null) {
+                throw reader.corruptFrame(problem);
             }
         }
-        return restoring.state();
+        return loader.toState();
     }
 
-    private static byte[] head(StoreState state) {
-        Snapshot.Builder head = Snapshot.newBuilder()
+    private static byte[] header(StoreState state) {
+        Snapshot.Builder header = Snapshot.newBuilder()
                 .setFormat(FORMAT)
                 .setVersion(state.version())
                 .setNowMs(state.clockMs())
-                .setLevel(state.level())
+                .setLevel(state.featureLevel())
                 .setIndex(state.index());
-        state.announced()
-                .forEach((replica, knows) -> head.addAnnounced(
+        state.announcedLevels()
+                .forEach((replica, knows) -> header.addAnnounced(
                         Announce.newBuilder().setReplica(replica).setKnows(knows)));
-        return head.build().toByteArray();
+        return header.build().toByteArray();
     }
 
-    private static Snapshot parse(SnapshotFrames.Reader in, byte[] bytes) throws DiskException {
+    private static Snapshot parse(SnapshotFrames.Reader reader, byte[] bytes) throws DiskException {
         try {
             return Snapshot.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw in.corrupt("cannot be read: " + e.getMessage());
+            throw reader.corruptFrame("cannot be read: " + e.getMessage());
         }
     }
 
     /** The piece that is being filled. */
-    private static final class Filling {
-        private final SnapshotFrames.Writer out;
-        private final int most;
-        private Snapshot.Builder piece = Snapshot.newBuilder();
-        private long bytes;
+    private static final class FrameBuilder {
+        private final SnapshotFrames.Writer writer;
+        private final int frameBytes;
+        private Snapshot.Builder frame = Snapshot.newBuilder();
+        private long estimatedBytes;
 
-        Filling(SnapshotFrames.Writer out, int most) {
-            this.out = out;
-            this.most = most;
+        FrameBuilder(SnapshotFrames.Writer writer, int frameBytes) {
+            this.writer = writer;
+            this.frameBytes = frameBytes;
         }
 
-        Snapshot.Builder next() throws IOException {
-            if (bytes >= most) {
+        Snapshot.Builder current() throws IOException {
+            if (estimatedBytes >= frameBytes) {
                 flush();
             }
-            return piece;
+            return frame;
         }
 
         /** Counts what was added; 16 bytes stand for numbers and tags. */
-        void count(long added) {
-            bytes += added + 16;
+        void addBytes(long added) {
+            estimatedBytes += added + 16;
         }
 
         void flush() throws IOException {
-            if (bytes > 0) {
-                out.piece(piece.build().toByteArray());
-                piece = Snapshot.newBuilder();
-                bytes = 0;
+            if (estimatedBytes > 0) {
+                writer.writeFrame(frame.build().toByteArray());
+                frame = Snapshot.newBuilder();
+                estimatedBytes = 0;
             }
         }
     }
--- a/src/main/java/olivechute/store/SnapshotFrames.java
+++ b/src/main/java/olivechute/store/SnapshotFrames.java
@@ -21,23 +21,23 @@
 
     /** Writes pieces; the stream stays open. */
     static final class Writer {
-        private final CheckedOutputStream summed;
+        private final CheckedOutputStream checked;
         private final DataOutputStream out;
 
-        Writer(OutputStream to) {
-            summed = new CheckedOutputStream(to, new CRC32C());
-            out = new DataOutputStream(summed);
+        Writer(OutputStream output) {
+            checked = new CheckedOutputStream(output, new CRC32C());
+            out = new DataOutputStream(checked);
         }
 
         /** One piece, not empty. */
-        void piece(byte[] bytes) throws IOException {
-            out.writeInt(bytes.length);
-            out.write(bytes);
-            out.writeInt((int) summed.getChecksum().getValue());
+        void writeFrame(byte[] content) throws IOException {
+            out.writeInt(content.length);
+            out.write(content);
+            out.writeInt((int) checked.getChecksum().getValue());
         }
 
-        void end() throws IOException {
-            piece(new byte[0]);
+        void finish() throws IOException {
+            writeFrame(new byte[0]);
             out.flush();
         }
     }
@@ -45,45 +45,45 @@
     /** Reads pieces. */
     static final class Reader {
         private final CheckedInputStream in;
-        private long at;
-        private long begin;
-        private int number;
+        private long offset;
+        private long frameOffset;
+        private int frameNumber;
 
-        Reader(InputStream from) {
-            in = new CheckedInputStream(from, new CRC32C());
+        Reader(InputStream input) {
+            in = new CheckedInputStream(input, new CRC32C());
         }
 
         /** The next piece, empty for the end. */
-        byte[] piece() throws IOException, DiskException {
-            number++;
-            begin = at;
-            int length = ByteBuffer.wrap(take(Integer.BYTES)).getInt();
+        byte[] readFrame() throws IOException, DiskException {
+            frameNumber++;
+            frameOffset = offset;
+            int length = ByteBuffer.wrap(readBytes(Integer.BYTES)).getInt();
             if (length < 0) {
-                throw corrupt("has the length " + length);
+                throw corruptFrame("has the length " + length);
             }
-            byte[] bytes = take(length);
-            int expected = (int) in.getChecksum().getValue();
-            if (ByteBuffer.wrap(take(Integer.BYTES)).getInt() != expected) {
-                throw corrupt("is not as written: its sum differs");
+            byte[] content = readBytes(length);
+            int checksum = (int) in.getChecksum().getValue();
+            if (ByteBuffer.wrap(readBytes(Integer.BYTES)).getInt() != checksum) {
+                throw corruptFrame("is not as written: its sum differs");
             }
             if (length == 0 && in.read() >= 0) {
-                throw corrupt("is the last one, but more follows it");
+                throw corruptFrame("is the last one, but more follows it");
             }
-            return bytes;
+            return content;
         }
 
         /** A fault in the piece that was read last. */
-        DiskException corrupt(String how) {
+        DiskException corruptFrame(String problem) {
             return new DiskException(
                     ErrorCode.DATA_CORRUPT,
-                    "snapshot: piece " + number + ", which begins at byte " + begin + ", " + how);
+                    "snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", " + problem);
         }
 
-        private byte[] take(int count) throws IOException, DiskException {
+        private byte[] readBytes(int count) throws IOException, DiskException {
             byte[] bytes = in.readNBytes(count);
-            at += bytes.length;
+            offset += bytes.length;
             if (bytes.length < count) {
-                throw corrupt("is torn: the file ends at byte " + at + ", " + (count - bytes.length)
+                throw corruptFrame("is torn: the file ends at byte " + offset + ", " + (count - bytes.length)
                         + " bytes or more are missing");
             }
             return bytes;
--- a/src/main/java/olivechute/store/SnapshotLoader.java
+++ b/src/main/java/olivechute/store/SnapshotLoader.java
@@ -10,66 +10,66 @@
 
 /** Builds a state from the pieces of a snapshot; leases come before the entries that go with them. */
 final class SnapshotLoader {
-    private final Snapshot head;
-    private TreePMap<String, Integer> announced = TreePMap.empty();
+    private final Snapshot header;
+    private TreePMap<String, Integer> announcedLevels = TreePMap.empty();
     private TreePMap<String, VersionedValue> entries = TreePMap.empty();
-    private TreePMap<Long, TreePSet<String>> owned = TreePMap.empty();
+    private TreePMap<Long, TreePSet<String>> keysBySession = TreePMap.empty();
     private TreePMap<String, Long> fences = TreePMap.empty();
-    private LeaseTable leases = LeaseTable.NONE;
-    private long bytes;
+    private LeaseTable leases = LeaseTable.EMPTY;
+    private long totalBytes;
 
-    SnapshotLoader(Snapshot head) {
-        this.head = head;
-        for (Announce each : head.getAnnouncedList()) {
-            announced = announced.plus(each.getReplica(), each.getKnows());
+    SnapshotLoader(Snapshot header) {
+        this.header = header;
+        for (Announce each : header.getAnnouncedList()) {
+            announcedLevels = announcedLevels.plus(each.getReplica(), each.getKnows());
         }
     }
 
     /** Adds a piece; what is wrong with it, else null. */
-    String add(Snapshot piece) {
-        if (piece.getEntriesCount() != piece.getEntrySessionsCount()) {
-            return "has " + piece.getEntriesCount() + " entries and " + piece.getEntrySessionsCount()
+    String addFrame(Snapshot frame) {
+        if (frame.getEntriesCount() != frame.getEntrySessionsCount()) {
+            return "has " + frame.getEntriesCount() + " entries and " + frame.getEntrySessionsCount()
                     + " sessions of them";
         }
-        for (Lease each : piece.getLeasesList()) {
+        for (Lease each : frame.getLeasesList()) {
             leases = leases.with(new LeaseEntry(
                     each.getName(), each.getOwner(), each.getSession(), each.getTtlMs(), each.getEndsMs()));
         }
-        for (Fence each : piece.getFencesList()) {
+        for (Fence each : frame.getFencesList()) {
             fences = fences.plus(each.getDomain(), each.getNumber());
         }
-        for (int i = 0; i < piece.getEntriesCount(); i++) {
-            Entry entry = piece.getEntries(i);
-            long session = piece.getEntrySessions(i);
-            if (session != 0 && leases.of(session) == null) {
+        for (int i = 0; i < frame.getEntriesCount(); i++) {
+            Entry entry = frame.getEntries(i);
+            long session = frame.getEntrySessions(i);
+            if (session != 0 && leases.findBySession(session) == null) {
                 return "has an entry of session " + session + " that no lease has";
             }
-            if (entries.containsKey(entry.getKey()) || entry.getVersion() > head.getVersion()) {
+            if (entries.containsKey(entry.getKey()) || entry.getVersion() > header.getVersion()) {
                 return "has an entry twice or from after the snapshot";
             }
             entries = entries.plus(entry.getKey(), new VersionedValue(entry.getValue(), entry.getVersion(), session));
-            bytes += EntrySizes.of(entry.getKey(), entry.getValue());
+            totalBytes += EntrySizes.sizeInBytes(entry.getKey(), entry.getValue());
             if (session != 0) {
-                owned = owned.plus(
-                        session, owned.getOrDefault(session, TreePSet.empty()).plus(entry.getKey()));
+                keysBySession = keysBySession.plus(
+                        session, keysBySession.getOrDefault(session, TreePSet.empty()).plus(entry.getKey()));
             }
         }
         return null;
     }
 
     /** The state; its history begins here. */
-    StoreState state() {
+    StoreState toState() {
         return new StoreState(
-                head.getIndex(),
-                head.getVersion(),
-                head.getNowMs(),
-                head.getLevel(),
+                header.getIndex(),
+                header.getVersion(),
+                header.getNowMs(),
+                header.getLevel(),
                 entries,
-                bytes,
-                owned,
+                totalBytes,
+                keysBySession,
                 leases,
                 fences,
-                announced,
-                ChangeHistory.after(head.getVersion()));
+                announcedLevels,
+                ChangeHistory.startingAfter(header.getVersion()));
     }
 }
--- a/src/main/java/olivechute/store/StateTransaction.java
+++ b/src/main/java/olivechute/store/StateTransaction.java
@@ -7,110 +7,110 @@
 
 /** A state in the making: what one command changes. For one thread; dropped unused, it leaves nothing behind. */
 final class StateTransaction {
-    private final StoreLimits bounds;
+    private final StoreLimits limits;
     private final StoreState before;
     private TreePMap<String, VersionedValue> entries;
-    private TreePMap<Long, TreePSet<String>> owned;
-    private TreePSet<String> touched = TreePSet.empty();
-    private long bytes;
+    private TreePMap<Long, TreePSet<String>> keysBySession;
+    private TreePSet<String> changedKeys = TreePSet.empty();
+    private long totalBytes;
     private long clockMs;
-    private int level;
-    private boolean counted;
+    private int featureLevel;
+    private boolean sessionAllocated;
     LeaseTable leases;
     TreePMap<String, Long> fences;
-    TreePMap<String, Integer> announced;
+    TreePMap<String, Integer> announcedLevels;
 
-    StateTransaction(StoreState before, StoreLimits bounds) {
+    StateTransaction(StoreState before, StoreLimits limits) {
         this.before = before;
-        this.bounds = bounds;
+        this.limits = limits;
         entries = before.entries();
-        owned = before.owned();
-        bytes = before.bytes();
+        keysBySession = before.keysBySession();
+        totalBytes = before.totalBytes();
         clockMs = before.clockMs();
-        level = before.level();
+        featureLevel = before.featureLevel();
         leases = before.leases();
         fences = before.fences();
-        announced = before.announced();
+        announcedLevels = before.announcedLevels();
     }
 
     /** The version that changes of this draft get. */
-    long next() {
+    long nextVersion() {
         return before.version() + 1;
     }
 
     /** A new number of a session: takes the next version even where no key changes. */
-    long number() {
-        counted = true;
-        return next();
+    long allocateSession() {
+        sessionAllocated = true;
+        return nextVersion();
     }
 
-    void clock(long nowMs) {
+    void advanceClock(long nowMs) {
         clockMs = Math.max(clockMs, nowMs);
     }
 
-    void level(int to) {
-        level = to;
+    void featureLevel(int newLevel) {
+        featureLevel = newLevel;
     }
 
     void put(String key, ByteString value, long session) {
-        drop(key);
-        entries = entries.plus(key, new VersionedValue(value, next(), session));
-        bytes += EntrySizes.of(key, value);
+        remove(key);
+        entries = entries.plus(key, new VersionedValue(value, nextVersion(), session));
+        totalBytes += EntrySizes.sizeInBytes(key, value);
         if (session != 0) {
-            owned = owned.plus(
-                    session, owned.getOrDefault(session, TreePSet.empty()).plus(key));
+            keysBySession = keysBySession.plus(
+                    session, keysBySession.getOrDefault(session, TreePSet.empty()).plus(key));
         }
-        touched = touched.plus(key);
+        changedKeys = changedKeys.plus(key);
     }
 
     void delete(String key) {
-        if (drop(key)) {
-            touched = touched.plus(key);
+        if (remove(key)) {
+            changedKeys = changedKeys.plus(key);
         }
     }
 
     /** Ends a lease; its keys go. */
-    void end(LeaseEntry lease) {
+    void endLease(LeaseEntry lease) {
         leases = leases.without(lease);
-        for (String key : owned.getOrDefault(lease.session(), TreePSet.empty())) {
+        for (String key : keysBySession.getOrDefault(lease.session(), TreePSet.empty())) {
             delete(key);
         }
     }
 
-    int keys() {
+    int keyCount() {
         return entries.size();
     }
 
-    long bytes() {
-        return bytes;
+    long totalBytes() {
+        return totalBytes;
     }
 
     /** The state that it comes to. */
-    StoreState done() {
-        if (touched.isEmpty() && !counted) {
-            return state(before.version(), before.history());
+    StoreState commit() {
+        if (changedKeys.isEmpty() && !sessionAllocated) {
+            return buildState(before.version(), before.history());
         }
-        ChangeHistory history = touched.isEmpty()
+        ChangeHistory history = changedKeys.isEmpty()
                 ? before.history()
-                : before.history().with(next(), List.copyOf(touched), bounds.history());
-        return state(next(), history);
+                : before.history().append(nextVersion(), List.copyOf(changedKeys), limits.maxHistoryKeys());
+        return buildState(nextVersion(), history);
     }
 
-    private StoreState state(long version, ChangeHistory history) {
+    private StoreState buildState(long version, ChangeHistory history) {
         return new StoreState(
-                before.index(), version, clockMs, level, entries, bytes, owned, leases, fences, announced, history);
+                before.index(), version, clockMs, featureLevel, entries, totalBytes, keysBySession, leases, fences, announcedLevels, history);
     }
 
-    private boolean drop(String key) {
-        VersionedValue gone = entries.get(key);
-        if (gone == null) {
+    private boolean remove(String key) {
+        VersionedValue removed = entries.get(key);
+        if (removed == null) {
             return false;
         }
         entries = entries.minus(key);
-        bytes -= EntrySizes.of(key, gone.value());
-        if (gone.session() != 0) {
-            TreePSet<String> rest = owned.get(gone.session()).minus(key);
-            owned = rest.isEmpty() ? owned.minus(gone.session()) : owned.plus(gone.session(), rest);
+        totalBytes -= EntrySizes.sizeInBytes(key, removed.value());
+        if (removed.session() != 0) {
+            TreePSet<String> remaining = keysBySession.get(removed.session()).minus(key);
+            keysBySession = remaining.isEmpty() ? keysBySession.minus(removed.session()) : keysBySession.plus(removed.session(), remaining);
         }
         return true;
     }
--- a/src/main/java/olivechute/store/Store.java
+++ b/src/main/java/olivechute/store/Store.java
@@ -15,7 +15,7 @@
     record Entry(String key, byte[] value, long version) {}
 
     /** What changed under a prefix; {@code whole}: {@code entries} are all there are. Watch on from {@code version}. */
-    record Changes(long version, boolean whole, List<Entry> entries, List<String> removed) {}
+    record Changes(long version, boolean complete, List<Entry> entries, List<String> removed) {}
 
     /** A held lease; {@code session} is the fencing number too and only grows. */
     record Lease(String name, String owner, long session, Duration ttl) {
@@ -26,7 +26,7 @@
     }
 
     /** Proof that nobody took the lease of this name since. */
-    record Fence(String domain, long number) {}
+    record Fence(String domain, long token) {}
 
     /**
      * One change: {@code value} null deletes; {@code ifVersion} null: whatever is there, 0: nothing may be;
--- a/src/main/java/olivechute/store/StoreLimits.java
+++ b/src/main/java/olivechute/store/StoreLimits.java
@@ -14,16 +14,16 @@
  * @param watches most watches that wait at once at one replica
  */
 public record StoreLimits(
-        int valueBytes,
-        int keyBytes,
-        int batch,
-        int keys,
-        long bytes,
-        int leases,
-        int members,
-        int history,
-        int watches) {
+        int maxValueBytes,
+        int maxKeyBytes,
+        int maxBatchSize,
+        int maxKeys,
+        long maxTotalBytes,
+        int maxLeases,
+        int maxReplicas,
+        int maxHistoryKeys,
+        int maxWatches) {
     /** What a region's fleet needs, many times over. */
-    public static final StoreLimits USUAL =
+    public static final StoreLimits DEFAULTS =
             new StoreLimits(64 << 10, 512, 1024, 20_000, 64L << 20, 4096, 16, 10_000, 1024);
 }
--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -29,7 +29,7 @@
  */
 public final class StoreMessages {
     /** The feature level that these messages need. */
-    private static final int LEVEL = 1;
+    private static final int FEATURE_LEVEL = 1;
 
     private StoreMessages() {}
 
@@ -40,79 +40,79 @@
             batch.addPuts(put(write));
         }
         for (Store.Fence fence : fences) {
-            batch.addFences(Fence.newBuilder().setDomain(text(fence.domain())).setNumber(fence.number()));
+            batch.addFences(Fence.newBuilder().setDomain(requireEncodable(fence.domain())).setNumber(fence.token()));
         }
-        return command().setBatch(batch).build();
+        return newCommand().setBatch(batch).build();
     }
 
     /** Takes a lease. */
     public static Command acquire(String name, String owner, Duration ttl) throws StoreException {
-        return command()
+        return newCommand()
                 .setAcquire(Acquire.newBuilder()
-                        .setName(text(name))
-                        .setOwner(text(owner))
+                        .setName(requireEncodable(name))
+                        .setOwner(requireEncodable(owner))
                         .setTtlMs(ttl.toMillis()))
                 .build();
     }
 
     /** Prolongs a lease by its time to live. */
     public static Command renew(Store.Lease lease) {
-        return command()
+        return newCommand()
                 .setRenew(Renew.newBuilder().setSession(lease.session()))
                 .build();
     }
 
     /** Ends a lease. */
     public static Command release(Store.Lease lease) {
-        return command()
+        return newCommand()
                 .setRelease(Release.newBuilder().setSession(lease.session()))
                 .build();
     }
 
     public static Command tick() {
-        return command().setTick(Tick.getDefaultInstance()).build();
+        return newCommand().setTick(Tick.getDefaultInstance()).build();
     }
 
     /** {@code knows} 0 strikes the replica off. */
-    public static Command announce(String replica, int knows) throws StoreException {
-        return command()
-                .setAnnounce(Announce.newBuilder().setReplica(text(replica)).setKnows(knows))
+    public static Command announce(String replica, int knownLevel) throws StoreException {
+        return newCommand()
+                .setAnnounce(Announce.newBuilder().setReplica(requireEncodable(replica)).setKnows(knownLevel))
                 .build();
     }
 
-    public static Command raise(int level) {
-        return command().setRaise(RaiseLevel.newBuilder().setLevel(level)).build();
+    public static Command raiseLevel(int level) {
+        return newCommand().setRaise(RaiseLevel.newBuilder().setLevel(level)).build();
     }
 
     /** The command with the lead's clock, ms since the epoch. */
-    public static Command stamped(Command command, long nowMs) {
+    public static Command withClock(Command command, long nowMs) {
         return command.toBuilder().setNowMs(nowMs).build();
     }
 
     public static Query get(String key) throws StoreException {
-        return query().setGet(text(key)).build();
+        return newQuery().setGet(requireEncodable(key)).build();
     }
 
     public static Query list(String prefix) throws StoreException {
-        return query().setList(text(prefix)).build();
+        return newQuery().setList(requireEncodable(prefix)).build();
     }
 
     /** Asks for what changed under a prefix after a version, waiting for the first change. */
     public static Query watch(String prefix, long since, Duration wait) throws StoreException {
-        int ms = (int) Math.min(Integer.MAX_VALUE, Math.max(0, wait.toMillis()));
-        return query().setWatch(Watch.newBuilder()
-                        .setPrefix(text(prefix))
+        int waitMs = (int) Math.min(Integer.MAX_VALUE, Math.max(0, wait.toMillis()));
+        return newQuery().setWatch(Watch.newBuilder()
+                        .setPrefix(requireEncodable(prefix))
                         .setSince(since)
-                        .setWaitMs(ms))
+                        .setWaitMs(waitMs))
                 .build();
     }
 
     public static Query status() {
-        return query().setStatus(true).build();
+        return newQuery().setStatus(true).build();
     }
 
     /** A reply that refuses; {@code version} is the store's. */
-    public static Reply refusal(ErrorCode kind, String text, long version) {
+    public static Reply rejection(ErrorCode kind, String text, long version) {
         return Reply.newBuilder()
                 .setVersion(version)
                 .setRefusal(Refusal.newBuilder().setKind(kind.name()).setText(text))
@@ -120,12 +120,12 @@
     }
 
     /** A fault as the reply that carries it to the client. */
-    public static Reply refusal(StoreException fault, long version) {
-        return refusal(fault.kind(), fault.what(), version);
+    public static Reply rejection(StoreException fault, long version) {
+        return rejection(fault.kind(), fault.what(), version);
     }
 
     /** The same reply, once it is known to refuse nothing. */
-    public static Reply granted(Reply reply) throws StoreException {
+    public static Reply requireAccepted(Reply reply) throws StoreException {
         if (!reply.hasRefusal()) {
             return reply;
         }
@@ -140,16 +140,16 @@
     }
 
     public static long version(Reply reply) throws StoreException {
-        return granted(reply).getVersion();
+        return requireAccepted(reply).getVersion();
     }
 
     public static Optional<Store.Entry> entry(Reply reply) throws StoreException {
-        return granted(reply).getEntriesList().stream().findFirst().map(StoreMessages::entry);
+        return requireAccepted(reply).getEntriesList().stream().findFirst().map(StoreMessages::entry);
     }
 
     /** The changes in a reply, unless it rejects. */
     public static Store.Changes changes(Reply reply) throws StoreException {
-        List<Store.Entry> entries = granted(reply).getEntriesList().stream()
+        List<Store.Entry> entries = requireAccepted(reply).getEntriesList().stream()
                 .map(StoreMessages::entry)
                 .toList();
         return new Store.Changes(reply.getVersion(), reply.getWhole(), entries, List.copyOf(reply.getRemovedList()));
@@ -157,7 +157,7 @@
 
     /** The lease in a reply, unless it rejects. */
     public static Store.Lease lease(Reply reply) throws StoreException {
-        if (!granted(reply).hasLease()) {
+        if (!requireAccepted(reply).hasLease()) {
             throw new StoreException(ErrorCode.MALFORMED, "a reply without the lease that was asked for");
         }
         olivechute.store.wire.Lease lease = reply.getLease();
@@ -170,7 +170,7 @@
     }
 
     private static Put put(Store.Write write) throws StoreException {
-        Put.Builder put = Put.newBuilder().setKey(text(write.key())).setSession(write.session());
+        Put.Builder put = Put.newBuilder().setKey(requireEncodable(write.key())).setSession(write.session());
         if (write.value() == null) {
             put.setDelete(true);
         } else {
@@ -179,15 +179,15 @@
         return (write.ifVersion() == null ? put : put.setConditional(true).setIfVersion(write.ifVersion())).build();
     }
 
-    private static Command.Builder command() {
-        return Command.newBuilder().setLevel(LEVEL);
+    private static Command.Builder newCommand() {
+        return Command.newBuilder().setLevel(FEATURE_LEVEL);
     }
 
-    private static Query.Builder query() {
-        return Query.newBuilder().setLevel(LEVEL);
+    private static Query.Builder newQuery() {
+        return Query.newBuilder().setLevel(FEATURE_LEVEL);
     }
 
-    private static String text(String text) throws StoreException {
+    private static String requireEncodable(String text) throws StoreException {
         if (!StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
             throw new StoreException(ErrorCode.MALFORMED, "text with half a character pair");
         }
--- a/src/main/java/olivechute/store/StoreState.java
+++ b/src/main/java/olivechute/store/StoreState.java
@@ -23,13 +23,13 @@
         long index,
         long version,
         long clockMs,
-        int level,
+        int featureLevel,
         TreePMap<String, VersionedValue> entries,
-        long bytes,
-        TreePMap<Long, TreePSet<String>> owned,
+        long totalBytes,
+        TreePMap<Long, TreePSet<String>> keysBySession,
         LeaseTable leases,
         TreePMap<String, Long> fences,
-        TreePMap<String, Integer> announced,
+        TreePMap<String, Integer> announcedLevels,
         ChangeHistory history) {
     /** Nothing stored, at the first feature level. */
     public static final StoreState EMPTY = new StoreState(
@@ -40,8 +40,8 @@
             TreePMap.empty(),
             0,
             TreePMap.empty(),
-            LeaseTable.NONE,
+            LeaseTable.EMPTY,
             TreePMap.empty(),
             TreePMap.empty(),
-            ChangeHistory.after(0));
+            ChangeHistory.startingAfter(0));
 }
--- a/src/main/java/olivechute/store/StoreStateMachine.java
+++ b/src/main/java/olivechute/store/StoreStateMachine.java
@@ -13,36 +13,36 @@
  */
 public final class StoreStateMachine {
     /** The highest feature level that this program knows. */
-    public static final int KNOWN_LEVEL = 1;
+    public static final int SUPPORTED_LEVEL = 1;
 
-    private final StoreLimits bounds;
-    private final int known;
-    private final BatchExecutor batches;
-    private final LeaseManager sessions;
-    private final FeatureLevels levels;
+    private final StoreLimits limits;
+    private final int supportedLevel;
+    private final BatchExecutor batchExecutor;
+    private final LeaseManager leaseManager;
+    private final FeatureLevels featureLevels;
 
     /** One of this program's level. */
-    public StoreStateMachine(StoreLimits bounds) {
-        this(bounds, KNOWN_LEVEL);
+    public StoreStateMachine(StoreLimits limits) {
+        this(limits, SUPPORTED_LEVEL);
     }
 
     /** {@code known}: the highest feature level that it understands. */
-    public StoreStateMachine(StoreLimits bounds, int known) {
-        this.bounds = bounds;
-        this.known = known;
-        batches = new BatchExecutor(bounds);
-        sessions = new LeaseManager(bounds);
-        levels = new FeatureLevels(bounds);
+    public StoreStateMachine(StoreLimits limits, int supportedLevel) {
+        this.limits = limits;
+        this.supportedLevel = supportedLevel;
+        batchExecutor = new BatchExecutor(limits);
+        leaseManager = new LeaseManager(limits);
+        featureLevels = new FeatureLevels(limits);
     }
 
     /** How much the store holds at most. */
-    public StoreLimits bounds() {
-        return bounds;
+    public StoreLimits limits() {
+        return limits;
     }
 
     /** The highest feature level that it understands. */
-    public int known() {
-        return known;
+    public int supportedLevel() {
+        return supportedLevel;
     }
 
     /**
@@ -55,23 +55,23 @@
      *     since from now on it might decide otherwise than the others
      */
     public CommandResult apply(StoreState state, Command command, long index) throws StoreException {
-        if (state.level() > known) {
+        if (state.featureLevel() > supportedLevel) {
             throw new StoreException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "this program knows level " + known + ", the group is at " + state.level());
+                    "this program knows level " + supportedLevel + ", the group is at " + state.featureLevel());
         }
-        StoreState now = at(state, index);
+        StoreState current = withIndex(state, index);
         try {
-            understand(now, command);
-            now = sessions.advance(now, command.getNowMs());
-            StoreState after = act(now, command);
-            return new CommandResult(after, reply(after, command));
+            checkLevel(current, command);
+            current = leaseManager.advance(current, command.getNowMs());
+            StoreState next = execute(current, command);
+            return new CommandResult(next, buildReply(next, command));
         } catch (CommandRejectedException e) {
             return new CommandResult(
-                    now,
+                    current,
                     Reply.newBuilder()
-                            .setVersion(now.version())
-                            .setRefusal(e.refusal())
+                            .setVersion(current.version())
+                            .setRefusal(e.rejection())
                             .build());
         }
     }
@@ -80,7 +80,7 @@
      * Answers from a state; a watch is not waited for. {@code status} leaves out what only the replica itself knows.
      */
     public Reply query(StoreState state, Query query) {
-        if (Integer.compareUnsigned(query.getLevel(), known) <= 0) {
+        if (Integer.compareUnsigned(query.getLevel(), supportedLevel) <= 0) {
             switch (query.getWhatCase()) {
                 case GET -> {
                     return QueryExecutor.get(state, query.getGet());
@@ -95,65 +95,65 @@
                             query.getWatch().getSince());
                 }
                 case STATUS -> {
-                    return QueryExecutor.status(state, known);
+                    return QueryExecutor.status(state, supportedLevel);
                 }
                 default -> {}
             }
         }
-        return StoreMessages.refusal(
+        return StoreMessages.rejection(
                 ErrorCode.LEVEL_TOO_LOW,
-                "a query of level " + Integer.toUnsignedString(query.getLevel()) + " that level " + known
+                "a query of level " + Integer.toUnsignedString(query.getLevel()) + " that level " + supportedLevel
                         + " does not know",
                 state.version());
     }
 
-    private static void understand(StoreState state, Command command) throws CommandRejectedException {
-        if (Integer.compareUnsigned(command.getLevel(), state.level()) > 0) {
+    private static void checkLevel(StoreState state, Command command) throws CommandRejectedException {
+        if (Integer.compareUnsigned(command.getLevel(), state.featureLevel()) > 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
                     "a command of level " + Integer.toUnsignedString(command.getLevel()) + ", the group is at "
-                            + state.level());
+                            + state.featureLevel());
         }
         if (command.getWhatCase() == Command.WhatCase.WHAT_NOT_SET) {
             throw new CommandRejectedException(
-                    ErrorCode.LEVEL_TOO_LOW, "a command of a kind that level " + state.level() + " does not know");
+                    ErrorCode.LEVEL_TOO_LOW, "a command of a kind that level " + state.featureLevel() + " does not know");
         }
     }
 
-    private StoreState act(StoreState state, Command command) throws CommandRejectedException {
+    private StoreState execute(StoreState state, Command command) throws CommandRejectedException {
         return switch (command.getWhatCase()) {
-            case BATCH -> batches.apply(state, command.getBatch());
-            case ACQUIRE -> sessions.acquire(state, command.getAcquire());
-            case RENEW -> sessions.renew(state, command.getRenew().getSession());
-            case RELEASE -> sessions.release(state, command.getRelease().getSession());
-            case ANNOUNCE -> levels.announce(state, command.getAnnounce());
-            case RAISE -> levels.raise(state, command.getRaise().getLevel());
+            case BATCH -> batchExecutor.apply(state, command.getBatch());
+            case ACQUIRE -> leaseManager.acquire(state, command.getAcquire());
+            case RENEW -> leaseManager.renew(state, command.getRenew().getSession());
+            case RELEASE -> leaseManager.release(state, command.getRelease().getSession());
+            case ANNOUNCE -> featureLevels.announce(state, command.getAnnounce());
+            case RAISE -> featureLevels.raise(state, command.getRaise().getLevel());
             case TICK, WHAT_NOT_SET -> state;
         };
     }
 
-    private static Reply reply(StoreState after, Command command) {
-        Reply.Builder reply = Reply.newBuilder().setVersion(after.version());
+    private static Reply buildReply(StoreState state, Command command) {
+        Reply.Builder reply = Reply.newBuilder().setVersion(state.version());
         if (command.hasAcquire()) {
-            reply.setLease(after.leases().named(command.getAcquire().getName()).wire());
+            reply.setLease(state.leases().findByName(command.getAcquire().getName()).toMessage());
         } else if (command.hasRenew()) {
-            reply.setLease(after.leases().of(command.getRenew().getSession()).wire());
+            reply.setLease(state.leases().findBySession(command.getRenew().getSession()).toMessage());
         }
         return reply.build();
     }
 
-    private static StoreState at(StoreState s, long index) {
+    private static StoreState withIndex(StoreState state, long index) {
         return new StoreState(
                 index,
-                s.version(),
-                s.clockMs(),
-                s.level(),
-                s.entries(),
-                s.bytes(),
-                s.owned(),
-                s.leases(),
-                s.fences(),
-                s.announced(),
-                s.history());
+                state.version(),
+                state.clockMs(),
+                state.featureLevel(),
+                state.entries(),
+                state.totalBytes(),
+                state.keysBySession(),
+                state.leases(),
+                state.fences(),
+                state.announcedLevels(),
+                state.history());
     }
 }
--- a/src/main/java/olivechute/store/WatchRegistry.java
+++ b/src/main/java/olivechute/store/WatchRegistry.java
@@ -15,26 +15,26 @@
  * several threads; answers are given outside of the lock, on the thread that brought the state or the time.
  */
 public final class WatchRegistry {
-    private static final class Waiting {
+    private static final class PendingWatch {
         final String prefix;
         final long deadlineMs;
-        final CompletableFuture<Reply> answer = new CompletableFuture<>();
+        final CompletableFuture<Reply> future = new CompletableFuture<>();
         long since;
 
-        Waiting(String prefix, long since, long deadlineMs) {
+        PendingWatch(String prefix, long since, long deadlineMs) {
             this.prefix = prefix;
             this.since = since;
             this.deadlineMs = deadlineMs;
         }
     }
 
-    private final int most;
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final int maxWatches;
+    private final List<PendingWatch> pending = new ArrayList<>();
     private StoreState latest;
 
     /** {@code state}: where the replica stands now. */
-    public WatchRegistry(StoreLimits bounds, StoreState state) {
-        most = bounds.watches();
+    public WatchRegistry(StoreLimits limits, StoreState state) {
+        maxWatches = limits.maxWatches();
         latest = state;
     }
 
@@ -45,56 +45,56 @@
      * @param deadlineMs moment at which to answer at the latest, on the clock of {@link #expire}
      */
     public synchronized CompletableFuture<Reply> register(String prefix, long since, long deadlineMs) {
-        Reply now = QueryExecutor.watch(latest, prefix, since);
-        if (QueryExecutor.tells(now)) {
-            return CompletableFuture.completedFuture(now);
+        Reply reply = QueryExecutor.watch(latest, prefix, since);
+        if (QueryExecutor.hasChanges(reply)) {
+            return CompletableFuture.completedFuture(reply);
         }
-        waiting.removeIf(each -> each.answer.isDone());
-        if (waiting.size() >= most) {
-            return CompletableFuture.completedFuture(StoreMessages.refusal(
-                    ErrorCode.TOO_MANY, "there are " + most + " watches waiting here", latest.version()));
+        pending.removeIf(each -> each.future.isDone());
+        if (pending.size() >= maxWatches) {
+            return CompletableFuture.completedFuture(StoreMessages.rejection(
+                    ErrorCode.TOO_MANY, "there are " + maxWatches + " watches waiting here", latest.version()));
         }
-        Waiting added = new Waiting(prefix, now.getVersion(), deadlineMs);
-        waiting.add(added);
-        return added.answer;
+        PendingWatch added = new PendingWatch(prefix, reply.getVersion(), deadlineMs);
+        pending.add(added);
+        return added.future;
     }
 
     /** Answers the watches that a new state has something for. One that is not newer than the last is passed over. */
     public void onChange(StoreState state) {
-        Map<Waiting, Reply> due;
+        Map<PendingWatch, Reply> due;
         synchronized (this) {
             if (state.version() <= latest.version()) {
                 return;
             }
             latest = state;
-            due = take(each -> false);
+            due = takeDue(each -> false);
         }
-        due.forEach((each, reply) -> each.answer.complete(reply));
+        due.forEach((each, reply) -> each.future.complete(reply));
     }
 
     /** Answers the watches whose deadline is now or past. */
     public void expire(long nowMs) {
-        Map<Waiting, Reply> due;
+        Map<PendingWatch, Reply> due;
         synchronized (this) {
-            due = take(each -> each.deadlineMs <= nowMs);
+            due = takeDue(each -> each.deadlineMs <= nowMs);
         }
-        due.forEach((each, reply) -> each.answer.complete(reply));
+        due.forEach((each, reply) -> each.future.complete(reply));
     }
 
     /** Number of watches that wait. */
     public synchronized int size() {
-        waiting.removeIf(each -> each.answer.isDone());
-        return waiting.size();
+        pending.removeIf(each -> each.future.isDone());
+        return pending.size();
     }
 
-    private Map<Waiting, Reply> take(Predicate<Waiting> over) {
-        Map<Waiting, Reply> due = new HashMap<>();
-        waiting.removeIf(each -> {
-            if (each.answer.isDone()) {
+    private Map<PendingWatch, Reply> takeDue(Predicate<PendingWatch> expired) {
+        Map<PendingWatch, Reply> due = new HashMap<>();
+        pending.removeIf(each -> {
+            if (each.future.isDone()) {
                 return true;
             }
             Reply reply = QueryExecutor.watch(latest, each.prefix, each.since);
-            if (QueryExecutor.tells(reply) || over.test(each)) {
+            if (QueryExecutor.hasChanges(reply) || expired.test(each)) {
                 due.put(each, reply);
                 return true;
             }
--- a/src/main/java/olivechute/store/raft/DataDirectory.java
+++ b/src/main/java/olivechute/store/raft/DataDirectory.java
@@ -13,55 +13,55 @@
  * A replica's folder: whose it is, by the file {@code owner}, and that no other process has it, by a lock on that file.
  */
 final class DataDirectory implements AutoCloseable {
-    private static final int LONGEST = 4096;
+    private static final int MAX_OWNER_BYTES = 4096;
 
     private final Path path;
-    private final FileChannel owner;
+    private final FileChannel ownerFile;
 
-    private DataDirectory(Path path, FileChannel owner) {
+    private DataDirectory(Path path, FileChannel ownerFile) {
         this.path = path;
-        this.owner = owner;
+        this.ownerFile = ownerFile;
     }
 
     /** Takes a folder, a new one where there is none. Faults: DATA_IN_USE, DATA_FOREIGN, DISK_FULL, DISK_BROKEN. */
-    static DataDirectory take(Path path, String name) throws DiskException {
+    static DataDirectory acquire(Path path, String ownerId) throws DiskException {
         try {
             Files.createDirectories(path.resolve("log"));
-            FileChannel owner = FileChannel.open(
+            FileChannel ownerFile = FileChannel.open(
                     path.resolve("owner"),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.READ,
                     StandardOpenOption.WRITE);
             try {
-                claim(path, owner, name);
+                claim(path, ownerFile, ownerId);
             } catch (IOException | DiskException e) {
-                owner.close();
+                ownerFile.close();
                 throw e;
             }
-            return new DataDirectory(path, owner);
+            return new DataDirectory(path, ownerFile);
         } catch (IOException e) {
-            throw new DiskException(DiskHealth.kind(e), "folder " + path + ": " + e, e);
+            throw new DiskException(DiskHealth.errorCodeOf(e), "folder " + path + ": " + e, e);
         }
     }
 
-    private static void claim(Path path, FileChannel owner, String name) throws IOException, DiskException {
-        if (!locked(owner)) {
+    private static void claim(Path path, FileChannel ownerFile, String ownerId) throws IOException, DiskException {
+        if (!tryLock(ownerFile)) {
             throw new DiskException(ErrorCode.DATA_IN_USE, "folder " + path);
         }
-        byte[] wanted = (name + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        java.nio.ByteBuffer held = java.nio.ByteBuffer.allocate(LONGEST);
-        while (held.hasRemaining() && owner.read(held, held.position()) > 0) {}
-        String found = new String(held.array(), 0, held.position(), java.nio.charset.StandardCharsets.UTF_8);
-        if (found.isEmpty()) {
-            owner.write(java.nio.ByteBuffer.wrap(wanted), 0);
-            owner.force(true);
-        } else if (!found.equals(name + "\n")) {
+        byte[] ownContent = (ownerId + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8);
+        java.nio.ByteBuffer buffer = java.nio.ByteBuffer.allocate(MAX_OWNER_BYTES);
+        while (buffer.hasRemaining() && ownerFile.read(buffer, buffer.position()) > 0) {}
+        String content = new String(buffer.array(), 0, buffer.position(), java.nio.charset.StandardCharsets.UTF_8);
+        if (content.isEmpty()) {
+            ownerFile.write(java.nio.ByteBuffer.wrap(ownContent), 0);
+            ownerFile.force(true);
+        } else if (!content.equals(ownerId + "\n")) {
             throw new DiskException(
-                    ErrorCode.DATA_FOREIGN, "folder " + path + " is of '" + found.strip() + "', not of '" + name + "'");
+                    ErrorCode.DATA_FOREIGN, "folder " + path + " is of '" + content.strip() + "', not of '" + ownerId + "'");
         }
     }
 
-    private static boolean locked(FileChannel channel) throws IOException {
+    private static boolean tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock() != null;
         } catch (OverlappingFileLockException e) {
@@ -69,7 +69,7 @@
         }
     }
 
-    Path log() {
+    Path logDirectory() {
         return path.resolve("log");
     }
 
@@ -80,7 +80,7 @@
     @Override
     public void close() {
         try {
-            owner.close();
+            ownerFile.close();
         } catch (IOException e) {
             org.tinylog.Logger.warn("folder {} not closed: {}", path, e.toString());
         }
--- a/src/main/java/olivechute/store/raft/DeadlineRetrier.java
+++ b/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
@@ -11,13 +11,13 @@
 import org.apache.ratis.retry.RetryPolicy;
 
 /** Tries again until the time of the call on this thread is over, with short pauses of uneven length. */
-final class DeadlineRetrier implements RetryPolicy {
-    private static final int LEAST_MS = 20;
-    private static final int MOST_MS = 120;
+final class DeadlineRetryPolicy implements RetryPolicy {
+    private static final int MIN_PAUSE_MS = 20;
+    private static final int MAX_PAUSE_MS = 120;
 
     private static final class Call {
-        long end;
-        boolean answered;
+        long deadlineNs;
+        boolean replicaAnswered;
     }
 
     private static final ThreadLocal<Call> CALL = ThreadLocal.withInitial(Call::new);
@@ -25,15 +25,15 @@
     private final long attemptMs;
 
     /** {@code attemptMs}: longest that one attempt takes; none is begun that would end after the call's time. */
-    DeadlineRetrier(long attemptMs) {
+    DeadlineRetryPolicy(long attemptMs) {
         this.attemptMs = attemptMs;
     }
 
     /** A call begins on this thread. */
-    static void begin(Duration within) {
+    static void startCall(Duration timeout) {
         Call call = CALL.get();
-        call.end = System.nanoTime() + within.toNanos();
-        call.answered = false;
+        call.deadlineNs = System.nanoTime() + timeout.toNanos();
+        call.replicaAnswered = false;
     }
 
     @Override
@@ -41,21 +41,21 @@
         Call call = CALL.get();
         Throwable cause = event.getCause();
         // Somebody answered, and knew of none that leads.
-        call.answered |= cause == null
+        call.replicaAnswered |= cause == null
                 || cause instanceof NotLeaderException
                 || cause instanceof LeaderNotReadyException
                 || cause instanceof ReadIndexException;
-        long pause = ThreadLocalRandom.current().nextInt(LEAST_MS, MOST_MS);
-        boolean late = System.nanoTime() + (pause + attemptMs) * 1_000_000 - call.end >= 0;
-        return late ? NO_RETRY_ACTION : () -> RatisConfiguration.time(pause);
+        long pauseMs = ThreadLocalRandom.current().nextInt(MIN_PAUSE_MS, MAX_PAUSE_MS);
+        boolean pastDeadline = System.nanoTime() + (pauseMs + attemptMs) * 1_000_000 - call.deadlineNs >= 0;
+        return pastDeadline ? NO_RETRY_ACTION : () -> RatisConfiguration.millis(pauseMs);
     }
 
     /** What a call came to that found no answer in its time. */
-    static StoreException fault(IOException last) {
-        boolean answered = CALL.get().answered;
-        return answered
+    static StoreException toStoreException(IOException lastFailure) {
+        boolean replicaAnswered = CALL.get().replicaAnswered;
+        return replicaAnswered
                 ? new StoreException(
-                        ErrorCode.NO_MAJORITY, "no replica leads that could be reached: " + last.getMessage(), last)
-                : new StoreException(ErrorCode.NOT_REACHED, "no replica answered: " + last.getMessage(), last);
+                        ErrorCode.NO_MAJORITY, "no replica leads that could be reached: " + lastFailure.getMessage(), lastFailure)
+                : new StoreException(ErrorCode.NOT_REACHED, "no replica answered: " + lastFailure.getMessage(), lastFailure);
     }
 }
--- a/src/main/java/olivechute/store/raft/DiskHealth.java
+++ b/src/main/java/olivechute/store/raft/DiskHealth.java
@@ -8,9 +8,9 @@
      * Free bytes below which the disk counts as full: what a snapshot under way or a log file may take before the next
      * look.
      */
-    static final long LEAST_FREE = 8L << 20;
+    static final long MIN_FREE_BYTES = 8L << 20;
 
-    private static final int WELL_IN_A_ROW = 3;
+    private static final int RECOVERY_CHECKS = 3;
 
     /**
      * What a look at the folder found.
@@ -19,59 +19,59 @@
      * @param free bytes that the disk has left
      * @param held bytes that the folder holds
      */
-    record Look(ErrorCode failed, long free, long held) {}
+    record ProbeResult(ErrorCode fault, long freeBytes, long usedBytes) {}
 
-    private final long quota;
-    private ErrorCode trouble;
-    private int well;
+    private final long quotaBytes;
+    private ErrorCode fault;
+    private int healthyChecks;
 
     /** {@code quota}: most bytes that the folder may hold, 0 for no bound. */
-    DiskHealth(long quota) {
-        this.quota = quota;
+    DiskHealth(long quotaBytes) {
+        this.quotaBytes = quotaBytes;
     }
 
     /** What is wrong now; null for nothing. */
-    ErrorCode trouble() {
-        return trouble;
+    ErrorCode fault() {
+        return fault;
     }
 
     /**
      * A look was taken. It takes several good ones in a row to be well again, so that it does not flap. Returns what is
      * wrong now.
      */
-    ErrorCode looked(Look look) {
-        ErrorCode found = judge(look);
-        if (found != null) {
-            return failed(found);
+    ErrorCode onProbeResult(ProbeResult result) {
+        ErrorCode newFault = evaluate(result);
+        if (newFault != null) {
+            return onFailure(newFault);
         }
-        if (trouble != null && ++well >= WELL_IN_A_ROW) {
-            trouble = null;
+        if (fault != null && ++healthyChecks >= RECOVERY_CHECKS) {
+            fault = null;
         }
-        return trouble;
+        return fault;
     }
 
     /** Something could not be written. */
-    ErrorCode failed(ErrorCode kind) {
-        well = 0;
-        trouble = kind;
-        return trouble;
+    ErrorCode onFailure(ErrorCode kind) {
+        healthyChecks = 0;
+        fault = kind;
+        return fault;
     }
 
-    private ErrorCode judge(Look look) {
-        if (look.failed != null) {
-            return look.failed;
+    private ErrorCode evaluate(ProbeResult result) {
+        if (result.fault != null) {
+            return result.fault;
         }
-        boolean full = look.free < LEAST_FREE || (quota > 0 && look.held >= quota);
+        boolean full = result.freeBytes < MIN_FREE_BYTES || (quotaBytes > 0 && result.usedBytes >= quotaBytes);
         return full ? ErrorCode.DISK_FULL : null;
     }
 
     /** What a failed read or write means: Linux says by its text alone why. */
-    static ErrorCode kind(Throwable failed) {
-        for (Throwable each = failed; each != null; each = each.getCause()) {
-            String text = String.valueOf(each.getMessage());
-            if (text.contains("No space left")
-                    || text.contains("Disk quota exceeded")
-                    || text.contains("File too large")) {
+    static ErrorCode errorCodeOf(Throwable failure) {
+        for (Throwable each = failure; each != null; each = each.getCause()) {
+            String message = String.valueOf(each.getMessage());
+            if (message.contains("No space left")
+                    || message.contains("Disk quota exceeded")
+                    || message.contains("File too large")) {
                 return ErrorCode.DISK_FULL;
             }
         }
@@ -79,7 +79,7 @@
     }
 
     /** As the log line names it. */
-    static String word(ErrorCode trouble) {
-        return trouble == null ? "well" : trouble == ErrorCode.DISK_FULL ? "full" : "broken";
+    static String describe(ErrorCode fault) {
+        return fault == null ? "well" : fault == ErrorCode.DISK_FULL ? "full" : "broken";
     }
 }
--- a/src/main/java/olivechute/store/raft/DiskProbe.java
+++ b/src/main/java/olivechute/store/raft/DiskProbe.java
@@ -17,50 +17,50 @@
  * disk is full, so that what is under way can end.
  */
 final class DiskProbe {
-    private static final int BLOCK = 4096;
+    private static final int BLOCK_BYTES = 4096;
     /** Bytes held in reserve. */
-    static final int RESERVE = 4 << 20;
+    static final int RESERVE_BYTES = 4 << 20;
 
-    private final Path folder;
-    private final long reach;
+    private final Path directory;
+    private final long blockOffset;
 
     /** {@code reach}: offset of the block that is written, the length of the log's files. */
-    DiskProbe(Path folder, long reach) {
-        this.folder = folder;
-        this.reach = reach;
+    DiskProbe(Path directory, long blockOffset) {
+        this.directory = directory;
+        this.blockOffset = blockOffset;
     }
 
-    DiskHealth.Look look() {
+    DiskHealth.ProbeResult probe() {
         try {
-            ByteBuffer block = ByteBuffer.allocate(BLOCK);
+            ByteBuffer block = ByteBuffer.allocate(BLOCK_BYTES);
             ThreadLocalRandom.current().nextBytes(block.array());
-            try (FileChannel probe =
-                    FileChannel.open(folder.resolve("probe"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-                for (long at = reach; block.hasRemaining(); ) {
-                    at += probe.write(block, at);
+            try (FileChannel channel =
+                    FileChannel.open(directory.resolve("probe"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+                for (long offset = blockOffset; block.hasRemaining(); ) {
+                    offset += channel.write(block, offset);
                 }
-                probe.force(false);
+                channel.force(false);
             }
-            return new DiskHealth.Look(null, Files.getFileStore(folder).getUsableSpace(), held());
+            return new DiskHealth.ProbeResult(null, Files.getFileStore(directory).getUsableSpace(), usedBytes());
         } catch (IOException e) {
             Logger.debug("probe: {}", e.toString());
-            return new DiskHealth.Look(DiskHealth.kind(e), 0, 0);
+            return new DiskHealth.ProbeResult(DiskHealth.errorCodeOf(e), 0, 0);
         }
     }
 
     /** Bytes that the folder's files have, without the probe, which is mostly a hole. */
-    private long held() throws IOException {
-        long held = 0;
-        try (Stream<Path> all = Files.walk(folder)) {
-            for (Path each : (Iterable<Path>) all::iterator) {
+    private long usedBytes() throws IOException {
+        long total = 0;
+        try (Stream<Path> files = Files.walk(directory)) {
+            for (Path each : (Iterable<Path>) files::iterator) {
                 if (!each.endsWith("probe") && Files.isRegularFile(each)) {
-                    held += size(each);
+                    total += size(each);
                 }
             }
         } catch (java.io.UncheckedIOException e) {
             Logger.debug("folder changed while it was counted: {}", e.toString());
         }
-        return held;
+        return total;
     }
 
     private static long size(Path file) throws IOException {
@@ -72,26 +72,26 @@
     }
 
     /** Puts the reserve there; fails where there is no room for it. */
-    void reserve() throws IOException {
-        Path reserve = folder.resolve("reserve");
-        if (Files.exists(reserve) && Files.size(reserve) == RESERVE) {
+    void ensureReserve() throws IOException {
+        Path reserveFile = directory.resolve("reserve");
+        if (Files.exists(reserveFile) && Files.size(reserveFile) == RESERVE_BYTES) {
             return;
         }
-        try (FileChannel file = FileChannel.open(reserve, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
-            ByteBuffer bytes = ByteBuffer.allocate(BLOCK);
-            for (long at = 0; at < RESERVE; at += bytes.position()) {
-                bytes.clear();
-                ThreadLocalRandom.current().nextBytes(bytes.array());
-                file.write(bytes, at);
+        try (FileChannel channel = FileChannel.open(reserveFile, StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            ByteBuffer block = ByteBuffer.allocate(BLOCK_BYTES);
+            for (long offset = 0; offset < RESERVE_BYTES; offset += block.position()) {
+                block.clear();
+                ThreadLocalRandom.current().nextBytes(block.array());
+                channel.write(block, offset);
             }
-            file.force(true);
+            channel.force(true);
         }
     }
 
     /** Gives the reserve up. */
-    void giveUp() {
+    void releaseReserve() {
         try {
-            Files.deleteIfExists(folder.resolve("reserve"));
+            Files.deleteIfExists(directory.resolve("reserve"));
         } catch (IOException e) {
             Logger.warn("reserve not given up: {}", e.toString());
         }
--- a/src/main/java/olivechute/store/raft/LogTail.java
+++ b/src/main/java/olivechute/store/raft/LogTail.java
@@ -17,70 +17,70 @@
  * to refuse.
  */
 final class LogTail {
-    private static final int HEADER = 8;
-    private static final int SUM = 4;
+    private static final int HEADER_BYTES = 8;
+    private static final int CHECKSUM_BYTES = 4;
 
     private LogTail() {}
 
     /** Cuts torn ends off the open files of a log; there is none before the first start. */
-    static void mend(Path log) throws IOException {
-        if (!Files.isDirectory(log)) {
+    static void truncateTornEntries(Path logDirectory) throws IOException {
+        if (!Files.isDirectory(logDirectory)) {
             return;
         }
-        List<Path> open;
-        try (Stream<Path> all = Files.list(log)) {
-            open = all.filter(f -> f.getFileName().toString().startsWith("log_inprogress_"))
+        List<Path> openSegments;
+        try (Stream<Path> files = Files.list(logDirectory)) {
+            openSegments = files.filter(f -> f.getFileName().toString().startsWith("log_inprogress_"))
                     .toList();
         }
-        for (Path each : open) {
-            long torn = torn(Files.readAllBytes(each));
-            if (torn >= 0) {
-                Logger.warn("log: cut a torn entry off {} at {}", each.getFileName(), torn);
-                try (FileChannel file = FileChannel.open(each, StandardOpenOption.WRITE)) {
-                    file.truncate(torn);
-                    file.force(true);
+        for (Path each : openSegments) {
+            long tornOffset = findTornEntry(Files.readAllBytes(each));
+            if (tornOffset >= 0) {
+                Logger.warn("log: cut a torn entry off {} at {}", each.getFileName(), tornOffset);
+                try (FileChannel channel = FileChannel.open(each, StandardOpenOption.WRITE)) {
+                    channel.truncate(tornOffset);
+                    channel.force(true);
                 }
             }
         }
     }
 
     /** Where a torn entry begins; -1 for none. */
-    static int torn(byte[] file) {
-        for (int at = HEADER; at < file.length && file[at] != 0; ) {
+    static int findTornEntry(byte[] file) {
+        for (int offset = HEADER_BYTES; offset < file.length && file[offset] != 0; ) {
             long length = 0;
-            int data = at;
-            for (int shift = 0; data < file.length && shift < 35; shift += 7) {
-                byte each = file[data++];
-                length |= (long) (each & 0x7f) << shift;
-                if (each >= 0) {
+            int dataOffset = offset;
+            for (int shift = 0; dataOffset < file.length && shift < 35; shift += 7) {
+                byte octet = file[dataOffset++];
+                length |= (long) (octet & 0x7f) << shift;
+                if (octet >= 0) {
                     break;
                 }
             }
-            long end = data + length + SUM;
+            long end = dataOffset + length + CHECKSUM_BYTES;
             if (end > file.length) {
                 return -1; // cut short as a file: the library passes over it
             }
-            int good = summed(file, at, (int) end);
-            if (good < SUM) {
-                return zeros(file, (int) end - SUM + good) ? at : -1;
+            int matching = countMatchingChecksumBytes(file, offset, (int) end);
+            if (matching < CHECKSUM_BYTES) {
+                return isZeroFrom(file, (int) end - CHECKSUM_BYTES + matching) ? offset : -1;
             }
-            at = (int) end;
+            offset = (int) end;
         }
         return -1;
     }
 
     /** How many bytes of an entry's sum are right, from the first. */
-    private static int summed(byte[] file, int from, int end) {
-        CRC32C sum = new CRC32C();
-        sum.update(file, from, end - SUM - from);
-        int good = 0;
-        while (good < SUM && file[end - SUM + good] == (byte) (sum.getValue() >> (8 * (SUM - 1 - good)))) {
-            good++;
+    private static int countMatchingChecksumBytes(byte[] file, int from, int end) {
+        CRC32C checksum = new CRC32C();
+        checksum.update(file, from, end - CHECKSUM_BYTES - from);
+        int matching = 0;
+        while (matching < CHECKSUM_BYTES && file[end - CHECKSUM_BYTES + matching] == (byte) (checksum.getValue() >> (8 * (CHECKSUM_BYTES - 1 - matching)))) {
+            matching++;
         }
-        return good;
+        return matching;
     }
 
-    private static boolean zeros(byte[] file, int from) {
+    private static boolean isZeroFrom(byte[] file, int from) {
         for (int i = from; i < file.length; i++) {
             if (file[i] != 0) {
                 return false;
--- a/src/main/java/olivechute/store/raft/RaftMember.java
+++ b/src/main/java/olivechute/store/raft/RaftMember.java
@@ -28,51 +28,51 @@
 
 /** The consensus of one replica between a start and an end of it; trouble at the disk ends one and begins the next. */
 final class RaftMember implements AutoCloseable {
-    private static final int SNAPSHOT_WITHIN_MS = 60_000;
-    private static final int PASS_WITHIN_MS = 800;
+    private static final int SNAPSHOT_TIMEOUT_MS = 60_000;
+    private static final int TRANSFER_TIMEOUT_MS = 800;
 
     private final ReplicaSettings settings;
     private final RaftGroup group;
     private final RaftPeerId id;
-    private final ClientId caller = ClientId.randomId();
-    private final AtomicLong calls = new AtomicLong();
-    private final Supplier<String> disk;
+    private final ClientId clientId = ClientId.randomId();
+    private final AtomicLong lastCallId = new AtomicLong();
+    private final Supplier<String> diskStatus;
     private final SnapshotStorage snapshots;
-    private final RatisStateMachine machine;
+    private final RatisStateMachine stateMachine;
     private final RaftServer server;
-    private final Path vote;
+    private final Path voteFile;
     private volatile long term;
-    private CompletableFuture<RaftClientReply> asked = CompletableFuture.completedFuture(null);
+    private CompletableFuture<RaftClientReply> pendingTick = CompletableFuture.completedFuture(null);
 
     RaftMember(
-            ReplicaSettings settings, DataDirectory folder, RatisStateMachine.Listener listener, Supplier<String> disk)
+            ReplicaSettings settings, DataDirectory dataDirectory, RatisStateMachine.Listener listener, Supplier<String> diskStatus)
             throws IOException {
         this.settings = settings;
-        this.disk = disk;
+        this.diskStatus = diskStatus;
         group = RatisConfiguration.group(settings.region(), settings.replicas());
         id = RaftPeerId.valueOf(settings.id());
-        vote = folder.log()
+        voteFile = dataDirectory.logDirectory()
                 .resolve(group.getGroupId().getUuid().toString())
                 .resolve("current")
                 .resolve("raft-meta");
-        LogTail.mend(vote.getParent());
+        LogTail.truncateTornEntries(voteFile.getParent());
         snapshots = new SnapshotStorage(
-                folder.path().resolve("snapshot.tmp"),
-                settings.snapshotEvery(),
+                dataDirectory.path().resolve("snapshot.tmp"),
+                settings.snapshotEntries(),
                 settings.snapshotBytes(),
-                this::snapshot);
-        machine = new RatisStateMachine(
-                new StoreStateMachine(Replica.bounds(settings)),
+                this::requestSnapshot);
+        stateMachine = new RatisStateMachine(
+                new StoreStateMachine(Replica.storeLimits(settings)),
                 snapshots,
                 System::currentTimeMillis,
-                this::status,
+                this::addReplicaStatus,
                 listener);
         server = RaftServer.newBuilder()
                 .setServerId(id)
                 .setGroup(group)
-                .setStateMachine(machine)
+                .setStateMachine(stateMachine)
                 .setOption(RaftStorage.StartupOption.RECOVER)
-                .setProperties(RatisConfiguration.server(settings, folder.log()))
+                .setProperties(RatisConfiguration.serverProperties(settings, dataDirectory.logDirectory()))
                 .build();
     }
 
@@ -80,24 +80,24 @@
         server.start();
     }
 
-    private CompletableFuture<?> snapshot() {
+    private CompletableFuture<?> requestSnapshot() {
         return server.snapshotManagementAsync(SnapshotManagementRequest.newCreate(
-                caller, id, group.getGroupId(), calls.incrementAndGet(), SNAPSHOT_WITHIN_MS, 1));
+                clientId, id, group.getGroupId(), lastCallId.incrementAndGet(), SNAPSHOT_TIMEOUT_MS, 1));
     }
 
-    private Reply status(Reply reply) {
+    private Reply addReplicaStatus(Reply reply) {
         return reply.toBuilder()
                 .setStatus(reply.getStatus().toBuilder()
                         .setReplica(settings.id())
-                        .setLead(lead())
-                        .setDisk(disk.get()))
+                        .setLead(leaderId())
+                        .setDisk(diskStatus.get()))
                 .build();
     }
 
-    private String lead() {
+    private String leaderId() {
         try {
-            RaftPeerId lead = server.getDivision(group.getGroupId()).getInfo().getLeaderId();
-            return lead == null ? "" : lead.toString();
+            RaftPeerId leader = server.getDivision(group.getGroupId()).getInfo().getLeaderId();
+            return leader == null ? "" : leader.toString();
         } catch (IOException e) {
             return "";
         }
@@ -113,7 +113,7 @@
         return term;
     }
 
-    private boolean leadsNow() {
+    private boolean isLeaderReady() {
         try {
             return server.getDivision(group.getGroupId()).getInfo().isLeaderReady();
         } catch (IOException e) {
@@ -122,7 +122,7 @@
     }
 
     /** Whether the consensus ended by itself, which it does where it cannot keep what it should. */
-    boolean over() {
+    boolean isClosed() {
         try {
             return server.getDivision(group.getGroupId())
                     .getInfo()
@@ -134,18 +134,18 @@
     }
 
     /** Hands the lead to another, as far as that is done in a moment. */
-    void passOn() {
+    void transferLeadership() {
         for (ReplicaAddress each : settings.replicas()) {
-            if (leadsNow() && !each.id().equals(settings.id())) {
+            if (isLeaderReady() && !each.id().equals(settings.id())) {
                 try {
                     server.transferLeadershipAsync(new TransferLeadershipRequest(
-                                    caller,
+                                    clientId,
                                     id,
                                     group.getGroupId(),
-                                    calls.incrementAndGet(),
+                                    lastCallId.incrementAndGet(),
                                     RaftPeerId.valueOf(each.id()),
-                                    PASS_WITHIN_MS))
-                            .get(PASS_WITHIN_MS, TimeUnit.MILLISECONDS);
+                                    TRANSFER_TIMEOUT_MS))
+                            .get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 } catch (IOException | ExecutionException | TimeoutException e) {
                     Logger.info("lead not passed to {}: {}", each.id(), e.toString());
                 } catch (InterruptedException e) {
@@ -158,19 +158,19 @@
 
     /** A quarter of a second has passed: watches end, and where this replica leads, leases do. */
     void tick() {
-        machine.expireWatches();
-        if (leadsNow() && asked.isDone() && machine.leases() > 0) {
-            asked = submit(StoreMessages.tick());
+        stateMachine.expireWatches();
+        if (isLeaderReady() && pendingTick.isDone() && stateMachine.leaseCount() > 0) {
+            pendingTick = submit(StoreMessages.tick());
         }
     }
 
     private CompletableFuture<RaftClientReply> submit(Command command) {
         try {
             return server.submitClientRequestAsync(RaftClientRequest.newBuilder()
-                    .setClientId(caller)
+                    .setClientId(clientId)
                     .setServerId(id)
                     .setGroupId(group.getGroupId())
-                    .setCallId(calls.incrementAndGet())
+                    .setCallId(lastCallId.incrementAndGet())
                     .setMessage(Message.valueOf(UnsafeByteOperations.unsafeWrap(command.toByteArray())))
                     .setType(RaftClientRequest.writeRequestType())
                     .build());
@@ -180,13 +180,13 @@
     }
 
     /** Mends what a disk without room left of its vote; once it is closed, and before the next one begins. */
-    void mendVote() throws IOException {
-        VoteFile.mend(vote, term, settings.id());
+    void repairVoteFile() throws IOException {
+        VoteFile.repair(voteFile, term, settings.id());
     }
 
     @Override
     public void close() {
-        machine.endWatches();
+        stateMachine.completeWatches();
         try {
             RaftServer.Division division = server.getDivision(group.getGroupId());
             server.close();
--- a/src/main/java/olivechute/store/raft/RatisConfiguration.java
+++ b/src/main/java/olivechute/store/raft/RatisConfiguration.java
@@ -25,10 +25,10 @@
  */
 final class RatisConfiguration {
     private static final int MIB = 1024 * 1024;
-    private static final int KEPT_SEGMENTS = 2;
-    private static final int MESSAGE = 4 * MIB; // the longest command that goes through
-    private static final int LAID_OUT = 64 * 1024; // of a log file ahead of what is written
-    private static final int CHUNK = MIB; // of a snapshot that goes to another replica
+    private static final int CACHED_SEGMENTS = 2;
+    private static final int MAX_COMMAND_BYTES = 4 * MIB; // the longest command that goes through
+    private static final int PREALLOCATED_BYTES = 64 * 1024; // of a log file ahead of what is written
+    private static final int SNAPSHOT_CHUNK_BYTES = MIB; // of a snapshot that goes to another replica
 
     private RatisConfiguration() {}
 
@@ -50,61 +50,61 @@
         return RaftGroup.valueOf(RaftGroupId.valueOf(id), peers);
     }
 
-    static RaftProperties server(ReplicaSettings settings, Path log) {
-        RaftProperties p = new RaftProperties();
-        String address = settings.own().address();
+    static RaftProperties serverProperties(ReplicaSettings settings, Path logDirectory) {
+        RaftProperties properties = new RaftProperties();
+        String address = settings.self().address();
         int colon = address.lastIndexOf(':');
-        GrpcConfigKeys.Server.setHost(p, address.substring(0, colon));
-        GrpcConfigKeys.Server.setPort(p, Integer.parseInt(address.substring(colon + 1)));
-        GrpcConfigKeys.setMessageSizeMax(p, SizeInBytes.valueOf(2L * MESSAGE));
-        GrpcConfigKeys.setFlowControlWindow(p, SizeInBytes.valueOf(MIB));
+        GrpcConfigKeys.Server.setHost(properties, address.substring(0, colon));
+        GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(2L * MAX_COMMAND_BYTES));
+        GrpcConfigKeys.setFlowControlWindow(properties, SizeInBytes.valueOf(MIB));
         // One at a time holds all that waits; several overtake each other on the way and are turned back for it.
-        GrpcConfigKeys.Server.setLeaderOutstandingAppendsMax(p, 1);
-        RaftServerConfigKeys.setStorageDir(p, List.of(log.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(p, time(settings.electionLeast().toMillis()));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(p, time(settings.electionMost().toMillis()));
+        GrpcConfigKeys.Server.setLeaderOutstandingAppendsMax(properties, 1);
+        RaftServerConfigKeys.setStorageDir(properties, List.of(logDirectory.toFile()));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(settings.minElectionTimeout().toMillis()));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(settings.maxElectionTimeout().toMillis()));
         RaftServerConfigKeys.Rpc.setRequestTimeout(
-                p, time(settings.electionMost().toMillis()));
-        RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(p, time(2_000));
-        RaftServerConfigKeys.Read.setOption(p, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
+                properties, millis(settings.maxElectionTimeout().toMillis()));
+        RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(2_000));
+        RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
         // A pause of the machine is not taken for a reason to end: the supervisor of the process sees to that.
-        RaftServerConfigKeys.setCloseThreshold(p, time(3_600_000));
-        memory(p, settings);
-        return p;
+        RaftServerConfigKeys.setCloseThreshold(properties, millis(3_600_000));
+        setMemoryLimits(properties, settings);
+        return properties;
     }
 
-    private static void memory(RaftProperties p, ReplicaSettings settings) {
-        Log.setSegmentSizeMax(p, SizeInBytes.valueOf(settings.segmentBytes()));
-        Log.setSegmentCacheNumMax(p, KEPT_SEGMENTS);
-        Log.setSegmentCacheSizeMax(p, SizeInBytes.valueOf((long) KEPT_SEGMENTS * settings.segmentBytes()));
-        Log.setPreallocatedSize(p, SizeInBytes.valueOf(LAID_OUT));
-        Log.setWriteBufferSize(p, SizeInBytes.valueOf(MESSAGE + 64 * 1024));
-        Log.setQueueByteLimit(p, SizeInBytes.valueOf(2L * MESSAGE));
-        Log.setQueueElementLimit(p, 1024);
-        Log.setCorruptionPolicy(p, Log.CorruptionPolicy.EXCEPTION);
-        Log.setPurgeUptoSnapshotIndex(p, true);
-        Log.setPurgeGap(p, 1);
-        Log.Appender.setBufferByteLimit(p, SizeInBytes.valueOf(MESSAGE));
-        Log.Appender.setSnapshotChunkSizeMax(p, SizeInBytes.valueOf(CHUNK));
-        RaftServerConfigKeys.Write.setByteLimit(p, SizeInBytes.valueOf(2L * MESSAGE));
-        RaftServerConfigKeys.Write.setElementLimit(p, 1024);
-        RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(p, false);
-        RaftServerConfigKeys.Snapshot.setRetentionFileNum(p, 2);
-        RaftServerConfigKeys.ThreadPool.setServerSize(p, 8);
-        RaftServerConfigKeys.ThreadPool.setServerCached(p, false);
-        RaftServerConfigKeys.ThreadPool.setClientSize(p, 4);
-        RaftServerConfigKeys.ThreadPool.setClientCached(p, false);
-        RaftServerConfigKeys.RetryCache.setExpiryTime(p, time(60_000));
+    private static void setMemoryLimits(RaftProperties properties, ReplicaSettings settings) {
+        Log.setSegmentSizeMax(properties, SizeInBytes.valueOf(settings.segmentBytes()));
+        Log.setSegmentCacheNumMax(properties, CACHED_SEGMENTS);
+        Log.setSegmentCacheSizeMax(properties, SizeInBytes.valueOf((long) CACHED_SEGMENTS * settings.segmentBytes()));
+        Log.setPreallocatedSize(properties, SizeInBytes.valueOf(PREALLOCATED_BYTES));
+        Log.setWriteBufferSize(properties, SizeInBytes.valueOf(MAX_COMMAND_BYTES + 64 * 1024));
+        Log.setQueueByteLimit(properties, SizeInBytes.valueOf(2L * MAX_COMMAND_BYTES));
+        Log.setQueueElementLimit(properties, 1024);
+        Log.setCorruptionPolicy(properties, Log.CorruptionPolicy.EXCEPTION);
+        Log.setPurgeUptoSnapshotIndex(properties, true);
+        Log.setPurgeGap(properties, 1);
+        Log.Appender.setBufferByteLimit(properties, SizeInBytes.valueOf(MAX_COMMAND_BYTES));
+        Log.Appender.setSnapshotChunkSizeMax(properties, SizeInBytes.valueOf(SNAPSHOT_CHUNK_BYTES));
+        RaftServerConfigKeys.Write.setByteLimit(properties, SizeInBytes.valueOf(2L * MAX_COMMAND_BYTES));
+        RaftServerConfigKeys.Write.setElementLimit(properties, 1024);
+        RaftServerConfigKeys.Snapshot.setAutoTriggerEnabled(properties, false);
+        RaftServerConfigKeys.Snapshot.setRetentionFileNum(properties, 2);
+        RaftServerConfigKeys.ThreadPool.setServerSize(properties, 8);
+        RaftServerConfigKeys.ThreadPool.setServerCached(properties, false);
+        RaftServerConfigKeys.ThreadPool.setClientSize(properties, 4);
+        RaftServerConfigKeys.ThreadPool.setClientCached(properties, false);
+        RaftServerConfigKeys.RetryCache.setExpiryTime(properties, millis(60_000));
     }
 
-    static RaftProperties client(long attemptMs) {
-        RaftProperties p = new RaftProperties();
-        RaftClientConfigKeys.Rpc.setRequestTimeout(p, time(attemptMs));
-        GrpcConfigKeys.setMessageSizeMax(p, SizeInBytes.valueOf(64L * MIB));
-        return p;
+    static RaftProperties clientProperties(long attemptMs) {
+        RaftProperties properties = new RaftProperties();
+        RaftClientConfigKeys.Rpc.setRequestTimeout(properties, millis(attemptMs));
+        GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(64L * MIB));
+        return properties;
     }
 
-    static TimeDuration time(long ms) {
+    static TimeDuration millis(long ms) {
         return TimeDuration.valueOf(ms, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
+++ b/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
@@ -19,10 +19,10 @@
     }
 
     /** The fault somewhere behind a throwable, null where there is none. */
-    static FleetException behind(Throwable thrown) {
+    static FleetException findFault(Throwable thrown) {
         for (Throwable each = thrown; each != null; each = each.getCause()) {
-            if (each instanceof RatisExceptionAdapter carried) {
-                return carried.fault;
+            if (each instanceof RatisExceptionAdapter adapter) {
+                return adapter.fault;
             }
         }
         return null;
--- a/src/main/java/olivechute/store/raft/RatisStateMachine.java
+++ b/src/main/java/olivechute/store/raft/RatisStateMachine.java
@@ -41,52 +41,52 @@
  */
 final class RatisStateMachine extends BaseStateMachine {
     /** Longest that one call waits for a change; a longer watch is several calls. */
-    static final Duration LONGEST_WAIT = Duration.ofSeconds(2);
+    static final Duration MAX_WATCH_WAIT = Duration.ofSeconds(2);
 
     /** What a replica wants to know of it; called on threads of the consensus, which must not be held up. */
     interface Listener {
-        void leads();
+        void onLeader();
 
-        void leadsNoMore();
+        void onNotLeader();
 
-        void follows(RaftPeerId lead);
+        void onFollower(RaftPeerId leader);
 
         /** It took over a snapshot of the one that leads. */
-        void caughtUp();
+        void onSnapshotInstalled();
 
-        void logFailed(Throwable cause);
+        void onLogFailure(Throwable cause);
 
         /** Nothing more is applied: going on would part this replica from the others. */
-        void cannotGoOn(FleetException fault);
+        void onFatalError(FleetException fault);
     }
 
-    private final StoreStateMachine machine;
+    private final StoreStateMachine stateMachine;
     private final WatchRegistry watches;
     private final SnapshotStorage snapshots;
     private final LongSupplier clockMs;
-    private final UnaryOperator<Reply> status;
+    private final UnaryOperator<Reply> addReplicaStatus;
     private final Listener listener;
     private volatile StoreState state = StoreState.EMPTY;
     private volatile boolean stopped;
 
     /** {@code status}: adds what only the replica knows to a status reply. */
     RatisStateMachine(
-            StoreStateMachine machine,
+            StoreStateMachine stateMachine,
             SnapshotStorage snapshots,
             LongSupplier clockMs,
-            UnaryOperator<Reply> status,
+            UnaryOperator<Reply> addReplicaStatus,
             Listener listener) {
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.snapshots = snapshots;
         this.clockMs = clockMs;
-        this.status = status;
+        this.addReplicaStatus = addReplicaStatus;
         this.listener = listener;
-        watches = new WatchRegistry(machine.bounds(), state);
+        watches = new WatchRegistry(stateMachine.limits(), state);
     }
 
     /** Leases held now. */
-    long leases() {
-        return machine.query(state, StoreMessages.status()).getStatus().getSessions();
+    long leaseCount() {
+        return stateMachine.query(state, StoreMessages.status()).getStatus().getSessions();
     }
 
     /** Answers the watches that have waited long enough. */
@@ -95,15 +95,15 @@
     }
 
     /** Answers all watches, as nothing more will change here. */
-    void endWatches() {
+    void completeWatches() {
         watches.expire(Long.MAX_VALUE);
     }
 
     @Override
     public void initialize(RaftServer server, RaftGroupId group, RaftStorage storage) throws IOException {
         super.initialize(server, group, storage);
-        snapshots.open(storage);
-        getLifeCycle().startAndTransition(this::load);
+        snapshots.init(storage);
+        getLifeCycle().startAndTransition(this::loadSnapshot);
     }
 
     @Override
@@ -114,15 +114,15 @@
 
     @Override
     public void reinitialize() throws IOException {
-        getLifeCycle().startAndTransition(this::load);
-        listener.caughtUp();
+        getLifeCycle().startAndTransition(this::loadSnapshot);
+        listener.onSnapshotInstalled();
     }
 
-    private void load() throws IOException {
-        SnapshotStorage.Loaded loaded = snapshots.load();
-        if (loaded != null) {
-            state = loaded.state();
-            setLastAppliedTermIndex(loaded.upTo());
+    private void loadSnapshot() throws IOException {
+        SnapshotStorage.LoadedSnapshot snapshot = snapshots.load();
+        if (snapshot != null) {
+            state = snapshot.state();
+            setLastAppliedTermIndex(snapshot.lastEntry());
             watches.onChange(state);
         }
     }
@@ -134,7 +134,7 @@
         try {
             Command command =
                     Command.parseFrom(request.getMessage().getContent().asReadOnlyByteBuffer());
-            byte[] stamped = StoreMessages.stamped(command, clockMs.getAsLong()).toByteArray();
+            byte[] stamped = StoreMessages.withClock(command, clockMs.getAsLong()).toByteArray();
             return transaction
                     .setLogData(UnsafeByteOperations.unsafeWrap(stamped))
                     .build();
@@ -155,22 +155,22 @@
         try {
             Command command = Command.parseFrom(
                     entry.getStateMachineLogEntry().getLogData().asReadOnlyByteBuffer());
-            CommandResult applied = machine.apply(state, command, entry.getIndex());
-            state = applied.state();
-            reply = applied.reply();
+            CommandResult result = stateMachine.apply(state, command, entry.getIndex());
+            state = result.state();
+            reply = result.reply();
         } catch (InvalidProtocolBufferException e) {
-            reply = StoreMessages.refusal(
+            reply = StoreMessages.rejection(
                     ErrorCode.MALFORMED, "a command that cannot be read: " + e.getMessage(), state.version());
         } catch (StoreException e) {
             stopped = true;
-            listener.cannotGoOn(e);
+            listener.onFatalError(e);
             return CompletableFuture.failedFuture(
                     new StateMachineException("the replica cannot go on: " + e.getMessage()));
         }
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         watches.onChange(state);
         snapshots.onApplied(state, TermIndex.valueOf(entry), entry.getSerializedSize());
-        return CompletableFuture.completedFuture(message(reply));
+        return CompletableFuture.completedFuture(toMessage(reply));
     }
 
     @Override
@@ -179,23 +179,23 @@
         try {
             query = Query.parseFrom(request.getContent().asReadOnlyByteBuffer());
         } catch (InvalidProtocolBufferException e) {
-            return CompletableFuture.completedFuture(message(StoreMessages.refusal(
+            return CompletableFuture.completedFuture(toMessage(StoreMessages.rejection(
                     ErrorCode.MALFORMED, "a query that cannot be read: " + e.getMessage(), state.version())));
         }
-        if (query.hasWatch() && query.getLevel() <= machine.known()) {
-            long wait = Math.min(Integer.toUnsignedLong(query.getWatch().getWaitMs()), LONGEST_WAIT.toMillis());
+        if (query.hasWatch() && query.getLevel() <= stateMachine.supportedLevel()) {
+            long waitMs = Math.min(Integer.toUnsignedLong(query.getWatch().getWaitMs()), MAX_WATCH_WAIT.toMillis());
             return watches.register(
-                            query.getWatch().getPrefix(), query.getWatch().getSince(), clockMs.getAsLong() + wait)
-                    .thenApply(RatisStateMachine::message);
+                            query.getWatch().getPrefix(), query.getWatch().getSince(), clockMs.getAsLong() + waitMs)
+                    .thenApply(RatisStateMachine::toMessage);
         }
-        Reply reply = machine.query(state, query);
+        Reply reply = stateMachine.query(state, query);
         return CompletableFuture.completedFuture(
-                message(query.hasStatus() && !reply.hasRefusal() ? status.apply(reply) : reply));
+                toMessage(query.hasStatus() && !reply.hasRefusal() ? addReplicaStatus.apply(reply) : reply));
     }
 
     @Override
     public long takeSnapshot() throws IOException {
-        return snapshots.settle();
+        return snapshots.install();
     }
 
     @Override
@@ -209,28 +209,28 @@
     }
 
     @Override
-    public void notifyLeaderChanged(RaftGroupMemberId member, RaftPeerId lead) {
-        if (lead != null && !lead.equals(member.getPeerId())) {
-            listener.follows(lead);
+    public void notifyLeaderChanged(RaftGroupMemberId member, RaftPeerId leader) {
+        if (leader != null && !leader.equals(member.getPeerId())) {
+            listener.onFollower(leader);
         }
     }
 
     @Override
     public void notifyLeaderReady() {
-        listener.leads();
+        listener.onLeader();
     }
 
     @Override
     public void notifyNotLeader(Collection<TransactionContext> pending) {
-        listener.leadsNoMore();
+        listener.onNotLeader();
     }
 
     @Override
     public void notifyLogFailed(Throwable cause, LogEntryProto failed) {
-        listener.logFailed(cause);
+        listener.onLogFailure(cause);
     }
 
-    static Message message(Reply reply) {
+    static Message toMessage(Reply reply) {
         ByteString bytes = UnsafeByteOperations.unsafeWrap(reply.toByteArray());
         return Message.valueOf(bytes);
     }
--- a/src/main/java/olivechute/store/raft/RatisStore.java
+++ b/src/main/java/olivechute/store/raft/RatisStore.java
@@ -30,17 +30,17 @@
  * several threads.
  */
 public final class RatisStore implements Store {
-    private static final int ATTEMPTS = 4; // that a time-out leaves room for where each hangs
-    private static final Duration SLACK = Duration.ofSeconds(1);
+    private static final int MIN_ATTEMPTS = 4; // that a time-out leaves room for where each hangs
+    private static final Duration WATCH_SLACK = Duration.ofSeconds(1);
 
     private final Duration timeout;
-    private final RaftClient calls;
-    private final RaftClient watches;
+    private final RaftClient callClient;
+    private final RaftClient watchClient;
 
-    private RatisStore(Duration timeout, RaftClient calls, RaftClient watches) {
+    private RatisStore(Duration timeout, RaftClient callClient, RaftClient watchClient) {
         this.timeout = timeout;
-        this.calls = calls;
-        this.watches = watches;
+        this.callClient = callClient;
+        this.watchClient = watchClient;
     }
 
     /** A client of replicas whose settings name no region. */
@@ -54,18 +54,18 @@
      */
     public static RatisStore connect(String region, List<ReplicaAddress> replicas, Duration timeout) {
         RaftGroup group = RatisConfiguration.group(region, replicas);
-        long attempt = Math.max(100, timeout.toMillis() / ATTEMPTS);
+        long attemptMs = Math.max(100, timeout.toMillis() / MIN_ATTEMPTS);
         return new RatisStore(
                 timeout,
-                client(group, attempt),
-                client(group, RatisStateMachine.LONGEST_WAIT.plus(SLACK).toMillis()));
+                newClient(group, attemptMs),
+                newClient(group, RatisStateMachine.MAX_WATCH_WAIT.plus(WATCH_SLACK).toMillis()));
     }
 
-    private static RaftClient client(RaftGroup group, long attemptMs) {
+    private static RaftClient newClient(RaftGroup group, long attemptMs) {
         return RaftClient.newBuilder()
                 .setRaftGroup(group)
-                .setProperties(RatisConfiguration.client(attemptMs))
-                .setRetryPolicy(new DeadlineRetrier(attemptMs))
+                .setProperties(RatisConfiguration.clientProperties(attemptMs))
+                .setRetryPolicy(new DeadlineRetryPolicy(attemptMs))
                 .build();
     }
 
@@ -86,20 +86,20 @@
 
     @Override
     public Changes watch(String prefix, long since, Duration wait) throws StoreException {
-        long end = System.nanoTime() + wait.toNanos();
-        long from = since;
+        long deadlineNs = System.nanoTime() + wait.toNanos();
+        long version = since;
         while (true) {
-            Duration left = Duration.ofNanos(Math.max(0, end - System.nanoTime()));
-            Query query = StoreMessages.watch(prefix, from, left);
+            Duration remaining = Duration.ofNanos(Math.max(0, deadlineNs - System.nanoTime()));
+            Query query = StoreMessages.watch(prefix, version, remaining);
             Changes changes = StoreMessages.changes(call(
-                    watches, query, timeout.plus(RatisStateMachine.LONGEST_WAIT).plus(SLACK), false));
-            boolean none = !changes.whole()
+                    watchClient, query, timeout.plus(RatisStateMachine.MAX_WATCH_WAIT).plus(WATCH_SLACK), false));
+            boolean empty = !changes.complete()
                     && changes.entries().isEmpty()
                     && changes.removed().isEmpty();
-            if (!none || System.nanoTime() - end >= 0) {
+            if (!empty || System.nanoTime() - deadlineNs >= 0) {
                 return changes;
             }
-            from = changes.version();
+            version = changes.version();
         }
     }
 
@@ -120,21 +120,21 @@
 
     /** Any command, as it is. */
     public Reply apply(Command command) throws StoreException {
-        return call(calls, command, timeout, true);
+        return call(callClient, command, timeout, true);
     }
 
     /** Any query, as it is. */
     public Reply query(Query query) throws StoreException {
-        return call(calls, query, timeout, false);
+        return call(callClient, query, timeout, false);
     }
 
-    private static Reply call(RaftClient client, MessageLite what, Duration within, boolean write)
+    private static Reply call(RaftClient client, MessageLite request, Duration timeout, boolean isWrite)
             throws StoreException {
-        Message message = Message.valueOf(UnsafeByteOperations.unsafeWrap(what.toByteArray()));
-        DeadlineRetrier.begin(within);
+        Message message = Message.valueOf(UnsafeByteOperations.unsafeWrap(request.toByteArray()));
+        DeadlineRetryPolicy.startCall(timeout);
         try {
             RaftClientReply reply =
-                    write ? client.io().send(message) : client.io().sendReadOnly(message);
+                    isWrite ? client.io().send(message) : client.io().sendReadOnly(message);
             return Reply.parseFrom(reply.getMessage().getContent().asReadOnlyByteBuffer());
         } catch (InvalidProtocolBufferException e) {
             throw new StoreException(ErrorCode.MALFORMED, "a reply that cannot be read", e);
@@ -143,13 +143,13 @@
         } catch (AlreadyClosedException e) {
             throw new StoreException(ErrorCode.NOT_REACHED, "the client is closed", e);
         } catch (IOException e) {
-            throw DeadlineRetrier.fault(e);
+            throw DeadlineRetryPolicy.toStoreException(e);
         }
     }
 
     @Override
     public void close() {
-        for (RaftClient each : List.of(calls, watches)) {
+        for (RaftClient each : List.of(callClient, watchClient)) {
             try {
                 each.close();
             } catch (IOException e) {
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -28,28 +28,28 @@
         "FutureReturnValueIgnored") // the periodic tasks run until the replica is closed, and log what they throw
 public final class Replica implements AutoCloseable {
     private static final int TICK_MS = 250;
-    private static final Duration ANNOUNCE_WITHIN = Duration.ofSeconds(5);
+    private static final Duration ANNOUNCE_TIMEOUT = Duration.ofSeconds(5);
 
     private final ReplicaSettings settings;
-    private final Consumer<String> say;
-    private final CopyOnWriteArrayList<Consumer<Boolean>> onLead = new CopyOnWriteArrayList<>();
-    private final ScheduledExecutorService events = thread("events");
-    private final ScheduledExecutorService disk = thread("disk");
-    private final Thread announcer = new Thread(this::announce, "announce");
-    private final CompletableFuture<FleetException> ended = new CompletableFuture<>();
-    private DataDirectory folder;
-    private DiskGuard guard;
+    private final Consumer<String> eventLines;
+    private final CopyOnWriteArrayList<Consumer<Boolean>> onLeadershipChange = new CopyOnWriteArrayList<>();
+    private final ScheduledExecutorService eventExecutor = newExecutor("events");
+    private final ScheduledExecutorService disk = newExecutor("disk");
+    private final Thread announcer = new Thread(this::announceLevel, "announce");
+    private final CompletableFuture<FleetException> terminated = new CompletableFuture<>();
+    private DataDirectory dataDirectory;
+    private DiskMonitor diskMonitor;
     private volatile RaftMember member;
-    private RaftMember before; // the one that trouble at the disk ended
-    private volatile boolean leads;
+    private RaftMember closedMember; // the one that trouble at the disk ended
+    private volatile boolean isLeader;
 
     /** {@code say}: takes each line about what happens. */
-    public Replica(ReplicaSettings settings, Consumer<String> say) {
+    public Replica(ReplicaSettings settings, Consumer<String> eventLines) {
         this.settings = settings;
-        this.say = line -> say.accept("replica " + settings.id() + " " + line);
+        this.eventLines = line -> eventLines.accept("replica " + settings.id() + " " + line);
     }
 
-    private static ScheduledExecutorService thread(String name) {
+    private static ScheduledExecutorService newExecutor(String name) {
         return Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -61,8 +61,8 @@
      * Calls with true once it leads, with false once no more, one after the other on one thread that must not be held
      * up long.
      */
-    public void onLead(Consumer<Boolean> listener) {
-        onLead.add(listener);
+    public void onLeadershipChange(Consumer<Boolean> listener) {
+        onLeadershipChange.add(listener);
     }
 
     /**
@@ -70,116 +70,116 @@
      * DISK_BROKEN.
      */
     public void start() throws FleetException {
-        folder = DataDirectory.take(
-                settings.folder(),
+        dataDirectory = DataDirectory.acquire(
+                settings.dataDirectory(),
                 settings.id() + " of group "
                         + RatisConfiguration.group(settings.region(), settings.replicas())
                                 .getGroupId()
                                 .getUuid());
-        guard = new DiskGuard(
-                new DiskProbe(settings.folder(), settings.segmentBytes()), settings.quotaBytes(), this::disk);
+        diskMonitor = new DiskMonitor(
+                new DiskProbe(settings.dataDirectory(), settings.segmentBytes()), settings.quotaBytes(), this::disk);
         try {
-            if (guard.look()) {
-                begin();
+            if (diskMonitor.check()) {
+                startMember();
             }
         } catch (FleetException e) {
-            folder.close();
+            dataDirectory.close();
             throw e;
         }
-        events.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        disk.scheduleWithFixedDelay(this::look, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        eventExecutor.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        disk.scheduleWithFixedDelay(this::checkDisk, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         announcer.setDaemon(true);
         announcer.start();
     }
 
-    private void begin() throws FleetException {
+    private void startMember() throws FleetException {
         try {
-            if (before != null) {
-                before.mendVote();
+            if (closedMember != null) {
+                closedMember.repairVoteFile();
             }
-            RaftMember next = new RaftMember(settings, folder, new Events(), guard::word);
-            member = next;
-            next.start();
-            say.accept("serves on " + settings.own().address());
+            RaftMember newMember = new RaftMember(settings, dataDirectory, new MemberListener(), diskMonitor::statusText);
+            member = newMember;
+            newMember.start();
+            eventLines.accept("serves on " + settings.self().address());
         } catch (IOException | RuntimeException e) {
-            throw fault(e); // the library's checks of what it reads throw unchecked
+            throw toStartFailure(e); // the library's checks of what it reads throw unchecked
         }
     }
 
     /** What keeps the consensus from a start; a failed read is mostly one of what was written. */
-    private FleetException fault(Exception failed) {
-        for (Throwable each = failed; each != null; each = each.getCause()) {
+    private FleetException toStartFailure(Exception failure) {
+        for (Throwable each = failure; each != null; each = each.getCause()) {
             if (each instanceof BindException) {
                 return new SettingsException(
                         ErrorCode.SETTINGS_INVALID,
-                        "another process listens on " + settings.own().address(),
-                        failed);
+                        "another process listens on " + settings.self().address(),
+                        failure);
             }
         }
-        FleetException carried = RatisExceptionAdapter.behind(failed);
-        boolean full = DiskHealth.kind(failed) == ErrorCode.DISK_FULL;
-        return carried != null
-                ? carried
+        FleetException adapted = RatisExceptionAdapter.findFault(failure);
+        boolean diskFull = DiskHealth.errorCodeOf(failure) == ErrorCode.DISK_FULL;
+        return adapted != null
+                ? adapted
                 : new DiskException(
-                        full ? ErrorCode.DISK_FULL : ErrorCode.DATA_CORRUPT,
-                        "folder " + folder.path() + ": " + failed,
-                        failed);
+                        diskFull ? ErrorCode.DISK_FULL : ErrorCode.DATA_CORRUPT,
+                        "folder " + dataDirectory.path() + ": " + failure,
+                        failure);
     }
 
-    private void look() {
-        RaftMember now = member;
-        if (now != null && now.over()) {
-            guard.failed(new DiskException(ErrorCode.DISK_BROKEN, "the log ended by itself"));
+    private void checkDisk() {
+        RaftMember current = member;
+        if (current != null && current.isClosed()) {
+            diskMonitor.writeFailed(new DiskException(ErrorCode.DISK_BROKEN, "the log ended by itself"));
         } else {
-            guard.look();
+            diskMonitor.check();
         }
     }
 
     /** On the disk's thread: leaves the group, or comes back to it. */
-    private void disk(ErrorCode trouble) {
-        if (member == null && trouble == null) {
-            say.accept("disk: well");
+    private void disk(ErrorCode fault) {
+        if (member == null && fault == null) {
+            eventLines.accept("disk: well");
             try {
-                begin();
+                startMember();
             } catch (FleetException e) {
-                retreat();
+                leaveGroup();
                 if (e.kind() == ErrorCode.DISK_FULL) {
-                    disk.execute(() -> guard.failed(e));
+                    disk.execute(() -> diskMonitor.writeFailed(e));
                 } else {
-                    ended.complete(e);
+                    terminated.complete(e);
                 }
             }
-        } else if (trouble != null) {
-            say.accept("disk: " + DiskHealth.word(trouble));
-            retreat();
+        } else if (fault != null) {
+            eventLines.accept("disk: " + DiskHealth.describe(fault));
+            leaveGroup();
         }
     }
 
-    private void retreat() {
-        RaftMember now = member;
-        if (now != null) {
-            now.passOn();
-            events.execute(() -> lead(false));
-            now.close();
-            before = now;
+    private void leaveGroup() {
+        RaftMember current = member;
+        if (current != null) {
+            current.transferLeadership();
+            eventExecutor.execute(() -> setLeader(false));
+            current.close();
+            closedMember = current;
             member = null;
         }
     }
 
     private void tick() {
-        RaftMember now = member;
-        if (now != null) {
-            now.tick();
+        RaftMember current = member;
+        if (current != null) {
+            current.tick();
         }
     }
 
     /** Tells the group which feature level this program knows, once it can be told. */
-    private void announce() {
-        try (RatisStore store = RatisStore.connect(settings.region(), settings.replicas(), ANNOUNCE_WITHIN)) {
-            while (!ended.isDone()) {
+    private void announceLevel() {
+        try (RatisStore store = RatisStore.connect(settings.region(), settings.replicas(), ANNOUNCE_TIMEOUT)) {
+            while (!terminated.isDone()) {
                 try {
                     StoreMessages.version(
-                            store.apply(StoreMessages.announce(settings.id(), StoreStateMachine.KNOWN_LEVEL)));
+                            store.apply(StoreMessages.announce(settings.id(), StoreStateMachine.SUPPORTED_LEVEL)));
                     return;
                 } catch (StoreException e) {
                     if (e.kind() != ErrorCode.NO_MAJORITY && e.kind() != ErrorCode.NOT_REACHED) {
@@ -192,93 +192,93 @@
     }
 
     /** Whether it leads and has all that was acknowledged before. */
-    public boolean leads() {
-        return leads;
+    public boolean isLeader() {
+        return isLeader;
     }
 
     /** Done with the reason once it cannot go on. */
-    public CompletableFuture<FleetException> ended() {
-        return ended;
+    public CompletableFuture<FleetException> terminated() {
+        return terminated;
     }
 
-    private void lead(boolean now) {
-        if (leads != now) {
-            leads = now;
-            onLead.forEach(each -> each.accept(now));
+    private void setLeader(boolean leading) {
+        if (isLeader != leading) {
+            isLeader = leading;
+            onLeadershipChange.forEach(each -> each.accept(leading));
         }
     }
 
-    private final class Events implements RatisStateMachine.Listener {
+    private final class MemberListener implements RatisStateMachine.Listener {
         @Override
-        public void leads() {
-            events.execute(() -> {
-                RaftMember now = member;
-                if (now != null) {
-                    say.accept("leads term " + now.term());
-                    lead(true);
+        public void onLeader() {
+            eventExecutor.execute(() -> {
+                RaftMember current = member;
+                if (current != null) {
+                    eventLines.accept("leads term " + current.term());
+                    setLeader(true);
                 }
             });
         }
 
         @Override
-        public void leadsNoMore() {
-            events.execute(() -> lead(false));
+        public void onNotLeader() {
+            eventExecutor.execute(() -> setLeader(false));
         }
 
         @Override
-        public void follows(RaftPeerId lead) {
-            events.execute(() -> {
-                lead(false);
-                say.accept("follows " + lead);
+        public void onFollower(RaftPeerId leader) {
+            eventExecutor.execute(() -> {
+                setLeader(false);
+                eventLines.accept("follows " + leader);
             });
         }
 
         @Override
-        public void caughtUp() {
-            events.execute(() -> say.accept("caught up from a snapshot"));
+        public void onSnapshotInstalled() {
+            eventExecutor.execute(() -> eventLines.accept("caught up from a snapshot"));
         }
 
         @Override
-        public void logFailed(Throwable cause) {
+        public void onLogFailure(Throwable cause) {
             Logger.error("log: {}", String.valueOf(cause));
-            disk.execute(() -> guard.failed(cause));
+            disk.execute(() -> diskMonitor.writeFailed(cause));
         }
 
         @Override
-        public void cannotGoOn(FleetException fault) {
-            ended.complete(fault);
+        public void onFatalError(FleetException fault) {
+            terminated.complete(fault);
         }
     }
 
     /** Bounds of the store as the settings have them. */
-    static StoreLimits bounds(ReplicaSettings s) {
-        StoreLimits usual = StoreLimits.USUAL;
+    static StoreLimits storeLimits(ReplicaSettings settings) {
+        StoreLimits defaults = StoreLimits.DEFAULTS;
         return new StoreLimits(
-                s.valueBytes(),
-                usual.keyBytes(),
-                usual.batch(),
-                s.keys(),
-                s.bytes(),
-                s.leases(),
-                usual.members(),
-                usual.history(),
-                s.watches());
+                settings.maxValueBytes(),
+                defaults.maxKeyBytes(),
+                defaults.maxBatchSize(),
+                settings.maxKeys(),
+                settings.maxTotalBytes(),
+                settings.maxLeases(),
+                defaults.maxReplicas(),
+                defaults.maxHistoryKeys(),
+                settings.maxWatches());
     }
 
     /** Hands the lead to another and ends. */
     @Override
     public void close() {
-        ended.complete(null);
+        terminated.complete(null);
         disk.shutdownNow();
-        events.shutdownNow();
-        RaftMember now = member;
-        if (now != null) {
-            now.passOn();
-            now.close();
+        eventExecutor.shutdownNow();
+        RaftMember current = member;
+        if (current != null) {
+            current.transferLeadership();
+            current.close();
         }
-        lead(false);
-        if (folder != null) {
-            folder.close();
+        setLeader(false);
+        if (dataDirectory != null) {
+            dataDirectory.close();
         }
     }
 }
--- a/src/main/java/olivechute/store/raft/ReplicaSettings.java
+++ b/src/main/java/olivechute/store/raft/ReplicaSettings.java
@@ -26,19 +26,19 @@
 public record ReplicaSettings(
         String region,
         String id,
-        Path folder,
+        Path dataDirectory,
         List<ReplicaAddress> replicas,
         long quotaBytes,
-        Duration electionLeast,
-        Duration electionMost,
-        int snapshotEvery,
+        Duration minElectionTimeout,
+        Duration maxElectionTimeout,
+        int snapshotEntries,
         long snapshotBytes,
         int segmentBytes,
-        int keys,
-        long bytes,
-        int valueBytes,
-        int leases,
-        int watches) {
+        int maxKeys,
+        long maxTotalBytes,
+        int maxValueBytes,
+        int maxLeases,
+        int maxWatches) {
     private static final int MIB = 1024 * 1024;
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,62}");
 
@@ -57,18 +57,18 @@
         HoconObject root = HoconObject.parse(text, faults);
         List<ReplicaAddress> replicas = replicas(root);
         HoconObject election = root.node("election");
-        Duration least =
+        Duration minElection =
                 election.duration("least", Duration.ofMillis(600), Duration.ofMillis(100), Duration.ofSeconds(30));
-        Duration most =
+        Duration maxElection =
                 election.duration("most", Duration.ofMillis(1_000), Duration.ofMillis(150), Duration.ofSeconds(60));
-        if (most.compareTo(least) <= 0) {
+        if (maxElection.compareTo(minElection) <= 0) {
             election.wrong("most", "must be longer than least");
         }
         election.close();
         HoconObject log = root.node("log");
         int snapshotEvery = log.integer("snapshot_every", 20_000, 100, 10_000_000);
         long snapshotBytes = (long) log.integer("snapshot_mb", 16, 1, 1024) * MIB;
-        int segment = log.integer("segment_mb", 2, 1, 16) * MIB;
+        int segmentBytes = log.integer("segment_mb", 2, 1, 16) * MIB;
         log.close();
         HoconObject bounds = root.node("bounds");
         ReplicaSettings settings = new ReplicaSettings(
@@ -77,11 +77,11 @@
                 Path.of(root.needed("folder")),
                 replicas,
                 (long) root.integer("quota_mb", 0, 0, 1 << 20) * MIB,
-                least,
-                most,
+                minElection,
+                maxElection,
                 snapshotEvery,
                 snapshotBytes,
-                segment,
+                segmentBytes,
                 bounds.integer("keys", 20_000, 1, 1_000_000),
                 (long) bounds.integer("total_mb", 16, 1, 1024) * MIB,
                 bounds.integer("value_kb", 512, 1, 2048) * 1024,
@@ -93,9 +93,9 @@
         if (faults.isEmpty() && replicas.stream().noneMatch(r -> r.id().equals(settings.id()))) {
             root.wrong("id", "must be one of the replicas");
         }
-        if (settings.quotaBytes() > 0 && settings.quotaBytes() < settings.leastQuota()) {
+        if (settings.quotaBytes() > 0 && settings.quotaBytes() < settings.minQuotaBytes()) {
             root.wrong(
-                    "quota_mb", "must be at least " + settings.leastQuota() / MIB + " for these bounds, or 0 for none");
+                    "quota_mb", "must be at least " + settings.minQuotaBytes() / MIB + " for these bounds, or 0 for none");
         }
         if (!faults.isEmpty()) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, String.join("; ", faults));
@@ -135,12 +135,12 @@
      * Bytes that the folder may come to by itself: the reserve, three snapshots, and the log that a snapshot has not
      * yet ended twice.
      */
-    long leastQuota() {
-        return DiskProbe.RESERVE + 3 * bytes + 2 * (snapshotBytes + segmentBytes);
+    long minQuotaBytes() {
+        return DiskProbe.RESERVE_BYTES + 3 * maxTotalBytes + 2 * (snapshotBytes + segmentBytes);
     }
 
     /** Where this replica listens. */
-    public ReplicaAddress own() {
+    public ReplicaAddress self() {
         return replicas.stream().filter(r -> r.id().equals(id)).findFirst().orElseThrow();
     }
 }
--- a/src/main/java/olivechute/store/raft/SnapshotStorage.java
+++ b/src/main/java/olivechute/store/raft/SnapshotStorage.java
@@ -39,40 +39,40 @@
 @SuppressWarnings("FutureReturnValueIgnored") // a snapshot that was not taken is tried again when the next one is due
 final class SnapshotStorage implements AutoCloseable {
     /** A state from the disk, and the last log entry in it. */
-    record Loaded(StoreState state, TermIndex upTo) {}
+    record LoadedSnapshot(StoreState state, TermIndex lastEntry) {}
 
-    private record Ready(Path file, MD5Hash digest, TermIndex upTo) {}
+    private record WrittenSnapshot(Path file, MD5Hash digest, TermIndex lastEntry) {}
 
-    private final Path temporary;
-    private final long every;
-    private final long bytes;
-    private final Supplier<CompletableFuture<?>> ready;
+    private final Path temporaryFile;
+    private final long entryInterval;
+    private final long byteInterval;
+    private final Supplier<CompletableFuture<?>> requestSnapshot;
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotStorage::thread);
-    private final AtomicBoolean writing = new AtomicBoolean();
-    private long since; // bytes of commands applied after the last snapshot was begun
-    private volatile Ready written;
-    private volatile long last = RaftLog.INVALID_LOG_INDEX;
+    private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotStorage::newThread);
+    private final AtomicBoolean inProgress = new AtomicBoolean();
+    private long bytesSinceSnapshot; // bytes of commands applied after the last snapshot was begun
+    private volatile WrittenSnapshot pending;
+    private volatile long lastIndex = RaftLog.INVALID_LOG_INDEX;
 
     /**
      * {@code every}, {@code bytes}: log entries and bytes of them after which one is due; {@code ready}: has the
      * consensus take it.
      */
-    SnapshotStorage(Path temporary, long every, long bytes, Supplier<CompletableFuture<?>> ready) {
-        this.temporary = temporary;
-        this.every = every;
-        this.bytes = bytes;
-        this.ready = ready;
+    SnapshotStorage(Path temporaryFile, long entryInterval, long byteInterval, Supplier<CompletableFuture<?>> requestSnapshot) {
+        this.temporaryFile = temporaryFile;
+        this.entryInterval = entryInterval;
+        this.byteInterval = byteInterval;
+        this.requestSnapshot = requestSnapshot;
     }
 
-    private static Thread thread(Runnable task) {
+    private static Thread newThread(Runnable task) {
         Thread thread = new Thread(task, "snapshot");
         thread.setDaemon(true);
         return thread;
     }
 
-    void open(RaftStorage raft) throws IOException {
-        storage.init(raft);
+    void init(RaftStorage raftStorage) throws IOException {
+        storage.init(raftStorage);
     }
 
     SimpleStateMachineStorage storage() {
@@ -80,7 +80,7 @@
     }
 
     /** The newest one, null where there is none; DATA_CORRUPT as the cause where it is not what was written. */
-    Loaded load() throws IOException {
+    LoadedSnapshot load() throws IOException {
         SingleFileSnapshotInfo info = storage.loadLatestSnapshot();
         if (info == null) {
             return null;
@@ -93,31 +93,31 @@
         }
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
             StoreState state = SnapshotCodec.read(in);
-            last = info.getIndex();
-            return new Loaded(state, TermIndex.valueOf(info.getTerm(), info.getIndex()));
+            lastIndex = info.getIndex();
+            return new LoadedSnapshot(state, TermIndex.valueOf(info.getTerm(), info.getIndex()));
         } catch (DiskException e) {
             throw new RatisExceptionAdapter(e);
         }
     }
 
     /** Begins a snapshot where one is due. */
-    void onApplied(StoreState state, TermIndex upTo, long length) {
-        since += length;
-        if ((upTo.getIndex() - last < every && since < bytes) || !writing.compareAndSet(false, true)) {
+    void onApplied(StoreState state, TermIndex entry, long entryBytes) {
+        bytesSinceSnapshot += entryBytes;
+        if ((entry.getIndex() - lastIndex < entryInterval && bytesSinceSnapshot < byteInterval) || !inProgress.compareAndSet(false, true)) {
             return;
         }
-        since = 0;
+        bytesSinceSnapshot = 0;
         try {
-            writer.execute(() -> write(state, upTo));
+            writer.execute(() -> write(state, entry));
         } catch (RejectedExecutionException e) {
-            writing.set(false); // closed meanwhile
+            inProgress.set(false); // closed meanwhile
         }
     }
 
-    private void write(StoreState state, TermIndex upTo) {
+    private void write(StoreState state, TermIndex lastEntry) {
         try {
             try (FileChannel channel = FileChannel.open(
-                            temporary,
+                            temporaryFile,
                             StandardOpenOption.CREATE,
                             StandardOpenOption.TRUNCATE_EXISTING,
                             StandardOpenOption.WRITE);
@@ -125,39 +125,39 @@
                 SnapshotCodec.write(state, out);
                 channel.force(true);
             }
-            written = new Ready(temporary, MD5FileUtil.computeMd5ForFile(temporary.toFile()), upTo);
-            ready.get().whenComplete((done, trouble) -> {
-                if (written != null) { // not taken: the next one is tried when it is due again
-                    written = null;
-                    writing.set(false);
+            pending = new WrittenSnapshot(temporaryFile, MD5FileUtil.computeMd5ForFile(temporaryFile.toFile()), lastEntry);
+            requestSnapshot.get().whenComplete((reply, failure) -> {
+                if (pending != null) { // not taken: the next one is tried when it is due again
+                    pending = null;
+                    inProgress.set(false);
                 }
             });
         } catch (IOException e) {
-            Logger.error("no snapshot at {}: {}", upTo.getIndex(), e.toString());
-            writing.set(false);
+            Logger.error("no snapshot at {}: {}", lastEntry.getIndex(), e.toString());
+            inProgress.set(false);
         }
     }
 
     /** Puts a written snapshot in its place; returns the index of the newest one. */
-    long settle() throws IOException {
-        Ready done = written;
-        if (done == null) {
-            return last;
+    long install() throws IOException {
+        WrittenSnapshot snapshot = pending;
+        if (snapshot == null) {
+            return lastIndex;
         }
-        written = null;
+        pending = null;
         try {
-            Path file = storage.getSnapshotFile(done.upTo.getTerm(), done.upTo.getIndex())
+            Path file = storage.getSnapshotFile(snapshot.lastEntry.getTerm(), snapshot.lastEntry.getIndex())
                     .toPath();
-            MD5FileUtil.saveMD5File(file.toFile(), done.digest);
-            Files.move(done.file, file, StandardCopyOption.ATOMIC_MOVE);
+            MD5FileUtil.saveMD5File(file.toFile(), snapshot.digest);
+            Files.move(snapshot.file, file, StandardCopyOption.ATOMIC_MOVE);
             try (FileChannel folder = FileChannel.open(file.getParent())) {
                 folder.force(true);
             }
-            storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file, done.digest), done.upTo));
-            last = Math.max(last, done.upTo.getIndex());
-            return last;
+            storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file, snapshot.digest), snapshot.lastEntry));
+            lastIndex = Math.max(lastIndex, snapshot.lastEntry.getIndex());
+            return lastIndex;
         } finally {
-            writing.set(false);
+            inProgress.set(false);
         }
     }
 
--- a/src/main/java/olivechute/store/raft/VoteFile.java
+++ b/src/main/java/olivechute/store/raft/VoteFile.java
@@ -19,14 +19,14 @@
     private VoteFile() {}
 
     /** Mends a file that was cut short; {@code term}: the highest that this replica was in. */
-    static void mend(Path file, long term, String id) throws IOException {
-        if (!Files.exists(file) || whole(Files.readString(file))) {
+    static void repair(Path file, long term, String id) throws IOException {
+        if (!Files.exists(file) || isComplete(Files.readString(file))) {
             return;
         }
         Logger.warn("vote cut short on a full disk: mended at term {}", term);
-        Path next = file.resolveSibling("raft-meta.mended");
+        Path replacement = file.resolveSibling("raft-meta.mended");
         try (FileChannel channel = FileChannel.open(
-                next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                replacement, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes =
                     ByteBuffer.wrap(("term=" + term + "\nvotedFor=" + id + "\n").getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
@@ -34,10 +34,10 @@
             }
             channel.force(true);
         }
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    static boolean whole(String text) {
+    static boolean isComplete(String text) {
         return text.matches(
                 "(?s)(.*\n)?term=[0-9]+\n(.*\n)?votedFor=[^\n]*\n.*|(?s)(.*\n)?votedFor=[^\n]*\n(.*\n)?term=[0-9]+\n.*");
     }
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -94,7 +94,7 @@
     private void read(Store.Lease held) throws StoreException {
         boolean all = since < 0 || held.session() != session;
         Store.Changes changes = all ? store.list(ORDERS) : store.watch(ORDERS, since, wait);
-        if (all || changes.whole()) {
+        if (all || changes.complete()) {
             orders.clear();
         }
         changes.removed().forEach(key -> orders.remove(key.substring(ORDERS.length())));
--- a/src/test/java/olivechute/store/CommandMaker.java
+++ b/src/test/java/olivechute/store/CommandGenerator.java
@@ -19,21 +19,21 @@
  * Commands by chance, over few keys, names and owners so that they meet; numbers are mostly, not always, such as the
  * state has.
  */
-final class CommandMaker {
+final class CommandGenerator {
     /** So tight that chance meets each of them. */
-    static final StoreLimits TIGHT = new StoreLimits(8, 12, 6, 9, 90, 3, 2, 12, 2);
+    static final StoreLimits TIGHT_LIMITS = new StoreLimits(8, 12, 6, 9, 90, 3, 2, 12, 2);
 
     private final Random random;
-    private long clock = 1000;
+    private long clockMs = 1000;
 
-    CommandMaker(long seed) {
+    CommandGenerator(long seed) {
         random = new Random(seed);
     }
 
     Command next(StoreState state) {
-        clock = Math.max(0, clock + random.nextInt(40) - 5);
+        clockMs = Math.max(0, clockMs + random.nextInt(40) - 5);
         Command.Builder command =
-                Command.newBuilder().setLevel(random.nextInt(30) == 0 ? 2 : 1).setNowMs(clock);
+                Command.newBuilder().setLevel(random.nextInt(30) == 0 ? 2 : 1).setNowMs(clockMs);
         switch (random.nextInt(14)) {
             case 0, 1 ->
                 command.setAcquire(Acquire.newBuilder()
@@ -60,7 +60,7 @@
         }
         if (random.nextInt(3) == 0) {
             String name = name();
-            LeaseEntry held = state.leases().named(name);
+            LeaseEntry held = state.leases().findByName(name);
             batch.addFences(Fence.newBuilder()
                     .setDomain(name)
                     .setNumber(
--- a/src/test/java/olivechute/store/SnapshotCodecTest.java
+++ b/src/test/java/olivechute/store/SnapshotCodecTest.java
@@ -16,116 +16,116 @@
 
 /** Snapshot files: what was written comes back, and nothing else passes for it. */
 class SnapshotCodecTest {
-    private static final int SMALL = 20;
+    private static final int SMALL_FRAME_BYTES = 20;
 
-    private static StoreState state() throws Exception {
-        StoreStateMachine machine = new StoreStateMachine(CommandMaker.TIGHT, 2);
+    private static StoreState sampleState() throws Exception {
+        StoreStateMachine machine = new StoreStateMachine(CommandGenerator.TIGHT_LIMITS, 2);
         StoreState state = StoreState.EMPTY;
-        CommandMaker maker = new CommandMaker(7);
+        CommandGenerator generator = new CommandGenerator(7);
         for (int i = 1; i <= 1000; i++) {
-            state = machine.apply(state, maker.next(state), i).state();
+            state = machine.apply(state, generator.next(state), i).state();
             if (i > 100
                     && state.entries().size() >= 4
-                    && !state.owned().isEmpty()
-                    && state.announced().size() == 2) {
+                    && !state.keysBySession().isEmpty()
+                    && state.announcedLevels().size() == 2) {
                 return state;
             }
         }
         throw new AssertionError("no state with something of everything");
     }
 
-    private static DiskException fault(byte[] file) {
-        return assertThrows(DiskException.class, () -> StateChecks.restored(file));
+    private static DiskException assertReadFails(byte[] file) {
+        return assertThrows(DiskException.class, () -> StateChecks.restore(file));
     }
 
-    private static byte[] file(Snapshot... pieces) throws IOException {
+    private static byte[] snapshotOf(Snapshot... frames) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         SnapshotFrames.Writer writer = new SnapshotFrames.Writer(out);
-        for (Snapshot piece : pieces) {
-            writer.piece(piece.toByteArray());
+        for (Snapshot frame : frames) {
+            writer.writeFrame(frame.toByteArray());
         }
-        writer.end();
+        writer.finish();
         return out.toByteArray();
     }
 
     @Test
-    void whatIsWrittenComesBack() throws Exception {
-        StoreState state = state();
-        assertEquals(StateChecks.forgetful(state), StateChecks.restored(StateChecks.file(state, SMALL)));
-        assertEquals(StateChecks.forgetful(state), StateChecks.restored(StateChecks.file(state, 1 << 20)));
-        assertEquals(StoreState.EMPTY, StateChecks.restored(StateChecks.file(StoreState.EMPTY, SMALL)));
+    void stateRoundTrips() throws Exception {
+        StoreState state = sampleState();
+        assertEquals(StateChecks.withoutHistory(state), StateChecks.restore(StateChecks.snapshotBytes(state, SMALL_FRAME_BYTES)));
+        assertEquals(StateChecks.withoutHistory(state), StateChecks.restore(StateChecks.snapshotBytes(state, 1 << 20)));
+        assertEquals(StoreState.EMPTY, StateChecks.restore(StateChecks.snapshotBytes(StoreState.EMPTY, SMALL_FRAME_BYTES)));
     }
 
     @Test
-    void aFileThatIsCutAnywhereIsRefused() throws Exception {
-        byte[] file = StateChecks.file(state(), SMALL);
+    void truncatedFileIsRejected() throws Exception {
+        byte[] file = StateChecks.snapshotBytes(sampleState(), SMALL_FRAME_BYTES);
         for (int length = 0; length < file.length; length++) {
-            DiskException fault = fault(Arrays.copyOf(file, length));
+            DiskException fault = assertReadFails(Arrays.copyOf(file, length));
             assertEquals(ErrorCode.DATA_CORRUPT, fault.kind());
             assertTrue(fault.what().contains("the file ends at byte " + length), fault.what());
         }
         assertEquals(
                 ErrorCode.DATA_CORRUPT,
-                fault(Arrays.copyOf(file, file.length + 1)).kind());
+                assertReadFails(Arrays.copyOf(file, file.length + 1)).kind());
     }
 
     /** Every bit; the fault names the piece that the bit is in. */
     @Test
-    void aFileWithAnyBitFlippedIsRefused() throws Exception {
-        byte[] file = StateChecks.file(state(), SMALL);
-        int begin = 0;
-        int number = 1;
-        for (int at = 0; at < file.length; at++) {
-            int end = begin + 8 + (file[begin + 2] << 8) + file[begin + 3];
-            if (at == end) {
-                begin = end;
-                number++;
+    void anyFlippedBitIsRejected() throws Exception {
+        byte[] file = StateChecks.snapshotBytes(sampleState(), SMALL_FRAME_BYTES);
+        int frameOffset = 0;
+        int frameNumber = 1;
+        for (int offset = 0; offset < file.length; offset++) {
+            int frameEnd = frameOffset + 8 + (file[frameOffset + 2] << 8) + file[frameOffset + 3];
+            if (offset == frameEnd) {
+                frameOffset = frameEnd;
+                frameNumber++;
             }
             for (int bit = 0; bit < 8; bit++) {
                 byte[] flipped = file.clone();
-                flipped[at] ^= (byte) (1 << bit);
-                DiskException fault = fault(flipped);
+                flipped[offset] ^= (byte) (1 << bit);
+                DiskException fault = assertReadFails(flipped);
                 assertEquals(ErrorCode.DATA_CORRUPT, fault.kind(), fault.what());
                 assertTrue(
-                        fault.what().startsWith("snapshot: piece " + number + ", which begins at byte " + begin + ", "),
+                        fault.what().startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", "),
                         fault.what());
             }
         }
-        assertTrue(number > 8, number + " pieces");
+        assertTrue(frameNumber > 8, frameNumber + " pieces");
     }
 
     @Test
-    void aNewerFormatIsToldFromABrokenFile() throws Exception {
-        DiskException fault = fault(file(Snapshot.newBuilder().setFormat(2).build()));
+    void newerFormatIsDistinguishedFromCorruption() throws Exception {
+        DiskException fault = assertReadFails(snapshotOf(Snapshot.newBuilder().setFormat(2).build()));
         assertEquals(ErrorCode.LEVEL_TOO_LOW, fault.kind());
         assertTrue(fault.what().contains("format 2"), fault.what());
     }
 
     @Test
-    void whatHoldsNoStateIsRefusedEvenWithItsSumRight() throws Exception {
-        Snapshot head = Snapshot.newBuilder().setFormat(1).setVersion(5).build();
+    void invalidContentWithValidChecksumIsRejected() throws Exception {
+        Snapshot header = Snapshot.newBuilder().setFormat(1).setVersion(5).build();
         Entry entry = Entry.newBuilder()
                 .setKey("a")
                 .setValue(ByteString.EMPTY)
                 .setVersion(5)
                 .build();
-        Snapshot good =
+        Snapshot valid =
                 Snapshot.newBuilder().addEntries(entry).addEntrySessions(0).build();
-        assertEquals(1, StateChecks.restored(file(head, good)).entries().size());
-        byte[][] bad = {
-            file(),
-            file(good),
-            file(head, good, good),
-            file(head, good.toBuilder().setEntrySessions(0, 3).build()),
-            file(head, good.toBuilder().addEntrySessions(0).build()),
-            file(
-                    head,
-                    good.toBuilder()
+        assertEquals(1, StateChecks.restore(snapshotOf(header, valid)).entries().size());
+        byte[][] invalid = {
+            snapshotOf(),
+            snapshotOf(valid),
+            snapshotOf(header, valid, valid),
+            snapshotOf(header, valid.toBuilder().setEntrySessions(0, 3).build()),
+            snapshotOf(header, valid.toBuilder().addEntrySessions(0).build()),
+            snapshotOf(
+                    header,
+                    valid.toBuilder()
                             .setEntries(0, entry.toBuilder().setVersion(6))
                             .build())
         };
-        for (byte[] file : bad) {
-            assertEquals(ErrorCode.DATA_CORRUPT, fault(file).kind());
+        for (byte[] file : invalid) {
+            assertEquals(ErrorCode.DATA_CORRUPT, assertReadFails(file).kind());
         }
     }
 }
--- a/src/test/java/olivechute/store/StateChecks.java
+++ b/src/test/java/olivechute/store/StateChecks.java
@@ -18,52 +18,52 @@
     private StateChecks() {}
 
     /** That all parts of the state say the same, and none is over its bound. */
-    static void sound(StoreState state, StoreLimits bounds, String where) {
-        Map<Long, TreeSet<String>> owned = new TreeMap<>();
-        long bytes = 0;
+    static void assertConsistent(StoreState state, StoreLimits limits, String context) {
+        Map<Long, TreeSet<String>> keysBySession = new TreeMap<>();
+        long totalBytes = 0;
         for (Map.Entry<String, VersionedValue> each : state.entries().entrySet()) {
             VersionedValue stored = each.getValue();
-            assertTrue(stored.version() >= 1 && stored.version() <= state.version(), where);
+            assertTrue(stored.version() >= 1 && stored.version() <= state.version(), context);
             assertTrue(
-                    stored.value().size() <= bounds.valueBytes()
-                            && each.getKey().length() <= bounds.keyBytes(),
-                    where);
-            bytes += each.getKey().length() + stored.value().size();
+                    stored.value().size() <= limits.maxValueBytes()
+                            && each.getKey().length() <= limits.maxKeyBytes(),
+                    context);
+            totalBytes += each.getKey().length() + stored.value().size();
             if (stored.session() != 0) {
-                owned.computeIfAbsent(stored.session(), s -> new TreeSet<>()).add(each.getKey());
-                assertTrue(state.leases().of(stored.session()) != null, where + ": a key outlived its session");
+                keysBySession.computeIfAbsent(stored.session(), s -> new TreeSet<>()).add(each.getKey());
+                assertTrue(state.leases().findBySession(stored.session()) != null, context + ": a key outlived its session");
             }
         }
-        assertEquals(owned, state.owned(), where);
-        assertEquals(bytes, state.bytes(), where);
-        assertTrue(bytes <= bounds.bytes() && state.entries().size() <= bounds.keys(), where);
-        assertTrue(state.leases().size() <= bounds.leases() && state.announced().size() <= bounds.members(), where);
-        assertTrue(state.fences().size() <= 2 * bounds.leases(), where);
-        assertEquals(state.leases().size(), state.leases().byName().size(), where);
-        assertEquals(state.leases().size(), state.leases().byEnd().size(), where);
+        assertEquals(keysBySession, state.keysBySession(), context);
+        assertEquals(totalBytes, state.totalBytes(), context);
+        assertTrue(totalBytes <= limits.maxTotalBytes() && state.entries().size() <= limits.maxKeys(), context);
+        assertTrue(state.leases().size() <= limits.maxLeases() && state.announcedLevels().size() <= limits.maxReplicas(), context);
+        assertTrue(state.fences().size() <= 2 * limits.maxLeases(), context);
+        assertEquals(state.leases().size(), state.leases().byName().size(), context);
+        assertEquals(state.leases().size(), state.leases().byExpiry().size(), context);
         for (LeaseEntry lease : state.leases().bySession().values()) {
-            assertEquals(lease, state.leases().named(lease.name()), where);
-            assertTrue(state.leases().byEnd().contains(lease) && lease.endsMs() > state.clockMs(), where);
-            assertEquals(lease.session(), state.fences().get(lease.name()), where);
+            assertEquals(lease, state.leases().findByName(lease.name()), context);
+            assertTrue(state.leases().byExpiry().contains(lease) && lease.expiresAtMs() > state.clockMs(), context);
+            assertEquals(lease.session(), state.fences().get(lease.name()), context);
         }
         assertEquals(
-                state.history().changed().values().stream().mapToInt(List::size).sum(),
-                state.history().size(),
-                where);
-        assertTrue(state.history().size() <= bounds.history(), where);
+                state.history().keysByVersion().values().stream().mapToInt(List::size).sum(),
+                state.history().keyCount(),
+                context);
+        assertTrue(state.history().keyCount() <= limits.maxHistoryKeys(), context);
     }
 
-    static byte[] file(StoreState state, int pieceBytes) {
+    static byte[] snapshotBytes(StoreState state, int frameBytes) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try {
-            SnapshotCodec.write(state, out, pieceBytes);
+            SnapshotCodec.write(state, out, frameBytes);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return out.toByteArray();
     }
 
-    static StoreState restored(byte[] file) throws DiskException {
+    static StoreState restore(byte[] file) throws DiskException {
         try {
             return SnapshotCodec.read(new ByteArrayInputStream(file));
         } catch (IOException e) {
@@ -72,18 +72,18 @@
     }
 
     /** The state as a restored replica has it: all but what changed before. */
-    static StoreState forgetful(StoreState s) {
+    static StoreState withoutHistory(StoreState state) {
         return new StoreState(
-                s.index(),
-                s.version(),
-                s.clockMs(),
-                s.level(),
-                s.entries(),
-                s.bytes(),
-                s.owned(),
-                s.leases(),
-                s.fences(),
-                s.announced(),
-                ChangeHistory.after(s.version()));
+                state.index(),
+                state.version(),
+                state.clockMs(),
+                state.featureLevel(),
+                state.entries(),
+                state.totalBytes(),
+                state.keysBySession(),
+                state.leases(),
+                state.fences(),
+                state.announcedLevels(),
+                ChangeHistory.startingAfter(state.version()));
     }
 }
--- a/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
@@ -21,64 +21,64 @@
 /** What holds whatever is asked in whatever order. Each case is a seed, which a failure names. */
 @SuppressWarnings("LiteProtoToString") // only told when a check fails
 class StoreStateMachinePropertyTest {
-    private static final int COMMANDS = 150;
-    private static final StoreLimits BOUNDS = CommandMaker.TIGHT;
+    private static final int COMMAND_COUNT = 150;
+    private static final StoreLimits LIMITS = CommandGenerator.TIGHT_LIMITS;
 
-    private final StoreStateMachine machine = new StoreStateMachine(BOUNDS, 2);
+    private final StoreStateMachine machine = new StoreStateMachine(LIMITS, 2);
 
     @Property(tries = 120, seed = "20261202")
-    void theSameCommandsGiveTheSameStateAndAnswers(@ForAll long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
-        StoreStateMachine other = new StoreStateMachine(BOUNDS, 3);
-        StoreState here = StoreState.EMPTY;
-        StoreState there = StoreState.EMPTY;
-        for (int i = 1; i <= COMMANDS; i++) {
-            Command command = maker.next(here);
-            CommandResult applied = machine.apply(here, command, i);
-            CommandResult again = other.apply(there, Command.parseFrom(command.toByteArray()), i);
-            assertEquals(applied, again, "seed " + seed + ", command " + i);
-            here = applied.state();
-            there = again.state();
-            StateChecks.sound(here, BOUNDS, "seed " + seed + ", command " + i + ": " + command);
+    void sameCommandsGiveSameStateAndReplies(@ForAll long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
+        StoreStateMachine other = new StoreStateMachine(LIMITS, 3);
+        StoreState state = StoreState.EMPTY;
+        StoreState otherState = StoreState.EMPTY;
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
+            Command command = generator.next(state);
+            CommandResult result = machine.apply(state, command, i);
+            CommandResult otherResult = other.apply(otherState, Command.parseFrom(command.toByteArray()), i);
+            assertEquals(result, otherResult, "seed " + seed + ", command " + i);
+            state = result.state();
+            otherState = otherResult.state();
+            StateChecks.assertConsistent(state, LIMITS, "seed " + seed + ", command " + i + ": " + command);
         }
     }
 
     /** A restored replica goes on as if it had been there all along; so does one that was handed another's file. */
     @Property(tries = 80, seed = "20261202")
-    void aSnapshotAtAnyPointIsAsGoodAsTheLog(@ForAll long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
+    void snapshotAtAnyPointIsEquivalentToLog(@ForAll long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
         Random random = new Random(seed);
-        StoreState log = StoreState.EMPTY;
+        StoreState replayed = StoreState.EMPTY;
         StoreState restored = StoreState.EMPTY;
-        for (int i = 1; i <= COMMANDS; i++) {
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
             if (random.nextInt(20) == 0) {
-                byte[] file = StateChecks.file(log, 1 + random.nextInt(100));
-                restored = StateChecks.restored(file);
-                assertEquals(StateChecks.forgetful(log), restored, "seed " + seed + ", before command " + i);
+                byte[] file = StateChecks.snapshotBytes(replayed, 1 + random.nextInt(100));
+                restored = StateChecks.restore(file);
+                assertEquals(StateChecks.withoutHistory(replayed), restored, "seed " + seed + ", before command " + i);
             }
-            Command command = maker.next(log);
-            CommandResult applied = machine.apply(log, command, i);
-            CommandResult after = machine.apply(restored, command, i);
-            log = applied.state();
-            restored = after.state();
-            assertEquals(applied.reply(), after.reply(), "seed " + seed + ", command " + i);
+            Command command = generator.next(replayed);
+            CommandResult replayedResult = machine.apply(replayed, command, i);
+            CommandResult restoredResult = machine.apply(restored, command, i);
+            replayed = replayedResult.state();
+            restored = restoredResult.state();
+            assertEquals(replayedResult.reply(), restoredResult.reply(), "seed " + seed + ", command " + i);
             assertEquals(
-                    StateChecks.forgetful(log), StateChecks.forgetful(restored), "seed " + seed + ", command " + i);
+                    StateChecks.withoutHistory(replayed), StateChecks.withoutHistory(restored), "seed " + seed + ", command " + i);
         }
     }
 
     @Property(tries = 120, seed = "20261202")
-    void aBatchHappensWhollyOrNotAtAll(@ForAll long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
+    void batchIsAtomic(@ForAll long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
         StoreState state = StoreState.EMPTY;
-        for (int i = 1; i <= COMMANDS; i++) {
-            String where = "seed " + seed + ", command " + i;
-            Command command = maker.next(state);
-            CommandResult applied = machine.apply(state, command, i);
-            StoreState after = applied.state();
-            boolean foreign =
-                    applied.reply().getRefusal().getKind().equals(ErrorCode.LEVEL_TOO_LOW.name()) && command.hasBatch();
-            StoreState still = foreign
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
+            String context = "seed " + seed + ", command " + i;
+            Command command = generator.next(state);
+            CommandResult result = machine.apply(state, command, i);
+            StoreState after = result.state();
+            boolean unsupported =
+                    result.reply().getRefusal().getKind().equals(ErrorCode.LEVEL_TOO_LOW.name()) && command.hasBatch();
+            StoreState withoutBatch = unsupported
                     ? state
                     : machine.apply(
                                     state,
@@ -87,108 +87,108 @@
                                             .build(),
                                     i)
                             .state();
-            if (applied.reply().hasRefusal() && command.hasBatch()) {
-                assertEquals(still.entries(), after.entries(), where);
-                assertEquals(still.version(), after.version(), where);
-                assertEquals(still.history(), after.history(), where);
+            if (result.reply().hasRefusal() && command.hasBatch()) {
+                assertEquals(withoutBatch.entries(), after.entries(), context);
+                assertEquals(withoutBatch.version(), after.version(), context);
+                assertEquals(withoutBatch.history(), after.history(), context);
             } else if (command.hasBatch()) {
-                Map<String, VersionedValue> expected = new TreeMap<>(still.entries());
+                Map<String, VersionedValue> expected = new TreeMap<>(withoutBatch.entries());
                 for (Put put : command.getBatch().getPutsList()) {
-                    VersionedValue stored = new VersionedValue(put.getValue(), still.version() + 1, put.getSession());
+                    VersionedValue stored = new VersionedValue(put.getValue(), withoutBatch.version() + 1, put.getSession());
                     if (put.getDelete()) {
                         expected.remove(put.getKey());
                     } else {
                         expected.put(put.getKey(), stored);
                     }
                 }
-                assertEquals(expected, after.entries(), where);
+                assertEquals(expected, after.entries(), context);
                 assertEquals(
-                        expected.equals(still.entries()) ? still.version() : still.version() + 1,
+                        expected.equals(withoutBatch.entries()) ? withoutBatch.version() : withoutBatch.version() + 1,
                         after.version(),
-                        where);
+                        context);
             }
             state = after;
         }
     }
 
-    private record Term(String owner, long session, long ttl, long ends) {}
+    private record HeldLease(String owner, long session, long ttlMs, long expiresAtMs) {}
 
     /**
      * Told from the answers alone: a lease that was granted holds off all others until it ends by the clock of the
      * commands.
      */
     @Property(tries = 120, seed = "20261202")
-    void aNameHasOneHolderAndNumbersOnlyGrow(@ForAll long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
-        Map<String, Term> terms = new HashMap<>();
+    void leaseHasOneHolderAndSessionsOnlyGrow(@ForAll long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
+        Map<String, HeldLease> heldLeases = new HashMap<>();
         StoreState state = StoreState.EMPTY;
-        long clock = 0;
-        long highest = 0;
-        for (int i = 1; i <= COMMANDS; i++) {
-            String where = "seed " + seed + ", command " + i;
-            Command command = maker.next(state);
-            CommandResult applied = machine.apply(state, command, i);
-            Reply reply = applied.reply();
+        long clockMs = 0;
+        long highestSession = 0;
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
+            String context = "seed " + seed + ", command " + i;
+            Command command = generator.next(state);
+            CommandResult result = machine.apply(state, command, i);
+            Reply reply = result.reply();
             String kind = reply.getRefusal().getKind();
-            if (command.getLevel() <= state.level()) {
-                clock = Math.max(clock, command.getNowMs());
+            if (command.getLevel() <= state.featureLevel()) {
+                clockMs = Math.max(clockMs, command.getNowMs());
             }
-            long now = clock;
-            terms.values().removeIf(term -> term.ends <= now);
+            long nowMs = clockMs;
+            heldLeases.values().removeIf(lease -> lease.expiresAtMs <= nowMs);
             if (command.hasAcquire() && !reply.hasRefusal()) {
-                Term before = terms.get(command.getAcquire().getName());
+                HeldLease current = heldLeases.get(command.getAcquire().getName());
                 assertTrue(
-                        before == null
-                                || before.owner.equals(command.getAcquire().getOwner()),
-                        where + ": two holders");
-                assertTrue(reply.getLease().getSession() > highest, where + ": " + reply + " after " + highest);
-                highest = reply.getLease().getSession();
-                terms.put(
+                        current == null
+                                || current.owner.equals(command.getAcquire().getOwner()),
+                        context + ": two holders");
+                assertTrue(reply.getLease().getSession() > highestSession, context + ": " + reply + " after " + highestSession);
+                highestSession = reply.getLease().getSession();
+                heldLeases.put(
                         command.getAcquire().getName(),
-                        new Term(
+                        new HeldLease(
                                 command.getAcquire().getOwner(),
-                                highest,
+                                highestSession,
                                 command.getAcquire().getTtlMs(),
-                                clock + command.getAcquire().getTtlMs()));
+                                clockMs + command.getAcquire().getTtlMs()));
             } else if (command.hasAcquire() && kind.equals(ErrorCode.LEASE_HELD.name())) {
-                assertNotNull(terms.get(command.getAcquire().getName()), where);
+                assertNotNull(heldLeases.get(command.getAcquire().getName()), context);
             } else if (command.hasRenew() && !kind.equals(ErrorCode.LEVEL_TOO_LOW.name())) {
                 long session = command.getRenew().getSession();
                 assertEquals(
-                        terms.values().stream().noneMatch(term -> term.session == session), reply.hasRefusal(), where);
-                terms.replaceAll((name, term) ->
-                        term.session == session ? new Term(term.owner, session, term.ttl, now + term.ttl) : term);
+                        heldLeases.values().stream().noneMatch(lease -> lease.session == session), reply.hasRefusal(), context);
+                heldLeases.replaceAll((name, lease) ->
+                        lease.session == session ? new HeldLease(lease.owner, session, lease.ttlMs, nowMs + lease.ttlMs) : lease);
             } else if (command.hasRelease() && !reply.hasRefusal()) {
-                terms.values()
-                        .removeIf(term -> term.session == command.getRelease().getSession());
+                heldLeases.values()
+                        .removeIf(lease -> lease.session == command.getRelease().getSession());
             } else if (command.hasBatch() && command.getBatch().getFencesCount() == 1 && !reply.hasRefusal()) {
-                Term holder = terms.get(command.getBatch().getFences(0).getDomain());
+                HeldLease holder = heldLeases.get(command.getBatch().getFences(0).getDomain());
                 assertTrue(
                         holder != null
                                 && holder.session
                                         == command.getBatch().getFences(0).getNumber(),
-                        where + ": a stale writer");
+                        context + ": a stale writer");
             }
-            assertEquals(terms.keySet(), applied.state().leases().byName().keySet(), where);
-            state = applied.state();
+            assertEquals(heldLeases.keySet(), result.state().leases().byName().keySet(), context);
+            state = result.state();
         }
     }
 
     @Property(tries = 80, seed = "20261202")
-    void anOldStateStaysAsItWas(@ForAll long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
+    void earlierStateIsImmutable(@ForAll long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
         StoreState state = StoreState.EMPTY;
-        StoreState kept = state;
-        byte[] file = StateChecks.file(state, 100);
-        for (int i = 1; i <= COMMANDS; i++) {
-            state = machine.apply(state, maker.next(state), i).state();
+        StoreState earlier = state;
+        byte[] file = StateChecks.snapshotBytes(state, 100);
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
+            state = machine.apply(state, generator.next(state), i).state();
             if (i % 50 == 25) {
-                kept = state;
-                file = StateChecks.file(state, 100);
+                earlier = state;
+                file = StateChecks.snapshotBytes(state, 100);
             }
         }
-        assertEquals(StateChecks.restored(file), StateChecks.forgetful(kept), "seed " + seed);
-        assertNull(kept.entries().get(""));
-        assertFalse(kept.index() == state.index());
+        assertEquals(StateChecks.restore(file), StateChecks.withoutHistory(earlier), "seed " + seed);
+        assertNull(earlier.entries().get(""));
+        assertFalse(earlier.index() == state.index());
     }
 }
