--- a/src/test/java/olivechute/store/StoreStateMachineTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachineTest.java
@@ -23,97 +23,97 @@
 /** Single rules of the state machine, and of groups whose replicas are of several versions. */
 @SuppressWarnings("LiteProtoToString") // only told when a check fails
 class StoreStateMachineTest {
-    private static final Duration TERM = Duration.ofMillis(100);
-    private static final int UNKNOWN_FIELD = 99;
+    private static final Duration LEASE_TTL = Duration.ofMillis(100);
+    private static final int UNKNOWN_FIELD_NUMBER = 99;
 
-    private StoreStateMachine machine = new StoreStateMachine(StoreLimits.USUAL);
+    private StoreStateMachine stateMachine = new StoreStateMachine(StoreLimits.DEFAULTS);
     private StoreState state = StoreState.EMPTY;
-    private long clock;
+    private long clockMs;
 
-    private Reply send(Command command) throws StoreException {
-        CommandResult applied = machine.apply(state, StoreMessages.stamped(command, clock), state.index() + 1);
-        state = applied.state();
-        return applied.reply();
+    private Reply apply(Command command) throws StoreException {
+        CommandResult result = stateMachine.apply(state, StoreMessages.withClock(command, clockMs), state.index() + 1);
+        state = result.state();
+        return result.reply();
     }
 
     private Reply write(List<Write> writes, Fence... fences) throws StoreException {
-        return send(StoreMessages.batch(writes, List.of(fences)));
+        return apply(StoreMessages.batch(writes, List.of(fences)));
     }
 
     private Lease acquire(String name, String owner) throws StoreException {
-        return StoreMessages.lease(send(StoreMessages.acquire(name, owner, TERM)));
+        return StoreMessages.lease(apply(StoreMessages.acquire(name, owner, LEASE_TTL)));
     }
 
-    private void refused(ErrorCode kind, Reply reply) {
+    private void assertRejected(ErrorCode kind, Reply reply) {
         assertEquals(
                 kind,
-                assertThrows(StoreException.class, () -> StoreMessages.granted(reply), reply.toString())
+                assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(reply), reply.toString())
                         .kind());
     }
 
     /** The bytes with one more field, length-delimited, of a number that nobody knows. */
-    private static byte[] withUnknown(byte[] message) {
+    private static byte[] withUnknownField(byte[] message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(message);
-        out.writeBytes(new byte[] {(byte) ((UNKNOWN_FIELD << 3 & 0x7f) | 0x80 | 2), (byte) (UNKNOWN_FIELD >> 4), 1, 7});
+        out.writeBytes(new byte[] {(byte) ((UNKNOWN_FIELD_NUMBER << 3 & 0x7f) | 0x80 | 2), (byte) (UNKNOWN_FIELD_NUMBER >> 4), 1, 7});
         return out.toByteArray();
     }
 
     @Test
-    void aConflictNamesThePresentVersionAndStopsTheWholeBatch() throws Exception {
+    void conflictReportsStoredVersionAndRejectsWholeBatch() throws Exception {
         long version = write(List.of(Write.put("a", new byte[1]))).getVersion();
         Reply reply = write(List.of(Write.put("b", new byte[1]), Write.putIf("a", new byte[2], version + 7)));
-        refused(ErrorCode.CONFLICT, reply);
+        assertRejected(ErrorCode.CONFLICT, reply);
         assertEquals(version, reply.getRefusal().getVersion());
         assertTrue(state.entries().get("b") == null);
-        Reply there = write(List.of(Write.putIf("c", new byte[1], version)));
-        refused(ErrorCode.CONFLICT, there);
-        assertEquals(0, there.getRefusal().getVersion());
+        Reply absentReply = write(List.of(Write.putIf("c", new byte[1], version)));
+        assertRejected(ErrorCode.CONFLICT, absentReply);
+        assertEquals(0, absentReply.getRefusal().getVersion());
     }
 
     @Test
-    void theSameOwnerThatAsksAgainBeginsAnew() throws Exception {
+    void acquiringAgainAsSameOwnerStartsNewSession() throws Exception {
         Lease first = acquire("lead", "x");
         write(List.of(new Write("of/lead", new byte[1], null, first.session())), first.fence());
         Lease second = acquire("lead", "x");
         assertTrue(second.session() > first.session());
         assertTrue(state.entries().isEmpty());
-        refused(ErrorCode.STALE_FENCE, write(List.of(Write.put("a", new byte[1])), first.fence()));
-        refused(ErrorCode.SESSION_ENDED, send(StoreMessages.renew(first)));
-        refused(ErrorCode.SESSION_ENDED, write(List.of(new Write("k", new byte[1], null, first.session()))));
+        assertRejected(ErrorCode.STALE_FENCE, write(List.of(Write.put("a", new byte[1])), first.fence()));
+        assertRejected(ErrorCode.SESSION_ENDED, apply(StoreMessages.renew(first)));
+        assertRejected(ErrorCode.SESSION_ENDED, write(List.of(new Write("k", new byte[1], null, first.session()))));
         write(List.of(Write.put("a", new byte[1])), second.fence());
         assertEquals(1, state.entries().size());
     }
 
     @Test
-    void aFenceOfALeaseThatRanOutIsRefusedByTheVeryCommandThatFindsIt() throws Exception {
+    void commandThatExpiresLeaseRejectsItsFence() throws Exception {
         Lease lease = acquire("lead", "x");
-        clock += TERM.toMillis();
-        refused(ErrorCode.SESSION_ENDED, write(List.of(Write.put("a", new byte[1])), lease.fence()));
-        refused(ErrorCode.SESSION_ENDED, write(List.of(), new Fence("lead", lease.session() + 1)));
-        refused(ErrorCode.SESSION_ENDED, write(List.of(), new Fence("nobody's", 1)));
+        clockMs += LEASE_TTL.toMillis();
+        assertRejected(ErrorCode.SESSION_ENDED, write(List.of(Write.put("a", new byte[1])), lease.fence()));
+        assertRejected(ErrorCode.SESSION_ENDED, write(List.of(), new Fence("lead", lease.session() + 1)));
+        assertRejected(ErrorCode.SESSION_ENDED, write(List.of(), new Fence("nobody's", 1)));
     }
 
     @Test
-    void theClockNeverGoesBack() throws Exception {
-        clock = 1000;
+    void clockIsMonotonic() throws Exception {
+        clockMs = 1000;
         Lease lease = acquire("lead", "x");
-        clock = 500;
-        send(StoreMessages.tick());
+        clockMs = 500;
+        apply(StoreMessages.tick());
         assertEquals(1000, state.clockMs());
-        send(StoreMessages.renew(lease));
-        clock = 1000 + TERM.toMillis() - 1;
-        send(StoreMessages.tick());
+        apply(StoreMessages.renew(lease));
+        clockMs = 1000 + LEASE_TTL.toMillis() - 1;
+        apply(StoreMessages.tick());
         assertEquals(1, state.leases().size());
-        clock++;
-        send(StoreMessages.tick());
+        clockMs++;
+        apply(StoreMessages.tick());
         assertEquals(0, state.leases().size());
-        Reply endless = send(StoreMessages.acquire("lead", "x", Duration.ofMillis(Long.MAX_VALUE)));
+        Reply endless = apply(StoreMessages.acquire("lead", "x", Duration.ofMillis(Long.MAX_VALUE)));
         assertEquals(Long.MAX_VALUE, endless.getLease().getEndsMs());
     }
 
     @Test
-    void aKeyThatIsWrittenAnewGoesWithItsNewSession() throws Exception {
+    void rewrittenKeyBelongsToNewSession() throws Exception {
         Lease one = acquire("one", "x");
         Lease two = acquire("two", "x");
         write(List.of(
@@ -121,69 +121,69 @@
                 new Write("b", new byte[1], null, one.session()),
                 new Write("c", new byte[1], null, one.session())));
         write(List.of(new Write("a", new byte[1], null, two.session()), Write.put("b", new byte[1])));
-        send(StoreMessages.release(one));
+        apply(StoreMessages.release(one));
         assertEquals(List.of("a", "b"), List.copyOf(state.entries().keySet()));
-        send(StoreMessages.release(two));
-        send(StoreMessages.release(two));
+        apply(StoreMessages.release(two));
+        apply(StoreMessages.release(two));
         assertEquals(List.of("b"), List.copyOf(state.entries().keySet()));
     }
 
     @Test
-    void eachBoundRefusesWhatIsOverIt() throws Exception {
-        machine = new StoreStateMachine(new StoreLimits(8, 4, 2, 3, 29, 2, 1, 5, 1));
-        refused(ErrorCode.TOO_LARGE, write(List.of(Write.put("a", new byte[9]))));
-        refused(ErrorCode.TOO_LARGE, write(List.of(Write.put("\u00e4\u00e4a", new byte[1]))));
-        refused(
+    void eachLimitIsEnforced() throws Exception {
+        stateMachine = new StoreStateMachine(new StoreLimits(8, 4, 2, 3, 29, 2, 1, 5, 1));
+        assertRejected(ErrorCode.TOO_LARGE, write(List.of(Write.put("a", new byte[9]))));
+        assertRejected(ErrorCode.TOO_LARGE, write(List.of(Write.put("\u00e4\u00e4a", new byte[1]))));
+        assertRejected(
                 ErrorCode.TOO_LARGE,
                 write(List.of(Write.put("a", new byte[1]), Write.put("b", new byte[1]), Write.put("c", new byte[1]))));
         write(List.of(Write.put("a", new byte[8]), Write.put("b", new byte[8])));
-        refused(ErrorCode.TOO_MANY, write(List.of(Write.put("c", new byte[1]), Write.put("d", new byte[1]))));
+        assertRejected(ErrorCode.TOO_MANY, write(List.of(Write.put("c", new byte[1]), Write.put("d", new byte[1]))));
         write(List.of(Write.put("a", new byte[0]), Write.put("c", new byte[8])));
-        refused(ErrorCode.TOO_MANY, write(List.of(Write.put("\u00e4\u00e4", new byte[8]), Write.delete("a"))));
+        assertRejected(ErrorCode.TOO_MANY, write(List.of(Write.put("\u00e4\u00e4", new byte[8]), Write.delete("a"))));
         acquire("l", "x");
         Lease two = acquire("m", "x");
-        refused(ErrorCode.TOO_MANY, send(StoreMessages.acquire("n", "x", TERM)));
+        assertRejected(ErrorCode.TOO_MANY, apply(StoreMessages.acquire("n", "x", LEASE_TTL)));
         acquire("m", "x");
-        refused(ErrorCode.MALFORMED, send(StoreMessages.acquire("", "x", TERM)));
-        refused(ErrorCode.MALFORMED, send(StoreMessages.acquire("n", "x", Duration.ZERO)));
-        refused(ErrorCode.TOO_LARGE, send(StoreMessages.acquire("n", "xxxxx", TERM)));
-        send(StoreMessages.announce("r1", 1));
-        refused(ErrorCode.TOO_MANY, send(StoreMessages.announce("r2", 1)));
-        refused(ErrorCode.STALE_FENCE, write(List.of(), two.fence()));
+        assertRejected(ErrorCode.MALFORMED, apply(StoreMessages.acquire("", "x", LEASE_TTL)));
+        assertRejected(ErrorCode.MALFORMED, apply(StoreMessages.acquire("n", "x", Duration.ZERO)));
+        assertRejected(ErrorCode.TOO_LARGE, apply(StoreMessages.acquire("n", "xxxxx", LEASE_TTL)));
+        apply(StoreMessages.announce("r1", 1));
+        assertRejected(ErrorCode.TOO_MANY, apply(StoreMessages.announce("r2", 1)));
+        assertRejected(ErrorCode.STALE_FENCE, write(List.of(), two.fence()));
     }
 
     @Test
-    void manyNamesThatComeAndGoLeaveNoMoreThanTheBound() throws Exception {
-        machine = new StoreStateMachine(CommandMaker.TIGHT);
+    void fencesOfEndedLeasesAreBounded() throws Exception {
+        stateMachine = new StoreStateMachine(CommandGenerator.TIGHT_LIMITS);
         List<Lease> leases = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             leases.add(acquire("n" + i, "x"));
-            clock += TERM.toMillis();
-            StateChecks.sound(state, CommandMaker.TIGHT, "name " + i);
+            clockMs += LEASE_TTL.toMillis();
+            StateChecks.assertConsistent(state, CommandGenerator.TIGHT_LIMITS, "name " + i);
         }
-        send(StoreMessages.tick());
+        apply(StoreMessages.tick());
         for (Lease lease : leases) {
-            refused(ErrorCode.SESSION_ENDED, write(List.of(), lease.fence()));
+            assertRejected(ErrorCode.SESSION_ENDED, write(List.of(), lease.fence()));
         }
     }
 
     @Test
-    void aWatchFromBeforeTheHistoryIsToldAllThereIs() throws Exception {
-        machine = new StoreStateMachine(CommandMaker.TIGHT);
+    void watchFromBeforeHistoryReturnsCompleteListing() throws Exception {
+        stateMachine = new StoreStateMachine(CommandGenerator.TIGHT_LIMITS);
         for (int i = 0; i < 20; i++) {
             write(List.of(Write.put("a/" + i % 3, new byte[1]), Write.put("b", new byte[1])));
         }
         assertEquals(
-                List.of("a/0", "a/1", "a/2"), keys(machine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))));
-        assertTrue(machine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))
+                List.of("a/0", "a/1", "a/2"), keys(stateMachine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))));
+        assertTrue(stateMachine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))
                 .getWhole());
-        Reply part = machine.query(state, StoreMessages.watch("a/", 18, Duration.ZERO));
-        assertTrue(!part.getWhole());
-        assertEquals(List.of("a/0", "a/1"), keys(part));
-        StoreState restored = StateChecks.restored(StateChecks.file(state, 10));
-        assertTrue(machine.query(restored, StoreMessages.watch("a/", 19, Duration.ZERO))
+        Reply partial = stateMachine.query(state, StoreMessages.watch("a/", 18, Duration.ZERO));
+        assertTrue(!partial.getWhole());
+        assertEquals(List.of("a/0", "a/1"), keys(partial));
+        StoreState restored = StateChecks.restore(StateChecks.snapshotBytes(state, 10));
+        assertTrue(stateMachine.query(restored, StoreMessages.watch("a/", 19, Duration.ZERO))
                 .getWhole());
-        Reply ahead = machine.query(restored, StoreMessages.watch("a/", 25, Duration.ZERO));
+        Reply ahead = stateMachine.query(restored, StoreMessages.watch("a/", 25, Duration.ZERO));
         assertEquals(Reply.newBuilder().setVersion(25).build(), ahead);
     }
 
@@ -194,76 +194,76 @@
     }
 
     @Test
-    void theGroupsLevelRisesOnlyOverWhatAllKnow() throws Exception {
-        machine = new StoreStateMachine(StoreLimits.USUAL, 2);
-        refused(ErrorCode.LEVEL_TOO_LOW, send(StoreMessages.raise(2)));
-        send(StoreMessages.announce("r1", 2));
-        send(StoreMessages.announce("r2", 1));
-        refused(ErrorCode.LEVEL_TOO_LOW, send(StoreMessages.raise(2)));
-        assertEquals(1, state.level());
-        send(StoreMessages.announce("r2", 2));
-        send(StoreMessages.raise(2));
-        assertEquals(2, state.level());
-        send(StoreMessages.raise(1));
-        assertEquals(2, state.level());
-        refused(ErrorCode.LEVEL_TOO_LOW, send(StoreMessages.announce("r3", 1)));
-        send(StoreMessages.announce("r1", 0));
-        assertEquals(1, state.announced().size());
+    void featureLevelIsBoundedByAnnouncedLevels() throws Exception {
+        stateMachine = new StoreStateMachine(StoreLimits.DEFAULTS, 2);
+        assertRejected(ErrorCode.LEVEL_TOO_LOW, apply(StoreMessages.raiseLevel(2)));
+        apply(StoreMessages.announce("r1", 2));
+        apply(StoreMessages.announce("r2", 1));
+        assertRejected(ErrorCode.LEVEL_TOO_LOW, apply(StoreMessages.raiseLevel(2)));
+        assertEquals(1, state.featureLevel());
+        apply(StoreMessages.announce("r2", 2));
+        apply(StoreMessages.raiseLevel(2));
+        assertEquals(2, state.featureLevel());
+        apply(StoreMessages.raiseLevel(1));
+        assertEquals(2, state.featureLevel());
+        assertRejected(ErrorCode.LEVEL_TOO_LOW, apply(StoreMessages.announce("r3", 1)));
+        apply(StoreMessages.announce("r1", 0));
+        assertEquals(1, state.announcedLevels().size());
     }
 
     /** One that knows less must not go on: it would part from the others. */
     @Test
-    void aReplicaThatKnowsLessThanTheGroupStops() throws Exception {
-        machine = new StoreStateMachine(StoreLimits.USUAL, 2);
-        send(StoreMessages.announce("r1", 2));
-        send(StoreMessages.raise(2));
-        machine = new StoreStateMachine(StoreLimits.USUAL, 1);
+    void replicaBelowGroupLevelStops() throws Exception {
+        stateMachine = new StoreStateMachine(StoreLimits.DEFAULTS, 2);
+        apply(StoreMessages.announce("r1", 2));
+        apply(StoreMessages.raiseLevel(2));
+        stateMachine = new StoreStateMachine(StoreLimits.DEFAULTS, 1);
         assertEquals(
                 ErrorCode.LEVEL_TOO_LOW,
-                assertThrows(StoreException.class, () -> send(StoreMessages.tick()))
+                assertThrows(StoreException.class, () -> apply(StoreMessages.tick()))
                         .kind());
     }
 
     @Test
-    void aFieldThatNobodyKnowsIsPassedOver() throws Exception {
+    void unknownFieldIsIgnored() throws Exception {
         Command command = StoreMessages.batch(List.of(Write.put("a", new byte[1])), List.of());
-        Command newer = Command.parseFrom(withUnknown(command.toByteArray()));
+        Command newer = Command.parseFrom(withUnknownField(command.toByteArray()));
         assertTrue(newer.toByteArray().length > command.toByteArray().length);
-        StoreMessages.granted(send(newer));
+        StoreMessages.requireAccepted(apply(newer));
         assertEquals(1, state.entries().size());
     }
 
     @Test
-    void aKindThatNobodyKnowsIsRefusedWithoutAChange() throws Exception {
+    void unknownCommandKindIsRejectedWithoutChange() throws Exception {
         Lease lease = acquire("lead", "x");
         StoreState before = state;
-        clock += 10 * TERM.toMillis();
+        clockMs += 10 * LEASE_TTL.toMillis();
         Command newer = Command.parseFrom(
-                withUnknown(Command.newBuilder().setLevel(1).build().toByteArray()));
-        refused(ErrorCode.LEVEL_TOO_LOW, send(newer));
-        refused(
+                withUnknownField(Command.newBuilder().setLevel(1).build().toByteArray()));
+        assertRejected(ErrorCode.LEVEL_TOO_LOW, apply(newer));
+        assertRejected(
                 ErrorCode.LEVEL_TOO_LOW,
-                send(StoreMessages.tick().toBuilder().setLevel(2).build()));
-        refused(
+                apply(StoreMessages.tick().toBuilder().setLevel(2).build()));
+        assertRejected(
                 ErrorCode.LEVEL_TOO_LOW,
-                send(StoreMessages.tick().toBuilder().setLevel(-1).build()));
+                apply(StoreMessages.tick().toBuilder().setLevel(-1).build()));
         assertEquals(before.clockMs(), state.clockMs());
         assertSame(before.leases(), state.leases());
         assertEquals(lease.session(), state.version());
-        refused(
+        assertRejected(
                 ErrorCode.LEVEL_TOO_LOW,
-                machine.query(state, Query.newBuilder().setLevel(1).build()));
-        refused(
+                stateMachine.query(state, Query.newBuilder().setLevel(1).build()));
+        assertRejected(
                 ErrorCode.LEVEL_TOO_LOW,
-                machine.query(
+                stateMachine.query(
                         state, StoreMessages.status().toBuilder().setLevel(2).build()));
     }
 
     @Test
-    void theStatusCountsWhatIsThere() throws Exception {
+    void statusReportsCounts() throws Exception {
         acquire("lead", "x");
         write(List.of(Write.put("a/1", new byte[5])));
-        Reply reply = machine.query(state, StoreMessages.status());
+        Reply reply = stateMachine.query(state, StoreMessages.status());
         assertEquals(
                 List.of(2L, 1L, 8L, 1L),
                 List.of(
@@ -277,16 +277,16 @@
     }
 
     @Test
-    void aRefusalOfAnUnknownKindIsSaidAsItCame() {
+    void unknownRejectionKindIsPreservedInMessage() {
         Reply reply = Reply.newBuilder()
                 .setRefusal(Refusal.newBuilder().setKind("MOON_TOO_FULL").setText("at night"))
                 .build();
-        StoreException fault = assertThrows(StoreException.class, () -> StoreMessages.granted(reply));
+        StoreException fault = assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(reply));
         assertEquals(ErrorCode.MALFORMED, fault.kind());
         assertTrue(fault.what().contains("MOON_TOO_FULL") && fault.what().contains("at night"));
         StoreException held = new StoreException(ErrorCode.LEASE_HELD, "by x");
-        StoreException back =
-                assertThrows(StoreException.class, () -> StoreMessages.granted(StoreMessages.refusal(held, 3)));
-        assertEquals(held.getMessage(), back.getMessage());
+        StoreException decoded =
+                assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(StoreMessages.rejection(held, 3)));
+        assertEquals(held.getMessage(), decoded.getMessage());
     }
 }
--- a/src/test/java/olivechute/store/StoredCommandsTest.java
+++ b/src/test/java/olivechute/store/StoredCommandsTest.java
@@ -28,7 +28,7 @@
         Store.Lease lease = new Store.Lease("machine/m1", "m1/owner", session, Duration.ofMinutes(10));
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("announce", StoreMessages.announce("r1", 1));
-        commands.put("raise", StoreMessages.raise(1));
+        commands.put("raise", StoreMessages.raiseLevel(1));
         commands.put("acquire", StoreMessages.acquire("machine/m1", "m1/owner", Duration.ofMinutes(10)));
         commands.put(
                 "batch",
@@ -46,33 +46,33 @@
         return commands;
     }
 
-    private static StoreState state() throws Exception {
-        StoreStateMachine machine = new StoreStateMachine(StoreLimits.USUAL);
+    private static StoreState sampleState() throws Exception {
+        StoreStateMachine machine = new StoreStateMachine(StoreLimits.DEFAULTS);
         StoreState state = StoreState.EMPTY;
         long index = 1;
         for (String name : List.of("announce", "raise", "acquire", "batch", "delete", "renew", "tick")) {
             long session = state.leases().size() == 0
                     ? SESSION
-                    : state.leases().named("machine/m1").session();
-            Command command = StoreMessages.stamped(commands(session).get(name), CLOCK_MS + index);
+                    : state.leases().findByName("machine/m1").session();
+            Command command = StoreMessages.withClock(commands(session).get(name), CLOCK_MS + index);
             state = machine.apply(state, command, index++).state();
         }
         return state;
     }
 
     @Test
-    void everyKindOfCommandIsWrittenAndReadAsBefore() throws Exception {
+    void commandEncodingIsUnchanged() throws Exception {
         for (Map.Entry<String, Command> each : commands(SESSION).entrySet()) {
-            MessageLite stamped = StoreMessages.stamped(each.getValue(), CLOCK_MS);
+            MessageLite stamped = StoreMessages.withClock(each.getValue(), CLOCK_MS);
             StoredForms.assertWritten("command-" + each.getKey(), stamped.toByteArray());
             assertEquals(stamped, Command.parseFrom(StoredForms.recorded("command-" + each.getKey())));
         }
     }
 
     @Test
-    void aSnapshotIsWrittenAndReadAsBefore() throws Exception {
+    void snapshotEncodingIsUnchanged() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        SnapshotCodec.write(state(), out);
+        SnapshotCodec.write(sampleState(), out);
         StoredForms.assertWritten("snapshot", out.toByteArray());
         StoreState read = SnapshotCodec.read(new ByteArrayInputStream(StoredForms.recorded("snapshot")));
         assertArrayEquals(bytes("one"), read.entries().get("order/n1").value().toByteArray());
--- a/src/test/java/olivechute/store/WatchPropertyTest.java
+++ b/src/test/java/olivechute/store/WatchPropertyTest.java
@@ -16,44 +16,44 @@
 /** A watcher that goes on from the version it was told misses nothing, however late it comes. */
 class WatchPropertyTest {
     private static final long FIRST_SEED = 20261202;
-    private static final int SEEDS = 100;
-    private static final int COMMANDS = 200;
+    private static final int SEED_COUNT = 100;
+    private static final int COMMAND_COUNT = 200;
 
-    private final StoreStateMachine machine = new StoreStateMachine(CommandMaker.TIGHT, 2);
-    private int whole;
-    private int parts;
+    private final StoreStateMachine machine = new StoreStateMachine(CommandGenerator.TIGHT_LIMITS, 2);
+    private int completeReplies;
+    private int partialReplies;
 
     @Test
-    void aWatchThatGoesOnSeesEveryChange() throws Exception {
-        System.out.println("watch seeds from " + FIRST_SEED + ", " + SEEDS + " of them");
-        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            follow(seed);
+    void resumedWatchSeesEveryChange() throws Exception {
+        System.out.println("watch seeds from " + FIRST_SEED + ", " + SEED_COUNT + " of them");
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            watchThroughCommands(seed);
         }
-        assertTrue(whole > 100 && parts > 1000, whole + " whole answers, " + parts + " partial ones");
+        assertTrue(completeReplies > 100 && partialReplies > 1000, completeReplies + " whole answers, " + partialReplies + " partial ones");
     }
 
-    private void follow(long seed) throws Exception {
-        CommandMaker maker = new CommandMaker(seed);
+    private void watchThroughCommands(long seed) throws Exception {
+        CommandGenerator generator = new CommandGenerator(seed);
         Random random = new Random(seed);
         StoreState state = StoreState.EMPTY;
         Map<String, Entry> seen = new TreeMap<>();
         long since = 0;
-        int pace = 1 + random.nextInt(20);
-        for (int i = 1; i <= COMMANDS; i++) {
-            state = machine.apply(state, maker.next(state), i).state();
+        int interval = 1 + random.nextInt(20);
+        for (int i = 1; i <= COMMAND_COUNT; i++) {
+            state = machine.apply(state, generator.next(state), i).state();
             if (random.nextInt(60) == 0) {
-                state = StateChecks.restored(StateChecks.file(state, 64));
+                state = StateChecks.restore(StateChecks.snapshotBytes(state, 64));
             }
-            if (random.nextInt(pace) > 0) {
+            if (random.nextInt(interval) > 0) {
                 continue;
             }
-            String where = "seed " + seed + ", after command " + i;
+            String context = "seed " + seed + ", after command " + i;
             Reply reply = QueryExecutor.watch(state, "a/", since);
-            Map<String, Entry> truth = list(state);
-            check(reply, seen, truth, since, where);
-            take(reply, seen);
-            assertEquals(truth, seen, where);
-            assertEquals(state.version(), reply.getVersion(), where);
+            Map<String, Entry> stored = list(state);
+            checkReply(reply, seen, stored, since, context);
+            applyReply(reply, seen);
+            assertEquals(stored, seen, context);
+            assertEquals(state.version(), reply.getVersion(), context);
             since = reply.getVersion();
         }
     }
@@ -61,29 +61,29 @@
     /**
      * Exactly what differs and was there or is there, in order; a key that came and went since may be named as gone.
      */
-    private void check(Reply reply, Map<String, Entry> seen, Map<String, Entry> truth, long since, String where) {
-        long last = reply.getWhole() ? 0 : since + 1;
+    private void checkReply(Reply reply, Map<String, Entry> seen, Map<String, Entry> stored, long since, String context) {
+        long minVersion = reply.getWhole() ? 0 : since + 1;
         TreeSet<String> changed = new TreeSet<>();
         for (Entry entry : reply.getEntriesList()) {
-            assertTrue(reply.getWhole() || entry.getVersion() >= last, where + ": out of order");
-            last = entry.getVersion();
+            assertTrue(reply.getWhole() || entry.getVersion() >= minVersion, context + ": out of order");
+            minVersion = entry.getVersion();
             changed.add(entry.getKey());
         }
         if (reply.getWhole()) {
-            whole++;
+            completeReplies++;
             return;
         }
-        parts++;
+        partialReplies++;
         TreeSet<String> expected = new TreeSet<>();
-        truth.forEach((key, entry) -> {
+        stored.forEach((key, entry) -> {
             if (!entry.equals(seen.get(key))) {
                 expected.add(key);
             }
         });
-        assertEquals(expected, changed, where);
+        assertEquals(expected, changed, context);
     }
 
-    private static void take(Reply reply, Map<String, Entry> seen) {
+    private static void applyReply(Reply reply, Map<String, Entry> seen) {
         if (reply.getWhole()) {
             seen.clear();
         }
@@ -112,89 +112,89 @@
      * not waiting.
      */
     @Test
-    void theBookWakesWhoeverHasSomethingToSee() throws Exception {
-        System.out.println("book seeds from " + FIRST_SEED + ", " + SEEDS + " of them");
-        int woken = 0;
-        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-            CommandMaker maker = new CommandMaker(seed);
+    void registryAnswersWatchesWithChanges() throws Exception {
+        System.out.println("book seeds from " + FIRST_SEED + ", " + SEED_COUNT + " of them");
+        int answered = 0;
+        for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
+            CommandGenerator generator = new CommandGenerator(seed);
             Random random = new Random(seed);
             StoreState state = StoreState.EMPTY;
-            WatchRegistry book = new WatchRegistry(CommandMaker.TIGHT, state);
+            WatchRegistry registry = new WatchRegistry(CommandGenerator.TIGHT_LIMITS, state);
             Map<String, Entry> seen = new TreeMap<>();
             long since = 0;
-            CompletableFuture<Reply> waiting = book.register("a/", since, 50);
-            for (int i = 1; i <= COMMANDS; i++) {
-                String where = "seed " + seed + ", after command " + i;
+            CompletableFuture<Reply> pending = registry.register("a/", since, 50);
+            for (int i = 1; i <= COMMAND_COUNT; i++) {
+                String context = "seed " + seed + ", after command " + i;
                 Map<String, Entry> before = list(state);
-                state = machine.apply(state, maker.next(state), i).state();
-                book.onChange(state);
-                if (waiting != null) {
-                    assertTrue(waiting.isDone() || before.equals(list(state)), where + ": slept through a change");
+                state = machine.apply(state, generator.next(state), i).state();
+                registry.onChange(state);
+                if (pending != null) {
+                    assertTrue(pending.isDone() || before.equals(list(state)), context + ": slept through a change");
                 }
                 if (random.nextInt(30) == 0) {
-                    book.expire(i);
+                    registry.expire(i);
                 }
-                if (waiting == null && random.nextInt(6) == 0) {
-                    waiting = book.register("a/", since, i + 20);
+                if (pending == null && random.nextInt(6) == 0) {
+                    pending = registry.register("a/", since, i + 20);
                 }
-                if (waiting != null && waiting.isDone()) {
-                    take(told(waiting), seen);
-                    assertEquals(list(state), seen, where);
-                    woken++;
-                    since = told(waiting).getVersion();
-                    waiting = null;
+                if (pending != null && pending.isDone()) {
+                    applyReply(completedReply(pending), seen);
+                    assertEquals(list(state), seen, context);
+                    answered++;
+                    since = completedReply(pending).getVersion();
+                    pending = null;
                 }
             }
-            assertTrue(book.size() <= 1, "seed " + seed);
+            assertTrue(registry.size() <= 1, "seed " + seed);
         }
-        assertTrue(woken > 500, woken + " answers");
+        assertTrue(answered > 500, answered + " answers");
     }
 
     @Test
-    void theBookTakesSoManyAndNoMore() {
-        WatchRegistry book = new WatchRegistry(CommandMaker.TIGHT, StoreState.EMPTY);
-        CompletableFuture<Reply> first = book.register("a", 0, 100);
-        CompletableFuture<Reply> second = book.register("b", 0, 200);
-        assertEquals("TOO_MANY", told(book.register("c", 0, 100)).getRefusal().getKind());
+    void registryLimitsPendingWatches() {
+        WatchRegistry registry = new WatchRegistry(CommandGenerator.TIGHT_LIMITS, StoreState.EMPTY);
+        CompletableFuture<Reply> first = registry.register("a", 0, 100);
+        CompletableFuture<Reply> second = registry.register("b", 0, 200);
+        assertEquals("TOO_MANY", completedReply(registry.register("c", 0, 100)).getRefusal().getKind());
         first.cancel(false);
-        CompletableFuture<Reply> third = book.register("c", 0, 100);
-        assertEquals(2, book.size());
-        book.expire(99);
+        CompletableFuture<Reply> third = registry.register("c", 0, 100);
+        assertEquals(2, registry.size());
+        registry.expire(99);
         assertTrue(!third.isDone() && !second.isDone());
-        book.expire(100);
-        assertEquals(Reply.getDefaultInstance(), told(third));
+        registry.expire(100);
+        assertEquals(Reply.getDefaultInstance(), completedReply(third));
         assertTrue(!second.isDone());
-        book.onChange(put(StoreState.EMPTY, "b"));
-        assertEquals("b", told(second).getEntries(0).getKey());
-        assertEquals(0, book.size());
+        registry.onChange(put(StoreState.EMPTY, "b"));
+        assertEquals("b", completedReply(second).getEntries(0).getKey());
+        assertEquals(0, registry.size());
     }
 
     /** While it waits it keeps up, so it is not woken by what others write, however much that is. */
     @Test
-    void aWatchThatWaitsOutlastsTheHistory() {
-        WatchRegistry book = new WatchRegistry(CommandMaker.TIGHT, StoreState.EMPTY);
-        CompletableFuture<Reply> waiting = book.register("a", 0, 100);
+    void pendingWatchOutlivesHistory() {
+        WatchRegistry registry = new WatchRegistry(CommandGenerator.TIGHT_LIMITS, StoreState.EMPTY);
+        CompletableFuture<Reply> pending = registry.register("a", 0, 100);
         StoreState state = StoreState.EMPTY;
-        for (int i = 0; i < 3 * CommandMaker.TIGHT.history(); i++) {
+        for (int i = 0; i < 3 * CommandGenerator.TIGHT_LIMITS.maxHistoryKeys(); i++) {
             state = put(state, "b");
-            book.onChange(state);
+            registry.onChange(state);
         }
-        assertTrue(!waiting.isDone());
+        assertTrue(!pending.isDone());
         state = put(state, "a");
-        book.onChange(state);
-        assertEquals(1, told(waiting).getEntriesCount());
-        assertTrue(!told(waiting).getWhole());
-        assertEquals(state.version(), told(waiting).getVersion());
+        registry.onChange(state);
+        assertEquals(1, completedReply(pending).getEntriesCount());
+        assertTrue(!completedReply(pending).getWhole());
+        assertEquals(state.version(), completedReply(pending).getVersion());
     }
 
-    private static Reply told(CompletableFuture<Reply> answer) {
-        assertTrue(answer.isDone(), "not answered yet");
-        return answer.join();
+    private static Reply completedReply(CompletableFuture<Reply> pending) {
+        assertTrue(pending.isDone(), "not answered yet");
+        return pending.join();
     }
 
     private static StoreState put(StoreState state, String key) {
-        StateTransaction draft = new StateTransaction(state, CommandMaker.TIGHT);
-        draft.put(key, ByteString.EMPTY, 0);
-        return draft.done();
+        StateTransaction transaction = new StateTransaction(state, CommandGenerator.TIGHT_LIMITS);
+        transaction.put(key, ByteString.EMPTY, 0);
+        return transaction.commit();
     }
 }
--- a/src/test/java/olivechute/store/raft/DiskHealthTest.java
+++ b/src/test/java/olivechute/store/raft/DiskHealthTest.java
@@ -14,52 +14,52 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class DiskHealthTest {
-    private static final long ROOM = 1L << 30;
+    private static final long AMPLE_BYTES = 1L << 30;
 
-    private static DiskHealth.Look look(long free, long held) {
-        return new DiskHealth.Look(null, free, held);
+    private static DiskHealth.ProbeResult healthyResult(long freeBytes, long usedBytes) {
+        return new DiskHealth.ProbeResult(null, freeBytes, usedBytes);
     }
 
     @Test
-    void itIsWellAgainAfterThreeGoodLooksInARow() {
+    void recoversAfterThreeConsecutiveGoodProbes() {
         DiskHealth health = new DiskHealth(100);
-        assertNull(health.looked(look(ROOM, 99)));
-        assertEquals(DISK_FULL, health.looked(look(ROOM, 100)));
-        assertEquals(DISK_FULL, health.looked(look(ROOM, 1)));
-        assertEquals(DISK_FULL, health.looked(look(ROOM, 1)));
-        assertEquals(DISK_BROKEN, health.failed(DISK_BROKEN));
-        assertEquals(DISK_BROKEN, health.looked(look(ROOM, 1)));
-        assertEquals(DISK_BROKEN, health.looked(look(ROOM, 1)));
-        assertNull(health.looked(look(ROOM, 1)));
+        assertNull(health.onProbeResult(healthyResult(AMPLE_BYTES, 99)));
+        assertEquals(DISK_FULL, health.onProbeResult(healthyResult(AMPLE_BYTES, 100)));
+        assertEquals(DISK_FULL, health.onProbeResult(healthyResult(AMPLE_BYTES, 1)));
+        assertEquals(DISK_FULL, health.onProbeResult(healthyResult(AMPLE_BYTES, 1)));
+        assertEquals(DISK_BROKEN, health.onFailure(DISK_BROKEN));
+        assertEquals(DISK_BROKEN, health.onProbeResult(healthyResult(AMPLE_BYTES, 1)));
+        assertEquals(DISK_BROKEN, health.onProbeResult(healthyResult(AMPLE_BYTES, 1)));
+        assertNull(health.onProbeResult(healthyResult(AMPLE_BYTES, 1)));
     }
 
     @Test
-    void littleFreeSpaceIsFullWithoutAQuotaToo() {
-        assertEquals(DISK_FULL, new DiskHealth(0).looked(look(DiskHealth.LEAST_FREE - 1, 0)));
-        assertNull(new DiskHealth(0).looked(look(DiskHealth.LEAST_FREE, ROOM)));
+    void littleFreeSpaceIsFullWithoutQuota() {
+        assertEquals(DISK_FULL, new DiskHealth(0).onProbeResult(healthyResult(DiskHealth.MIN_FREE_BYTES - 1, 0)));
+        assertNull(new DiskHealth(0).onProbeResult(healthyResult(DiskHealth.MIN_FREE_BYTES, AMPLE_BYTES)));
     }
 
     @Test
-    void whatAFailedWriteMeansIsReadFromItsTextHoweverDeepItLies() {
-        assertEquals(DISK_FULL, DiskHealth.kind(new IOException("x", new IOException("No space left on device"))));
-        assertEquals(DISK_FULL, DiskHealth.kind(new IOException("File too large")));
-        assertEquals(DISK_BROKEN, DiskHealth.kind(new IOException("Input/output error")));
+    void errorCodeIsDerivedFromMessageOfAnyCause() {
+        assertEquals(DISK_FULL, DiskHealth.errorCodeOf(new IOException("x", new IOException("No space left on device"))));
+        assertEquals(DISK_FULL, DiskHealth.errorCodeOf(new IOException("File too large")));
+        assertEquals(DISK_BROKEN, DiskHealth.errorCodeOf(new IOException("Input/output error")));
     }
 
     @Test
-    void aVoteCutShortIsMendedAndAWholeOneLeft(@TempDir Path folder) throws Exception {
+    void truncatedVoteFileIsRepairedAndCompleteOneIsKept(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("raft-meta");
-        VoteFile.mend(file, 3, "r1");
+        VoteFile.repair(file, 3, "r1");
         assertFalse(Files.exists(file));
-        for (String cut : new String[] {"", "#", "#\n#now\nterm=7\n", "#\nterm=7\nvotedFor=r"}) {
-            Files.writeString(file, cut);
-            VoteFile.mend(file, 9, "r1");
-            assertEquals("term=9\nvotedFor=r1\n", Files.readString(file), cut);
+        for (String truncated : new String[] {"", "#", "#\n#now\nterm=7\n", "#\nterm=7\nvotedFor=r"}) {
+            Files.writeString(file, truncated);
+            VoteFile.repair(file, 9, "r1");
+            assertEquals("term=9\nvotedFor=r1\n", Files.readString(file), truncated);
         }
-        String whole = "#\n#now\nvotedFor=r2\nterm=7\n";
-        assertTrue(VoteFile.whole(whole));
-        Files.writeString(file, whole);
-        VoteFile.mend(file, 9, "r1");
-        assertEquals(whole, Files.readString(file));
+        String complete = "#\n#now\nvotedFor=r2\nterm=7\n";
+        assertTrue(VoteFile.isComplete(complete));
+        Files.writeString(file, complete);
+        VoteFile.repair(file, 9, "r1");
+        assertEquals(complete, Files.readString(file));
     }
 }
--- a/src/test/java/olivechute/store/raft/DiskTroubleIT.java
+++ b/src/test/java/olivechute/store/raft/DiskTroubleIT.java
@@ -15,32 +15,32 @@
 
 /** A replica whose disk takes no more leaves the group, the others serve on, and it comes back by itself. */
 class DiskTroubleIT {
-    private static final String SMALL =
+    private static final String SMALL_LIMITS =
             "bounds { total_mb = 1, value_kb = 64 }, log { segment_mb = 1, snapshot_mb = 1 }";
 
-    private interface Act {
-        void on(StoreGroup group, int lead) throws Exception;
+    private interface GroupAction {
+        void run(StoreGroup group, int leader) throws Exception;
     }
 
     /**
      * The lead runs into trouble and out of it again; it is then needed for a majority, with all that was acknowledged.
      */
-    private static void leadLeavesAndReturns(String settings, Act trouble, Act relief) throws Exception {
-        try (StoreGroup group = StoreGroup.started(3, settings);
+    private static void assertLeaderLeavesAndReturns(String settings, GroupAction causeFault, GroupAction clearFault) throws Exception {
+        try (StoreGroup group = StoreGroup.startGroup(3, settings);
                 Store store = group.client(Duration.ofSeconds(10))) {
-            int lead = group.awaitLead(0);
+            int leader = group.awaitLeader(0);
             write(store, "before");
-            int mark = group.mark();
-            trouble.on(group, lead);
-            group.awaitLine(mark, lead, "replica r" + lead + " disk: full");
-            int next = group.awaitLead(mark);
-            assertNotEquals(lead, next);
+            int mark = group.lineCount();
+            causeFault.run(group, leader);
+            group.awaitLine(mark, leader, "replica r" + leader + " disk: full");
+            int nextLeader = group.awaitLeader(mark);
+            assertNotEquals(leader, nextLeader);
             write(store, "without");
-            mark = group.mark();
-            relief.on(group, lead);
-            group.awaitLine(mark, lead, "replica r" + lead + " disk: well");
-            group.awaitLine(mark, lead, "replica r" + lead + " follows");
-            group.kill(3 - lead - next);
+            mark = group.lineCount();
+            clearFault.run(group, leader);
+            group.awaitLine(mark, leader, "replica r" + leader + " disk: well");
+            group.awaitLine(mark, leader, "replica r" + leader + " follows");
+            group.kill(3 - leader - nextLeader);
             write(store, "with");
             for (String each : List.of("before", "without", "with")) {
                 assertEquals(each, new String(store.get(each).orElseThrow().value(), StandardCharsets.UTF_8));
@@ -53,42 +53,42 @@
     }
 
     @Test
-    void aFolderOverItsQuota() throws Exception {
-        leadLeavesAndReturns(
-                SMALL + ", quota_mb = 32",
+    void dataDirectoryOverQuota() throws Exception {
+        assertLeaderLeavesAndReturns(
+                SMALL_LIMITS + ", quota_mb = 32",
                 (group, lead) -> {
                     try (RandomAccessFile filler = new RandomAccessFile(
-                            group.folder(lead).resolve("filler").toFile(), "rw")) {
+                            group.dataDirectory(lead).resolve("filler").toFile(), "rw")) {
                         filler.setLength(32 << 20);
                     }
                 },
-                (group, lead) -> Files.delete(group.folder(lead).resolve("filler")));
+                (group, lead) -> Files.delete(group.dataDirectory(lead).resolve("filler")));
     }
 
     @Test
-    void aDiskWithoutRoom() throws Exception {
-        leadLeavesAndReturns(
-                SMALL,
+    void fullDisk() throws Exception {
+        assertLeaderLeavesAndReturns(
+                SMALL_LIMITS,
                 (group, lead) -> {
-                    Path link = Files.createSymbolicLink(group.folder(lead).resolve("link"), Path.of("/dev/full"));
+                    Path link = Files.createSymbolicLink(group.dataDirectory(lead).resolve("link"), Path.of("/dev/full"));
                     Files.move(
                             link,
-                            group.folder(lead).resolve("probe"),
+                            group.dataDirectory(lead).resolve("probe"),
                             java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 },
-                (group, lead) -> Files.delete(group.folder(lead).resolve("probe")));
+                (group, lead) -> Files.delete(group.dataDirectory(lead).resolve("probe")));
     }
 
     /** All its files are bounded while it runs: the log's own write is what fails. */
     @Test
-    void aLimitOnTheLengthOfFiles() throws Exception {
-        leadLeavesAndReturns(
-                SMALL,
-                (group, lead) -> limit(group.pid(lead), "1:"),
-                (group, lead) -> limit(group.pid(lead), "unlimited:"));
+    void fileSizeLimit() throws Exception {
+        assertLeaderLeavesAndReturns(
+                SMALL_LIMITS,
+                (group, lead) -> setFileSizeLimit(group.pid(lead), "1:"),
+                (group, lead) -> setFileSizeLimit(group.pid(lead), "unlimited:"));
     }
 
-    private static void limit(long pid, String bytes) throws Exception {
+    private static void setFileSizeLimit(long pid, String bytes) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("prlimit", "--pid", "" + pid, "--fsize=" + bytes)
--- a/src/test/java/olivechute/store/raft/LogTailTest.java
+++ b/src/test/java/olivechute/store/raft/LogTailTest.java
@@ -10,10 +10,10 @@
 
 class LogTailTest {
     /** A file of entries of these lengths, with zeros laid out behind. */
-    private static byte[] file(int... lengths) {
+    private static byte[] logFile(int... entryLengths) {
         ByteBuffer file = ByteBuffer.allocate(4096).put("RaftLog1".getBytes(UTF_8));
-        for (int length : lengths) {
-            int from = file.position();
+        for (int length : entryLengths) {
+            int start = file.position();
             if (length < 128) {
                 file.put((byte) length);
             } else {
@@ -22,38 +22,38 @@
             for (int i = 0; i < length; i++) {
                 file.put((byte) (1 + i % 100));
             }
-            CRC32C sum = new CRC32C();
-            sum.update(file.array(), from, file.position() - from);
-            file.putInt((int) sum.getValue());
+            CRC32C checksum = new CRC32C();
+            checksum.update(file.array(), start, file.position() - start);
+            file.putInt((int) checksum.getValue());
         }
         return file.array();
     }
 
     @Test
-    void aWholeLogIsLeft() {
-        assertEquals(-1, LogTail.torn(file()));
-        assertEquals(-1, LogTail.torn(file(20, 300, 5)));
-        assertEquals(-1, LogTail.torn(Arrays.copyOf(file(20, 300), 200))); // short as a file
+    void intactLogIsKept() {
+        assertEquals(-1, LogTail.findTornEntry(logFile()));
+        assertEquals(-1, LogTail.findTornEntry(logFile(20, 300, 5)));
+        assertEquals(-1, LogTail.findTornEntry(Arrays.copyOf(logFile(20, 300), 200))); // short as a file
     }
 
     @Test
-    void anEntryCutAnywhereIsTornAtItsBegin() {
-        int begin = 8 + 1 + 20 + 4;
-        int end = begin + 2 + 300 + 4;
-        for (int cut = begin + 1; cut < end; cut++) {
-            byte[] file = file(20, 300);
-            Arrays.fill(file, cut, end, (byte) 0);
-            assertEquals(begin, LogTail.torn(file), "cut at " + cut);
+    void truncatedEntryIsReportedAtItsStart() {
+        int entryStart = 8 + 1 + 20 + 4;
+        int entryEnd = entryStart + 2 + 300 + 4;
+        for (int cut = entryStart + 1; cut < entryEnd; cut++) {
+            byte[] file = logFile(20, 300);
+            Arrays.fill(file, cut, entryEnd, (byte) 0);
+            assertEquals(entryStart, LogTail.findTornEntry(file), "cut at " + cut);
         }
     }
 
     @Test
-    void aDamagedEntryIsNotTakenForATornOne() {
-        byte[] file = file(20, 300, 5);
+    void corruptEntryIsNotReportedAsTorn() {
+        byte[] file = logFile(20, 300, 5);
         file[15] ^= 1;
-        assertEquals(-1, LogTail.torn(file));
-        byte[] last = file(20, 300);
+        assertEquals(-1, LogTail.findTornEntry(file));
+        byte[] last = logFile(20, 300);
         last[8 + 25 + 100] ^= 1;
-        assertEquals(-1, LogTail.torn(last));
+        assertEquals(-1, LogTail.findTornEntry(last));
     }
 }
--- a/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
+++ b/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
@@ -11,51 +11,51 @@
 import org.junit.jupiter.api.Test;
 
 class ReplicaSettingsTest {
-    private static final String LEAST = "id = a, folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]";
+    private static final String MINIMAL = "id = a, folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]";
 
     @Test
-    void theFileInDeployHoldsTheDefaults() throws Exception {
+    void deployedFileHoldsDefaults() throws Exception {
         ReplicaSettings file = ReplicaSettings.load(Path.of("deploy/store.conf"));
-        ReplicaSettings none = ReplicaSettings.parse(LEAST);
+        ReplicaSettings defaults = ReplicaSettings.parse(MINIMAL);
         assertEquals(
                 new ReplicaSettings(
                         "",
                         "r1",
-                        file.folder(),
+                        file.dataDirectory(),
                         file.replicas(),
-                        none.quotaBytes(),
-                        none.electionLeast(),
-                        none.electionMost(),
-                        none.snapshotEvery(),
-                        none.snapshotBytes(),
-                        none.segmentBytes(),
-                        none.keys(),
-                        none.bytes(),
-                        none.valueBytes(),
-                        none.leases(),
-                        none.watches()),
+                        defaults.quotaBytes(),
+                        defaults.minElectionTimeout(),
+                        defaults.maxElectionTimeout(),
+                        defaults.snapshotEntries(),
+                        defaults.snapshotBytes(),
+                        defaults.segmentBytes(),
+                        defaults.maxKeys(),
+                        defaults.maxTotalBytes(),
+                        defaults.maxValueBytes(),
+                        defaults.maxLeases(),
+                        defaults.maxWatches()),
                 file);
-        assertEquals(Duration.ofMillis(600), none.electionLeast());
+        assertEquals(Duration.ofMillis(600), defaults.minElectionTimeout());
     }
 
     @Test
-    void everyFaultIsNamedWithItsKey() {
-        refused(LEAST + ", id = b", "id: must be one of the replicas");
-        refused("folder = f, replicas = []", "id: missing", "replicas: must name");
-        refused(LEAST + ", election { least = 2s }", "election.most: must be longer");
-        refused(LEAST + ", quota_mb = 50", "quota_mb: must be at least 88");
-        refused(LEAST + ", log { segment_mb = 99 }, bounds { key = 1 }", "log.segment_mb", "bounds.key: unknown key");
-        refused(
+    void everyFaultIsReportedWithItsKey() {
+        assertInvalid(MINIMAL + ", id = b", "id: must be one of the replicas");
+        assertInvalid("folder = f, replicas = []", "id: missing", "replicas: must name");
+        assertInvalid(MINIMAL + ", election { least = 2s }", "election.most: must be longer");
+        assertInvalid(MINIMAL + ", quota_mb = 50", "quota_mb: must be at least 88");
+        assertInvalid(MINIMAL + ", log { segment_mb = 99 }, bounds { key = 1 }", "log.segment_mb", "bounds.key: unknown key");
+        assertInvalid(
                 "id = a, folder = f, replicas = [{ id = a, address = here }, { id = a, address = \"127.0.0.1:2\" }]",
                 "replicas[0].address",
                 "replicas[1].id: each replica");
-        refused("id = \"a b\", folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]", "id: must be letters");
+        assertInvalid("id = \"a b\", folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]", "id: must be letters");
     }
 
-    private static void refused(String text, String... parts) {
+    private static void assertInvalid(String text, String... expectedTexts) {
         SettingsException fault = assertThrows(SettingsException.class, () -> ReplicaSettings.parse(text));
         assertEquals(ErrorCode.SETTINGS_INVALID, fault.kind());
-        for (String each : parts) {
+        for (String each : expectedTexts) {
             assertTrue(fault.what().contains(each), fault.what());
         }
     }
--- a/src/test/java/olivechute/store/raft/StoreGroup.java
+++ b/src/test/java/olivechute/store/raft/StoreGroup.java
@@ -19,60 +19,60 @@
  * Replicas as processes of the built jar, on free ports of loopback, with folders of their own; waits on what they say.
  */
 final class StoreGroup implements AutoCloseable {
-    static final long WITHIN_MS = 30_000;
+    static final long TIMEOUT_MS = 30_000;
 
     /** What all processes said, in the order in which it came. */
-    private record Line(int replica, int run, String text) {}
+    private record OutputLine(int replica, int run, String text) {}
 
     final List<ReplicaAddress> replicas = new ArrayList<>();
-    private final Path home = Files.createTempDirectory("store");
+    private final Path directory = Files.createTempDirectory("store");
     private final Process[] processes;
     private final int[] runs;
-    private final List<Line> lines = new ArrayList<>();
-    private final String more;
+    private final List<OutputLine> lines = new ArrayList<>();
+    private final String extraSettings;
 
     /** {@code more}: settings beside those that name the group. */
-    StoreGroup(int count, String more) throws IOException {
-        this.more = more;
+    StoreGroup(int count, String extraSettings) throws IOException {
+        this.extraSettings = extraSettings;
         processes = new Process[count];
         runs = new int[count];
-        List<ServerSocket> held = new ArrayList<>();
+        List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            held.add(socket);
+            sockets.add(socket);
             replicas.add(new ReplicaAddress("r" + i, "127.0.0.1:" + socket.getLocalPort()));
         }
-        for (ServerSocket each : held) {
+        for (ServerSocket each : sockets) {
             each.close();
         }
     }
 
-    static StoreGroup started(int count, String more) throws IOException, InterruptedException {
-        StoreGroup group = new StoreGroup(count, more);
+    static StoreGroup startGroup(int count, String extraSettings) throws IOException, InterruptedException {
+        StoreGroup group = new StoreGroup(count, extraSettings);
         for (int i = 0; i < count; i++) {
             group.start(i);
         }
         return group;
     }
 
-    Path folder(int replica) {
-        return home.resolve("r" + replica);
+    Path dataDirectory(int replica) {
+        return directory.resolve("r" + replica);
     }
 
     void start(int replica) throws IOException {
-        start(replica, folder(replica), "r" + replica);
+        start(replica, dataDirectory(replica), "r" + replica);
     }
 
     /** Starts one with a folder and an id that may be another's. */
-    void start(int replica, Path folder, String id) throws IOException {
+    void start(int replica, Path dataDirectory, String id) throws IOException {
         StringBuilder text =
-                new StringBuilder("id = " + id + "\nfolder = \"" + folder + "\"\n" + more + "\nreplicas = [\n");
+                new StringBuilder("id = " + id + "\nfolder = \"" + dataDirectory + "\"\n" + extraSettings + "\nreplicas = [\n");
         replicas.forEach(r -> text.append("  { id = ")
                 .append(r.id())
                 .append(", address = \"")
                 .append(r.address())
                 .append("\" }\n"));
-        Path settings = Files.writeString(home.resolve("r" + replica + ".conf"), text.append("]\n"));
+        Path settings = Files.writeString(directory.resolve("r" + replica + ".conf"), text.append("]\n"));
         Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx128m",
@@ -88,16 +88,16 @@
                 .start();
         int run = ++runs[replica];
         processes[replica] = process;
-        Thread reader = new Thread(() -> read(replica, run, process));
+        Thread reader = new Thread(() -> readOutput(replica, run, process));
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read(int replica, int run, Process process) {
-        try (BufferedReader from = process.inputReader()) {
-            for (String line = from.readLine(); line != null; line = from.readLine()) {
+    private void readOutput(int replica, int run, Process process) {
+        try (BufferedReader reader = process.inputReader()) {
+            for (String line = reader.readLine(); line != null; line = reader.readLine()) {
                 synchronized (lines) {
-                    lines.add(new Line(replica, run, line));
+                    lines.add(new OutputLine(replica, run, line));
                     lines.notifyAll();
                 }
             }
@@ -115,32 +115,32 @@
         processes[replica].destroyForcibly().waitFor();
     }
 
-    int exit(int replica) throws InterruptedException {
-        if (!processes[replica].waitFor(WITHIN_MS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("replica " + replica + " did not end; said: " + said());
+    int awaitExit(int replica) throws InterruptedException {
+        if (!processes[replica].waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            throw new AssertionError("replica " + replica + " did not end; said: " + output());
         }
         return processes[replica].exitValue();
     }
 
     /** How much was said so far: where to look from. */
-    int mark() {
+    int lineCount() {
         synchronized (lines) {
             return lines.size();
         }
     }
 
-    private Line await(int mark, String what, Predicate<Line> wanted) throws InterruptedException {
-        long end = System.nanoTime() + WITHIN_MS * 1_000_000;
+    private OutputLine awaitMatch(int fromLine, String description, Predicate<OutputLine> matcher) throws InterruptedException {
+        long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         synchronized (lines) {
             while (true) {
-                for (int i = mark; i < lines.size(); i++) {
-                    if (wanted.test(lines.get(i))) {
+                for (int i = fromLine; i < lines.size(); i++) {
+                    if (matcher.test(lines.get(i))) {
                         return lines.get(i);
                     }
                 }
                 long left = (end - System.nanoTime()) / 1_000_000;
                 if (left <= 0) {
-                    throw new AssertionError("no line " + what + " in time; said: " + said());
+                    throw new AssertionError("no line " + description + " in time; said: " + output());
                 }
                 lines.wait(left);
             }
@@ -148,18 +148,18 @@
     }
 
     /** Waits for a line of a replica's present run that holds a text. */
-    void awaitLine(int mark, int replica, String text) throws InterruptedException {
+    void awaitLine(int fromLine, int replica, String text) throws InterruptedException {
         int run = runs[replica];
-        await(
-                mark,
+        awaitMatch(
+                fromLine,
                 "'" + text + "' of r" + replica,
                 line -> line.replica == replica && line.run == run && line.text.contains(text));
     }
 
     /** Waits until one leads that still runs; returns which. */
-    int awaitLead(int mark) throws InterruptedException {
-        return await(
-                        mark,
+    int awaitLeader(int fromLine) throws InterruptedException {
+        return awaitMatch(
+                        fromLine,
                         "of one that leads",
                         line -> line.text.contains(" leads term ")
                                 && line.run == runs[line.replica]
@@ -171,7 +171,7 @@
         return RatisStore.connect(replicas, timeout);
     }
 
-    String said() {
+    String output() {
         synchronized (lines) {
             StringBuilder all = new StringBuilder();
             lines.forEach(line -> all.append("\nr")
@@ -184,9 +184,9 @@
         }
     }
 
-    static void empty(Path folder) throws IOException {
-        if (Files.exists(folder)) {
-            try (Stream<Path> all = Files.walk(folder)) {
+    static void deleteRecursively(Path directory) throws IOException {
+        if (Files.exists(directory)) {
+            try (Stream<Path> all = Files.walk(directory)) {
                 for (Path each : all.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(each);
                 }
@@ -201,6 +201,6 @@
                 each.destroyForcibly().onExit().join();
             }
         }
-        empty(home);
+        deleteRecursively(directory);
     }
 }
--- a/src/test/java/olivechute/store/raft/StoreGroupIT.java
+++ b/src/test/java/olivechute/store/raft/StoreGroupIT.java
@@ -30,12 +30,12 @@
     }
 
     @Test
-    void threeReplicasWriteReadWatchAndLease() throws Exception {
-        try (StoreGroup group = StoreGroup.started(3, "");
+    void threeReplicasServeAllOperations() throws Exception {
+        try (StoreGroup group = StoreGroup.startGroup(3, "");
                 Store store = group.client(TIMEOUT)) {
             long version = store.write(List.of(Write.put("order/n1", bytes("v1"))), List.of());
             assertArrayEquals(bytes("v1"), store.get("order/n1").orElseThrow().value());
-            CompletableFuture<Store.Changes> seen = CompletableFuture.supplyAsync(() -> watched(store, version));
+            CompletableFuture<Store.Changes> seen = CompletableFuture.supplyAsync(() -> watchOrders(store, version));
             store.write(List.of(Write.put("order/n2", bytes("v2")), Write.delete("order/n1")), List.of());
             Store.Changes changes = seen.get();
             assertEquals("order/n2", changes.entries().get(0).key());
@@ -53,7 +53,7 @@
         }
     }
 
-    private static Store.Changes watched(Store store, long since) {
+    private static Store.Changes watchOrders(Store store, long since) {
         try {
             return store.watch("order/", since, Duration.ofSeconds(20));
         } catch (StoreException e) {
@@ -65,10 +65,10 @@
     private static final class Counter implements AutoCloseable {
         private final Store store;
         private final Thread thread = new Thread(this::run);
-        private volatile boolean over;
+        private volatile boolean stopped;
         private volatile long acknowledged;
-        private long unknown;
-        private volatile Throwable failed;
+        private long unknownOutcomes;
+        private volatile Throwable failure;
 
         Counter(Store store) {
             this.store = store;
@@ -78,7 +78,7 @@
         private void run() {
             try {
                 long version = 0;
-                for (long next = 1; !over; next++) {
+                for (long next = 1; !stopped; next++) {
                     try {
                         version = store.write(List.of(Write.putIf("count", bytes("" + next), version)), List.of());
                         acknowledged = next;
@@ -86,23 +86,23 @@
                         if (e.kind() != ErrorCode.NOT_REACHED && e.kind() != ErrorCode.NO_MAJORITY) {
                             throw e;
                         }
-                        unknown++;
-                        Store.Entry entry = held();
+                        unknownOutcomes++;
+                        Store.Entry entry = readCount();
                         version = entry.version();
                         next = Long.parseLong(new String(entry.value(), StandardCharsets.UTF_8));
                     }
                 }
             } catch (Throwable e) {
-                failed = e;
+                failure = e;
             }
         }
 
-        private Store.Entry held() throws StoreException {
+        private Store.Entry readCount() throws StoreException {
             while (true) {
                 try {
                     return store.get("count").orElse(new Store.Entry("count", bytes("0"), 0));
                 } catch (StoreException e) {
-                    if (over || (e.kind() != ErrorCode.NOT_REACHED && e.kind() != ErrorCode.NO_MAJORITY)) {
+                    if (stopped || (e.kind() != ErrorCode.NOT_REACHED && e.kind() != ErrorCode.NO_MAJORITY)) {
                         throw e;
                     }
                 }
@@ -110,12 +110,12 @@
         }
 
         /** Waits until so many more are acknowledged. */
-        void further(int more) throws InterruptedException {
-            long wanted = acknowledged + more;
-            long end = System.nanoTime() + StoreGroup.WITHIN_MS * 1_000_000;
-            while (acknowledged < wanted) {
-                if (failed != null || System.nanoTime() > end) {
-                    throw new AssertionError("the writer stands at " + acknowledged, failed);
+        void awaitMore(int more) throws InterruptedException {
+            long target = acknowledged + more;
+            long deadlineNs = System.nanoTime() + StoreGroup.TIMEOUT_MS * 1_000_000;
+            while (acknowledged < target) {
+                if (failure != null || System.nanoTime() > deadlineNs) {
+                    throw new AssertionError("the writer stands at " + acknowledged, failure);
                 }
                 thread.join(5);
             }
@@ -123,97 +123,97 @@
 
         @Override
         public void close() throws InterruptedException {
-            over = true;
+            stopped = true;
             thread.join();
         }
 
         void check(Store reader) throws Exception {
             close();
-            assertEquals(null, failed, () -> "writer: " + failed);
+            assertEquals(null, failure, () -> "writer: " + failure);
             long found =
                     Long.parseLong(new String(reader.get("count").orElseThrow().value(), StandardCharsets.UTF_8));
             assertTrue(
-                    found >= acknowledged && found <= acknowledged + unknown,
-                    "acknowledged " + acknowledged + ", unknown " + unknown + ", found " + found);
+                    found >= acknowledged && found <= acknowledged + unknownOutcomes,
+                    "acknowledged " + acknowledged + ", unknown " + unknownOutcomes + ", found " + found);
         }
     }
 
     @Test
-    void aKilledLeadLosesNoAcknowledgedWriteAndNoneComesTwice() throws Exception {
-        try (StoreGroup group = StoreGroup.started(3, "");
+    void killedLeaderNeitherLosesNorRepeatsWrites() throws Exception {
+        try (StoreGroup group = StoreGroup.startGroup(3, "");
                 Store store = group.client(TIMEOUT);
                 Counter counter = new Counter(store)) {
-            int lead = group.awaitLead(0);
-            counter.further(50);
-            int mark = group.mark();
-            group.kill(lead);
-            int next = group.awaitLead(mark);
-            assertFalse(next == lead);
-            counter.further(50);
+            int leader = group.awaitLeader(0);
+            counter.awaitMore(50);
+            int mark = group.lineCount();
+            group.kill(leader);
+            int nextLeader = group.awaitLeader(mark);
+            assertFalse(nextLeader == leader);
+            counter.awaitMore(50);
             counter.check(store);
         }
     }
 
     @Test
-    void anEmptiedReplicaCatchesUpFromASnapshot() throws Exception {
-        try (StoreGroup group = StoreGroup.started(3, "log { snapshot_every = 100, segment_mb = 1 }");
+    void emptyReplicaCatchesUpFromSnapshot() throws Exception {
+        try (StoreGroup group = StoreGroup.startGroup(3, "log { snapshot_every = 100, segment_mb = 1 }");
                 Store store = group.client(TIMEOUT);
                 Counter counter = new Counter(store)) {
-            int lead = group.awaitLead(0);
-            int emptied = (lead + 1) % 3;
+            int leader = group.awaitLeader(0);
+            int emptied = (leader + 1) % 3;
             group.kill(emptied);
             for (int i = 0; i < 60; i++) { // so much that log files end and go
                 store.write(List.of(Write.put("large", new byte[60_000])), List.of());
             }
-            counter.further(200);
-            StoreGroup.empty(group.folder(emptied));
-            int mark = group.mark();
+            counter.awaitMore(200);
+            StoreGroup.deleteRecursively(group.dataDirectory(emptied));
+            int mark = group.lineCount();
             group.start(emptied);
             group.awaitLine(mark, emptied, "caught up from a snapshot");
             // With the third one gone, each write needs the emptied one.
-            group.kill(3 - lead - emptied);
-            counter.further(50);
+            group.kill(3 - leader - emptied);
+            counter.awaitMore(50);
             counter.check(store);
         }
     }
 
     @Test
-    void allKilledAtOnceComeBackWithWhatWasAcknowledged() throws Exception {
-        try (StoreGroup group = StoreGroup.started(3, "log { snapshot_every = 100 }");
+    void restartedGroupKeepsAcknowledgedWrites() throws Exception {
+        try (StoreGroup group = StoreGroup.startGroup(3, "log { snapshot_every = 100 }");
                 Store store = group.client(TIMEOUT);
                 Counter counter = new Counter(group.client(Duration.ofSeconds(25)))) {
-            group.awaitLead(0);
-            counter.further(250);
+            group.awaitLeader(0);
+            counter.awaitMore(250);
             for (int i = 0; i < 3; i++) {
                 group.kill(i);
             }
-            int mark = group.mark();
+            int mark = group.lineCount();
             for (int i = 0; i < 3; i++) {
                 group.start(i);
             }
-            group.awaitLead(mark);
-            counter.further(20);
+            group.awaitLeader(mark);
+            counter.awaitMore(20);
             counter.check(store);
         }
     }
 
     @Test
-    void aFolderOfAnotherOrInUseIsRefused() throws Exception {
+    void foreignOrUsedDataDirectoryIsRejected() throws Exception {
         try (StoreGroup group = new StoreGroup(3, "")) {
             group.start(0);
             group.awaitLine(0, 0, "replica r0 serves on");
-            group.start(1, group.folder(0), "r1");
+            group.start(1, group.dataDirectory(0), "r1");
             group.awaitLine(0, 1, "DATA_IN_USE");
-            assertEquals(1, group.exit(1));
+            assertEquals(1, group.awaitExit(1));
             group.kill(0);
-            group.start(1, group.folder(0), "r1");
+            group.start(1, group.dataDirectory(0), "r1");
             group.awaitLine(0, 1, "DATA_FOREIGN");
-            assertEquals(1, group.exit(1));
+            assertEquals(1, group.awaitExit(1));
         }
     }
 
     @Test
-    void aTornEndOfTheLogIsCutAndADamagedLogRefused() throws Exception {
+    void tornLogEndIsTruncatedAndCorruptLogIsRejected() throws Exception {
         try (StoreGroup group = new StoreGroup(1, "");
                 Store store = group.client(TIMEOUT)) {
             group.start(0);
@@ -221,7 +221,7 @@
                 store.write(List.of(Write.put("k" + i, bytes("a value that is easily found"))), List.of());
             }
             group.kill(0);
-            Path log = log(group.folder(0));
+            Path log = log(group.dataDirectory(0));
             byte[] file = Files.readAllBytes(log);
             int last = file.length - 1;
             while (file[last] == 0) {
@@ -229,7 +229,7 @@
             }
             Arrays.fill(file, last - 5, last + 1, (byte) 0);
             Files.write(log, file);
-            int mark = group.mark();
+            int mark = group.lineCount();
             group.start(0);
             group.awaitLine(mark, 0, "cut a torn entry");
             group.awaitLine(mark, 0, "leads term");
@@ -237,14 +237,14 @@
                     "a value that is easily found",
                     new String(store.get("k10").orElseThrow().value(), StandardCharsets.UTF_8));
             group.kill(0);
-            log = log(group.folder(0));
+            log = log(group.dataDirectory(0));
             file = Files.readAllBytes(log);
             file[new String(file, StandardCharsets.ISO_8859_1).indexOf("easily")] ^= 1;
             Files.write(log, file);
-            mark = group.mark();
+            mark = group.lineCount();
             group.start(0);
             group.awaitLine(mark, 0, "DATA_CORRUPT");
-            assertEquals(1, group.exit(0));
+            assertEquals(1, group.awaitExit(0));
         }
     }
 
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void withoutAMajorityCallsSaySoInTime() throws Exception {
+    void callsWithoutMajorityFailInTime() throws Exception {
         try (StoreGroup group = new StoreGroup(3, "");
                 Store store = group.client(Duration.ofSeconds(8))) {
             group.start(0);
--- a/src/test/java/olivechute/store/raft/StoreMeasureIT.java
+++ b/src/test/java/olivechute/store/raft/StoreMeasureIT.java
@@ -22,50 +22,50 @@
     private static final int KILLS = Integer.getInteger("kills", 20);
 
     @Test
-    void writes() throws Exception {
+    void writeThroughput() throws Exception {
         for (int replicas : new int[] {3, 5}) {
-            try (StoreGroup group = StoreGroup.started(replicas, "")) {
-                group.awaitLead(0);
+            try (StoreGroup group = StoreGroup.startGroup(replicas, "")) {
+                group.awaitLeader(0);
                 for (int writers : new int[] {1, 32}) {
-                    run(group, writers, RUN_NS / 4, new ConcurrentHistogram(3));
-                    Histogram took = new ConcurrentHistogram(3);
-                    run(group, writers, RUN_NS, took);
+                    runWriters(group, writers, RUN_NS / 4, new ConcurrentHistogram(3));
+                    Histogram latencyUs = new ConcurrentHistogram(3);
+                    runWriters(group, writers, RUN_NS, latencyUs);
                     System.out.printf(
                             "measure: %d replicas, %d writers: %.0f writes/s, p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n",
                             replicas,
                             writers,
-                            took.getTotalCount() * 1e9 / RUN_NS,
-                            took.getValueAtPercentile(50) / 1e3,
-                            took.getValueAtPercentile(99) / 1e3,
-                            took.getValueAtPercentile(99.9) / 1e3);
+                            latencyUs.getTotalCount() * 1e9 / RUN_NS,
+                            latencyUs.getValueAtPercentile(50) / 1e3,
+                            latencyUs.getValueAtPercentile(99) / 1e3,
+                            latencyUs.getValueAtPercentile(99.9) / 1e3);
                 }
                 for (int i = 0; i < replicas; i++) {
-                    System.out.println("measure: " + replicas + " replicas, r" + i + " " + resident(group.pid(i)));
+                    System.out.println("measure: " + replicas + " replicas, r" + i + " " + residentMemory(group.pid(i)));
                 }
             }
         }
     }
 
-    private static String resident(long pid) throws Exception {
+    private static String residentMemory(long pid) throws Exception {
         return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                 .filter(l -> l.startsWith("VmRSS"))
                 .findFirst()
                 .orElse("");
     }
 
-    private static void run(StoreGroup group, int writers, long ns, Histogram took) throws Exception {
+    private static void runWriters(StoreGroup group, int writers, long durationNs, Histogram latencyUs) throws Exception {
         try (Store store = group.client(Duration.ofSeconds(10))) {
-            long end = System.nanoTime() + ns;
+            long deadlineNs = System.nanoTime() + durationNs;
             List<Thread> threads = new ArrayList<>();
             ConcurrentLinkedQueue<StoreException> faults = new ConcurrentLinkedQueue<>();
             for (int i = 0; i < writers; i++) {
                 String key = "k" + i;
                 Thread thread = new Thread(() -> {
                     try {
-                        while (System.nanoTime() < end) {
-                            long begun = System.nanoTime();
+                        while (System.nanoTime() < deadlineNs) {
+                            long startNs = System.nanoTime();
                             store.write(List.of(Write.put(key, new byte[200])), List.of());
-                            took.recordValue((System.nanoTime() - begun) / 1000);
+                            latencyUs.recordValue((System.nanoTime() - startNs) / 1000);
                         }
                     } catch (StoreException e) {
                         faults.add(e);
@@ -85,16 +85,16 @@
      * From SIGKILL to the first write that the next lead acknowledged, and the restart of the killed one by its log.
      */
     @Test
-    void kills() throws Exception {
-        Histogram without = new Histogram(3);
-        try (StoreGroup group = StoreGroup.started(3, "");
+    void leaderKills() throws Exception {
+        Histogram outageMs = new Histogram(3);
+        try (StoreGroup group = StoreGroup.startGroup(3, "");
                 Store store = group.client(Duration.ofSeconds(20))) {
-            int lead = group.awaitLead(0);
+            int leader = group.awaitLeader(0);
             for (int i = 0; i < KILLS; i++) {
                 store.write(List.of(Write.put("k", new byte[200])), List.of());
-                int mark = group.mark();
-                long begun = System.nanoTime();
-                group.kill(lead);
+                int mark = group.lineCount();
+                long startNs = System.nanoTime();
+                group.kill(leader);
                 CompletableFuture<Void> first = CompletableFuture.runAsync(() -> {
                     try (Store other = group.client(Duration.ofSeconds(20))) {
                         other.write(List.of(Write.put("k", new byte[200])), List.of());
@@ -103,25 +103,25 @@
                     }
                 });
                 first.get();
-                without.recordValue((System.nanoTime() - begun) / 1_000_000);
-                int next = group.awaitLead(mark);
-                int back = group.mark();
-                group.start(lead);
-                group.awaitLine(back, lead, "follows");
-                lead = next;
+                outageMs.recordValue((System.nanoTime() - startNs) / 1_000_000);
+                int nextLeader = group.awaitLeader(mark);
+                int restartLine = group.lineCount();
+                group.start(leader);
+                group.awaitLine(restartLine, leader, "follows");
+                leader = nextLeader;
             }
         }
         System.out.printf(
                 "measure: %d kills of the lead: first write again after p50 %d ms, most %d ms%n",
-                KILLS, without.getValueAtPercentile(50), without.getMaxValue());
+                KILLS, outageMs.getValueAtPercentile(50), outageMs.getMaxValue());
     }
 
     /** From the start of a lone replica to its first answer, by entries in its log. */
     @Test
-    void recovery() throws Exception {
+    void recoveryTime() throws Exception {
         for (int entries : new int[] {1_000, 10_000}) {
-            try (StoreGroup group = StoreGroup.started(1, "log { snapshot_every = 1000000, snapshot_mb = 1024 }")) {
-                group.awaitLead(0);
+            try (StoreGroup group = StoreGroup.startGroup(1, "log { snapshot_every = 1000000, snapshot_mb = 1024 }")) {
+                group.awaitLeader(0);
                 List<Thread> threads = new ArrayList<>();
                 try (Store store = group.client(Duration.ofSeconds(10))) {
                     for (int t = 0; t < 20; t++) {
@@ -143,13 +143,13 @@
                     }
                 }
                 group.kill(0);
-                int mark = group.mark();
-                long begun = System.nanoTime();
+                int mark = group.lineCount();
+                long startNs = System.nanoTime();
                 group.start(0);
-                group.awaitLead(mark);
+                group.awaitLeader(mark);
                 System.out.printf(
                         "measure: %d entries in the log: leads %d ms after the start of its process%n",
-                        entries, (System.nanoTime() - begun) / 1_000_000);
+                        entries, (System.nanoTime() - startNs) / 1_000_000);
             }
         }
     }
--- a/src/test/java/olivechute/store/raft/StoredLogTest.java
+++ b/src/test/java/olivechute/store/raft/StoredLogTest.java
@@ -27,14 +27,14 @@
  */
 class StoredLogTest {
     @TempDir
-    private Path folder;
+    private Path dataDirectory;
 
-    private void unpack() throws IOException {
+    private void unzipDataDirectory() throws IOException {
         try (InputStream in = StoredLogTest.class.getResourceAsStream("/store-folder.zip");
                 ZipInputStream zip = new ZipInputStream(in)) {
             for (ZipEntry entry = zip.getNextEntry(); entry != null; entry = zip.getNextEntry()) {
-                Path file = folder.resolve(entry.getName()).normalize();
-                assertTrue(file.startsWith(folder), entry.getName());
+                Path file = dataDirectory.resolve(entry.getName()).normalize();
+                assertTrue(file.startsWith(dataDirectory), entry.getName());
                 if (entry.isDirectory()) {
                     Files.createDirectories(file);
                 } else {
@@ -52,11 +52,11 @@
     }
 
     @Test
-    void aReplicaServesWhatAnEarlierBuildAcknowledged() throws Exception {
-        unpack();
+    void replicaServesDataOfEarlierBuild() throws Exception {
+        unzipDataDirectory();
         String address = "127.0.0.1:" + freePort();
         ReplicaSettings settings = ReplicaSettings.parse(
-                "id = r0, folder = \"" + folder + "\", replicas = [{ id = r0, address = \"" + address + "\" }]");
+                "id = r0, folder = \"" + dataDirectory + "\", replicas = [{ id = r0, address = \"" + address + "\" }]");
         try (Replica replica = new Replica(settings, line -> {});
                 RatisStore store =
                         RatisStore.connect(List.of(new ReplicaAddress("r0", address)), Duration.ofSeconds(20))) {
