--- a/src/main/java/olivechute/cli/StoreCommand.java
+++ b/src/main/java/olivechute/cli/StoreCommand.java
@@ -34,7 +34,7 @@
     public Integer call() {
         try {
             ReplicaSettings own = ReplicaSettings.load(settings);
-            ControllerSettings rollout = ControllerSettings.load(settings, DelayBuckets.BOUNDS);
+            ControllerSettings rollout = ControllerSettings.load(settings, DelayBuckets.UPPER_BOUNDS);
             Replica replica = new Replica(own, this::say);
             replica.start();
             Runtime.getRuntime().addShutdownHook(new Thread(replica::close, "close"));
--- a/src/main/java/olivechute/metrics/DelayBuckets.java
+++ b/src/main/java/olivechute/metrics/DelayBuckets.java
@@ -10,28 +10,28 @@
  */
 public final class DelayBuckets {
     /** How many there are. */
-    public static final int BUCKETS = 40;
+    public static final int BUCKET_COUNT = 40;
 
-    private static final double LEAST = 50;
-    private static final double MOST = 10_000_000;
-    private static final long[] ENDS = ends();
+    private static final double FIRST_BOUND_US = 50;
+    private static final double LAST_BOUND_US = 10_000_000;
+    private static final long[] BOUNDS_US = computeBounds();
     /** The upper ends of the buckets. */
-    public static final List<Long> BOUNDS = Arrays.stream(ENDS).boxed().toList();
+    public static final List<Long> UPPER_BOUNDS = Arrays.stream(BOUNDS_US).boxed().toList();
     /** The part of all that {@link #p99} leaves above it. */
-    private static final double TAIL = 0.01;
+    private static final double P99_TAIL = 0.01;
 
     private DelayBuckets() {}
 
-    private static long[] ends() {
-        long[] ends = new long[BUCKETS];
-        Arrays.setAll(ends, i -> Math.round(LEAST * StrictMath.pow(MOST / LEAST, i / (BUCKETS - 1.0))));
-        return ends;
+    private static long[] computeBounds() {
+        long[] bounds = new long[BUCKET_COUNT];
+        Arrays.setAll(bounds, i -> Math.round(FIRST_BOUND_US * StrictMath.pow(LAST_BOUND_US / FIRST_BOUND_US, i / (BUCKET_COUNT - 1.0))));
+        return bounds;
     }
 
     /** The bucket of a delay; one that is negative, as a clock could show it, goes to the first. */
-    public static int index(long delay) {
-        int at = Arrays.binarySearch(ENDS, delay);
-        return Math.min(at < 0 ? -at - 1 : at, BUCKETS - 1);
+    public static int bucketIndex(long delayUs) {
+        int position = Arrays.binarySearch(BOUNDS_US, delayUs);
+        return Math.min(position < 0 ? -position - 1 : position, BUCKET_COUNT - 1);
     }
 
     /**
@@ -39,10 +39,10 @@
      * goes to the last.
      */
     public static long[] merge(long[] one, long[] other) {
-        long[] sum = new long[BUCKETS];
+        long[] sum = new long[BUCKET_COUNT];
         for (long[] counts : new long[][] {one, other}) {
             for (int i = 0; i < counts.length; i++) {
-                sum[Math.min(i, BUCKETS - 1)] += counts[i];
+                sum[Math.min(i, BUCKET_COUNT - 1)] += counts[i];
             }
         }
         return sum;
@@ -51,27 +51,27 @@
     /** The mean of what was counted, each taken for the middle of its bucket; NaN where nothing was. */
     public static double mean(long[] counts) {
         double sum = 0;
-        long n = 0;
-        for (int i = 0; i < Math.min(counts.length, BUCKETS); i++) {
-            sum += counts[i] * ((i == 0 ? 0 : ENDS[i - 1]) + ENDS[i]) / 2.0;
-            n += counts[i];
+        long total = 0;
+        for (int i = 0; i < Math.min(counts.length, BUCKET_COUNT); i++) {
+            sum += counts[i] * ((i == 0 ? 0 : BOUNDS_US[i - 1]) + BOUNDS_US[i]) / 2.0;
+            total += counts[i];
         }
-        return n == 0 ? Double.NaN : sum / n;
+        return total == 0 ? Double.NaN : sum / total;
     }
 
     /** The least upper end that 99 of 100 do not exceed; NaN where nothing was counted. */
     public static double p99(long[] counts) {
-        long above = Arrays.stream(counts).sum();
-        if (above == 0) {
+        long remaining = Arrays.stream(counts).sum();
+        if (remaining == 0) {
             return Double.NaN;
         }
-        long allowed = (long) (above * TAIL);
-        for (int i = 0; i < Math.min(counts.length, BUCKETS); i++) {
-            above -= counts[i];
-            if (above <= allowed) {
-                return ENDS[i];
+        long allowed = (long) (remaining * P99_TAIL);
+        for (int i = 0; i < Math.min(counts.length, BUCKET_COUNT); i++) {
+            remaining -= counts[i];
+            if (remaining <= allowed) {
+                return BOUNDS_US[i];
             }
         }
-        return ENDS[BUCKETS - 1];
+        return BOUNDS_US[BUCKET_COUNT - 1];
     }
 }
--- a/src/main/java/olivechute/metrics/MetricsReporting.java
+++ b/src/main/java/olivechute/metrics/MetricsReporting.java
@@ -10,10 +10,10 @@
 
 /** A node's counts on their way to its supervisor, a report each second. */
 public final class MetricsReporting {
-    private static final long EVERY = 1_000_000;
+    private static final long INTERVAL_US = 1_000_000;
 
     private final EventLoop loop;
-    private final RequestCounters counts;
+    private final RequestCounters counters;
     private final MetricsSender sender;
 
     /**
@@ -21,37 +21,37 @@
      * this call.
      */
     public MetricsReporting(
-            EventLoop loop, MetricsSettings settings, String node, List<String> classes, RandomGenerator random)
+            EventLoop loop, MetricsSettings settings, String node, List<String> classNames, RandomGenerator random)
             throws IOException {
         this.loop = loop;
-        counts = new RequestCounters(classes.size());
+        counters = new RequestCounters(classNames.size());
         sender = new MetricsSender(
                 settings.supervisor(),
-                new MetricsSnapshot.Origin(node, settings.version(), loop.now(), classes),
-                MetricsSender.Limits.USUAL,
+                new MetricsSnapshot.Origin(node, settings.version(), loop.now(), classNames),
+                MetricsSender.Limits.DEFAULT,
                 random);
     }
 
     /** What is told of the node's streams. */
-    public RequestMetrics tally() {
-        return counts;
+    public RequestMetrics requestMetrics() {
+        return counters;
     }
 
     /** Reports from now on; to be called before the loop starts. */
     public void start() {
         sender.start();
-        loop.runPeriodically(EVERY, this::report);
+        loop.runPeriodically(INTERVAL_US, this::report);
     }
 
     private void report() {
-        sender.offer(counts.snapshot(loop.now()));
+        sender.offer(counters.snapshot(loop.now()));
     }
 
     /** Reports once more and then ends; returns at once. */
-    public void end() {
+    public void shutDown() {
         loop.post(new ProxyEvent.Task(() -> {
             report();
-            sender.end();
+            sender.shutDown();
         }));
     }
 }
--- a/src/main/java/olivechute/metrics/MetricsSender.java
+++ b/src/main/java/olivechute/metrics/MetricsSender.java
@@ -21,32 +21,32 @@
  */
 final class MetricsSender {
     /** Small: what a supervisor that stands still has not read is old. */
-    private static final int SEND_BUFFER = 32 * 1024;
+    private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
-    private static final int STRAY = 512;
+    private static final int DISCARD_BUFFER_BYTES = 512;
 
     /** Milliseconds: how long a connection and a write may take, and the least and most wait between tries. */
-    record Limits(long connect, long write, long leastWait, long mostWait) {
-        static final Limits USUAL = new Limits(2000, 2000, 200, 5000);
+    record Limits(long connectTimeoutMs, long writeTimeoutMs, long minBackoffMs, long maxBackoffMs) {
+        static final Limits DEFAULT = new Limits(2000, 2000, 200, 5000);
     }
 
     private final InetSocketAddress supervisor;
     private final MetricsSnapshot.Origin origin;
     private final Limits limits;
     private final Backoff backoff;
-    private final AtomicReference<MetricsSnapshot> newest = new AtomicReference<>();
+    private final AtomicReference<MetricsSnapshot> pendingSnapshot = new AtomicReference<>();
     private final Selector selector;
-    private final ByteBuffer stray = ByteBuffer.allocate(STRAY);
-    private volatile boolean ending;
+    private final ByteBuffer discardBuffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
+    private volatile boolean shuttingDown;
     private SocketChannel channel; // null while there is no connection; the thread's, as the rest
-    private SelectionKey key;
+    private SelectionKey selectionKey;
 
     MetricsSender(InetSocketAddress supervisor, MetricsSnapshot.Origin origin, Limits limits, RandomGenerator random)
             throws IOException {
         this.supervisor = supervisor;
         this.origin = origin;
         this.limits = limits;
-        this.backoff = new Backoff(limits.leastWait(), limits.mostWait(), random);
+        this.backoff = new Backoff(limits.minBackoffMs(), limits.maxBackoffMs(), random);
         this.selector = Selector.open();
     }
 
@@ -57,13 +57,13 @@
 
     /** Takes a snapshot to send; never waits. */
     void offer(MetricsSnapshot snapshot) {
-        newest.set(snapshot);
+        pendingSnapshot.set(snapshot);
         selector.wakeup();
     }
 
     /** Sends what was handed in, if the supervisor is there, and then no more. */
-    void end() {
-        ending = true;
+    void shutDown() {
+        shuttingDown = true;
         selector.wakeup();
     }
 
@@ -71,13 +71,13 @@
         try (selector) {
             MetricsSnapshot unsent = null;
             for (; ; ) {
-                boolean last = ending; // looked at before the slot: what came before the end is sent
-                unsent = newer(unsent);
+                boolean last = shuttingDown; // looked at before the slot: what came before the end is sent
+                unsent = takePendingOr(unsent);
                 if (unsent == null && last) {
                     return;
                 } else if (unsent == null) {
-                    await();
-                } else if (connected() && sent(unsent = newer(unsent))) {
+                    awaitSnapshotOrClose();
+                } else if (ensureConnected() && send(unsent = takePendingOr(unsent))) {
                     unsent = null;
                     backoff.reset();
                 } else if (last) {
@@ -89,32 +89,32 @@
         } catch (IOException e) {
             Logger.error(e, "figures end");
         } finally {
-            drop();
+            closeConnection();
         }
     }
 
     /** The snapshot that waits, if one does. */
-    private MetricsSnapshot newer(MetricsSnapshot unsent) {
-        MetricsSnapshot next = newest.getAndSet(null);
-        return next == null ? unsent : next;
+    private MetricsSnapshot takePendingOr(MetricsSnapshot unsent) {
+        MetricsSnapshot pending = pendingSnapshot.getAndSet(null);
+        return pending == null ? unsent : pending;
     }
 
     /** Until a snapshot is there or the connection ends: the supervisor says nothing on it. */
-    private void await() throws IOException {
-        if (key != null) {
-            key.interestOps(SelectionKey.OP_READ);
+    private void awaitSnapshotOrClose() throws IOException {
+        if (selectionKey != null) {
+            selectionKey.interestOps(SelectionKey.OP_READ);
         }
         select(0);
-        if (key == null || !key.isReadable()) {
+        if (selectionKey == null || !selectionKey.isReadable()) {
             return;
         }
         try {
-            stray.clear();
-            if (channel.read(stray) < 0) {
-                drop();
+            discardBuffer.clear();
+            if (channel.read(discardBuffer) < 0) {
+                closeConnection();
             }
         } catch (IOException e) {
-            drop();
+            closeConnection();
         }
     }
 
@@ -125,64 +125,64 @@
 
     /** Waits so long, through snapshots that come meanwhile, but not into the end. */
     private void pause(long millis) throws IOException {
-        long end = System.nanoTime() + millis * 1_000_000;
-        for (long left = millis; left > 0 && !ending; left = (end - System.nanoTime()) / 1_000_000) {
-            select(left);
+        long deadlineNanos = System.nanoTime() + millis * 1_000_000;
+        for (long remainingMillis = millis; remainingMillis > 0 && !shuttingDown; remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000) {
+            select(remainingMillis);
         }
     }
 
-    private boolean sent(MetricsSnapshot snapshot) {
+    private boolean send(MetricsSnapshot snapshot) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-            snapshot.message(origin).writeDelimitedTo(bytes);
-            return within(written(ByteBuffer.wrap(bytes.toByteArray())));
+            snapshot.toMessage(origin).writeDelimitedTo(bytes);
+            return closeIfTimedOut(write(ByteBuffer.wrap(bytes.toByteArray())));
         } catch (IOException e) {
-            return failed(e);
+            return handleFailure(e);
         }
     }
 
     /** True if there is a connection, or is one now. */
-    private boolean connected() {
+    private boolean ensureConnected() {
         try {
-            return channel != null || within(dialled());
+            return channel != null || closeIfTimedOut(connect());
         } catch (IOException e) {
-            return failed(e);
+            return handleFailure(e);
         }
     }
 
-    private boolean within(boolean time) {
-        if (!time) {
+    private boolean closeIfTimedOut(boolean inTime) {
+        if (!inTime) {
             Logger.warn("figures: {} does not take them in time", supervisor);
-            drop();
+            closeConnection();
         }
-        return time;
+        return inTime;
     }
 
-    private boolean failed(IOException e) {
+    private boolean handleFailure(IOException e) {
         Logger.debug("figures: {}: {}", supervisor, e.getMessage());
-        drop();
+        closeConnection();
         return false;
     }
 
-    private boolean dialled() throws IOException {
+    private boolean connect() throws IOException {
         channel = SocketChannel.open();
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER);
-        key = channel.register(selector, 0);
-        long end = System.nanoTime() + limits.connect() * 1_000_000;
-        for (boolean open = channel.connect(supervisor); !open; open = channel.finishConnect()) {
-            if (!waited(SelectionKey.OP_CONNECT, end)) {
+        channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER_BYTES);
+        selectionKey = channel.register(selector, 0);
+        long deadlineNanos = System.nanoTime() + limits.connectTimeoutMs() * 1_000_000;
+        for (boolean connected = channel.connect(supervisor); !connected; connected = channel.finishConnect()) {
+            if (!awaitOperation(SelectionKey.OP_CONNECT, deadlineNanos)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean written(ByteBuffer bytes) throws IOException {
-        long end = System.nanoTime() + limits.write() * 1_000_000;
+    private boolean write(ByteBuffer bytes) throws IOException {
+        long deadlineNanos = System.nanoTime() + limits.writeTimeoutMs() * 1_000_000;
         for (channel.write(bytes); bytes.hasRemaining(); channel.write(bytes)) {
-            if (!waited(SelectionKey.OP_WRITE, end)) {
+            if (!awaitOperation(SelectionKey.OP_WRITE, deadlineNanos)) {
                 return false;
             }
         }
@@ -190,17 +190,17 @@
     }
 
     /** Waits for the connection, at most until then, as a new snapshot wakes too; false if the time is over. */
-    private boolean waited(int operation, long end) throws IOException {
-        key.interestOps(operation);
-        long left = (end - System.nanoTime()) / 1_000_000;
-        if (left <= 0) {
+    private boolean awaitOperation(int operation, long deadlineNanos) throws IOException {
+        selectionKey.interestOps(operation);
+        long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (remainingMillis <= 0) {
             return false;
         }
-        select(left);
+        select(remainingMillis);
         return true;
     }
 
-    private void drop() {
+    private void closeConnection() {
         try {
             if (channel != null) {
                 channel.close();
@@ -209,6 +209,6 @@
             Logger.debug("figures: {}", e.getMessage());
         }
         channel = null;
-        key = null;
+        selectionKey = null;
     }
 }
--- a/src/main/java/olivechute/metrics/MetricsSnapshot.java
+++ b/src/main/java/olivechute/metrics/MetricsSnapshot.java
@@ -8,40 +8,40 @@
  * A copy of the counts, which nobody changes. The loop makes it; the message is put together where it is sent, so that
  * the loop never waits for the library's classes.
  */
-record MetricsSnapshot(long sequence, long atMs, long[][] classes, long broken, long[] delay) {
-    static final int TAKEN = 0;
+record MetricsSnapshot(long sequence, long atMs, long[][] classCounts, long ruleViolations, long[] delayCounts) {
+    static final int RECEIVED = 0;
     static final int SERVED_IN_TIME = 1;
     static final int SERVED_LATE = 2;
-    static final int REFUSED = 3;
+    static final int REJECTED = 3;
     static final int FAILED = 4;
-    static final int GONE = 5;
+    static final int CLIENT_DISCONNECTED = 5;
     /** How many counts a class has. */
-    static final int KINDS = 6;
+    static final int COUNTS_PER_CLASS = 6;
 
     /** Whose counts they are: the node, what it runs, its process, and its classes in order. */
-    record Origin(String node, String version, long incarnation, List<String> classes) {}
+    record Origin(String node, String version, long incarnation, List<String> classNames) {}
 
     /** The message for the supervisor. */
-    NodeFigures message(Origin origin) {
+    NodeFigures toMessage(Origin origin) {
         NodeFigures.Builder message = NodeFigures.newBuilder()
                 .setNode(origin.node())
                 .setVersion(origin.version())
                 .setIncarnation(origin.incarnation())
                 .setSequence(sequence)
                 .setAtMs(atMs)
-                .setRulesBroken(broken);
-        for (int i = 0; i < classes.length; i++) {
-            long[] c = classes[i];
+                .setRulesBroken(ruleViolations);
+        for (int i = 0; i < classCounts.length; i++) {
+            long[] counts = classCounts[i];
             message.addClasses(ClassFigures.newBuilder()
-                    .setName(origin.classes().get(i))
-                    .setTaken(c[TAKEN])
-                    .setServedInTime(c[SERVED_IN_TIME])
-                    .setServedLate(c[SERVED_LATE])
-                    .setRefused(c[REFUSED])
-                    .setFailed(c[FAILED])
-                    .setGone(c[GONE]));
+                    .setName(origin.classNames().get(i))
+                    .setTaken(counts[RECEIVED])
+                    .setServedInTime(counts[SERVED_IN_TIME])
+                    .setServedLate(counts[SERVED_LATE])
+                    .setRefused(counts[REJECTED])
+                    .setFailed(counts[FAILED])
+                    .setGone(counts[CLIENT_DISCONNECTED]));
         }
-        for (long count : delay) {
+        for (long count : delayCounts) {
             message.addDelay(count);
         }
         return message.build();
--- a/src/main/java/olivechute/metrics/RequestCounters.java
+++ b/src/main/java/olivechute/metrics/RequestCounters.java
@@ -6,56 +6,56 @@
  * Counts since the process began. All of it runs on the loop, snapshots too, so nothing is locked and plain numbers do.
  */
 final class RequestCounters implements RequestMetrics {
-    private final long[][] classes; // by class, then as Snapshot orders them
-    private final long[] delay = new long[DelayBuckets.BUCKETS];
-    private long broken;
+    private final long[][] classCounts; // by class, then as Snapshot orders them
+    private final long[] delayCounts = new long[DelayBuckets.BUCKET_COUNT];
+    private long ruleViolations;
     private long sequence;
 
-    RequestCounters(int classes) {
-        this.classes = new long[classes][MetricsSnapshot.KINDS];
+    RequestCounters(int classCount) {
+        this.classCounts = new long[classCount][MetricsSnapshot.COUNTS_PER_CLASS];
     }
 
     @Override
     public void onReceived(int requestClass) {
-        classes[requestClass][MetricsSnapshot.TAKEN]++;
+        classCounts[requestClass][MetricsSnapshot.RECEIVED]++;
     }
 
     @Override
     public void onServed(int requestClass, boolean late) {
-        classes[requestClass][late ? MetricsSnapshot.SERVED_LATE : MetricsSnapshot.SERVED_IN_TIME]++;
+        classCounts[requestClass][late ? MetricsSnapshot.SERVED_LATE : MetricsSnapshot.SERVED_IN_TIME]++;
     }
 
     @Override
     public void onRejected(int requestClass) {
-        classes[requestClass][MetricsSnapshot.REFUSED]++;
+        classCounts[requestClass][MetricsSnapshot.REJECTED]++;
     }
 
     @Override
     public void onFailed(int requestClass) {
-        classes[requestClass][MetricsSnapshot.FAILED]++;
+        classCounts[requestClass][MetricsSnapshot.FAILED]++;
     }
 
     @Override
     public void onClientDisconnected(int requestClass) {
-        classes[requestClass][MetricsSnapshot.GONE]++;
+        classCounts[requestClass][MetricsSnapshot.CLIENT_DISCONNECTED]++;
     }
 
     @Override
     public void onFirstSend(long micros) {
-        delay[DelayBuckets.index(micros)]++;
+        delayCounts[DelayBuckets.bucketIndex(micros)]++;
     }
 
     @Override
     public void onRuleViolated() {
-        broken++;
+        ruleViolations++;
     }
 
     /** What is counted so far, the next in the sequence; {@code now} in microseconds since the epoch. */
-    MetricsSnapshot snapshot(long now) {
-        long[][] copy = new long[classes.length][];
+    MetricsSnapshot snapshot(long nowUs) {
+        long[][] copy = new long[classCounts.length][];
         for (int i = 0; i < copy.length; i++) {
-            copy[i] = classes[i].clone();
+            copy[i] = classCounts[i].clone();
         }
-        return new MetricsSnapshot(++sequence, now / 1000, copy, broken, delay.clone());
+        return new MetricsSnapshot(++sequence, nowUs / 1000, copy, ruleViolations, delayCounts.clone());
     }
 }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -89,7 +89,7 @@
                 watch,
                 maxOpenRequests(config.openStreams(), downstream),
                 Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR,
-                reporting == null ? RequestMetrics.NONE : reporting.tally(),
+                reporting == null ? RequestMetrics.NONE : reporting.requestMetrics(),
                 lease);
         server = new DownstreamServer(
                 loop,
@@ -262,7 +262,7 @@
             Thread.sleep(POLL_MS);
         }
         if (reporting != null) {
-            reporting.end();
+            reporting.shutDown();
             Thread.sleep(LAST_ANSWER_TIME_US / 1000);
         }
         Logger.info("drained");
--- a/src/main/java/olivechute/supervisor/ArtifactVerifier.java
+++ b/src/main/java/olivechute/supervisor/ArtifactVerifier.java
@@ -19,26 +19,26 @@
      * PROGRAM_MISSING where the file is not there or has another SHA-256 digest; an empty one is not asked for. Gives
      * its digest.
      */
-    static String check(String program, String digest) throws SupervisionException {
+    static String verify(String program, String expectedDigest) throws SupervisionException {
         Path path = Path.of(program);
         if (!Files.isReadable(path)) {
             throw new SupervisionException(ErrorCode.PROGRAM_MISSING, program + " cannot be read");
         }
-        String found;
+        String actualDigest;
         try {
-            found = digest(path);
+            actualDigest = sha256(path);
         } catch (IOException e) {
             throw new SupervisionException(ErrorCode.PROGRAM_MISSING, program + ": " + e, e);
         }
-        if (!digest.isEmpty() && !found.equalsIgnoreCase(digest)) {
+        if (!expectedDigest.isEmpty() && !actualDigest.equalsIgnoreCase(expectedDigest)) {
             throw new SupervisionException(
-                    ErrorCode.PROGRAM_MISSING, program + " has the digest " + found + ", wanted is " + digest);
+                    ErrorCode.PROGRAM_MISSING, program + " has the digest " + actualDigest + ", wanted is " + expectedDigest);
         }
-        return found;
+        return actualDigest;
     }
 
     /** SHA-256 in hexadecimal digits. */
-    static String digest(Path file) throws IOException {
+    static String sha256(Path file) throws IOException {
         try (InputStream in = new DigestInputStream(Files.newInputStream(file), MessageDigest.getInstance("SHA-256"))) {
             in.transferTo(java.io.OutputStream.nullOutputStream());
             return HexFormat.of()
--- a/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
+++ b/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
@@ -6,37 +6,37 @@
 import olivechute.error.FleetException;
 import olivechute.error.SettingsException;
 import olivechute.fleet.wire.VersionSpec;
-import olivechute.supervisor.SupervisorSettings.Supervised;
+import olivechute.supervisor.SupervisorSettings.ManagedNode;
 
 /** Makes of a version what a node of this machine is to run. */
 final class LaunchSpecFactory {
-    private final String own;
+    private final String defaultJar;
 
     /** {@code own}: the jar of versions that name none. */
-    LaunchSpecFactory(String own) {
-        this.own = own;
+    LaunchSpecFactory(String defaultJar) {
+        this.defaultJar = defaultJar;
     }
 
     /** The order as the node's machine takes it; what cannot be carried out says so before anything is ended for it. */
-    NodeEvent.Ordered ordered(Supervised node, VersionSpec spec, long number) {
-        String program = spec.getProgram().isEmpty() ? own : spec.getProgram();
+    NodeEvent.OrderReceived createOrder(ManagedNode node, VersionSpec spec, long orderNumber) {
+        String program = spec.getProgram().isEmpty() ? defaultJar : spec.getProgram();
         try {
-            String found = ArtifactVerifier.check(program, spec.getDigest());
-            String config = config(node, spec.getSettings());
-            return new NodeEvent.Ordered(
-                    new LaunchSpec(spec.getId(), number, program, spec.getDigest(), found, config), "");
+            String actualDigest = ArtifactVerifier.verify(program, spec.getDigest());
+            String configJson = mergedConfig(node, spec.getSettings());
+            return new NodeEvent.OrderReceived(
+                    new LaunchSpec(spec.getId(), orderNumber, program, spec.getDigest(), actualDigest, configJson), "");
         } catch (FleetException e) {
-            return new NodeEvent.Ordered(
-                    new LaunchSpec(spec.getId(), number, program, spec.getDigest(), "", "{}"), e.getMessage());
+            return new NodeEvent.OrderReceived(
+                    new LaunchSpec(spec.getId(), orderNumber, program, spec.getDigest(), "", "{}"), e.getMessage());
         }
     }
 
-    private static String config(Supervised node, String over) throws SettingsException {
+    private static String mergedConfig(ManagedNode node, String overlay) throws SettingsException {
         try {
-            return SettingsOverlay.lay(Files.readString(node.config()), over);
+            return SettingsOverlay.merge(Files.readString(node.configFile()), overlay);
         } catch (IOException e) {
             throw new SettingsException(
-                    ErrorCode.SETTINGS_INVALID, node.name() + ": cannot read " + node.config() + ": " + e, e);
+                    ErrorCode.SETTINGS_INVALID, node.name() + ": cannot read " + node.configFile() + ": " + e, e);
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/LeaseRenewer.java
+++ b/src/main/java/olivechute/supervisor/LeaseRenewer.java
@@ -14,60 +14,60 @@
 @SuppressWarnings("WaitNotInLoop") // the wait stands in the loop of the caller, which reads the state anew
 final class LeaseRenewer {
     /** Reports are written again after so many ms, even where nothing changed. */
-    private static final long AGAIN = 1000;
+    private static final long REPORT_INTERVAL_MS = 1000;
     /** Without a lease that nobody else holds, it is asked for again after so many. */
-    private static final long SOON = 50;
+    private static final long ACQUIRE_RETRY_MS = 50;
 
     private final SupervisorSettings settings;
     private final Store store;
     private final String owner;
-    private final Supplier<MachineReport> report;
-    private final Consumer<String> tell;
-    private final LongSupplier clock;
+    private final Supplier<MachineReport> reportSupplier;
+    private final Consumer<String> output;
+    private final LongSupplier monotonicClock;
     private Store.Lease lease;
-    private long heldUntil;
-    private long renewAt;
-    private long reportAt;
-    private boolean changed;
-    private boolean others;
+    private long validUntilMs;
+    private long renewAtMs;
+    private long reportAtMs;
+    private boolean reportChanged;
+    private boolean heldByOther;
     private boolean closed;
-    private ErrorCode told;
+    private ErrorCode lastLoggedError;
 
     /** {@code clock}: steady, ms. */
     LeaseRenewer(
             SupervisorSettings settings,
             Store store,
             String owner,
-            Supplier<MachineReport> report,
-            Consumer<String> tell,
-            LongSupplier clock) {
+            Supplier<MachineReport> reportSupplier,
+            Consumer<String> output,
+            LongSupplier monotonicClock) {
         this.settings = settings;
         this.store = store;
         this.owner = owner;
-        this.report = report;
-        this.tell = tell;
-        this.clock = clock;
+        this.reportSupplier = reportSupplier;
+        this.output = output;
+        this.monotonicClock = monotonicClock;
     }
 
     /** The lease, if it can be relied on now; else null. */
-    synchronized Store.Lease held() {
-        return lease != null && clock.getAsLong() < heldUntil ? lease : null;
+    synchronized Store.Lease validLease() {
+        return lease != null && monotonicClock.getAsLong() < validUntilMs ? lease : null;
     }
 
     /** Whether another process was told to hold it. */
-    synchronized boolean others() {
-        return others;
+    synchronized boolean heldByOther() {
+        return heldByOther;
     }
 
     /** The report is to be written anew. */
-    synchronized void changed() {
-        changed = true;
+    synchronized void reportChanged() {
+        reportChanged = true;
         notifyAll();
     }
 
     /** Waits up to so many ms for the lease. */
-    synchronized void await(long millis) throws InterruptedException {
-        if (held() == null && !closed) {
+    synchronized void awaitLease(long millis) throws InterruptedException {
+        if (validLease() == null && !closed) {
             wait(millis);
         }
     }
@@ -76,12 +76,12 @@
         try {
             while (!isClosed()) {
                 try {
-                    keep();
-                    told = null;
-                    rest(Math.min(renewAt, reportAt) - clock.getAsLong(), false);
+                    renewAndReport();
+                    lastLoggedError = null;
+                    pause(Math.min(renewAtMs, reportAtMs) - monotonicClock.getAsLong(), false);
                 } catch (StoreException e) {
-                    lost(e);
-                    rest(lease == null && !others() ? SOON : settings.lease().toMillis() / 3, true);
+                    handleFailure(e);
+                    pause(lease == null && !heldByOther() ? ACQUIRE_RETRY_MS : settings.leaseTtl().toMillis() / 3, true);
                 }
             }
             release();
@@ -94,59 +94,59 @@
         return closed;
     }
 
-    private synchronized void rest(long millis, boolean whole) throws InterruptedException {
-        if (millis > 0 && !closed && (whole || !changed)) {
+    private synchronized void pause(long millis, boolean ignoreChanges) throws InterruptedException {
+        if (millis > 0 && !closed && (ignoreChanges || !reportChanged)) {
             wait(millis);
         }
     }
 
-    private void keep() throws StoreException {
-        long now = clock.getAsLong();
-        long ttl = settings.lease().toMillis();
+    private void renewAndReport() throws StoreException {
+        long nowMs = monotonicClock.getAsLong();
+        long ttlMs = settings.leaseTtl().toMillis();
         if (lease == null) {
-            Store.Lease taken = store.acquire("machine/" + settings.machine(), owner, settings.lease());
-            tell.accept("supervisor " + settings.machine() + " fence " + taken.session());
-            hold(taken, now + ttl);
-            reportAt = now;
-        } else if (now >= renewAt) {
+            Store.Lease acquired = store.acquire("machine/" + settings.machine(), owner, settings.leaseTtl());
+            output.accept("supervisor " + settings.machine() + " fence " + acquired.session());
+            setLease(acquired, nowMs + ttlMs);
+            reportAtMs = nowMs;
+        } else if (nowMs >= renewAtMs) {
             store.renew(lease);
-            hold(lease, now + ttl);
+            setLease(lease, nowMs + ttlMs);
         }
-        renewAt = Math.max(renewAt, now + ttl / 3);
-        if (take() || now >= reportAt) {
-            byte[] value =
-                    report.get().toBuilder().setFence(lease.session()).build().toByteArray();
+        renewAtMs = Math.max(renewAtMs, nowMs + ttlMs / 3);
+        if (takeReportChanged() || nowMs >= reportAtMs) {
+            byte[] reportBytes =
+                    reportSupplier.get().toBuilder().setFence(lease.session()).build().toByteArray();
             store.write(
-                    List.of(new Store.Write("machine/" + settings.machine(), value, null, lease.session())),
+                    List.of(new Store.Write("machine/" + settings.machine(), reportBytes, null, lease.session())),
                     List.of(lease.fence()));
-            reportAt = now + AGAIN;
+            reportAtMs = nowMs + REPORT_INTERVAL_MS;
         }
     }
 
-    private synchronized void hold(Store.Lease taken, long until) {
-        lease = taken;
-        heldUntil = until;
-        others = false;
-        renewAt = until - settings.lease().toMillis() * 2 / 3;
+    private synchronized void setLease(Store.Lease validLease, long untilMs) {
+        lease = validLease;
+        validUntilMs = untilMs;
+        heldByOther = false;
+        renewAtMs = untilMs - settings.leaseTtl().toMillis() * 2 / 3;
         notifyAll();
     }
 
-    private synchronized boolean take() {
-        boolean was = changed;
-        changed = false;
-        return was;
+    private synchronized boolean takeReportChanged() {
+        boolean wasChanged = reportChanged;
+        reportChanged = false;
+        return wasChanged;
     }
 
-    private synchronized void lost(StoreException fault) {
-        switch (fault.kind()) {
+    private synchronized void handleFailure(StoreException error) {
+        switch (error.kind()) {
             case SESSION_ENDED, STALE_FENCE -> lease = null;
-            case LEASE_HELD -> others = true;
+            case LEASE_HELD -> heldByOther = true;
             default -> {}
         }
-        changed = true; // what was not written is written as soon as there is a lease
-        if (fault.kind() != told) {
-            told = fault.kind();
-            tell.accept("supervisor " + settings.machine() + ": " + fault.getMessage());
+        reportChanged = true; // what was not written is written as soon as there is a lease
+        if (error.kind() != lastLoggedError) {
+            lastLoggedError = error.kind();
+            output.accept("supervisor " + settings.machine() + ": " + error.getMessage());
         }
     }
 
--- a/src/main/java/olivechute/supervisor/MetricsBuffer.java
+++ b/src/main/java/olivechute/supervisor/MetricsBuffer.java
@@ -11,57 +11,57 @@
 /** The newest figures of each node of the machine. */
 final class MetricsBuffer {
     private final Set<String> nodes;
-    private final Map<String, NodeFigures> newest = new HashMap<>();
-    private final Map<String, Map<String, String>> runs = new HashMap<>();
-    private final Set<String> fresh = new HashSet<>();
+    private final Map<String, NodeFigures> latest = new HashMap<>();
+    private final Map<String, Map<String, String>> versionOverride = new HashMap<>();
+    private final Set<String> unpublished = new HashSet<>();
 
     MetricsBuffer(Set<String> nodes) {
         this.nodes = Set.copyOf(nodes);
     }
 
     /** What a node told: kept if it is newer. */
-    enum Taken {
-        FIRST,
+    enum UpdateResult {
+        NEW_INCARNATION,
         NEWER,
-        OLD,
-        UNKNOWN
+        STALE,
+        UNKNOWN_NODE
     }
 
-    synchronized Taken take(NodeFigures told) {
-        if (!nodes.contains(told.getNode())) {
-            return Taken.UNKNOWN;
+    synchronized UpdateResult update(NodeFigures metrics) {
+        if (!nodes.contains(metrics.getNode())) {
+            return UpdateResult.UNKNOWN_NODE;
         }
-        NodeFigures held = newest.get(told.getNode());
-        boolean other = held == null || told.getIncarnation() > held.getIncarnation();
+        NodeFigures previous = latest.get(metrics.getNode());
+        boolean newIncarnation = previous == null || metrics.getIncarnation() > previous.getIncarnation();
         boolean newer =
-                other || (told.getIncarnation() == held.getIncarnation() && told.getSequence() > held.getSequence());
+                newIncarnation || (metrics.getIncarnation() == previous.getIncarnation() && metrics.getSequence() > previous.getSequence());
         if (!newer) {
-            return Taken.OLD;
+            return UpdateResult.STALE;
         }
-        newest.put(told.getNode(), told);
-        fresh.add(told.getNode());
-        return other ? Taken.FIRST : Taken.NEWER;
+        latest.put(metrics.getNode(), metrics);
+        unpublished.add(metrics.getNode());
+        return newIncarnation ? UpdateResult.NEW_INCARNATION : UpdateResult.NEWER;
     }
 
     /** A process of the node was started: what it calls its version is so. */
-    synchronized void started(String node) {
-        runs.remove(node);
+    synchronized void processStarted(String node) {
+        versionOverride.remove(node);
     }
 
     /** The node's process, started as one version, took over the settings of another, which it cannot know by name. */
-    synchronized void runs(String node, String started, String now) {
-        runs.put(node, Map.of(started, now));
+    synchronized void versionOverride(String node, String startedVersion, String currentVersion) {
+        versionOverride.put(node, Map.of(startedVersion, currentVersion));
     }
 
     /** What came since this was asked last. */
-    synchronized List<NodeFigures> fresh() {
-        List<NodeFigures> all = new ArrayList<>();
-        for (String node : fresh) {
-            NodeFigures told = newest.get(node);
-            String version = runs.getOrDefault(node, Map.of()).getOrDefault(told.getVersion(), told.getVersion());
-            all.add(told.toBuilder().setVersion(version).build());
+    synchronized List<NodeFigures> unpublished() {
+        List<NodeFigures> result = new ArrayList<>();
+        for (String node : unpublished) {
+            NodeFigures metrics = latest.get(node);
+            String version = versionOverride.getOrDefault(node, Map.of()).getOrDefault(metrics.getVersion(), metrics.getVersion());
+            result.add(metrics.toBuilder().setVersion(version).build());
         }
-        fresh.clear();
-        return all;
+        unpublished.clear();
+        return result;
     }
 }
--- a/src/main/java/olivechute/supervisor/MetricsPublisher.java
+++ b/src/main/java/olivechute/supervisor/MetricsPublisher.java
@@ -15,45 +15,45 @@
  * are left out.
  */
 final class MetricsPublisher {
-    private static final long EVERY = 1000;
+    private static final long INTERVAL_MS = 1000;
 
-    private final MetricsBuffer book;
+    private final MetricsBuffer buffer;
     private final Store store;
-    private final LeaseRenewer lease;
+    private final LeaseRenewer leaseRenewer;
     private final CountDownLatch closed = new CountDownLatch(1);
-    private ErrorCode told;
+    private ErrorCode lastLoggedError;
 
-    MetricsPublisher(MetricsBuffer book, Store store, LeaseRenewer lease) {
-        this.book = book;
+    MetricsPublisher(MetricsBuffer buffer, Store store, LeaseRenewer leaseRenewer) {
+        this.buffer = buffer;
         this.store = store;
-        this.lease = lease;
+        this.leaseRenewer = leaseRenewer;
     }
 
     void run() {
         try {
-            while (!closed.await(EVERY, TimeUnit.MILLISECONDS)) {
-                pass();
+            while (!closed.await(INTERVAL_MS, TimeUnit.MILLISECONDS)) {
+                publish();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void pass() {
-        Store.Lease held = lease.held();
+    private void publish() {
+        Store.Lease lease = leaseRenewer.validLease();
         List<Store.Write> writes = new ArrayList<>();
-        for (NodeFigures each : held == null ? List.<NodeFigures>of() : book.fresh()) {
-            writes.add(Store.Write.put("figures/" + each.getNode(), each.toByteArray()));
+        for (NodeFigures metrics : lease == null ? List.<NodeFigures>of() : buffer.unpublished()) {
+            writes.add(Store.Write.put("figures/" + metrics.getNode(), metrics.toByteArray()));
         }
         if (writes.isEmpty()) {
             return;
         }
         try {
-            store.write(writes, List.of(held.fence()));
-            told = null;
+            store.write(writes, List.of(lease.fence()));
+            lastLoggedError = null;
         } catch (StoreException e) {
-            if (e.kind() != told) {
-                told = e.kind();
+            if (e.kind() != lastLoggedError) {
+                lastLoggedError = e.kind();
                 Logger.warn("figures: not passed on: {}", e.getMessage());
             }
         }
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -16,40 +16,40 @@
 import olivechute.net.ConnectionThreads;
 import olivechute.net.Threads;
 import olivechute.net.TimedReads;
-import olivechute.supervisor.MetricsBuffer.Taken;
+import olivechute.supervisor.MetricsBuffer.UpdateResult;
 import org.tinylog.Logger;
 
 /** Takes what nodes tell of their counts; a sender that is slow or odd is dropped. It never waits for the store. */
 final class MetricsReceiver implements AutoCloseable {
-    private static final int MOST_BYTES = 64 * 1024;
-    private static final int MOST_LENGTH_BYTES = 3;
+    private static final int MAX_MESSAGE_BYTES = 64 * 1024;
+    private static final int MAX_LENGTH_BYTES = 3;
 
-    private final MetricsBuffer book;
-    private final Consumer<String> tell;
-    private final int most;
-    private final int within;
+    private final MetricsBuffer buffer;
+    private final Consumer<String> output;
+    private final int maxConnections;
+    private final int messageTimeoutMs;
     private final ConnectionThreads threads;
     private final ServerSocket listener;
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
     /**
      * {@code most}: connections at once, run by {@code threads}; {@code within}: ms that a sender has for each message.
      */
     MetricsReceiver(
             InetSocketAddress address,
-            MetricsBuffer book,
-            int most,
-            int within,
+            MetricsBuffer buffer,
+            int maxConnections,
+            int messageTimeoutMs,
             ConnectionThreads threads,
-            Consumer<String> tell)
+            Consumer<String> output)
             throws SupervisionException {
         this.threads = threads;
-        this.book = book;
-        this.tell = tell;
-        this.most = most;
-        this.within = within;
+        this.buffer = buffer;
+        this.output = output;
+        this.maxConnections = maxConnections;
+        this.messageTimeoutMs = messageTimeoutMs;
         try {
-            listener = new ServerSocket(address.getPort(), most, address.getAddress());
+            listener = new ServerSocket(address.getPort(), maxConnections, address.getAddress());
         } catch (IOException e) {
             throw new SupervisionException(ErrorCode.NOT_REACHED, "figures: cannot listen on " + address + ": " + e, e);
         }
@@ -65,12 +65,12 @@
         while (!listener.isClosed()) {
             try {
                 Socket socket = listener.accept();
-                if (open.size() >= most) {
-                    Logger.warn("figures: {} dropped, {} connections are open", socket.getRemoteSocketAddress(), most);
+                if (openSockets.size() >= maxConnections) {
+                    Logger.warn("figures: {} dropped, {} connections are open", socket.getRemoteSocketAddress(), maxConnections);
                     socket.close();
                     continue;
                 }
-                take(socket);
+                startServing(socket);
             } catch (IOException e) {
                 if (!listener.isClosed()) {
                     Logger.warn("figures: {}", e.toString());
@@ -80,13 +80,13 @@
     }
 
     /** Gives it a thread. Where the system grants none the sender comes again; the intake goes on. */
-    private void take(Socket socket) throws IOException {
-        open.add(socket);
+    private void startServing(Socket socket) throws IOException {
+        openSockets.add(socket);
         try {
             threads.run(() -> serve(socket));
         } catch (OutOfMemoryError noThread) {
             Logger.warn("figures: {} dropped, the system grants no thread", socket.getRemoteSocketAddress());
-            open.remove(socket);
+            openSockets.remove(socket);
             socket.close();
         }
     }
@@ -94,25 +94,25 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
-            for (byte[] frame = frame(socket, in); frame != null; frame = frame(socket, in)) {
-                NodeFigures told = NodeFigures.parseFrom(frame);
-                Taken taken = book.take(told);
-                if (taken == Taken.UNKNOWN) {
+            for (byte[] message = readMessage(socket, in); message != null; message = readMessage(socket, in)) {
+                NodeFigures metrics = NodeFigures.parseFrom(message);
+                UpdateResult result = buffer.update(metrics);
+                if (result == UpdateResult.UNKNOWN_NODE) {
                     throw new SupervisionException(
-                            ErrorCode.MALFORMED, "no node of this machine is called '" + told.getNode() + "'");
+                            ErrorCode.MALFORMED, "no node of this machine is called '" + metrics.getNode() + "'");
                 }
-                if (taken == Taken.FIRST) {
-                    tell.accept("figures from " + told.getNode());
+                if (result == UpdateResult.NEW_INCARNATION) {
+                    output.accept("figures from " + metrics.getNode());
                 }
             }
         } catch (SocketTimeoutException e) {
-            Logger.warn("figures: {} dropped, no message within {} ms", socket.getRemoteSocketAddress(), within);
+            Logger.warn("figures: {} dropped, no message within {} ms", socket.getRemoteSocketAddress(), messageTimeoutMs);
         } catch (InvalidProtocolBufferException | SupervisionException e) {
             Logger.warn("figures: {} dropped: {}", socket.getRemoteSocketAddress(), e.getMessage());
         } catch (IOException e) {
             Logger.debug("figures: {} ended: {}", socket.getRemoteSocketAddress(), e.toString());
         } finally {
-            open.remove(socket);
+            openSockets.remove(socket);
         }
     }
 
@@ -120,46 +120,46 @@
      * One message, its length before it in 7 bits a byte; null at the end. The whole of it has its time, however it
      * comes.
      */
-    private byte[] frame(Socket socket, InputStream in) throws IOException, SupervisionException {
-        long end = System.nanoTime() + within * 1_000_000L;
+    private byte[] readMessage(Socket socket, InputStream in) throws IOException, SupervisionException {
+        long deadlineNanos = System.nanoTime() + messageTimeoutMs * 1_000_000L;
         int length = 0;
         int shift = 0;
-        int next;
+        int nextByte;
         do {
-            next = read(socket, in, end);
-            if (next < 0 && shift == 0) {
+            nextByte = readByte(socket, in, deadlineNanos);
+            if (nextByte < 0 && shift == 0) {
                 return null;
             }
-            if (next < 0 || shift == 7 * MOST_LENGTH_BYTES) {
+            if (nextByte < 0 || shift == 7 * MAX_LENGTH_BYTES) {
                 throw new SupervisionException(ErrorCode.MALFORMED, "no length of a message");
             }
-            length |= (next & 0x7f) << shift;
+            length |= (nextByte & 0x7f) << shift;
             shift += 7;
-        } while (next >= 0x80);
-        if (length > MOST_BYTES) {
+        } while (nextByte >= 0x80);
+        if (length > MAX_MESSAGE_BYTES) {
             throw new SupervisionException(
-                    ErrorCode.TOO_LARGE, "a message of " + length + " bytes, most is " + MOST_BYTES);
+                    ErrorCode.TOO_LARGE, "a message of " + length + " bytes, most is " + MAX_MESSAGE_BYTES);
         }
-        byte[] frame = new byte[length];
-        for (int at = 0; at < length; ) {
-            socket.setSoTimeout(left(end));
-            int read = TimedReads.read(in, frame, at, length - at);
-            if (read < 0) {
+        byte[] message = new byte[length];
+        for (int offset = 0; offset < length; ) {
+            socket.setSoTimeout(remainingMillis(deadlineNanos));
+            int count = TimedReads.read(in, message, offset, length - offset);
+            if (count < 0) {
                 throw new SupervisionException(ErrorCode.MALFORMED, "a message that is cut off");
             }
-            at += read;
+            offset += count;
         }
-        return frame;
+        return message;
     }
 
-    private static int read(Socket socket, InputStream in, long end) throws IOException {
-        socket.setSoTimeout(left(end));
-        byte[] one = new byte[1];
-        return TimedReads.read(in, one, 0, 1) < 0 ? TimedReads.END_OF_STREAM : one[0] & 0xff;
+    private static int readByte(Socket socket, InputStream in, long deadlineNanos) throws IOException {
+        socket.setSoTimeout(remainingMillis(deadlineNanos));
+        byte[] oneByte = new byte[1];
+        return TimedReads.read(in, oneByte, 0, 1) < 0 ? TimedReads.END_OF_STREAM : oneByte[0] & 0xff;
     }
 
-    private static int left(long end) throws SocketTimeoutException {
-        long millis = (end - System.nanoTime()) / 1_000_000;
+    private static int remainingMillis(long deadlineNanos) throws SocketTimeoutException {
+        long millis = (deadlineNanos - System.nanoTime()) / 1_000_000;
         if (millis <= 0) {
             throw new SocketTimeoutException();
         }
@@ -170,8 +170,8 @@
     public void close() {
         try {
             listener.close();
-            for (Socket each : open) {
-                each.close();
+            for (Socket socket : openSockets) {
+                socket.close();
             }
         } catch (IOException e) {
             Logger.debug("figures: {}", e.toString());
--- a/src/main/java/olivechute/supervisor/NodeLog.java
+++ b/src/main/java/olivechute/supervisor/NodeLog.java
@@ -14,14 +14,14 @@
  * bound it is copied aside and emptied; what is written between the two is lost.
  */
 final class NodeLog {
-    private static final int TAIL = 8 * 1024;
+    private static final int MAX_TAIL_BYTES = 8 * 1024;
 
     private final Path file;
-    private final long most;
+    private final long maxBytes;
 
-    NodeLog(Path file, long most) {
+    NodeLog(Path file, long maxBytes) {
         this.file = file;
-        this.most = most;
+        this.maxBytes = maxBytes;
     }
 
     Path file() {
@@ -34,7 +34,7 @@
 
     /** Puts the file aside where it is over the bound. */
     void rotate() {
-        if (size() <= most) {
+        if (size() <= maxBytes) {
             return;
         }
         try (RandomAccessFile log = new RandomAccessFile(file.toFile(), "rw")) {
@@ -46,11 +46,11 @@
     }
 
     /** The lines after a place, the last 8 KiB of them at most. */
-    List<String> after(long place) {
+    List<String> linesAfter(long offset) {
         try (RandomAccessFile log = new RandomAccessFile(file.toFile(), "r")) {
-            long from = Math.max(place <= log.length() ? place : 0, log.length() - TAIL);
-            byte[] bytes = new byte[(int) (log.length() - from)];
-            log.seek(from);
+            long start = Math.max(offset <= log.length() ? offset : 0, log.length() - MAX_TAIL_BYTES);
+            byte[] bytes = new byte[(int) (log.length() - start)];
+            log.seek(start);
             log.readFully(bytes);
             return new String(bytes, StandardCharsets.UTF_8).lines().toList();
         } catch (IOException e) {
@@ -59,11 +59,11 @@
     }
 
     /** The last line with something in it that was said after a place, cut at 400 characters; empty for none. */
-    String last(long place) {
-        String last = after(place).stream()
+    String lastLineAfter(long offset) {
+        String lastLine = linesAfter(offset).stream()
                 .filter(line -> !line.isBlank())
                 .reduce("", (a, b) -> b)
                 .strip();
-        return last.length() > 400 ? last.substring(0, 400) : last;
+        return lastLine.length() > 400 ? lastLine.substring(0, 400) : lastLine;
     }
 }
--- a/src/main/java/olivechute/supervisor/NodeReport.java
+++ b/src/main/java/olivechute/supervisor/NodeReport.java
@@ -8,4 +8,4 @@
  * {@code crashes}: starts under the version of the newest order that ended by themselves or were not ready in time,
  * since that order.
  */
-record NodeReport(String version, NodePhase phase, long since, long order, int crashes, String trouble) {}
+record NodeReport(String version, NodePhase phase, long sinceMs, long completedOrder, int crashes, String lastError) {}
--- a/src/main/java/olivechute/supervisor/NodeRunner.java
+++ b/src/main/java/olivechute/supervisor/NodeRunner.java
@@ -16,166 +16,166 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.SupervisionException;
 import olivechute.net.Threads;
-import olivechute.supervisor.SupervisorSettings.Supervised;
+import olivechute.supervisor.SupervisorSettings.ManagedNode;
 import org.tinylog.Logger;
 
 /** Carries out what a node's machine decides. All but what it posts runs on the supervisor's own thread. */
 @SuppressWarnings({"ReferenceEquality", "FutureReturnValueIgnored"
 }) // identity of the one process; a failed task is logged by what it runs
 final class NodeRunner {
-    private static final long LOG = 16 * 1024 * 1024;
-    private static final long POLL = 50;
-    private static final String TAKEN = "configuration read again";
-    private static final String NOT_TAKEN = "configuration not changed: ";
+    private static final long MAX_LOG_BYTES = 16 * 1024 * 1024;
+    private static final long POLL_INTERVAL_MS = 50;
+    private static final String RELOADED_MESSAGE = "configuration read again";
+    private static final String RELOAD_FAILED_PREFIX = "configuration not changed: ";
 
-    private final Supervised node;
+    private final ManagedNode node;
     private final SupervisorSettings settings;
-    private final String figuresAt;
-    private final SupervisorDirectory folder;
-    private final MetricsBuffer figures;
-    private final Consumer<NodeEvent> post;
-    private final Consumer<String> tell;
-    private final NodeStateMachine machine;
-    private final LaunchSpec last; // null where no earlier supervisor took up an order
+    private final String metricsAddress;
+    private final SupervisorDirectory directory;
+    private final MetricsBuffer metricsBuffer;
+    private final Consumer<NodeEvent> eventSink;
+    private final Consumer<String> output;
+    private final NodeStateMachine stateMachine;
+    private final LaunchSpec storedLaunch; // null where no earlier supervisor took up an order
     private final List<NodeLog> logs = new ArrayList<>();
     private final Map<Long, NodeProcess> processes = new HashMap<>();
-    private final Map<Integer, NodeProcess> left = new HashMap<>();
-    private final ArrayDeque<NodeEvent> own = new ArrayDeque<>();
+    private final Map<Integer, NodeProcess> adoptable = new HashMap<>();
+    private final ArrayDeque<NodeEvent> pendingEvents = new ArrayDeque<>();
 
     NodeRunner(
-            Supervised node,
+            ManagedNode node,
             SupervisorSettings settings,
-            String figuresAt,
-            SupervisorDirectory folder,
-            MetricsBuffer figures,
+            String metricsAddress,
+            SupervisorDirectory directory,
+            MetricsBuffer metricsBuffer,
             RandomGenerator random,
-            Consumer<NodeEvent> post,
-            Consumer<String> tell) {
+            Consumer<NodeEvent> eventSink,
+            Consumer<String> output) {
         this.node = node;
         this.settings = settings;
-        this.figuresAt = figuresAt;
-        this.folder = folder;
-        this.figures = figures;
-        this.post = post;
-        this.tell = tell;
-        last = folder.load(folder.file(node.name() + ".order"))
-                .flatMap(SupervisorStateFile::launch)
+        this.metricsAddress = metricsAddress;
+        this.directory = directory;
+        this.metricsBuffer = metricsBuffer;
+        this.eventSink = eventSink;
+        this.output = output;
+        storedLaunch = directory.load(directory.file(node.name() + ".order"))
+                .flatMap(SupervisorStateFile::parseLaunch)
                 .orElse(null);
-        machine = new NodeStateMachine(
-                node.name(), node.addresses(), settings.bounds(), last == null ? 0 : last.order(), random);
+        stateMachine = new NodeStateMachine(
+                node.name(), node.addresses(), settings.timeouts(), storedLaunch == null ? 0 : storedLaunch.orderNumber(), random);
         for (int i = 0; i < node.addresses().size(); i++) {
-            logs.add(new NodeLog(folder.file(node.name() + "." + i + ".log"), LOG));
+            logs.add(new NodeLog(directory.file(node.name() + "." + i + ".log"), MAX_LOG_BYTES));
         }
     }
 
-    NodeStateMachine machine() {
-        return machine;
+    NodeStateMachine stateMachine() {
+        return stateMachine;
     }
 
-    Supervised node() {
+    ManagedNode node() {
         return node;
     }
 
     /** What the last supervisor took up here. */
-    Optional<LaunchSpec> last() {
-        return Optional.ofNullable(last);
+    Optional<LaunchSpec> storedLaunch() {
+        return Optional.ofNullable(storedLaunch);
     }
 
     /** Takes over what an earlier supervisor left running. */
-    void adopt(long now) {
+    void adopt(long nowMs) {
         for (int i = 0; i < node.addresses().size(); i++) {
             NodeLog log = logs.get(i);
-            SupervisorStateFile.Running noted =
-                    folder.load(pid(i)).flatMap(SupervisorStateFile::running).orElse(null);
-            NodeProcess found =
-                    noted == null ? null : NodeProcess.find(noted, log).orElse(null);
-            if (found != null && noted.address().equals(node.addresses().get(i))) {
-                left.put(i, found);
-                on(new NodeEvent.Adopted(i, noted.launch()), now);
-            } else if (found != null) {
+            SupervisorStateFile.ProcessRecord stored =
+                    directory.load(pidFile(i)).flatMap(SupervisorStateFile::parseProcess).orElse(null);
+            NodeProcess process =
+                    stored == null ? null : NodeProcess.find(stored, log).orElse(null);
+            if (process != null && stored.address().equals(node.addresses().get(i))) {
+                adoptable.put(i, process);
+                handle(new NodeEvent.Adopted(i, stored.launch()), nowMs);
+            } else if (process != null) {
                 Logger.warn(
                         "node {} ran at {}, which is not its address any more: it is ended",
                         node.name(),
-                        noted.address());
-                found.handle().destroy();
+                        stored.address());
+                process.handle().destroy();
             }
         }
     }
 
-    private Path pid(int address) {
-        return folder.file(node.name() + "." + address + ".pid");
+    private Path pidFile(int addressIndex) {
+        return directory.file(node.name() + "." + addressIndex + ".pid");
     }
 
     /** Puts an event to the machine and does what follows. */
-    void on(NodeEvent event, long now) {
-        own.add(event);
-        while (!own.isEmpty()) {
-            LaunchSpec before = machine.target();
-            List<NodeAction> actions = machine.on(own.poll(), now);
-            if (machine.target() != before) {
-                save(folder.file(node.name() + ".order"), SupervisorStateFile.of(machine.target()));
+    void handle(NodeEvent event, long nowMs) {
+        pendingEvents.add(event);
+        while (!pendingEvents.isEmpty()) {
+            LaunchSpec previousTarget = stateMachine.target();
+            List<NodeAction> actions = stateMachine.handle(pendingEvents.poll(), nowMs);
+            if (stateMachine.target() != previousTarget) {
+                save(directory.file(node.name() + ".order"), SupervisorStateFile.toProperties(stateMachine.target()));
             }
-            actions.forEach(this::act);
+            actions.forEach(this::execute);
         }
     }
 
-    private void act(NodeAction action) {
-        if (action instanceof NodeAction.Tell a) {
-            tell.accept(a.line());
+    private void execute(NodeAction action) {
+        if (action instanceof NodeAction.PrintLine a) {
+            output.accept(a.line());
         } else if (action instanceof NodeAction.Start a) {
             start(a);
         } else if (action instanceof NodeAction.Adopt a) {
-            attend(a.run(), a.address(), left.remove(a.address()));
+            monitor(a.runId(), a.addressIndex(), adoptable.remove(a.addressIndex()));
         } else if (action instanceof NodeAction.Drain a) {
-            Optional.ofNullable(processes.get(a.run()))
+            Optional.ofNullable(processes.get(a.runId()))
                     .ifPresent(p -> p.handle().destroy());
         } else if (action instanceof NodeAction.Kill a) {
-            Optional.ofNullable(processes.get(a.run()))
+            Optional.ofNullable(processes.get(a.runId()))
                     .ifPresent(p -> p.handle().destroyForcibly());
         } else if (action instanceof NodeAction.Reload a) {
-            reload(a.run(), processes.get(a.run()), a.launch());
-        } else if (action instanceof NodeAction.Keep a) {
-            keep(processes.get(a.run()), a.launch());
+            reload(a.runId(), processes.get(a.runId()), a.launch());
+        } else if (action instanceof NodeAction.RecordLaunch a) {
+            recordLaunch(processes.get(a.runId()), a.launch());
         }
     }
 
     private void start(NodeAction.Start start) {
         LaunchSpec launch = start.launch();
-        String address = node.addresses().get(start.address());
-        NodeLog log = logs.get(start.address());
-        Path file = folder.file(node.name() + "-" + launch.order() + ".json");
+        String address = node.addresses().get(start.addressIndex());
+        NodeLog log = logs.get(start.addressIndex());
+        Path configFile = directory.file(node.name() + "-" + launch.orderNumber() + ".json");
         try {
-            ArtifactVerifier.check(launch.program(), launch.digest());
-            folder.replace(file, launch.config());
-            folder.keepOnly(
+            ArtifactVerifier.verify(launch.program(), launch.expectedDigest());
+            directory.replace(configFile, launch.configJson());
+            directory.deleteUnusedConfigs(
                     node.name(),
-                    Stream.concat(processes.values().stream().map(NodeProcess::file), Stream.of(file))
+                    Stream.concat(processes.values().stream().map(NodeProcess::configFile), Stream.of(configFile))
                             .toList());
             log.rotate();
             NodeProcess process = NodeProcess.start(
-                    settings.java(),
+                    settings.javaCommand(),
                     launch,
                     Map.of(
                             "LB_CONFIG",
-                            file.toString(),
+                            configFile.toString(),
                             "LB_LISTEN",
                             address,
                             "LB_NAME",
                             node.name(),
                             "OLIVECHUTE_FIGURES",
-                            figuresAt,
+                            metricsAddress,
                             "OLIVECHUTE_VERSION",
                             launch.version()),
                     log,
-                    file);
-            figures.started(node.name());
-            save(pid(start.address()), SupervisorStateFile.of(process.note(address, launch)));
-            attend(start.run(), start.address(), process);
+                    configFile);
+            metricsBuffer.processStarted(node.name());
+            save(pidFile(start.addressIndex()), SupervisorStateFile.toProperties(process.toRecord(address, launch)));
+            monitor(start.runId(), start.addressIndex(), process);
         } catch (SupervisionException e) {
-            own.add(new NodeEvent.NotStarted(start.run(), e.getMessage()));
+            pendingEvents.add(new NodeEvent.StartFailed(start.runId(), e.getMessage()));
         } catch (IOException e) {
-            own.add(new NodeEvent.NotStarted(
-                    start.run(),
+            pendingEvents.add(new NodeEvent.StartFailed(
+                    start.runId(),
                     new SupervisionException(
                                     ErrorCode.NODE_CRASHED,
                                     node.name() + " under " + launch.version() + " cannot be started: " + e)
@@ -184,20 +184,20 @@
     }
 
     /** Waits, on threads of its own, for its readiness and for its end. */
-    private void attend(long run, int address, NodeProcess process) {
-        processes.put(run, process);
-        process.end()
-                .whenComplete((status, fault) -> post.accept(
-                        new NodeEvent.Ended(run, status, process.log().last(process.since()))));
+    private void monitor(long runId, int addressIndex, NodeProcess process) {
+        processes.put(runId, process);
+        process.exitStatus()
+                .whenComplete((status, fault) -> eventSink.accept(
+                        new NodeEvent.Exited(runId, status, process.log().lastLineAfter(process.logOffset()))));
         Threads.start("ready " + node.name(), () -> {
             try {
                 do {
-                    if (ReadinessProbe.of(
-                            Address.parse("listen", node.addresses().get(address)))) {
-                        post.accept(new NodeEvent.Ready(run));
+                    if (ReadinessProbe.isReady(
+                            Address.parse("listen", node.addresses().get(addressIndex)))) {
+                        eventSink.accept(new NodeEvent.Ready(runId));
                         return;
                     }
-                } while (!process.endsWithin(POLL));
+                } while (!process.waitForExit(POLL_INTERVAL_MS));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -205,33 +205,33 @@
     }
 
     /** Forgets a process that ended. */
-    void ended(long run) {
-        NodeProcess gone = processes.remove(run);
-        for (int i = 0; gone != null && i < logs.size(); i++) {
-            if (logs.get(i) == gone.log() && processes.values().stream().noneMatch(p -> p.log() == gone.log())) {
-                folder.remove(pid(i));
+    void removeProcess(long runId) {
+        NodeProcess removed = processes.remove(runId);
+        for (int i = 0; removed != null && i < logs.size(); i++) {
+            if (logs.get(i) == removed.log() && processes.values().stream().noneMatch(p -> p.log() == removed.log())) {
+                directory.remove(pidFile(i));
             }
         }
     }
 
-    private void reload(long run, NodeProcess process, LaunchSpec launch) {
-        long place = process.log().size();
+    private void reload(long runId, NodeProcess process, LaunchSpec launch) {
+        long logOffset = process.log().size();
         try {
-            folder.replace(process.file(), launch.config());
-            process.hangUp();
+            directory.replace(process.configFile(), launch.configJson());
+            process.sendHangup();
         } catch (IOException e) {
-            own.add(new NodeEvent.Reloaded(run, e.toString()));
+            pendingEvents.add(new NodeEvent.Reloaded(runId, e.toString()));
             return;
         }
-        long tries = settings.bounds().readyWithin().toMillis() / POLL;
+        long maxPolls = settings.timeouts().readyTimeout().toMillis() / POLL_INTERVAL_MS;
         Threads.start("reload " + node.name(), () -> {
             try {
-                for (long i = 0; i < tries && !process.endsWithin(POLL); i++) {
-                    for (String line : process.log().after(place)) {
-                        int fault = line.indexOf(NOT_TAKEN);
-                        if (fault >= 0 || line.contains(TAKEN)) {
-                            post.accept(new NodeEvent.Reloaded(
-                                    run, fault < 0 ? "" : line.substring(fault + NOT_TAKEN.length())));
+                for (long i = 0; i < maxPolls && !process.waitForExit(POLL_INTERVAL_MS); i++) {
+                    for (String line : process.log().linesAfter(logOffset)) {
+                        int prefixIndex = line.indexOf(RELOAD_FAILED_PREFIX);
+                        if (prefixIndex >= 0 || line.contains(RELOADED_MESSAGE)) {
+                            eventSink.accept(new NodeEvent.Reloaded(
+                                    runId, prefixIndex < 0 ? "" : line.substring(prefixIndex + RELOAD_FAILED_PREFIX.length())));
                             return;
                         }
                     }
@@ -242,20 +242,20 @@
         });
     }
 
-    private void keep(NodeProcess process, LaunchSpec launch) {
+    private void recordLaunch(NodeProcess process, LaunchSpec launch) {
         try {
-            folder.replace(process.file(), launch.config());
+            directory.replace(process.configFile(), launch.configJson());
         } catch (IOException e) {
             Logger.warn("node {}: its configuration cannot be put back: {}", node.name(), e.toString());
         }
-        int address = logs.indexOf(process.log());
-        save(pid(address), SupervisorStateFile.of(process.note(node.addresses().get(address), launch)));
-        figures.runs(node.name(), process.started().version(), launch.version());
+        int addressIndex = logs.indexOf(process.log());
+        save(pidFile(addressIndex), SupervisorStateFile.toProperties(process.toRecord(node.addresses().get(addressIndex), launch)));
+        metricsBuffer.versionOverride(node.name(), process.initialLaunch().version(), launch.version());
     }
 
     private void save(Path file, Properties values) {
         try {
-            folder.save(file, values);
+            directory.save(file, values);
         } catch (IOException e) {
             Logger.error(
                     "node {}: {} cannot be written, after a restart of the supervisor it will be out of date: {}",
@@ -266,7 +266,7 @@
     }
 
     /** Keeps the logs within their bound. */
-    void rotate() {
+    void rotateLogs() {
         logs.forEach(NodeLog::rotate);
     }
 }
--- a/src/main/java/olivechute/supervisor/NodeSlot.java
+++ b/src/main/java/olivechute/supervisor/NodeSlot.java
@@ -15,14 +15,14 @@
     final int index;
     final String address;
     State state = State.EMPTY;
-    long run;
+    long runId;
     LaunchSpec launch;
     /** What it was told to go over to while it runs, else null. */
-    LaunchSpec reloading;
+    LaunchSpec reloadTarget;
     /** ms at which the present state has lasted too long. */
-    long deadline = Long.MAX_VALUE;
+    long deadlineMs = Long.MAX_VALUE;
 
-    long readySince;
+    long readySinceMs;
     boolean killed;
 
     NodeSlot(int index, String address) {
@@ -30,35 +30,35 @@
         this.address = address;
     }
 
-    void enter(State next, long until) {
-        state = next;
-        deadline = until;
-        reloading = null;
+    void enter(State newState, long newDeadlineMs) {
+        state = newState;
+        deadlineMs = newDeadlineMs;
+        reloadTarget = null;
         killed = false;
     }
 
-    boolean empty() {
+    boolean isEmpty() {
         return state == State.EMPTY;
     }
 
-    boolean draining() {
+    boolean isDraining() {
         return state == State.DRAINING;
     }
 
-    boolean starting() {
+    boolean isStarting() {
         return state == State.STARTING;
     }
 
     /** Whether clients may be served there by a process that was not told to end. */
-    boolean serves() {
+    boolean isServing() {
         return state == State.READY || state == State.ADOPTED;
     }
 
-    boolean ready() {
-        return state == State.READY && reloading == null;
+    boolean isReady() {
+        return state == State.READY && reloadTarget == null;
     }
 
-    boolean runs(String version) {
-        return !empty() && !draining() && launch.version().equals(version);
+    boolean runsVersion(String version) {
+        return !isEmpty() && !isDraining() && launch.version().equals(version);
     }
 }
--- a/src/main/java/olivechute/supervisor/NodeStateMachine.java
+++ b/src/main/java/olivechute/supervisor/NodeStateMachine.java
@@ -7,9 +7,9 @@
 import olivechute.error.SupervisionException;
 import olivechute.rollout.NodePhase;
 import olivechute.supervisor.NodeEvent.Adopted;
-import olivechute.supervisor.NodeEvent.Ended;
-import olivechute.supervisor.NodeEvent.NotStarted;
-import olivechute.supervisor.NodeEvent.Ordered;
+import olivechute.supervisor.NodeEvent.Exited;
+import olivechute.supervisor.NodeEvent.StartFailed;
+import olivechute.supervisor.NodeEvent.OrderReceived;
 import olivechute.supervisor.NodeEvent.Ready;
 import olivechute.supervisor.NodeEvent.Reloaded;
 import olivechute.supervisor.NodeEvent.Stop;
@@ -21,276 +21,276 @@
  */
 final class NodeStateMachine {
     private final String node;
-    private final NodeTimeouts bounds;
+    private final NodeTimeouts timeouts;
     private final RandomGenerator random;
     private final List<NodeSlot> slots = new ArrayList<>();
     private final List<NodeAction> actions = new ArrayList<>();
-    private final long floor;
+    private final long minOrderNumber;
     private LaunchSpec target;
-    private boolean refused;
-    private boolean restarts; // the target was not taken over in time by reading again
-    private boolean wasReady; // the target was ready here once
+    private boolean rejected;
+    private boolean reloadTimedOut; // the target was not taken over in time by reading again
+    private boolean targetWasReady; // the target was ready here once
     private boolean stopping;
-    private int failures;
+    private int consecutiveFailures;
     private int crashes;
-    private long retryAt;
-    private long lastRun;
-    private long lastLook;
-    private String trouble = "";
-    private NodeReport view;
+    private long retryAtMs;
+    private long lastRunId;
+    private long lastEventMs;
+    private String lastError = "";
+    private NodeReport report;
 
     /** {@code floor}: number of the last order that an earlier supervisor took up; a lower one is never carried out. */
-    NodeStateMachine(String node, List<String> addresses, NodeTimeouts bounds, long floor, RandomGenerator random) {
+    NodeStateMachine(String node, List<String> addresses, NodeTimeouts timeouts, long minOrderNumber, RandomGenerator random) {
         this.node = node;
-        this.bounds = bounds;
-        this.floor = floor;
+        this.timeouts = timeouts;
+        this.minOrderNumber = minOrderNumber;
         this.random = random;
         for (String address : addresses) {
             slots.add(new NodeSlot(slots.size(), address));
         }
-        view = new NodeReport("", NodePhase.DOWN, 0, 0, 0, "");
+        report = new NodeReport("", NodePhase.DOWN, 0, 0, 0, "");
     }
 
     /** What is to be done now that this happened. */
-    List<NodeAction> on(NodeEvent event, long now) {
+    List<NodeAction> handle(NodeEvent event, long nowMs) {
         actions.clear();
-        if (event instanceof Ordered e) {
-            ordered(e);
+        if (event instanceof OrderReceived e) {
+            handleOrder(e);
         } else if (event instanceof Adopted e) {
-            NodeSlot slot = slots.get(e.address());
-            place(slot, e.launch(), NodeSlot.State.ADOPTED, now);
-            actions.add(new NodeAction.Adopt(slot.run, slot.index, e.launch()));
+            NodeSlot slot = slots.get(e.addressIndex());
+            occupy(slot, e.launch(), NodeSlot.State.ADOPTED, nowMs);
+            actions.add(new NodeAction.Adopt(slot.runId, slot.index, e.launch()));
         } else if (event instanceof Stop) {
             stopping = true;
         } else if (event instanceof Ready e) {
-            slot(e.run()).forEach(slot -> ready(slot, now));
+            slotsOfRun(e.runId()).forEach(slot -> markReady(slot, nowMs));
         } else if (event instanceof Reloaded e) {
-            slot(e.run()).forEach(slot -> reloaded(slot, e.fault()));
-        } else if (event instanceof NotStarted e) {
-            slot(e.run()).forEach(slot -> notStarted(slot, e.fault(), now));
-        } else if (event instanceof Ended e) {
-            slot(e.run()).forEach(slot -> ended(slot, e, now));
+            slotsOfRun(e.runId()).forEach(slot -> handleReloadResult(slot, e.error()));
+        } else if (event instanceof StartFailed e) {
+            slotsOfRun(e.runId()).forEach(slot -> handleStartFailure(slot, e.error(), nowMs));
+        } else if (event instanceof Exited e) {
+            slotsOfRun(e.runId()).forEach(slot -> handleExit(slot, e, nowMs));
         }
-        deadlines(now);
-        decide(now);
-        lastLook = now;
-        view = look(now);
+        handleDeadlines(nowMs);
+        reconcile(nowMs);
+        lastEventMs = nowMs;
+        report = buildReport(nowMs);
         return List.copyOf(actions);
     }
 
-    private List<NodeSlot> slot(long run) {
-        return slots.stream().filter(s -> !s.empty() && s.run == run).toList();
+    private List<NodeSlot> slotsOfRun(long runId) {
+        return slots.stream().filter(s -> !s.isEmpty() && s.runId == runId).toList();
     }
 
-    private void ordered(Ordered e) {
+    private void handleOrder(OrderReceived e) {
         LaunchSpec launch = e.launch();
-        if (launch.order() < floor || (target != null && launch.order() <= target.order())) {
+        if (launch.orderNumber() < minOrderNumber || (target != null && launch.orderNumber() <= target.orderNumber())) {
             return;
         }
         if (target == null || !target.version().equals(launch.version())) {
             crashes = 0;
-            wasReady = false;
+            targetWasReady = false;
         }
         target = launch;
-        refused = !e.fault().isEmpty();
-        trouble = e.fault();
-        restarts = false;
-        failures = 0;
-        retryAt = 0;
+        rejected = !e.error().isEmpty();
+        lastError = e.error();
+        reloadTimedOut = false;
+        consecutiveFailures = 0;
+        retryAtMs = 0;
     }
 
-    private void place(NodeSlot slot, LaunchSpec launch, NodeSlot.State state, long now) {
-        slot.run = ++lastRun;
+    private void occupy(NodeSlot slot, LaunchSpec launch, NodeSlot.State state, long nowMs) {
+        slot.runId = ++lastRunId;
         slot.launch = launch;
-        slot.enter(state, now + bounds.readyWithin().toMillis());
+        slot.enter(state, nowMs + timeouts.readyTimeout().toMillis());
     }
 
-    private void ready(NodeSlot slot, long now) {
-        if (slot.draining() || slot.state == NodeSlot.State.READY) {
+    private void markReady(NodeSlot slot, long nowMs) {
+        if (slot.isDraining() || slot.state == NodeSlot.State.READY) {
             return;
         }
         slot.enter(NodeSlot.State.READY, Long.MAX_VALUE);
-        slot.readySince = now;
-        tellReady(slot);
+        slot.readySinceMs = nowMs;
+        announceReady(slot);
     }
 
-    private void tellReady(NodeSlot slot) {
+    private void announceReady(NodeSlot slot) {
         if (isTarget(slot)) {
-            wasReady = true;
-            refused = false;
-            trouble = "";
+            targetWasReady = true;
+            rejected = false;
+            lastError = "";
         }
-        tell("ready " + slot.launch.version() + " on " + slot.address);
+        announce("ready " + slot.launch.version() + " on " + slot.address);
     }
 
     private boolean isTarget(NodeSlot slot) {
         return target != null && slot.launch.version().equals(target.version());
     }
 
-    private void reloaded(NodeSlot slot, String fault) {
-        LaunchSpec told = slot.reloading;
-        if (told == null) {
+    private void handleReloadResult(NodeSlot slot, String error) {
+        LaunchSpec reloadTarget = slot.reloadTarget;
+        if (reloadTarget == null) {
             return;
         }
-        slot.reloading = null;
-        slot.deadline = Long.MAX_VALUE;
-        if (fault.isEmpty()) {
-            slot.launch = told;
-            tellReady(slot);
-        } else if (target.version().equals(told.version())) {
-            refuse(new SupervisionException(
-                    ErrorCode.SETTINGS_REFUSED, node + " under " + told.version() + ": " + fault));
+        slot.reloadTarget = null;
+        slot.deadlineMs = Long.MAX_VALUE;
+        if (error.isEmpty()) {
+            slot.launch = reloadTarget;
+            announceReady(slot);
+        } else if (target.version().equals(reloadTarget.version())) {
+            reject(new SupervisionException(
+                    ErrorCode.SETTINGS_REFUSED, node + " under " + reloadTarget.version() + ": " + error));
         }
-        actions.add(new NodeAction.Keep(slot.run, slot.launch));
+        actions.add(new NodeAction.RecordLaunch(slot.runId, slot.launch));
     }
 
-    private void notStarted(NodeSlot slot, String fault, long now) {
-        boolean its = isTarget(slot) && !slot.draining();
+    private void handleStartFailure(NodeSlot slot, String error, long nowMs) {
+        boolean concernsTarget = isTarget(slot) && !slot.isDraining();
         slot.enter(NodeSlot.State.EMPTY, Long.MAX_VALUE);
-        if (its && wasReady) {
-            fail(fault, now);
-        } else if (its) {
-            refused = true;
-            trouble = fault;
+        if (concernsTarget && targetWasReady) {
+            recordFailure(error, nowMs);
+        } else if (concernsTarget) {
+            rejected = true;
+            lastError = error;
         }
     }
 
-    private void ended(NodeSlot slot, Ended e, long now) {
-        tell("ended " + (e.status() == null ? "unknown" : e.status()));
-        boolean asked = slot.draining();
-        boolean starting = slot.starting();
-        boolean steady = slot.state == NodeSlot.State.READY
-                && now - slot.readySince >= bounds.backoffMost().toMillis();
+    private void handleExit(NodeSlot slot, Exited e, long nowMs) {
+        announce("ended " + (e.exitStatus() == null ? "unknown" : e.exitStatus()));
+        boolean exitRequested = slot.isDraining();
+        boolean wasStarting = slot.isStarting();
+        boolean wasStable = slot.state == NodeSlot.State.READY
+                && nowMs - slot.readySinceMs >= timeouts.maxBackoff().toMillis();
         slot.enter(NodeSlot.State.EMPTY, Long.MAX_VALUE);
-        if (asked) {
+        if (exitRequested) {
             return;
         }
-        String about = node + " under " + slot.launch.version() + ", status " + e.status() + ": " + e.line();
+        String details = node + " under " + slot.launch.version() + ", status " + e.exitStatus() + ": " + e.lastLine();
         if (!isTarget(slot)) {
-            trouble = new SupervisionException(ErrorCode.NODE_CRASHED, about).getMessage();
-        } else if (starting && !wasReady && StartFailureClassifier.isOne(e.status(), e.line())) {
-            refuse(new SupervisionException(ErrorCode.SETTINGS_REFUSED, about));
+            lastError = new SupervisionException(ErrorCode.NODE_CRASHED, details).getMessage();
+        } else if (wasStarting && !targetWasReady && StartFailureClassifier.isPermanent(e.exitStatus(), e.lastLine())) {
+            reject(new SupervisionException(ErrorCode.SETTINGS_REFUSED, details));
         } else {
-            failures = steady ? 0 : failures;
-            fail(new SupervisionException(ErrorCode.NODE_CRASHED, about).getMessage(), now);
+            consecutiveFailures = wasStable ? 0 : consecutiveFailures;
+            recordFailure(new SupervisionException(ErrorCode.NODE_CRASHED, details).getMessage(), nowMs);
         }
     }
 
-    private void refuse(SupervisionException fault) {
-        refused = true;
-        trouble = fault.getMessage();
+    private void reject(SupervisionException error) {
+        rejected = true;
+        lastError = error.getMessage();
     }
 
-    private void fail(String text, long now) {
+    private void recordFailure(String error, long nowMs) {
         crashes++;
-        failures++;
-        trouble = text;
-        retryAt = now + bounds.backoff(failures, random);
+        consecutiveFailures++;
+        lastError = error;
+        retryAtMs = nowMs + timeouts.backoffMillis(consecutiveFailures, random);
     }
 
-    private void deadlines(long now) {
+    private void handleDeadlines(long nowMs) {
         for (NodeSlot slot : slots) {
-            if (now < slot.deadline) {
+            if (nowMs < slot.deadlineMs) {
                 continue;
             }
-            if (slot.draining()) {
+            if (slot.isDraining()) {
                 slot.killed = true;
-                slot.deadline = Long.MAX_VALUE;
-                actions.add(new NodeAction.Kill(slot.run));
-            } else if (slot.reloading != null) {
-                restarts |= isSame(slot.reloading);
-                slot.reloading = null;
-                slot.deadline = Long.MAX_VALUE;
+                slot.deadlineMs = Long.MAX_VALUE;
+                actions.add(new NodeAction.Kill(slot.runId));
+            } else if (slot.reloadTarget != null) {
+                reloadTimedOut |= isTargetOrder(slot.reloadTarget);
+                slot.reloadTarget = null;
+                slot.deadlineMs = Long.MAX_VALUE;
             } else {
-                boolean its = isTarget(slot);
-                drain(slot, now);
-                if (its) {
-                    fail(
+                boolean concernsTarget = isTarget(slot);
+                drain(slot, nowMs);
+                if (concernsTarget) {
+                    recordFailure(
                             new SupervisionException(
                                             ErrorCode.NODE_NOT_READY,
                                             node + " under " + slot.launch.version() + " within "
-                                                    + bounds.readyWithin().toMillis() + " ms")
+                                                    + timeouts.readyTimeout().toMillis() + " ms")
                                     .getMessage(),
-                            now);
+                            nowMs);
                 }
             }
         }
     }
 
-    private boolean isSame(LaunchSpec launch) {
-        return target != null && target.order() == launch.order();
+    private boolean isTargetOrder(LaunchSpec launch) {
+        return target != null && target.orderNumber() == launch.orderNumber();
     }
 
-    private void drain(NodeSlot slot, long now) {
-        slot.enter(NodeSlot.State.DRAINING, now + bounds.drainWithin().toMillis());
-        tell("drains " + slot.launch.version());
-        actions.add(new NodeAction.Drain(slot.run));
+    private void drain(NodeSlot slot, long nowMs) {
+        slot.enter(NodeSlot.State.DRAINING, nowMs + timeouts.drainTimeout().toMillis());
+        announce("drains " + slot.launch.version());
+        actions.add(new NodeAction.Drain(slot.runId));
     }
 
-    private void tell(String what) {
-        actions.add(new NodeAction.Tell("node " + node + " " + what));
+    private void announce(String message) {
+        actions.add(new NodeAction.PrintLine("node " + node + " " + message));
     }
 
-    private void decide(long now) {
+    private void reconcile(long nowMs) {
         if (stopping) {
-            slots.stream().filter(s -> !s.empty() && !s.draining()).forEach(s -> drain(s, now));
+            slots.stream().filter(s -> !s.isEmpty() && !s.isDraining()).forEach(s -> drain(s, nowMs));
             return;
         }
         if (target == null) {
             return;
         }
         NodeSlot current = slots.stream()
-                .filter(s -> s.runs(target.version()) && s.ready())
+                .filter(s -> s.runsVersion(target.version()) && s.isReady())
                 .findFirst()
                 .orElse(slots.stream()
-                        .filter(s -> s.runs(target.version()))
+                        .filter(s -> s.runsVersion(target.version()))
                         .findFirst()
                         .orElse(null));
-        for (NodeSlot each : slots) {
+        for (NodeSlot slot : slots) {
             // What never served goes at once; what serves only when the other is ready.
-            if (each != current
-                    && !each.empty()
-                    && !each.draining()
-                    && (each.starting() || (current != null && current.ready()))) {
-                drain(each, now);
+            if (slot != current
+                    && !slot.isEmpty()
+                    && !slot.isDraining()
+                    && (slot.isStarting() || (current != null && current.isReady()))) {
+                drain(slot, nowMs);
             }
         }
-        if (current == null && !refused && now >= retryAt && slots.stream().noneMatch(s -> s.reloading != null)) {
-            bring(now);
+        if (current == null && !rejected && nowMs >= retryAtMs && slots.stream().noneMatch(s -> s.reloadTarget != null)) {
+            startTarget(nowMs);
         }
     }
 
-    private void bring(long now) {
-        NodeSlot serving = slots.stream().filter(NodeSlot::serves).findFirst().orElse(null);
-        NodeSlot free = slots.stream().filter(NodeSlot::empty).findFirst().orElse(null);
-        if (serving != null && serving.ready() && !restarts && serving.launch.reloadsTo(target)) {
-            serving.reloading = target;
-            serving.deadline = now + bounds.readyWithin().toMillis();
-            actions.add(new NodeAction.Reload(serving.run, target));
+    private void startTarget(long nowMs) {
+        NodeSlot serving = slots.stream().filter(NodeSlot::isServing).findFirst().orElse(null);
+        NodeSlot free = slots.stream().filter(NodeSlot::isEmpty).findFirst().orElse(null);
+        if (serving != null && serving.isReady() && !reloadTimedOut && serving.launch.canReloadTo(target)) {
+            serving.reloadTarget = target;
+            serving.deadlineMs = nowMs + timeouts.readyTimeout().toMillis();
+            actions.add(new NodeAction.Reload(serving.runId, target));
         } else if (free != null) {
-            place(free, target, NodeSlot.State.STARTING, now);
-            tell("starts " + target.version());
-            actions.add(new NodeAction.Start(free.run, free.index, target));
-        } else if (serving != null && slots.stream().noneMatch(NodeSlot::draining)) {
-            drain(serving, now);
+            occupy(free, target, NodeSlot.State.STARTING, nowMs);
+            announce("starts " + target.version());
+            actions.add(new NodeAction.Start(free.runId, free.index, target));
+        } else if (serving != null && slots.stream().noneMatch(NodeSlot::isDraining)) {
+            drain(serving, nowMs);
         }
     }
 
     /** ms at which {@link NodeEvent.Tick} is wanted; the greatest number for never. */
-    long due() {
-        boolean waits = target != null
-                && !refused
+    long nextTickMs() {
+        boolean waitingForRetry = target != null
+                && !rejected
                 && !stopping
-                && retryAt > lastLook
-                && slots.stream().noneMatch(s -> s.runs(target.version()));
-        long due = waits ? retryAt : Long.MAX_VALUE;
+                && retryAtMs > lastEventMs
+                && slots.stream().noneMatch(s -> s.runsVersion(target.version()));
+        long nextMs = waitingForRetry ? retryAtMs : Long.MAX_VALUE;
         for (NodeSlot slot : slots) {
-            due = Math.min(due, slot.deadline);
+            nextMs = Math.min(nextMs, slot.deadlineMs);
         }
-        return due;
+        return nextMs;
     }
 
-    private NodeReport look(long now) {
+    private NodeReport buildReport(long nowMs) {
         NodeSlot serving = slots.stream()
                 .filter(s -> s.state == NodeSlot.State.READY)
                 .reduce((a, b) -> isTarget(b) ? b : a)
@@ -298,29 +298,29 @@
                         .filter(s -> s.state == NodeSlot.State.ADOPTED)
                         .findFirst()
                         .orElse(null));
-        NodeSlot ending = slots.stream().filter(NodeSlot::draining).findFirst().orElse(null);
-        boolean done = serving != null && serving.ready() && isTarget(serving);
-        boolean coming = slots.stream().anyMatch(s -> s.starting() || s.state == NodeSlot.State.ADOPTED)
-                || (serving != null && failures > 0);
-        NodePhase phase = done
+        NodeSlot draining = slots.stream().filter(NodeSlot::isDraining).findFirst().orElse(null);
+        boolean targetReady = serving != null && serving.isReady() && isTarget(serving);
+        boolean starting = slots.stream().anyMatch(s -> s.isStarting() || s.state == NodeSlot.State.ADOPTED)
+                || (serving != null && consecutiveFailures > 0);
+        NodePhase phase = targetReady
                 ? NodePhase.READY
-                : refused
+                : rejected
                         ? NodePhase.REFUSED
-                        : coming
+                        : starting
                                 ? NodePhase.STARTING
                                 : serving != null
                                         ? NodePhase.READY
-                                        : ending != null ? NodePhase.DRAINING : NodePhase.DOWN;
+                                        : draining != null ? NodePhase.DRAINING : NodePhase.DOWN;
         String version =
-                serving != null ? serving.launch.version() : phase == NodePhase.DRAINING ? ending.launch.version() : "";
-        long order = target != null && (done || refused || crashes > 0) ? target.order() : view.order();
-        boolean same = phase == view.phase() && version.equals(view.version());
-        return new NodeReport(version, phase, same ? view.since() : now, order, crashes, trouble);
+                serving != null ? serving.launch.version() : phase == NodePhase.DRAINING ? draining.launch.version() : "";
+        long completedOrder = target != null && (targetReady || rejected || crashes > 0) ? target.orderNumber() : report.completedOrder();
+        boolean unchanged = phase == report.phase() && version.equals(report.version());
+        return new NodeReport(version, phase, unchanged ? report.sinceMs() : nowMs, completedOrder, crashes, lastError);
     }
 
     /** How the node stands after the last event. */
-    NodeReport view() {
-        return view;
+    NodeReport report() {
+        return report;
     }
 
     /** What the newest order wants, null before the first. */
@@ -329,7 +329,7 @@
     }
 
     /** Whether no process of it is left. */
-    boolean idle() {
-        return slots.stream().allMatch(NodeSlot::empty);
+    boolean isIdle() {
+        return slots.stream().allMatch(NodeSlot::isEmpty);
     }
 }
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -12,8 +12,8 @@
 import olivechute.fleet.wire.Order;
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.store.Store;
-import olivechute.supervisor.NodeEvent.Ordered;
-import olivechute.supervisor.SupervisorSettings.Supervised;
+import olivechute.supervisor.NodeEvent.OrderReceived;
+import olivechute.supervisor.SupervisorSettings.ManagedNode;
 import org.tinylog.Logger;
 
 /**
@@ -22,60 +22,60 @@
  */
 final class OrderWatcher {
     /** An order for a node. */
-    record Given(String node, Ordered order) {}
+    record NodeOrder(String node, OrderReceived order) {}
 
-    private static final String ORDERS = "order/";
-    private static final long PAUSE = 250;
+    private static final String ORDER_PREFIX = "order/";
+    private static final long RETRY_INTERVAL_MS = 250;
 
-    private final Map<String, Supervised> nodes;
+    private final Map<String, ManagedNode> nodes;
     private final Store store;
-    private final LeaseRenewer lease;
-    private final LaunchSpecFactory launches;
-    private final Duration wait;
-    private final ToLongFunction<String> taken;
-    private final Consumer<Given> give;
+    private final LeaseRenewer leaseRenewer;
+    private final LaunchSpecFactory launchSpecFactory;
+    private final Duration watchTimeout;
+    private final ToLongFunction<String> currentOrderNumber;
+    private final Consumer<NodeOrder> deliver;
     private final Map<String, Order> orders = new HashMap<>();
-    private final Map<String, Long> absent = new HashMap<>();
-    private long session;
-    private long since = -1;
-    private ErrorCode told;
+    private final Map<String, Long> missingVersionOrders = new HashMap<>();
+    private long lastSession;
+    private long sinceVersion = -1;
+    private ErrorCode lastLoggedError;
     private volatile boolean closed;
 
     /** {@code taken}: number of the newest order that a node took up, below 0 for none. */
     OrderWatcher(
-            Map<String, Supervised> nodes,
+            Map<String, ManagedNode> nodes,
             Store store,
-            LeaseRenewer lease,
-            LaunchSpecFactory launches,
-            Duration wait,
-            ToLongFunction<String> taken,
-            Consumer<Given> give) {
+            LeaseRenewer leaseRenewer,
+            LaunchSpecFactory launchSpecFactory,
+            Duration watchTimeout,
+            ToLongFunction<String> currentOrderNumber,
+            Consumer<NodeOrder> deliver) {
         this.nodes = nodes;
         this.store = store;
-        this.lease = lease;
-        this.launches = launches;
-        this.wait = wait;
-        this.taken = taken;
-        this.give = give;
+        this.leaseRenewer = leaseRenewer;
+        this.launchSpecFactory = launchSpecFactory;
+        this.watchTimeout = watchTimeout;
+        this.currentOrderNumber = currentOrderNumber;
+        this.deliver = deliver;
     }
 
     void run() {
         try {
             while (!closed) {
-                Store.Lease held = lease.held();
-                if (held == null) {
-                    since = -1;
-                    lease.await(PAUSE);
+                Store.Lease lease = leaseRenewer.validLease();
+                if (lease == null) {
+                    sinceVersion = -1;
+                    leaseRenewer.awaitLease(RETRY_INTERVAL_MS);
                     continue;
                 }
                 try {
-                    read(held);
-                    told = null;
+                    readOrders(lease);
+                    lastLoggedError = null;
                 } catch (StoreException e) {
-                    since = -1;
-                    tellOnce(e);
+                    sinceVersion = -1;
+                    warnOnce(e);
                     synchronized (this) {
-                        wait(PAUSE);
+                        wait(RETRY_INTERVAL_MS);
                     }
                 }
             }
@@ -84,32 +84,32 @@
         }
     }
 
-    private void tellOnce(StoreException fault) {
-        if (fault.kind() != told) {
-            told = fault.kind();
-            Logger.warn("orders: {}", fault.getMessage());
+    private void warnOnce(StoreException error) {
+        if (error.kind() != lastLoggedError) {
+            lastLoggedError = error.kind();
+            Logger.warn("orders: {}", error.getMessage());
         }
     }
 
-    private void read(Store.Lease held) throws StoreException {
-        boolean all = since < 0 || held.session() != session;
-        Store.Changes changes = all ? store.list(ORDERS) : store.watch(ORDERS, since, wait);
-        if (all || changes.complete()) {
+    private void readOrders(Store.Lease lease) throws StoreException {
+        boolean readAll = sinceVersion < 0 || lease.session() != lastSession;
+        Store.Changes changes = readAll ? store.list(ORDER_PREFIX) : store.watch(ORDER_PREFIX, sinceVersion, watchTimeout);
+        if (readAll || changes.complete()) {
             orders.clear();
         }
-        changes.removed().forEach(key -> orders.remove(key.substring(ORDERS.length())));
+        changes.removed().forEach(key -> orders.remove(key.substring(ORDER_PREFIX.length())));
         for (Store.Entry entry : changes.entries()) {
-            note(entry);
+            storeOrder(entry);
         }
-        since = changes.version();
-        session = held.session();
-        for (Supervised node : nodes.values()) {
-            give(node);
+        sinceVersion = changes.version();
+        lastSession = lease.session();
+        for (ManagedNode node : nodes.values()) {
+            deliver(node);
         }
     }
 
-    private void note(Store.Entry entry) {
-        String node = entry.key().substring(ORDERS.length());
+    private void storeOrder(Store.Entry entry) {
+        String node = entry.key().substring(ORDER_PREFIX.length());
         try {
             if (nodes.containsKey(node)) {
                 orders.put(node, Order.parseFrom(entry.value()));
@@ -119,11 +119,11 @@
         }
     }
 
-    private void give(Supervised node) throws StoreException {
+    private void deliver(ManagedNode node) throws StoreException {
         Order order = orders.get(node.name());
-        String version = order == null ? node.version() : order.getVersion();
-        long number = order == null ? 0 : order.getNumber();
-        if (number <= taken.applyAsLong(node.name())) {
+        String version = order == null ? node.initialVersion() : order.getVersion();
+        long orderNumber = order == null ? 0 : order.getNumber();
+        if (orderNumber <= currentOrderNumber.applyAsLong(node.name())) {
             return;
         }
         Optional<Store.Entry> entry = store.get("version/" + version);
@@ -132,17 +132,17 @@
                 VersionSpec spec = VersionSpec.parseFrom(entry.get().value()).toBuilder()
                         .setId(version)
                         .build();
-                give.accept(new Given(node.name(), launches.ordered(node, spec, number)));
-            } else if (number == 0) {
-                give.accept(new Given(
+                deliver.accept(new NodeOrder(node.name(), launchSpecFactory.createOrder(node, spec, orderNumber)));
+            } else if (orderNumber == 0) {
+                deliver.accept(new NodeOrder(
                         node.name(),
-                        launches.ordered(
+                        launchSpecFactory.createOrder(
                                 node, VersionSpec.newBuilder().setId(version).build(), 0)));
-            } else if (!Long.valueOf(number).equals(absent.put(node.name(), number))) {
+            } else if (!Long.valueOf(orderNumber).equals(missingVersionOrders.put(node.name(), orderNumber))) {
                 Logger.warn(
                         "node {}: order {} names the version {}, which the store does not hold",
                         node.name(),
-                        number,
+                        orderNumber,
                         version);
             }
         } catch (InvalidProtocolBufferException e) {
--- a/src/main/java/olivechute/supervisor/ReadinessProbe.java
+++ b/src/main/java/olivechute/supervisor/ReadinessProbe.java
@@ -8,25 +8,25 @@
 
 /** Asks one of our own nodes whether it is ready. */
 final class ReadinessProbe {
-    private static final int WITHIN = 1000;
-    private static final byte[] ASK =
+    private static final int TIMEOUT_MS = 1000;
+    private static final byte[] REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: node\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final String YES = "HTTP/1.1 200";
+    private static final String OK_STATUS_LINE = "HTTP/1.1 200";
 
     private ReadinessProbe() {}
 
     /** True if it answers 200 within a second. */
-    static boolean of(InetSocketAddress address) {
+    static boolean isReady(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
-            socket.connect(address, WITHIN);
-            socket.setSoTimeout(WITHIN);
-            socket.getOutputStream().write(ASK);
-            byte[] head = new byte[YES.length()];
-            int n = 0;
-            for (int at = 0; n >= 0 && at < head.length; at += n) {
-                n = TimedReads.read(socket.getInputStream(), head, at, head.length - at);
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.getOutputStream().write(REQUEST);
+            byte[] head = new byte[OK_STATUS_LINE.length()];
+            int count = 0;
+            for (int offset = 0; count >= 0 && offset < head.length; offset += count) {
+                count = TimedReads.read(socket.getInputStream(), head, offset, head.length - offset);
             }
-            return new String(head, StandardCharsets.US_ASCII).equals(YES);
+            return new String(head, StandardCharsets.US_ASCII).equals(OK_STATUS_LINE);
         } catch (IOException e) {
             return false;
         }
--- a/src/main/java/olivechute/supervisor/SettingsOverlay.java
+++ b/src/main/java/olivechute/supervisor/SettingsOverlay.java
@@ -15,7 +15,7 @@
 final class SettingsOverlay {
     private static final String CEILINGS = "settings.ceilings";
     /** What a node takes over when it reads its file again; see {@link olivechute.config.NodeConfig#fixedSince}. */
-    private static final List<String> FREE = List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
+    private static final List<String> RELOADABLE_PATHS = List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
 
     private SettingsOverlay() {}
 
@@ -23,23 +23,23 @@
      * The whole configuration as JSON on one line; SETTINGS_INVALID where the text is no HOCON or refers to what is not
      * there.
      */
-    static String lay(String base, String over) throws SettingsException {
+    static String merge(String base, String overlay) throws SettingsException {
         try {
-            Config whole = parse(over).withFallback(parse(base)).resolve(ConfigResolveOptions.noSystem());
-            return whole.root().render(ConfigRenderOptions.concise());
+            Config merged = parse(overlay).withFallback(parse(base)).resolve(ConfigResolveOptions.noSystem());
+            return merged.root().render(ConfigRenderOptions.concise());
         } catch (ConfigException e) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, "settings of a version: " + e.getMessage(), e);
         }
     }
 
     /** Whether nothing differs but what a node can change while it runs. */
-    static boolean changesWhileRunning(String before, String now) {
-        return fixed(before).equals(fixed(now));
+    static boolean canReload(String before, String after) {
+        return withoutReloadable(before).equals(withoutReloadable(after));
     }
 
-    private static Config fixed(String json) {
+    private static Config withoutReloadable(String json) {
         Config rest = parse(json);
-        for (String path : FREE) {
+        for (String path : RELOADABLE_PATHS) {
             rest = rest.withoutPath(path);
         }
         // To a node an object without keys is as good as none.
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -17,7 +17,7 @@
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.net.Threads;
 import olivechute.store.Store;
-import olivechute.supervisor.SupervisorSettings.Supervised;
+import olivechute.supervisor.SupervisorSettings.ManagedNode;
 import org.tinylog.Logger;
 
 /**
@@ -25,28 +25,28 @@
  * wait for processes, and post to it what they see.
  */
 final class Supervisor implements AutoCloseable {
-    private static final int MOST_POSTED = 4096;
-    private static final long HOUSEKEEPING = 1000;
-    private static final int SENDER_WITHIN = 5000;
+    private static final int EVENT_QUEUE_CAPACITY = 4096;
+    private static final long HOUSEKEEPING_INTERVAL_MS = 1000;
+    private static final int METRICS_MESSAGE_TIMEOUT_MS = 5000;
 
-    private record Posted(String node, NodeEvent event) {}
+    private record QueuedEvent(String node, NodeEvent event) {}
 
     private final SupervisorSettings settings;
     private final Store store;
-    private final LaunchSpecFactory launches;
-    private final Consumer<String> tell;
-    private final SupervisorDirectory folder;
-    private final MetricsReceiver intake;
-    private final LeaseRenewer lease;
-    private final OrderWatcher orders;
-    private final MetricsPublisher writer;
+    private final LaunchSpecFactory launchSpecFactory;
+    private final Consumer<String> output;
+    private final SupervisorDirectory directory;
+    private final MetricsReceiver metricsReceiver;
+    private final LeaseRenewer leaseRenewer;
+    private final OrderWatcher orderWatcher;
+    private final MetricsPublisher metricsPublisher;
     private final Map<String, NodeRunner> runners = new LinkedHashMap<>();
-    private final Map<String, NodeReport> views = new ConcurrentHashMap<>();
-    private final Map<String, Long> taken = new ConcurrentHashMap<>();
-    private final BlockingQueue<Posted> posted = new LinkedBlockingQueue<>(MOST_POSTED);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final Map<String, NodeReport> reports = new ConcurrentHashMap<>();
+    private final Map<String, Long> currentOrderNumbers = new ConcurrentHashMap<>();
+    private final BlockingQueue<QueuedEvent> events = new LinkedBlockingQueue<>(EVENT_QUEUE_CAPACITY);
+    private final CountDownLatch terminated = new CountDownLatch(1);
     private final LongSupplier clock;
-    private Thread leasing;
+    private Thread leaseThread;
     private boolean stopping;
 
     /**
@@ -56,49 +56,49 @@
     Supervisor(
             SupervisorSettings settings,
             Store store,
-            String own,
+            String defaultJar,
             RandomGenerator random,
             LongSupplier clock,
-            Consumer<String> tell)
+            Consumer<String> output)
             throws FleetException {
         this.settings = settings;
         this.store = store;
-        this.tell = tell;
+        this.output = output;
         this.clock = clock;
-        launches = new LaunchSpecFactory(own);
-        folder = new SupervisorDirectory(settings.folder());
-        Map<String, Supervised> nodes = new LinkedHashMap<>();
+        launchSpecFactory = new LaunchSpecFactory(defaultJar);
+        directory = new SupervisorDirectory(settings.directory());
+        Map<String, ManagedNode> nodes = new LinkedHashMap<>();
         settings.nodes().forEach(node -> nodes.put(node.name(), node));
-        MetricsBuffer book = new MetricsBuffer(nodes.keySet());
-        LongSupplier steady = () -> System.nanoTime() / 1_000_000;
+        MetricsBuffer metricsBuffer = new MetricsBuffer(nodes.keySet());
+        LongSupplier monotonicClock = () -> System.nanoTime() / 1_000_000;
         try {
-            lease = new LeaseRenewer(settings, store, folder.owner(settings.machine()), this::report, tell, steady);
-            intake = new MetricsReceiver(
-                    settings.figures(), book, 4 * nodes.size() + 8, SENDER_WITHIN, Threads.connectionThreads(), tell);
+            leaseRenewer = new LeaseRenewer(settings, store, directory.leaseOwner(settings.machine()), this::buildMachineReport, output, monotonicClock);
+            metricsReceiver = new MetricsReceiver(
+                    settings.metricsAddress(), metricsBuffer, 4 * nodes.size() + 8, METRICS_MESSAGE_TIMEOUT_MS, Threads.connectionThreads(), output);
         } catch (SupervisionException e) {
-            folder.close();
+            directory.close();
             throw e;
         }
-        orders = new OrderWatcher(
+        orderWatcher = new OrderWatcher(
                 nodes,
                 store,
-                lease,
-                launches,
+                leaseRenewer,
+                launchSpecFactory,
                 settings.storeTimeout().dividedBy(2),
-                n -> taken.getOrDefault(n, -1L),
-                given -> post(given.node(), given.order()));
-        writer = new MetricsPublisher(book, store, lease);
-        for (Supervised node : settings.nodes()) {
+                n -> currentOrderNumbers.getOrDefault(n, -1L),
+                nodeOrder -> post(nodeOrder.node(), nodeOrder.order()));
+        metricsPublisher = new MetricsPublisher(metricsBuffer, store, leaseRenewer);
+        for (ManagedNode node : settings.nodes()) {
             runners.put(
                     node.name(),
                     new NodeRunner(
-                            node, settings, intake.address(), folder, book, random, e -> post(node.name(), e), tell));
+                            node, settings, metricsReceiver.address(), directory, metricsBuffer, random, e -> post(node.name(), e), output));
         }
     }
 
     private void post(String node, NodeEvent event) {
         try {
-            posted.put(new Posted(node, event));
+            events.put(new QueuedEvent(node, event));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -110,114 +110,114 @@
     }
 
     private void run() {
-        long begin = clock.getAsLong();
-        runners.values().forEach(r -> r.adopt(begin));
-        runners.values().forEach(this::publish);
-        leasing = Threads.start("lease", lease::run);
-        Threads.start("orders", orders::run);
-        Threads.start("pass figures", writer::run);
-        tell.accept("supervisor " + settings.machine() + " ready");
-        long next = begin;
+        long startMs = clock.getAsLong();
+        runners.values().forEach(r -> r.adopt(startMs));
+        runners.values().forEach(this::updateReport);
+        leaseThread = Threads.start("lease", leaseRenewer::run);
+        Threads.start("orders", orderWatcher::run);
+        Threads.start("pass figures", metricsPublisher::run);
+        output.accept("supervisor " + settings.machine() + " ready");
+        long nextHousekeepingMs = startMs;
         try {
             while (!(stopping
-                    && runners.values().stream().allMatch(r -> r.machine().idle()))) {
-                long now = clock.getAsLong();
-                long due = runners.values().stream()
-                        .mapToLong(r -> r.machine().due())
+                    && runners.values().stream().allMatch(r -> r.stateMachine().isIdle()))) {
+                long nowMs = clock.getAsLong();
+                long nextTickMs = runners.values().stream()
+                        .mapToLong(r -> r.stateMachine().nextTickMs())
                         .min()
                         .orElse(Long.MAX_VALUE);
-                Posted event = posted.poll(Math.max(0, Math.min(due, next) - now), TimeUnit.MILLISECONDS);
-                now = clock.getAsLong();
+                QueuedEvent event = events.poll(Math.max(0, Math.min(nextTickMs, nextHousekeepingMs) - nowMs), TimeUnit.MILLISECONDS);
+                nowMs = clock.getAsLong();
                 if (event != null) {
-                    handle(event, now);
+                    handle(event, nowMs);
                 }
-                if (now >= next) {
-                    next = now + HOUSEKEEPING;
-                    runners.values().forEach(NodeRunner::rotate);
-                    beginAlone(now - begin, now);
+                if (nowMs >= nextHousekeepingMs) {
+                    nextHousekeepingMs = nowMs + HOUSEKEEPING_INTERVAL_MS;
+                    runners.values().forEach(NodeRunner::rotateLogs);
+                    startWithoutStore(nowMs - startMs, nowMs);
                 }
                 for (NodeRunner runner : runners.values()) {
-                    if (now >= runner.machine().due()) {
-                        put(runner, new NodeEvent.Tick(), now);
+                    if (nowMs >= runner.stateMachine().nextTickMs()) {
+                        dispatch(runner, new NodeEvent.Tick(), nowMs);
                     }
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            ended.countDown();
+            terminated.countDown();
         }
     }
 
-    private void handle(Posted event, long now) {
-        if (event.node() == null) {
+    private void handle(QueuedEvent queued, long nowMs) {
+        if (queued.node() == null) {
             stopping = true;
-            runners.values().forEach(r -> put(r, event.event(), now));
+            runners.values().forEach(r -> dispatch(r, queued.event(), nowMs));
             return;
         }
-        if (event.event() instanceof NodeEvent.Ordered && (stopping || lease.held() == null)) {
+        if (queued.event() instanceof NodeEvent.OrderReceived && (stopping || leaseRenewer.validLease() == null)) {
             return; // read before the lease ran out: it is read again under the next one
         }
-        NodeRunner runner = runners.get(event.node());
-        put(runner, event.event(), now);
-        if (event.event() instanceof NodeEvent.Ended e) {
-            runner.ended(e.run());
+        NodeRunner runner = runners.get(queued.node());
+        dispatch(runner, queued.event(), nowMs);
+        if (queued.event() instanceof NodeEvent.Exited e) {
+            runner.removeProcess(e.runId());
         }
     }
 
     /** Without a store, nodes start as they were last ordered, or under the version that they begin with. */
-    private void beginAlone(long waited, long now) {
-        if (waited < settings.lease().toMillis() || lease.others() || stopping) {
+    private void startWithoutStore(long waitedMs, long nowMs) {
+        if (waitedMs < settings.leaseTtl().toMillis() || leaseRenewer.heldByOther() || stopping) {
             return;
         }
         for (NodeRunner runner : runners.values()) {
-            if (runner.machine().target() == null) {
+            if (runner.stateMachine().target() == null) {
                 Logger.warn(
                         "node {}: begins without a word of the store",
                         runner.node().name());
-                put(
+                dispatch(
                         runner,
-                        runner.last()
-                                .map(l -> new NodeEvent.Ordered(l, ""))
-                                .orElseGet(() -> launches.ordered(
+                        runner.storedLaunch()
+                                .map(l -> new NodeEvent.OrderReceived(l, ""))
+                                .orElseGet(() -> launchSpecFactory.createOrder(
                                         runner.node(),
                                         VersionSpec.newBuilder()
-                                                .setId(runner.node().version())
+                                                .setId(runner.node().initialVersion())
                                                 .build(),
                                         0)),
-                        now);
+                        nowMs);
             }
         }
     }
 
-    private void put(NodeRunner runner, NodeEvent event, long now) {
-        runner.on(event, now);
-        publish(runner);
+    private void dispatch(NodeRunner runner, NodeEvent event, long nowMs) {
+        runner.handle(event, nowMs);
+        updateReport(runner);
     }
 
-    private void publish(NodeRunner runner) {
+    private void updateReport(NodeRunner runner) {
         String name = runner.node().name();
-        if (runner.machine().target() != null) {
-            taken.put(name, runner.machine().target().order());
+        if (runner.stateMachine().target() != null) {
+            currentOrderNumbers.put(name, runner.stateMachine().target().orderNumber());
         }
-        NodeReport view = runner.machine().view();
-        if (!view.equals(views.put(name, view))) {
-            lease.changed();
+        NodeReport report = runner.stateMachine().report();
+        if (!report.equals(reports.put(name, report))) {
+            leaseRenewer.reportChanged();
         }
     }
 
-    private MachineReport report() {
+    private MachineReport buildMachineReport() {
         MachineReport.Builder report =
                 MachineReport.newBuilder().setMachine(settings.machine()).setAtMs(clock.getAsLong());
-        views.forEach((node, view) -> report.addNodes(NodeState.newBuilder()
+        reports.forEach((node, view) -> report.addNodes(NodeState.newBuilder()
                 .setNode(node)
                 .setZone(settings.zone())
                 .setVersion(view.version())
                 .setPhase(view.phase().name())
-                .setSinceMs(view.since())
-                .setOrderNumber(view.order())
+                .setSinceMs(view.sinceMs())
+                .setOrderNumber(view.completedOrder())
                 .setCrashes(view.crashes())
-                .setTrouble(view.trouble())));
+                .setTrouble(view.lastError())));
         return report.build();
     }
 
@@ -225,17 +225,17 @@
     @Override
     public void close() throws InterruptedException {
         post(null, new NodeEvent.Stop());
-        ended.await();
-        letGo();
+        terminated.await();
+        releaseResources();
     }
 
-    private void letGo() throws InterruptedException {
-        orders.close();
-        writer.close();
-        lease.close();
-        intake.close();
-        leasing.join(2 * settings.storeTimeout().toMillis());
+    private void releaseResources() throws InterruptedException {
+        orderWatcher.close();
+        metricsPublisher.close();
+        leaseRenewer.close();
+        metricsReceiver.close();
+        leaseThread.join(2 * settings.storeTimeout().toMillis());
         store.close();
-        folder.close();
+        directory.close();
     }
 }
--- a/src/main/java/olivechute/supervisor/SupervisorCommand.java
+++ b/src/main/java/olivechute/supervisor/SupervisorCommand.java
@@ -28,14 +28,14 @@
             required = true,
             paramLabel = "FILE",
             description = "Settings in HOCON; deploy/supervise.conf has every key.")
-    private Path file;
+    private Path settingsFile;
 
     @Override
     public Integer call() throws InterruptedException, URISyntaxException {
         try {
-            SupervisorSettings settings = SupervisorSettings.load(file);
-            String own = settings.program() != null
-                    ? settings.program()
+            SupervisorSettings settings = SupervisorSettings.load(settingsFile);
+            String defaultJar = settings.programJar() != null
+                    ? settings.programJar()
                     : new File(SupervisorCommand.class
                                     .getProtectionDomain()
                                     .getCodeSource()
@@ -45,11 +45,11 @@
             Supervisor supervisor = new Supervisor(
                     settings,
                     RatisStore.connect(settings.region(), settings.replicas(), settings.storeTimeout()),
-                    own,
+                    defaultJar,
                     new Random(),
                     System::currentTimeMillis,
                     System.out::println);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> end(supervisor), "end"));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> closeQuietly(supervisor), "end"));
             supervisor.start();
         } catch (FleetException e) {
             spec.commandLine().getErr().println(e.getMessage());
@@ -59,7 +59,7 @@
         return 0;
     }
 
-    private static void end(Supervisor supervisor) {
+    private static void closeQuietly(Supervisor supervisor) {
         try {
             supervisor.close();
         } catch (InterruptedException e) {
--- a/src/main/java/olivechute/supervisor/SupervisorDirectory.java
+++ b/src/main/java/olivechute/supervisor/SupervisorDirectory.java
@@ -25,26 +25,26 @@
 /** The supervisor's folder: replaced as a whole or not at all, and of one process at a time. */
 final class SupervisorDirectory implements AutoCloseable {
     private final Path path;
-    private final FileChannel held;
+    private final FileChannel lockChannel;
 
     /** Takes the folder, which is made where it is not there; DATA_IN_USE while another supervisor has it. */
     SupervisorDirectory(Path path) throws SupervisionException {
         this.path = path.toAbsolutePath();
         try {
             Files.createDirectories(path);
-            held = FileChannel.open(path.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            lockChannel = FileChannel.open(path.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         } catch (IOException e) {
             throw new SupervisionException(ErrorCode.DISK_BROKEN, "folder " + path + ": " + e, e);
         }
-        if (!lock()) {
+        if (!tryLock()) {
             close();
             throw new SupervisionException(ErrorCode.DATA_IN_USE, "folder " + path);
         }
     }
 
-    private boolean lock() {
+    private boolean tryLock() {
         try {
-            FileLock lock = held.tryLock();
+            FileLock lock = lockChannel.tryLock();
             return lock != null;
         } catch (IOException | OverlappingFileLockException e) {
             return false;
@@ -57,18 +57,18 @@
 
     /** Replaces a file at once: whoever reads it sees the old text or the new. */
     void replace(Path file, String text) throws IOException {
-        Path next = file.resolveSibling(file.getFileName() + ".new");
+        Path newFile = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out = FileChannel.open(
-                next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                newFile, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel names = FileChannel.open(path)) {
-            names.force(true);
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        try (FileChannel directoryChannel = FileChannel.open(path)) {
+            directoryChannel.force(true);
         }
     }
 
@@ -81,10 +81,10 @@
     }
 
     /** Removes the configurations of a node that none of these needs. */
-    void keepOnly(String node, List<Path> needed) {
-        String form = Pattern.quote(node) + "-[0-9]+\\.json";
-        try (Stream<Path> all = Files.list(path)) {
-            all.filter(p -> p.getFileName().toString().matches(form) && !needed.contains(p))
+    void deleteUnusedConfigs(String node, List<Path> needed) {
+        String fileNamePattern = Pattern.quote(node) + "-[0-9]+\\.json";
+        try (Stream<Path> files = Files.list(path)) {
+            files.filter(p -> p.getFileName().toString().matches(fileNamePattern) && !needed.contains(p))
                     .forEach(this::remove);
         } catch (IOException e) {
             Logger.warn("cannot list {}: {}", path, e.toString());
@@ -95,7 +95,7 @@
      * This supervisor's own name as a holder of leases: the same after a restart, so that it need not wait for its own
      * lease to end.
      */
-    String owner(String machine) throws SupervisionException {
+    String leaseOwner(String machine) throws SupervisionException {
         Path file = file("owner");
         try {
             if (!Files.exists(file)) {
@@ -131,7 +131,7 @@
     @Override
     public void close() {
         try {
-            held.close();
+            lockChannel.close();
         } catch (IOException e) {
             Logger.warn("cannot let go of {}: {}", path, e.toString());
         }
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -26,47 +26,47 @@
         String region,
         List<ReplicaAddress> replicas,
         Duration storeTimeout,
-        Duration lease,
-        String program,
-        List<String> java,
-        Path folder,
-        InetSocketAddress figures,
-        NodeTimeouts bounds,
-        List<Supervised> nodes) {
-    private static final int MOST = 256 * 1024;
-    private static final int MOST_NODES = 256;
+        Duration leaseTtl,
+        String programJar,
+        List<String> javaCommand,
+        Path directory,
+        InetSocketAddress metricsAddress,
+        NodeTimeouts timeouts,
+        List<ManagedNode> nodes) {
+    private static final int MAX_FILE_BYTES = 256 * 1024;
+    private static final int MAX_NODES = 256;
     private static final Duration HOUR = Duration.ofHours(1);
 
     /**
      * A node: its base file, where it listens (one address or two, of which one serves), and the version before any
      * order.
      */
-    record Supervised(String name, Path config, List<String> addresses, String version) {}
+    record ManagedNode(String name, Path configFile, List<String> addresses, String initialVersion) {}
 
     /** Reads a file; SETTINGS_INVALID tells all that is wrong with it. */
     static SupervisorSettings load(Path file) throws SettingsException {
         try {
-            if (Files.size(file) > MOST) {
-                throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + " is over " + MOST + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new SettingsException(ErrorCode.SETTINGS_INVALID, file + " is over " + MAX_FILE_BYTES + " bytes");
             }
-            return read(Files.readString(file, StandardCharsets.UTF_8));
+            return parse(Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, "cannot read " + file + ": " + e, e);
         }
     }
 
-    static SupervisorSettings read(String text) throws SettingsException {
-        List<String> faults = new ArrayList<>();
-        HoconObject root = HoconObject.parse(text, faults);
-        SupervisorSettings read = of(root);
+    static SupervisorSettings parse(String text) throws SettingsException {
+        List<String> errors = new ArrayList<>();
+        HoconObject root = HoconObject.parse(text, errors);
+        SupervisorSettings settings = readRoot(root);
         root.close();
-        if (!faults.isEmpty()) {
-            throw new SettingsException(ErrorCode.SETTINGS_INVALID, String.join("; ", faults));
+        if (!errors.isEmpty()) {
+            throw new SettingsException(ErrorCode.SETTINGS_INVALID, String.join("; ", errors));
         }
-        return read;
+        return settings;
     }
 
-    private static SupervisorSettings of(HoconObject root) {
+    private static SupervisorSettings readRoot(HoconObject root) {
         HoconObject store = root.node("store");
         List<ReplicaAddress> replicas = new ArrayList<>();
         for (HoconObject each : store.nodes("replicas")) {
@@ -107,11 +107,11 @@
                 java,
                 Path.of(folder),
                 listen,
-                bounds(root),
+                timeouts(root),
                 nodes(root));
     }
 
-    private static NodeTimeouts bounds(HoconObject root) {
+    private static NodeTimeouts timeouts(HoconObject root) {
         Duration ready = root.duration("ready_within", Duration.ofSeconds(20), Duration.ofMillis(100), HOUR);
         Duration drain = root.duration("drain_within", Duration.ofSeconds(10), Duration.ofMillis(100), HOUR);
         HoconObject backoff = root.node("backoff");
@@ -124,10 +124,10 @@
         return new NodeTimeouts(ready, drain, least, most);
     }
 
-    private static List<Supervised> nodes(HoconObject root) {
-        List<Supervised> nodes = new ArrayList<>();
+    private static List<ManagedNode> nodes(HoconObject root) {
+        List<ManagedNode> nodes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        Set<String> taken = new HashSet<>();
+        Set<String> usedAddresses = new HashSet<>();
         for (HoconObject each : root.nodes("nodes")) {
             String name = name(each, "name");
             String config = each.needed("config");
@@ -139,30 +139,30 @@
             if (!names.add(name)) {
                 each.wrong("name", "there is another node of that name");
             }
-            if (!taken.addAll(addresses) || new HashSet<>(addresses).size() < addresses.size()) {
+            if (!usedAddresses.addAll(addresses) || new HashSet<>(addresses).size() < addresses.size()) {
                 each.wrong("listen", "each address can be used once");
             }
-            nodes.add(new Supervised(name, Path.of(config), List.copyOf(addresses), name(each, "version")));
+            nodes.add(new ManagedNode(name, Path.of(config), List.copyOf(addresses), name(each, "version")));
             each.close();
         }
-        if (nodes.isEmpty() || nodes.size() > MOST_NODES) {
-            root.wrong("nodes", "must be a list of 1 to " + MOST_NODES + " nodes");
+        if (nodes.isEmpty() || nodes.size() > MAX_NODES) {
+            root.wrong("nodes", "must be a list of 1 to " + MAX_NODES + " nodes");
         }
         return List.copyOf(nodes);
     }
 
-    private static String address(HoconObject at, String key, String text) {
+    private static String address(HoconObject parent, String key, String text) {
         if (!text.isEmpty()) {
-            at.meaning(key, path -> Address.parse(path, text));
+            parent.meaning(key, path -> Address.parse(path, text));
         }
         return text;
     }
 
     /** Names are parts of keys and of file names. */
-    private static String name(HoconObject at, String key) {
-        String name = at.needed(key);
+    private static String name(HoconObject parent, String key) {
+        String name = parent.needed(key);
         if (!name.isEmpty() && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
-            at.wrong(key, "must be up to 64 letters, digits, dots, dashes and underscores");
+            parent.wrong(key, "must be up to 64 letters, digits, dots, dashes and underscores");
         }
         return name;
     }
--- a/src/main/java/olivechute/supervisor/SupervisorStateFile.java
+++ b/src/main/java/olivechute/supervisor/SupervisorStateFile.java
@@ -6,36 +6,36 @@
 /** How the folder's files hold what runs and what was ordered. */
 final class SupervisorStateFile {
     /** A process: what it runs, from which configuration file, and what tells it from a later one with the same pid. */
-    record Running(long pid, long started, String address, String file, LaunchSpec launch) {}
+    record ProcessRecord(long pid, long startedMs, String address, String configFile, LaunchSpec launch) {}
 
     private SupervisorStateFile() {}
 
-    static Properties of(LaunchSpec launch) {
+    static Properties toProperties(LaunchSpec launch) {
         Properties values = new Properties();
         values.setProperty("version", launch.version());
-        values.setProperty("order", String.valueOf(launch.order()));
+        values.setProperty("order", String.valueOf(launch.orderNumber()));
         values.setProperty("program", launch.program());
-        values.setProperty("digest", launch.digest());
-        values.setProperty("found", launch.found());
-        values.setProperty("config", launch.config());
+        values.setProperty("digest", launch.expectedDigest());
+        values.setProperty("found", launch.actualDigest());
+        values.setProperty("config", launch.configJson());
         return values;
     }
 
-    static Properties of(Running running) {
-        Properties values = of(running.launch());
+    static Properties toProperties(ProcessRecord running) {
+        Properties values = toProperties(running.launch());
         values.setProperty("pid", String.valueOf(running.pid()));
-        values.setProperty("started", String.valueOf(running.started()));
+        values.setProperty("started", String.valueOf(running.startedMs()));
         values.setProperty("address", running.address());
-        values.setProperty("file", running.file());
+        values.setProperty("file", running.configFile());
         return values;
     }
 
     /** Empty where a value is missing or no number. */
-    static Optional<LaunchSpec> launch(Properties values) {
+    static Optional<LaunchSpec> parseLaunch(Properties values) {
         String program = values.getProperty("program");
         String version = values.getProperty("version");
         String config = values.getProperty("config");
-        long order = number(values, "order");
+        long order = parseNumber(values, "order");
         return program == null || version == null || config == null || order < 0
                 ? Optional.empty()
                 : Optional.of(new LaunchSpec(
@@ -47,13 +47,13 @@
                         config));
     }
 
-    static Optional<Running> running(Properties values) {
-        long pid = number(values, "pid");
-        long started = number(values, "started");
+    static Optional<ProcessRecord> parseProcess(Properties values) {
+        long pid = parseNumber(values, "pid");
+        long started = parseNumber(values, "started");
         return pid <= 0 || started < 0
                 ? Optional.empty()
-                : launch(values)
-                        .map(launch -> new Running(
+                : parseLaunch(values)
+                        .map(launch -> new ProcessRecord(
                                 pid,
                                 started,
                                 values.getProperty("address", ""),
@@ -61,7 +61,7 @@
                                 launch));
     }
 
-    private static long number(Properties values, String key) {
+    private static long parseNumber(Properties values, String key) {
         try {
             return Long.parseLong(values.getProperty(key, ""));
         } catch (NumberFormatException e) {
--- a/src/test/java/olivechute/FiguresNodeTest.java
+++ b/src/test/java/olivechute/FiguresNodeTest.java
@@ -93,7 +93,7 @@
             assertTrue(seen.containsKey("pay 502") && seen.containsKey("sign 200"), "too plain: " + seen);
             assertEquals(taken, JOBS + 1);
             assertEquals(last.getRulesBroken(), 0);
-            assertEquals(last.getDelayCount(), DelayBuckets.BUCKETS);
+            assertEquals(last.getDelayCount(), DelayBuckets.BUCKET_COUNT);
             assertTrue(last.getDelayList().stream().mapToLong(n -> n).sum() <= taken);
             assertTrue(last.getDelayList().stream().mapToLong(n -> n).sum()
                     >= seen.get("verify 200") + seen.get("sign 200"));
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -64,7 +64,7 @@
         classes.put(
                 "sign",
                 new ClassCounts(100L * sequence, 90L * sequence, 5L * sequence, 3L * sequence, sequence, sequence));
-        long[] delayCounts = new long[olivechute.metrics.DelayBuckets.BOUNDS.size()];
+        long[] delayCounts = new long[olivechute.metrics.DelayBuckets.UPPER_BOUNDS.size()];
         for (int i = 0; i < delayCounts.length; i++) {
             delayCounts[i] = sequence * (long) (delayCounts.length - i);
         }
@@ -82,7 +82,7 @@
                     state,
                     nodes,
                     List.of(metrics("n1", "v1", s), metrics("n2", "v1", s)),
-                    PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.BOUNDS),
+                    PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.UPPER_BOUNDS),
                     NOW_MS + 1000L * s);
             state = decision.nextState();
         }
@@ -193,7 +193,7 @@
                         state,
                         List.of(new NodeStatus("n1", "z1", "v1", NodePhase.READY, NOW_MS, 0, "", true, "v1")),
                         List.of(),
-                        PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.BOUNDS),
+                        PriorityWeights.equalWeights(olivechute.metrics.DelayBuckets.UPPER_BOUNDS),
                         NOW_MS + 31_000)
                 .nextState();
         assertEquals(false, next.reason().contains("begins anew"), next.reason());
--- a/src/test/java/olivechute/metrics/DelayBucketsTest.java
+++ b/src/test/java/olivechute/metrics/DelayBucketsTest.java
@@ -15,37 +15,37 @@
 
 class DelayBucketsTest {
     @Test
-    void theEndsGrowByOneFactorFrom50MicrosecondsTo10Seconds() {
-        assertEquals(DelayBuckets.BUCKETS, DelayBuckets.BOUNDS.size());
-        assertEquals(50, DelayBuckets.BOUNDS.get(0));
-        assertEquals(10_000_000, DelayBuckets.BOUNDS.get(DelayBuckets.BUCKETS - 1));
-        for (int i = 1; i < DelayBuckets.BUCKETS; i++) {
-            assertEquals(1.3675, DelayBuckets.BOUNDS.get(i) / (double) DelayBuckets.BOUNDS.get(i - 1), 0.02);
+    void boundsGrowByOneFactorFrom50MicrosecondsTo10Seconds() {
+        assertEquals(DelayBuckets.BUCKET_COUNT, DelayBuckets.UPPER_BOUNDS.size());
+        assertEquals(50, DelayBuckets.UPPER_BOUNDS.get(0));
+        assertEquals(10_000_000, DelayBuckets.UPPER_BOUNDS.get(DelayBuckets.BUCKET_COUNT - 1));
+        for (int i = 1; i < DelayBuckets.BUCKET_COUNT; i++) {
+            assertEquals(1.3675, DelayBuckets.UPPER_BOUNDS.get(i) / (double) DelayBuckets.UPPER_BOUNDS.get(i - 1), 0.02);
         }
     }
 
     @Property
-    void aDelayLiesAboveTheEndBeforeAndUpToItsOwn(@ForAll @LongRange(min = -5, max = 20_000_000) long delay) {
-        int i = DelayBuckets.index(delay);
-        assertTrue(i == 0 || delay > DelayBuckets.BOUNDS.get(i - 1));
-        assertTrue(i == DelayBuckets.BUCKETS - 1 || delay <= DelayBuckets.BOUNDS.get(i));
+    void aDelayIsAboveThePreviousBoundAndUpToItsOwn(@ForAll @LongRange(min = -5, max = 20_000_000) long delay) {
+        int i = DelayBuckets.bucketIndex(delay);
+        assertTrue(i == 0 || delay > DelayBuckets.UPPER_BOUNDS.get(i - 1));
+        assertTrue(i == DelayBuckets.BUCKET_COUNT - 1 || delay <= DelayBuckets.UPPER_BOUNDS.get(i));
     }
 
     @Test
-    void anEndIsItsOwnBuckets() {
-        for (int i = 0; i < DelayBuckets.BUCKETS; i++) {
-            assertEquals(i, DelayBuckets.index(DelayBuckets.BOUNDS.get(i)));
+    void aBoundBelongsToItsOwnBucket() {
+        for (int i = 0; i < DelayBuckets.BUCKET_COUNT; i++) {
+            assertEquals(i, DelayBuckets.bucketIndex(DelayBuckets.UPPER_BOUNDS.get(i)));
         }
-        assertEquals(DelayBuckets.BUCKETS - 1, DelayBuckets.index(Long.MAX_VALUE));
+        assertEquals(DelayBuckets.BUCKET_COUNT - 1, DelayBuckets.bucketIndex(Long.MAX_VALUE));
     }
 
     /** The mean is that of the delays to within a bucket, and all but 1 in 100 lie at or below the p99. */
     @Property
-    void meanAndTailAreThoseOfTheDelays(
+    void meanAndP99ApproximateTheRecordedDelays(
             @ForAll @Size(min = 1, max = 300) List<@LongRange(min = 50, max = 9_000_000) Long> delays) {
-        long[] counts = new long[DelayBuckets.BUCKETS];
+        long[] counts = new long[DelayBuckets.BUCKET_COUNT];
         for (long delay : delays) {
-            counts[DelayBuckets.index(delay)]++;
+            counts[DelayBuckets.bucketIndex(delay)]++;
         }
         double mean = delays.stream().mapToLong(d -> d).average().orElseThrow();
         assertEquals(mean, DelayBuckets.mean(counts), 0.5 * mean);
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void ofNothingThereIsNoMean() {
-        assertTrue(Double.isNaN(DelayBuckets.mean(new long[DelayBuckets.BUCKETS])));
+    void meanAndP99OfNoDelaysAreNaN() {
+        assertTrue(Double.isNaN(DelayBuckets.mean(new long[DelayBuckets.BUCKET_COUNT])));
         assertTrue(Double.isNaN(DelayBuckets.p99(new long[0])));
     }
 
@@ -68,7 +68,7 @@
         long[] a = one.stream().mapToLong(n -> n).toArray();
         long[] b = other.stream().mapToLong(n -> n).toArray();
         long[] sum = DelayBuckets.merge(a, b);
-        assertEquals(DelayBuckets.BUCKETS, sum.length);
+        assertEquals(DelayBuckets.BUCKET_COUNT, sum.length);
         assertEquals(
                 Arrays.stream(a).sum() + Arrays.stream(b).sum(),
                 Arrays.stream(sum).sum());
--- a/src/test/java/olivechute/metrics/MetricsSenderTest.java
+++ b/src/test/java/olivechute/metrics/MetricsSenderTest.java
@@ -29,22 +29,22 @@
 /** The way to a supervisor that is there, is not, comes late, breaks off or stands still. */
 @SuppressWarnings("EmptyCatch") // the receiver ends with its socket
 public class MetricsSenderTest {
-    private static final int WATCH = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
     private static final int CLASSES = 200;
     private static final long SEED = 5;
 
-    private RequestCounters counts;
+    private RequestCounters counters;
     private ServerSocket supervisor;
     private MetricsSender sender;
     private final List<Socket> sockets = new ArrayList<>();
 
     @BeforeMethod
-    public void listen() throws IOException {
-        counts = new RequestCounters(CLASSES);
+    public void setUp() throws IOException {
+        counters = new RequestCounters(CLASSES);
         supervisor = new ServerSocket();
         supervisor.setReceiveBufferSize(4096);
         supervisor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        supervisor.setSoTimeout(WATCH);
+        supervisor.setSoTimeout(TIMEOUT_MS);
         sender = sender(new Limits(500, 300, 10, 40));
     }
 
@@ -53,10 +53,10 @@
         for (int i = 0; i < CLASSES; i++) {
             classes.add("class-of-some-length-" + i);
         }
-        MetricsSender made = new MetricsSender(
+        MetricsSender created = new MetricsSender(
                 address(), new MetricsSnapshot.Origin("n0", "v1", 7, classes), limits, new SplittableRandom(SEED));
-        made.start();
-        return made;
+        created.start();
+        return created;
     }
 
     private InetSocketAddress address() {
@@ -65,8 +65,8 @@
 
     /** Ends the sender before its port is another's. */
     @AfterMethod(alwaysRun = true)
-    public void end() throws IOException {
-        sender.end();
+    public void tearDown() throws IOException {
+        sender.shutDown();
         for (Socket socket : sockets) {
             socket.close();
         }
@@ -75,52 +75,52 @@
     }
 
     private long offer() {
-        counts.onReceived(0);
-        MetricsSnapshot snapshot = counts.snapshot(0);
+        counters.onReceived(0);
+        MetricsSnapshot snapshot = counters.snapshot(0);
         sender.offer(snapshot);
         return snapshot.sequence();
     }
 
     private InputStream accept() throws IOException {
         Socket socket = supervisor.accept();
-        socket.setSoTimeout(WATCH);
+        socket.setSoTimeout(TIMEOUT_MS);
         sockets.add(socket);
         return socket.getInputStream();
     }
 
-    private static NodeFigures read(InputStream in) throws IOException {
+    private static NodeFigures readReport(InputStream in) throws IOException {
         return NodeFigures.parseDelimitedFrom(in);
     }
 
     /** The first report at or after a sequence number; numbers grow on the way there. */
-    private static NodeFigures upTo(InputStream in, long sequence) throws IOException {
-        long before = 0;
+    private static NodeFigures readUntil(InputStream in, long sequence) throws IOException {
+        long previous = 0;
         for (; ; ) {
-            NodeFigures report = read(in);
+            NodeFigures report = readReport(in);
             assertNotNull(report, "the connection ended");
-            assertTrue(report.getSequence() > before, report.getSequence() + " after " + before);
-            before = report.getSequence();
-            if (before >= sequence) {
+            assertTrue(report.getSequence() > previous, report.getSequence() + " after " + previous);
+            previous = report.getSequence();
+            if (previous >= sequence) {
                 return report;
             }
         }
     }
 
     @Test
-    public void reportsComeInOrderOverOneConnection() throws Exception {
+    public void sendsReportsInOrderOverOneConnection() throws Exception {
         long first = offer();
         InputStream in = accept();
-        assertEquals(upTo(in, first).getSequence(), first);
+        assertEquals(readUntil(in, first).getSequence(), first);
         for (int i = 0; i < 5; i++) {
             long next = offer();
-            NodeFigures report = upTo(in, next);
+            NodeFigures report = readUntil(in, next);
             assertEquals(
                     report.getSequence() + " " + report.getIncarnation() + " " + report.getVersion(), next + " 7 v1");
         }
     }
 
     @Test
-    public void oneThatComesLateGetsTheNewest() throws Exception {
+    public void sendsOnlyTheNewestReportToASupervisorThatStartsLate() throws Exception {
         int port = supervisor.getLocalPort();
         InetAddress host = supervisor.getInetAddress();
         supervisor.close();
@@ -129,10 +129,10 @@
         }
         supervisor = new ServerSocket();
         supervisor.setReuseAddress(true);
-        supervisor.setSoTimeout(WATCH);
+        supervisor.setSoTimeout(TIMEOUT_MS);
         long newest = offer();
         supervisor.bind(new InetSocketAddress(host, port));
-        NodeFigures report = read(accept());
+        NodeFigures report = readReport(accept());
         assertEquals(report.getSequence(), newest);
         assertEquals(report.getClasses(0).getTaken(), newest);
     }
@@ -141,12 +141,12 @@
      * Offers until the supervisor is called anew: what was sent into a connection that then breaks is lost, and the
      * next makes up for it.
      */
-    private InputStream acceptAnother() throws IOException {
+    private InputStream offerUntilReconnected() throws IOException {
         supervisor.setSoTimeout(20);
-        for (long end = System.nanoTime() + WATCH * 1_000_000L; System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + TIMEOUT_MS * 1_000_000L; System.nanoTime() < end; ) {
             long before = System.nanoTime();
             offer();
-            assertTrue(System.nanoTime() - before < WATCH * 1_000_000L / 2, "waits for the supervisor");
+            assertTrue(System.nanoTime() - before < TIMEOUT_MS * 1_000_000L / 2, "waits for the supervisor");
             try {
                 return accept();
             } catch (SocketTimeoutException e) {
@@ -157,19 +157,19 @@
     }
 
     @Test
-    public void afterAResetReportsComeOverAnotherConnection() throws Exception {
-        InputStream in = supervisorAfter(offer());
+    public void reconnectsAfterAReset() throws Exception {
+        InputStream in = acceptAfter(offer());
         for (int i = 0; i < 3; i++) {
-            assertNotNull(read(in));
+            assertNotNull(readReport(in));
             sockets.get(i).setSoLinger(true, 0);
             sockets.get(i).close();
-            in = acceptAnother();
+            in = offerUntilReconnected();
         }
         long last = offer();
-        assertEquals(upTo(in, last).getClasses(0).getTaken(), last);
+        assertEquals(readUntil(in, last).getClasses(0).getTaken(), last);
     }
 
-    private InputStream supervisorAfter(long sequence) throws IOException {
+    private InputStream acceptAfter(long sequence) throws IOException {
         assertTrue(sequence > 0);
         return accept();
     }
@@ -179,25 +179,25 @@
      * the newest.
      */
     @Test
-    public void oneThatStopsReadingIsDroppedAndGetsTheNewestWhenItIsBack() throws Exception {
-        assertNotNull(read(supervisorAfter(offer())));
-        InputStream again = acceptAnother();
+    public void reconnectsAndSendsTheNewestAfterAWriteTimeout() throws Exception {
+        assertNotNull(readReport(acceptAfter(offer())));
+        InputStream again = offerUntilReconnected();
         long last = offer();
-        assertEquals(upTo(again, last).getClasses(0).getTaken(), last);
+        assertEquals(readUntil(again, last).getClasses(0).getTaken(), last);
     }
 
     /** Ended, it sends what it has and takes leave. */
     @Test
-    public void theLastReportComesBeforeTheEnd() throws Exception {
-        InputStream in = supervisorAfter(offer());
+    public void sendsTheLastReportBeforeShutdown() throws Exception {
+        InputStream in = acceptAfter(offer());
         long last = offer();
-        sender.end();
-        assertEquals(upTo(in, last).getSequence(), last);
-        assertNull(read(in));
+        sender.shutDown();
+        assertEquals(readUntil(in, last).getSequence(), last);
+        assertNull(readReport(in));
     }
 
     @Test
-    public void anEndWithoutASupervisorIsAnEnd() throws Exception {
+    public void shutsDownWithoutASupervisor() throws Exception {
         supervisor.close();
         MetricsSender alone = new MetricsSender(
                 address(),
@@ -206,14 +206,14 @@
                 new SplittableRandom(SEED));
         alone.offer(new RequestCounters(1).snapshot(0));
         Thread thread = alone.start();
-        alone.end();
-        thread.join(WATCH);
+        alone.shutDown();
+        thread.join(TIMEOUT_MS);
         assertTrue(!thread.isAlive(), "waits for its next try");
     }
 
     /** The loop runs on, whatever the supervisor does: here nobody takes even the connection. */
     @Test
-    public void theLoopNeverWaitsForASupervisor() throws Exception {
+    public void theEventLoopNeverWaitsForTheSupervisor() throws Exception {
         ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Socket[] waiting = new Socket[4];
         try (full) {
@@ -239,8 +239,8 @@
             for (int i = 0; i < 500; i++) {
                 loop.post(new ProxyEvent.Task(ran::countDown));
             }
-            assertTrue(ran.await(WATCH, TimeUnit.MILLISECONDS));
-            reporting.end();
+            assertTrue(ran.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            reporting.shutDown();
         } finally {
             for (Socket socket : waiting) {
                 if (socket != null) {
--- a/src/test/java/olivechute/metrics/RequestCountersTest.java
+++ b/src/test/java/olivechute/metrics/RequestCountersTest.java
@@ -12,7 +12,7 @@
             new MetricsSnapshot.Origin("n0", "v1", 7, List.of("verify", "sign"));
 
     @Test
-    void eachCountHasItsPlaceInTheMessage() {
+    void eachCounterHasItsOwnMessageField() {
         RequestCounters counts = new RequestCounters(2);
         times(1, () -> counts.onReceived(1));
         times(2, () -> counts.onServed(1, false));
@@ -23,7 +23,7 @@
         times(7, counts::onRuleViolated);
         times(8, () -> counts.onFirstSend(60));
         counts.onReceived(0);
-        NodeFigures message = counts.snapshot(5_000_999).message(ORIGIN);
+        NodeFigures message = counts.snapshot(5_000_999).toMessage(ORIGIN);
         assertEquals(
                 ClassFigures.newBuilder()
                         .setName("sign")
@@ -41,21 +41,21 @@
                 message.getNode() + " " + message.getVersion() + " " + message.getIncarnation() + " "
                         + message.getSequence() + " " + message.getAtMs());
         assertEquals(7, message.getRulesBroken());
-        assertEquals(DelayBuckets.BUCKETS, message.getDelayCount());
+        assertEquals(DelayBuckets.BUCKET_COUNT, message.getDelayCount());
         assertEquals(8, message.getDelay(1));
     }
 
     @Test
-    void aSnapshotStandsStillWhileTheCountsGoOn() {
+    void aSnapshotIsIndependentOfLaterCounts() {
         RequestCounters counts = new RequestCounters(2);
         counts.onReceived(0);
         MetricsSnapshot first = counts.snapshot(0);
         counts.onReceived(0);
         counts.onFirstSend(1);
         MetricsSnapshot second = counts.snapshot(0);
-        assertEquals(1, first.message(ORIGIN).getClasses(0).getTaken());
-        assertEquals(0, first.message(ORIGIN).getDelay(0));
-        assertEquals(2, second.message(ORIGIN).getClasses(0).getTaken());
+        assertEquals(1, first.toMessage(ORIGIN).getClasses(0).getTaken());
+        assertEquals(0, first.toMessage(ORIGIN).getDelay(0));
+        assertEquals(2, second.toMessage(ORIGIN).getClasses(0).getTaken());
         assertEquals(first.sequence() + 1, second.sequence());
     }
 
--- a/src/test/java/olivechute/supervisor/MetricsReceiverTest.java
+++ b/src/test/java/olivechute/supervisor/MetricsReceiverTest.java
@@ -25,14 +25,14 @@
 @Timeout(60)
 @SuppressWarnings("UnsynchronizedOverridesSynchronized") // started once, by the test's thread
 class MetricsReceiverTest {
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    private final MetricsBuffer book = new MetricsBuffer(Set.of("n", "o"));
-    private final AtomicInteger refusals = new AtomicInteger();
-    private MetricsReceiver intake;
+    private final BlockingQueue<String> output = new LinkedBlockingQueue<>();
+    private final MetricsBuffer buffer = new MetricsBuffer(Set.of("n", "o"));
+    private final AtomicInteger threadFailures = new AtomicInteger();
+    private MetricsReceiver receiver;
 
     @BeforeEach
     void open() throws Exception {
-        intake = new MetricsReceiver(new InetSocketAddress("127.0.0.1", 0), book, 2, 500, threads(), told::add);
+        receiver = new MetricsReceiver(new InetSocketAddress("127.0.0.1", 0), buffer, 2, 500, threads(), output::add);
     }
 
     /** The system's, but for the first ones after {@link #refusals} was set. */
@@ -40,7 +40,7 @@
         return new ConnectionThreads(task -> new Thread(task) {
             @Override
             public void start() {
-                if (refusals.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+                if (threadFailures.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
                     throw new OutOfMemoryError("unable to create native thread");
                 }
                 super.start();
@@ -50,12 +50,12 @@
 
     @AfterEach
     void close() {
-        intake.close();
+        receiver.close();
     }
 
-    private Socket dial() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket =
-                new Socket("127.0.0.1", Integer.parseInt(intake.address().split(":")[1]));
+                new Socket("127.0.0.1", Integer.parseInt(receiver.address().split(":")[1]));
         socket.setSoTimeout(20_000);
         return socket;
     }
@@ -77,7 +77,7 @@
     }
 
     /** The other end closes: an end or a reset. */
-    private static void dropped(Socket socket) {
+    private static void assertClosed(Socket socket) {
         try {
             assertEquals(-1, socket.getInputStream().read());
         } catch (java.net.SocketTimeoutException e) {
@@ -88,24 +88,24 @@
     }
 
     @Test
-    void theNewestOfEachNodeIsKept() throws Exception {
-        try (Socket one = dial();
-                Socket other = dial()) {
+    void keepsTheNewestMetricsOfEachNode() throws Exception {
+        try (Socket one = connect();
+                Socket other = connect()) {
             byte[] first = frame("n", 5, 1);
             one.getOutputStream().write(first, 0, 3);
             one.getOutputStream().flush();
             one.getOutputStream().write(first, 3, first.length - 3);
-            assertEquals("figures from n", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("figures from n", output.poll(20, TimeUnit.SECONDS));
             other.getOutputStream().write(frame("n", 6, 1));
-            assertEquals("figures from n", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("figures from n", output.poll(20, TimeUnit.SECONDS));
             one.getOutputStream().write(frame("n", 5, 2));
             one.getOutputStream().write(frame("o", 1, 1));
-            assertEquals("figures from o", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("figures from o", output.poll(20, TimeUnit.SECONDS));
         }
-        List<NodeFigures> fresh = book.fresh();
-        assertEquals(2, fresh.size());
-        assertTrue(fresh.stream().anyMatch(f -> f.getNode().equals("n") && f.getIncarnation() == 6));
-        assertEquals(List.of(), book.fresh());
+        List<NodeFigures> unpublished = buffer.unpublished();
+        assertEquals(2, unpublished.size());
+        assertTrue(unpublished.stream().anyMatch(f -> f.getNode().equals("n") && f.getIncarnation() == 6));
+        assertEquals(List.of(), buffer.unpublished());
     }
 
     /**
@@ -113,40 +113,40 @@
      * heard.
      */
     @Test
-    void aSenderForWhomTheSystemGrantsNoThreadIsDroppedAndTheNextIsHeard() throws Exception {
-        refusals.set(3);
+    void closesConnectionsWithoutAThreadAndServesTheNext() throws Exception {
+        threadFailures.set(3);
         for (int i = 0; i < 3; i++) {
-            try (Socket refused = dial()) {
-                dropped(refused);
+            try (Socket refused = connect()) {
+                assertClosed(refused);
             }
         }
-        try (Socket next = dial()) {
+        try (Socket next = connect()) {
             next.getOutputStream().write(frame("n", 1, 1));
-            assertEquals("figures from n", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("figures from n", output.poll(20, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void anotherVersionTakenOverWhileRunningIsTheNodesVersion() {
-        book.take(NodeFigures.newBuilder()
+    void reportsTheReloadedVersionUntilTheNextStart() {
+        buffer.update(NodeFigures.newBuilder()
                 .setNode("n")
                 .setVersion("v1")
                 .setIncarnation(1)
                 .setSequence(1)
                 .build());
-        book.runs("n", "v1", "v2");
-        assertEquals("v2", book.fresh().get(0).getVersion());
-        book.started("n");
-        book.take(NodeFigures.newBuilder()
+        buffer.versionOverride("n", "v1", "v2");
+        assertEquals("v2", buffer.unpublished().get(0).getVersion());
+        buffer.processStarted("n");
+        buffer.update(NodeFigures.newBuilder()
                 .setNode("n")
                 .setVersion("v1")
                 .setIncarnation(2)
                 .setSequence(1)
                 .build());
-        assertEquals("v1", book.fresh().get(0).getVersion());
+        assertEquals("v1", buffer.unpublished().get(0).getVersion());
         assertEquals(
-                MetricsBuffer.Taken.OLD,
-                book.take(NodeFigures.newBuilder()
+                MetricsBuffer.UpdateResult.STALE,
+                buffer.update(NodeFigures.newBuilder()
                         .setNode("n")
                         .setVersion("v1")
                         .setIncarnation(2)
@@ -155,42 +155,42 @@
     }
 
     @Test
-    void oddAndSlowSendersAreDroppedAndTheNextIsTaken() throws Exception {
-        for (byte[] odd : List.of(
+    void closesInvalidAndSlowConnectionsAndServesTheNext() throws Exception {
+        for (byte[] invalid : List.of(
                 frame("stranger", 1, 1),
                 new byte[] {2, 0x7f, 0x7f},
                 new byte[] {-1, -1, -1, -1},
                 new byte[] {-127, -128, 4},
                 "GET / HTTP/1.1\r\n\r\n".getBytes(UTF_8),
                 new byte[] {50, 1})) {
-            try (Socket socket = dial()) {
-                socket.getOutputStream().write(odd);
-                dropped(socket);
+            try (Socket socket = connect()) {
+                socket.getOutputStream().write(invalid);
+                assertClosed(socket);
             }
         }
-        try (Socket socket = dial()) {
+        try (Socket socket = connect()) {
             socket.getOutputStream().write(frame("n", 1, 1));
-            assertEquals("figures from n", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("figures from n", output.poll(20, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void connectionsAreBounded() throws Exception {
-        try (Socket one = dial();
-                Socket two = dial()) {
+    void limitsOpenConnections() throws Exception {
+        try (Socket one = connect();
+                Socket two = connect()) {
             one.getOutputStream().write(frame("n", 1, 1));
             two.getOutputStream().write(frame("o", 1, 1));
             for (int connection = 1; connection <= 2; connection++) {
-                assertTrue(told.poll(20, TimeUnit.SECONDS) != null, "connection " + connection);
+                assertTrue(output.poll(20, TimeUnit.SECONDS) != null, "connection " + connection);
             }
-            try (Socket three = dial()) {
+            try (Socket three = connect()) {
                 three.getOutputStream().write(frame("n", 2, 1));
-                dropped(three);
+                assertClosed(three);
             }
         }
         assertEquals(
                 1,
-                book.fresh().stream()
+                buffer.unpublished().stream()
                         .filter(f -> f.getNode().equals("n"))
                         .findFirst()
                         .orElseThrow()
--- a/src/test/java/olivechute/supervisor/StandInNode.java
+++ b/src/test/java/olivechute/supervisor/StandInNode.java
@@ -37,8 +37,8 @@
             System.out.println(System.getenv("LB_NAME") + " listens");
             while (true) {
                 try (Socket socket = listener.accept()) {
-                    String asked = new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
-                    if (asked.startsWith("GET /break")) {
+                    String request = new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
+                    if (request.startsWith("GET /break")) {
                         Runtime.getRuntime().halt(3);
                     }
                     socket.getOutputStream()
--- a/src/test/java/olivechute/supervisor/SuperviseIT.java
+++ b/src/test/java/olivechute/supervisor/SuperviseIT.java
@@ -45,26 +45,26 @@
     private Store store;
 
     @BeforeEach
-    void make() throws Exception {
+    void setUp() throws Exception {
         rig = new SupervisorRig(dir);
-        String address = free();
+        String address = freeAddress();
         String replicas = "replicas = [{ id = a, address = \"" + address + "\" }]";
         Path file = Files.writeString(
                 dir.resolve("store.conf"), "id = a, folder = \"" + dir.resolve("a") + "\", " + replicas);
         run("store", file);
-        rig.line(0, "replica a leads");
+        rig.awaitLine(0, "replica a leads");
         store = RatisStore.connect(List.of(new ReplicaAddress("a", address)), Duration.ofSeconds(5));
         Files.writeString(
                 dir.resolve("supervise.conf"),
-                "machine = m, folder = \"" + dir.resolve("run") + "\", figures = \"" + free() + "\"\n"
+                "machine = m, folder = \"" + dir.resolve("run") + "\", figures = \"" + freeAddress() + "\"\n"
                         + "store { " + replicas
                         + " }, program.java = [java, -Xmx64m, \"-XX:+UseSerialGC\", \"-XX:TieredStopAtLevel=1\"]\n"
                         + "nodes = [{ name = n, config = \""
-                        + Path.of("example/config.json").toAbsolutePath() + "\", listen = \"" + rig.first
-                        + "\", second = \"" + rig.second + "\", version = v1 }]\n");
+                        + Path.of("example/config.json").toAbsolutePath() + "\", listen = \"" + rig.firstAddress
+                        + "\", second = \"" + rig.secondAddress + "\", version = v1 }]\n");
     }
 
-    private static String free() throws IOException {
+    private static String freeAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + socket.getLocalPort();
         }
@@ -78,21 +78,21 @@
         processes.add(process);
         Threads.start("lines", () -> {
             try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(), UTF_8))) {
-                lines.lines().forEach(rig::tell);
+                lines.lines().forEach(rig::addLine);
             } catch (IOException | java.io.UncheckedIOException e) {
-                rig.tell("closed: " + e);
+                rig.addLine("closed: " + e);
             }
         });
         return process;
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         if (store != null) {
             store.close();
         }
         for (int i = 0; i < 2; i++) {
-            noted(i).flatMap(p -> ProcessHandle.of(Long.parseLong(p.getProperty("pid"))))
+            storedProcess(i).flatMap(p -> ProcessHandle.of(Long.parseLong(p.getProperty("pid"))))
                     .ifPresent(ProcessHandle::destroyForcibly);
         }
         for (Process each : processes) {
@@ -100,7 +100,7 @@
         }
     }
 
-    private java.util.Optional<Properties> noted(int address) throws IOException {
+    private java.util.Optional<Properties> storedProcess(int address) throws IOException {
         Path file = dir.resolve("run").resolve("n." + address + ".pid");
         if (!Files.exists(file)) {
             return java.util.Optional.empty();
@@ -110,10 +110,10 @@
         return java.util.Optional.of(values);
     }
 
-    private void order(String version, String settings, long number) throws Exception {
+    private void putOrder(String version, String settings, long number) throws Exception {
         VersionSpec spec = VersionSpec.newBuilder()
                 .setId(version)
-                .setDigest(ArtifactVerifier.digest(JAR))
+                .setDigest(ArtifactVerifier.sha256(JAR))
                 .setSettings(settings)
                 .build();
         Order order = Order.newBuilder()
@@ -128,15 +128,15 @@
                 List.of());
     }
 
-    private NodeFigures figures(String version) throws Exception {
+    private NodeFigures awaitMetrics(String version) throws Exception {
         long end = System.nanoTime() + 20_000_000_000L;
         for (long since = 0; System.nanoTime() < end; ) {
             Store.Changes changes = store.watch("figures/n", since, Duration.ofSeconds(1));
             since = changes.version();
             for (Store.Entry each : changes.entries()) {
-                NodeFigures told = NodeFigures.parseFrom(each.value());
-                if (told.getVersion().equals(version)) {
-                    return told;
+                NodeFigures metrics = NodeFigures.parseFrom(each.value());
+                if (metrics.getVersion().equals(version)) {
+                    return metrics;
                 }
             }
         }
@@ -144,46 +144,46 @@
     }
 
     @Test
-    void realNodesAreMovedAdoptedAndEnded() throws Exception {
+    void reloadsReplacesAdoptsAndEndsRealNodes() throws Exception {
         Process supervisor = run("supervise", dir.resolve("supervise.conf"));
-        int ready = rig.line(0, "node n ready v1 on " + rig.first);
-        rig.line(0, "supervisor m fence ");
-        rig.line(0, "figures from n");
-        figures("v1");
-        String pid = noted(0).orElseThrow().getProperty("pid");
-
-        order("v2", "discovery = \"127.0.0.1:2\", settings.ceilings.open_cap = 100", 1);
-        ready = rig.line(ready + 1, "node n ready v2 on " + rig.first);
-        assertEquals(pid, noted(0).orElseThrow().getProperty("pid"), "the same process");
-        figures("v2");
-
-        order("v3", "settings.profiles = 5", 2);
-        NodeState state = SupervisorRig.report(store, s -> s.getPhase().equals("REFUSED"));
+        int ready = rig.awaitLine(0, "node n ready v1 on " + rig.firstAddress);
+        rig.awaitLine(0, "supervisor m fence ");
+        rig.awaitLine(0, "figures from n");
+        awaitMetrics("v1");
+        String pid = storedProcess(0).orElseThrow().getProperty("pid");
+
+        putOrder("v2", "discovery = \"127.0.0.1:2\", settings.ceilings.open_cap = 100", 1);
+        ready = rig.awaitLine(ready + 1, "node n ready v2 on " + rig.firstAddress);
+        assertEquals(pid, storedProcess(0).orElseThrow().getProperty("pid"), "the same process");
+        awaitMetrics("v2");
+
+        putOrder("v3", "settings.profiles = 5", 2);
+        NodeState state = SupervisorRig.awaitReport(store, s -> s.getPhase().equals("REFUSED"));
         assertEquals("v2 2", state.getVersion() + " " + state.getOrderNumber());
         assertTrue(state.getTrouble().contains("profiles"), state.getTrouble());
 
         supervisor.destroyForcibly().waitFor();
         assertTrue(ProcessHandle.of(Long.parseLong(pid)).orElseThrow().isAlive(), "the node runs on");
-        int killed = rig.said();
+        int killed = rig.lineCount();
         supervisor = run("supervise", dir.resolve("supervise.conf"));
-        rig.line(killed, "supervisor m fence ");
-        order("v4", "settings.fleet_size = 2", 3);
-        int drains = rig.line(killed, "node n drains v2");
-        assertTrue(rig.line(killed, "node n ready v4 on " + rig.second) < drains);
-        rig.line(drains, "node n ended unknown");
+        rig.awaitLine(killed, "supervisor m fence ");
+        putOrder("v4", "settings.fleet_size = 2", 3);
+        int drains = rig.awaitLine(killed, "node n drains v2");
+        assertTrue(rig.awaitLine(killed, "node n ready v4 on " + rig.secondAddress) < drains);
+        rig.awaitLine(drains, "node n ended unknown");
         assertEquals(
                 0,
-                rig.lines.subList(killed, rig.said()).stream()
+                rig.lines.subList(killed, rig.lineCount()).stream()
                         .filter(l -> l.startsWith("node n starts v1") || l.startsWith("node n starts v2"))
                         .count());
-        figures("v4");
+        awaitMetrics("v4");
 
         supervisor.toHandle().destroy(); // of the process itself would close its output too
         assertTrue(supervisor.waitFor(60, TimeUnit.SECONDS));
         assertEquals(143, supervisor.exitValue());
-        rig.line(drains, "node n ended 143");
+        rig.awaitLine(drains, "node n ended 143");
         assertFalse(Files.exists(dir.resolve("run").resolve("n.1.pid")));
-        assertEquals("", SupervisorRig.asks(rig.second, "/health/ready"));
+        assertEquals("", SupervisorRig.get(rig.secondAddress, "/health/ready"));
         assertTrue(store.get("machine/m").isEmpty(), "the report went with the lease");
     }
 }
--- a/src/test/java/olivechute/supervisor/SupervisorRig.java
+++ b/src/test/java/olivechute/supervisor/SupervisorRig.java
@@ -27,23 +27,23 @@
 /** A machine's folder, a stand-in's jar, free addresses, and waits that end with what they wait for or fail. */
 @SuppressWarnings("LiteProtoToString") // only told when a check fails
 final class SupervisorRig {
-    static final String BASE = "{\"name\":\"x\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"mode\":\"well\"}}";
-    private static final long WITHIN = 20_000;
+    static final String BASE_CONFIG = "{\"name\":\"x\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"mode\":\"well\"}}";
+    private static final long TIMEOUT_MS = 20_000;
 
     final Path dir;
     final Path jar;
-    final String first;
-    final String second;
+    final String firstAddress;
+    final String secondAddress;
     final List<String> lines = new ArrayList<>();
 
     SupervisorRig(Path dir) throws IOException {
         this.dir = dir;
         jar = jar(dir.resolve("stand-in.jar"));
-        Files.writeString(dir.resolve("base.json"), BASE);
+        Files.writeString(dir.resolve("base.json"), BASE_CONFIG);
         try (ServerSocket a = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket b = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            first = "127.0.0.1:" + a.getLocalPort();
-            second = "127.0.0.1:" + b.getLocalPort();
+            firstAddress = "127.0.0.1:" + a.getLocalPort();
+            secondAddress = "127.0.0.1:" + b.getLocalPort();
         }
     }
 
@@ -62,15 +62,15 @@
     }
 
     /** Settings with the stand-in as the program, one node n, at one address or two. */
-    String settings(boolean beside, String more) {
+    String settings(boolean twoAddresses, String extra) {
         return "machine = m, zone = z, folder = \"" + dir.resolve("run") + "\", figures = \"127.0.0.1:0\"\n"
                 + "store { replicas = [{ id = a, address = \"127.0.0.1:1\" }], lease = 2s }\n"
                 + "program { jar = \"" + jar + "\", java = [java, -Xmx32m, \"-XX:TieredStopAtLevel=1\"] }\n"
-                + "nodes = [{ name = n, config = \"" + dir.resolve("base.json") + "\", listen = \"" + first + "\""
-                + (beside ? ", second = \"" + second + "\"" : "") + ", version = v1 }]\n" + more;
+                + "nodes = [{ name = n, config = \"" + dir.resolve("base.json") + "\", listen = \"" + firstAddress + "\""
+                + (twoAddresses ? ", second = \"" + secondAddress + "\"" : "") + ", version = v1 }]\n" + extra;
     }
 
-    void tell(String line) {
+    void addLine(String line) {
         synchronized (lines) {
             lines.add(line);
             lines.notifyAll();
@@ -78,44 +78,44 @@
     }
 
     /** Waits for a line that begins so, the first after so many lines; gives its place. */
-    int line(int after, String begins) throws InterruptedException {
-        long end = System.nanoTime() + WITHIN * 1_000_000;
+    int awaitLine(int after, String prefix) throws InterruptedException {
+        long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         synchronized (lines) {
             while (true) {
                 for (int i = after; i < lines.size(); i++) {
-                    if (lines.get(i).startsWith(begins)) {
+                    if (lines.get(i).startsWith(prefix)) {
                         return i;
                     }
                 }
                 long left = (end - System.nanoTime()) / 1_000_000;
                 if (left <= 0) {
-                    throw new AssertionError("no line '" + begins + "' after " + after + " in " + lines);
+                    throw new AssertionError("no line '" + prefix + "' after " + after + " in " + lines);
                 }
                 lines.wait(left);
             }
         }
     }
 
-    int said() {
+    int lineCount() {
         synchronized (lines) {
             return lines.size();
         }
     }
 
     /** What was said by now, beginning so. */
-    long count(String begins) {
+    long count(String prefix) {
         synchronized (lines) {
-            return lines.stream().filter(l -> l.startsWith(begins)).count();
+            return lines.stream().filter(l -> l.startsWith(prefix)).count();
         }
     }
 
-    static void version(Store store, String id, String settings) throws Exception {
+    static void putVersion(Store store, String id, String settings) throws Exception {
         VersionSpec spec =
                 VersionSpec.newBuilder().setId(id).setSettings(settings).build();
         store.write(List.of(Store.Write.put("version/" + id, spec.toByteArray())), List.of());
     }
 
-    static void order(Store store, String version, long number) throws Exception {
+    static void putOrder(Store store, String version, long number) throws Exception {
         Order order = Order.newBuilder()
                 .setNode("n")
                 .setVersion(version)
@@ -125,15 +125,15 @@
     }
 
     /** Waits for a report of the node that is so. */
-    static NodeState report(Store store, Predicate<NodeState> so) throws Exception {
-        long end = System.nanoTime() + WITHIN * 1_000_000;
+    static NodeState awaitReport(Store store, Predicate<NodeState> condition) throws Exception {
+        long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         long since = 0;
         NodeState state = NodeState.getDefaultInstance();
         do {
             Optional<Store.Entry> entry = store.get("machine/m");
             if (entry.isPresent()) {
                 state = MachineReport.parseFrom(entry.get().value()).getNodes(0);
-                if (so.test(state)) {
+                if (condition.test(state)) {
                     return state;
                 }
                 since = entry.get().version();
@@ -144,10 +144,10 @@
     }
 
     /** What answers at an address, as VERSION PID; empty where nothing does. */
-    static String asks(String address, String path) throws IOException {
+    static String get(String address, String path) throws IOException {
         String[] parts = address.split(":");
         try (Socket socket = new Socket(parts[0], Integer.parseInt(parts[1]))) {
-            socket.setSoTimeout((int) WITHIN);
+            socket.setSoTimeout((int) TIMEOUT_MS);
             socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII)
                     .replaceFirst("(?s).*\r\n\r\n", "");
--- a/src/test/java/olivechute/supervisor/SuperviseSettingsTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a supervisor's settings say, which key is blamed, and how a version's settings are laid over a node's file. */
-class SuperviseSettingsTest {
-    private static final String LEAST =
+class SupervisorSettingsTest {
+    private static final String MINIMAL =
             "machine = m, folder = f, store.replicas = [{ id = a, address = \"127.0.0.1:1\" }]\n"
                     + "nodes = [{ name = n, config = c, listen = \"127.0.0.1:2\", version = v }]\n";
 
@@ -24,7 +24,7 @@
     @Test
     void theShippedFileHasTheDefaults() throws Exception {
         SupervisorSettings shipped = SupervisorSettings.load(Path.of("deploy/supervise.conf"));
-        SupervisorSettings least = SupervisorSettings.read(LEAST);
+        SupervisorSettings minimal = SupervisorSettings.parse(MINIMAL);
         assertEquals("m0", shipped.machine());
         assertEquals(3, shipped.replicas().size());
         assertEquals(
@@ -32,20 +32,20 @@
                 shipped.nodes().get(0).addresses());
         assertEquals(
                 List.of(
-                        shipped.bounds(),
-                        shipped.lease(),
+                        shipped.timeouts(),
+                        shipped.leaseTtl(),
                         shipped.storeTimeout(),
-                        shipped.java(),
-                        shipped.figures(),
+                        shipped.javaCommand(),
+                        shipped.metricsAddress(),
                         shipped.zone()),
                 List.of(
-                        least.bounds(),
-                        least.lease(),
-                        least.storeTimeout(),
-                        least.java(),
-                        least.figures(),
-                        least.zone()));
-        assertNull(shipped.program());
+                        minimal.timeouts(),
+                        minimal.leaseTtl(),
+                        minimal.storeTimeout(),
+                        minimal.javaCommand(),
+                        minimal.metricsAddress(),
+                        minimal.zone()));
+        assertNull(shipped.programJar());
     }
 
     @ParameterizedTest
@@ -64,27 +64,27 @@
                 "lease = 3s | lease: unknown key",
                 "program.java = [] | program.java: must be the command",
             })
-    void theKeyThatIsWrongIsBlamed(String line, String blame) {
-        SettingsException fault = assertThrows(SettingsException.class, () -> SupervisorSettings.read(LEAST + line));
-        assertEquals(ErrorCode.SETTINGS_INVALID, fault.kind());
-        assertTrue(fault.getMessage().contains(blame), fault.getMessage());
+    void theErrorNamesTheInvalidKey(String line, String expectedError) {
+        SettingsException error = assertThrows(SettingsException.class, () -> SupervisorSettings.parse(MINIMAL + line));
+        assertEquals(ErrorCode.SETTINGS_INVALID, error.kind());
+        assertTrue(error.getMessage().contains(expectedError), error.getMessage());
     }
 
     @Test
-    void settingsOfAVersionAreLaidOverAFile() throws Exception {
+    void versionSettingsOverrideTheBaseFile() throws Exception {
         String base = "{\"name\":\"n\",\"seed\":\"00ff\",\"settings\":{\"a\":[1,2],\"b\":5.5}}";
         assertEquals(
                 "{\"name\":\"n\",\"seed\":\"00ff\",\"settings\":{\"a\":[3],\"b\":5.5,\"c\":true}}",
-                SettingsOverlay.lay(base, "settings { a = [3], c = true }"));
-        assertEquals(base, SettingsOverlay.lay(base, ""));
-        for (String wrong : List.of(
+                SettingsOverlay.merge(base, "settings { a = [3], c = true }"));
+        assertEquals(base, SettingsOverlay.merge(base, ""));
+        for (String invalid : List.of(
                 "a = {",
                 "include \"/etc/hostname\"",
                 "include file(\"/etc/hostname\")",
                 "include classpath(\"x\")",
                 "include url(\"file:/etc/hostname\")",
                 "a = ${HOME}")) {
-            assertThrows(SettingsException.class, () -> SettingsOverlay.lay(base, wrong), wrong);
+            assertThrows(SettingsException.class, () -> SettingsOverlay.merge(base, invalid), invalid);
         }
     }
 
@@ -97,18 +97,18 @@
                 "settings.discovery = x | false", "settings.ceilings.try_limit = 2 | false",
                         "limits.sockets = 9 | false", "name = x | false",
             })
-    void whatCanChangeWhileRunningIsTold(String over, boolean can) throws Exception {
+    void tellsReloadableChangesFromOthers(String overlay, boolean reloadable) throws Exception {
         String base = "{\"name\":\"n\",\"x\":1,\"settings\":{\"b\":1}}";
-        assertEquals(can, SettingsOverlay.changesWhileRunning(base, SettingsOverlay.lay(base, over)));
+        assertEquals(reloadable, SettingsOverlay.canReload(base, SettingsOverlay.merge(base, overlay)));
     }
 
     @Test
-    void onlyAConfigurationThatIsBlamedIsARefusal() {
-        assertTrue(StartFailureClassifier.isOne(1, "settings.profiles[0].deadline: missing, must be a number"));
-        assertTrue(StartFailureClassifier.isOne(1, "LB_CONFIG: f is not JSON: x"));
-        assertFalse(StartFailureClassifier.isOne(1, "LB_LISTEN: cannot listen: Address already in use"));
-        assertFalse(StartFailureClassifier.isOne(1, "Exception in thread \"main\" java.lang.OutOfMemoryError: x"));
-        assertFalse(StartFailureClassifier.isOne(134, "key: wrong"));
-        assertFalse(StartFailureClassifier.isOne(null, "key: wrong"));
+    void onlySettingsErrorsArePermanentStartFailures() {
+        assertTrue(StartFailureClassifier.isPermanent(1, "settings.profiles[0].deadline: missing, must be a number"));
+        assertTrue(StartFailureClassifier.isPermanent(1, "LB_CONFIG: f is not JSON: x"));
+        assertFalse(StartFailureClassifier.isPermanent(1, "LB_LISTEN: cannot listen: Address already in use"));
+        assertFalse(StartFailureClassifier.isPermanent(1, "Exception in thread \"main\" java.lang.OutOfMemoryError: x"));
+        assertFalse(StartFailureClassifier.isPermanent(134, "key: wrong"));
+        assertFalse(StartFailureClassifier.isPermanent(null, "key: wrong"));
     }
 }
--- a/src/test/java/olivechute/supervisor/StoredFolderTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What a supervisor notes of its orders and processes, as an earlier build wrote it, is read and written alike. */
-class StoredFolderTest {
+class SupervisorStateFileTest {
     private static final LaunchSpec LAUNCH =
             new LaunchSpec("v2", 9, "/programs/p.jar", "ab12", "cd34", "{\"name\":\"n1\"}");
-    private static final SupervisorStateFile.Running RUNNING =
-            new SupervisorStateFile.Running(4711, 1_700_000_000_000L, "127.0.0.1:7070", "/folder/n1-9.json", LAUNCH);
+    private static final SupervisorStateFile.ProcessRecord PROCESS =
+            new SupervisorStateFile.ProcessRecord(4711, 1_700_000_000_000L, "127.0.0.1:7070", "/folder/n1-9.json", LAUNCH);
 
     /** The lines of a file of properties without the date that it begins with, in order. */
     private static byte[] text(Properties values) throws Exception {
@@ -36,17 +36,17 @@
     }
 
     @Test
-    void anOrderIsWrittenAndReadAsBefore() throws Exception {
-        StoredForms.assertWritten("supervisor-order", text(SupervisorStateFile.of(LAUNCH)));
+    void theStoredOrderFormatIsUnchanged() throws Exception {
+        StoredForms.assertWritten("supervisor-order", text(SupervisorStateFile.toProperties(LAUNCH)));
         assertEquals(
-                LAUNCH, SupervisorStateFile.launch(recorded("supervisor-order")).orElseThrow());
+                LAUNCH, SupervisorStateFile.parseLaunch(recorded("supervisor-order")).orElseThrow());
     }
 
     @Test
-    void aRunningProcessIsWrittenAndReadAsBefore() throws Exception {
-        StoredForms.assertWritten("supervisor-process", text(SupervisorStateFile.of(RUNNING)));
+    void theStoredProcessFormatIsUnchanged() throws Exception {
+        StoredForms.assertWritten("supervisor-process", text(SupervisorStateFile.toProperties(PROCESS)));
         assertEquals(
-                RUNNING,
-                SupervisorStateFile.running(recorded("supervisor-process")).orElseThrow());
+                PROCESS,
+                SupervisorStateFile.parseProcess(recorded("supervisor-process")).orElseThrow());
     }
 }
