--- a/src/main/java/olivechute/authorization/ClientAuthorization.java
+++ b/src/main/java/olivechute/authorization/ClientAuthorization.java
@@ -28,7 +28,7 @@
     }
 
     /** True if this identity may be a client of some tenant: whom else to let in ends at the handshake. */
-    public boolean client(SpiffeId id) {
+    public boolean isClient(SpiffeId id) {
         return rules.stream().anyMatch(r -> r.ids.matches(id));
     }
 
--- a/src/main/java/olivechute/authorization/EndpointIdentityRules.java
+++ b/src/main/java/olivechute/authorization/EndpointIdentityRules.java
@@ -10,9 +10,9 @@
  */
 public final class EndpointIdentityRules {
     /** Stands for the host's name in an ID. */
-    private static final String NAME = "{host}";
+    private static final String PLACEHOLDER = "{host}";
 
-    private static final String ANY = "*";
+    private static final String WILDCARD = "*";
 
     private final List<Rule> rules;
 
@@ -20,7 +20,7 @@
      * {@code host} is a name, or a beginning of names with a star after it; {@code id} is an ID that may hold
      * {@code {host}}.
      */
-    public record Rule(String host, String id) {
+    public record Rule(String endpoint, String id) {
         /** Checks both; {@code key} is blamed. */
         public static Rule parse(String key, String host, String id) {
             if (host.isEmpty() || (host.indexOf('*') >= 0 && host.indexOf('*') != host.length() - 1)) {
@@ -28,7 +28,7 @@
                         key + ".host: must be a name, or a beginning of some with a star after it");
             }
             try {
-                if (!SpiffeId.parse(id.replace(NAME, "h")).workload()) {
+                if (!SpiffeId.parse(id.replace(PLACEHOLDER, "h")).isWorkload()) {
                     throw new IllegalArgumentException(key + ".id: must name a workload: it has no path");
                 }
             } catch (IdentityRejectedException e) {
@@ -36,28 +36,28 @@
                         key + ".id: must be a SPIFFE ID, in which {host} may stand: " + e.getMessage());
             }
             int slash = id.indexOf('/', "spiffe://".length());
-            if (id.indexOf(NAME) >= 0 && id.indexOf(NAME) < slash) {
+            if (id.indexOf(PLACEHOLDER) >= 0 && id.indexOf(PLACEHOLDER) < slash) {
                 throw new IllegalArgumentException(key + ".id: a trust domain is not to hang on a host's name");
             }
             return new Rule(host, id);
         }
 
         /** True if some name, put in its place, makes this ID. */
-        boolean fits(String shown) {
-            int at = id.indexOf(NAME);
+        boolean matchesId(String shown) {
+            int at = id.indexOf(PLACEHOLDER);
             if (at < 0) {
                 return id.equals(shown);
             }
-            int after = id.length() - at - NAME.length();
+            int after = id.length() - at - PLACEHOLDER.length();
             String name = shown.length() <= at + after ? "" : shown.substring(at, shown.length() - after);
             return !name.isEmpty()
                     && name.indexOf('/') < 0
-                    && about(name)
-                    && id.replace(NAME, name).equals(shown);
+                    && appliesTo(name)
+                    && id.replace(PLACEHOLDER, name).equals(shown);
         }
 
-        boolean about(String name) {
-            return host.endsWith(ANY) ? name.startsWith(host.substring(0, host.length() - 1)) : host.equals(name);
+        boolean appliesTo(String name) {
+            return endpoint.endsWith(WILDCARD) ? name.startsWith(endpoint.substring(0, endpoint.length() - 1)) : endpoint.equals(name);
         }
     }
 
@@ -67,11 +67,11 @@
     }
 
     /** The ID that the host of this name must show, null if there is none that would do. */
-    public SpiffeId wanted(String host) {
+    public SpiffeId requiredId(String endpoint) {
         for (Rule rule : rules) {
-            if (rule.about(host)) {
+            if (rule.appliesTo(endpoint)) {
                 try {
-                    return host.indexOf('/') >= 0 ? null : SpiffeId.parse(rule.id.replace(NAME, host));
+                    return endpoint.indexOf('/') >= 0 ? null : SpiffeId.parse(rule.id.replace(PLACEHOLDER, endpoint));
                 } catch (IdentityRejectedException unfit) {
                     return null; // a name that no ID can hold
                 }
@@ -81,14 +81,14 @@
     }
 
     /** True if who shows this identity may be the host of some name. */
-    public boolean host(SpiffeId id) {
-        return rules.stream().anyMatch(r -> r.fits(id.toString()));
+    public boolean isEndpoint(SpiffeId id) {
+        return rules.stream().anyMatch(r -> r.matchesId(id.toString()));
     }
 
     /**
      * True if who shows this identity may be the host of this name: for what it is sent, and for what it tells of jobs.
      */
-    public boolean is(SpiffeId id, String host) {
-        return id.equals(wanted(host));
+    public boolean matches(SpiffeId id, String endpoint) {
+        return id.equals(requiredId(endpoint));
     }
 }
--- a/src/main/java/olivechute/authorization/SpiffeIdPattern.java
+++ b/src/main/java/olivechute/authorization/SpiffeIdPattern.java
@@ -11,8 +11,8 @@
  * name whom it trusts.
  */
 public final class SpiffeIdPattern {
-    private static final String ONE = "*";
-    private static final String REST = "**";
+    private static final String ANY_SEGMENT = "*";
+    private static final String ANY_SEGMENTS = "**";
 
     private final String text;
     private final String trustDomain;
@@ -41,7 +41,7 @@
             for (int i = 0; i < segments.size(); i++) {
                 String s = segments.get(i);
                 boolean star = s.indexOf('*') >= 0;
-                if (star && !s.equals(ONE) && !(s.equals(REST) && i == segments.size() - 1)) {
+                if (star && !s.equals(ANY_SEGMENT) && !(s.equals(ANY_SEGMENTS) && i == segments.size() - 1)) {
                     throw new IllegalArgumentException(
                             key + ": * stands for a whole segment and ** for the last ones: '" + text + "'");
                 }
@@ -54,30 +54,30 @@
 
     /** True if the rule is about this ID. */
     public boolean matches(SpiffeId id) {
-        if (!id.trustDomain().equals(trustDomain) || !id.workload()) {
+        if (!id.trustDomain().equals(trustDomain) || !id.isWorkload()) {
             return false;
         }
         if (segments.isEmpty()) {
             return true;
         }
         String path = id.path();
-        int at = 1;
+        int start = 1;
         for (int i = 0; i < segments.size(); i++) {
-            String wanted = segments.get(i);
-            if (at > path.length()) {
+            String expected = segments.get(i);
+            if (start > path.length()) {
                 return false;
             }
-            if (wanted.equals(REST)) {
+            if (expected.equals(ANY_SEGMENTS)) {
                 return true;
             }
-            int slash = path.indexOf('/', at);
+            int slash = path.indexOf('/', start);
             int end = slash < 0 ? path.length() : slash;
-            if (!wanted.equals(ONE) && !(wanted.length() == end - at && path.startsWith(wanted, at))) {
+            if (!expected.equals(ANY_SEGMENT) && !(expected.length() == end - start && path.startsWith(expected, start))) {
                 return false;
             }
-            at = end + 1;
+            start = end + 1;
         }
-        return at > path.length();
+        return start > path.length();
     }
 
     @Override
--- a/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
+++ b/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
@@ -38,9 +38,9 @@
             TlsContext server = context("/node");
             TlsContext client = context("/client");
             // A dialler that knows no session yet makes a full handshake; a name for each keeps them apart.
-            measure("full", handshakes, i -> client.dialled("h" + i, 1), server::accepted);
-            measure("resumed", handshakes, i -> client.dialled("h", 1), server::accepted);
-            out.printf(Locale.ROOT, "chains judged: %d%n", client.judged() + server.judged());
+            measure("full", handshakes, i -> client.client("h" + i, 1), server::server);
+            measure("resumed", handshakes, i -> client.client("h", 1), server::server);
+            out.printf(Locale.ROOT, "chains judged: %d%n", client.chainChecks() + server.chainChecks());
             out.flush();
         } catch (TlsException | IdentityRejectedException e) {
             throw new IOException(e.getMessage(), e);
@@ -96,14 +96,14 @@
     }
 
     private static boolean carry(TlsStateMachine from, TlsStateMachine to) throws TlsException {
-        from.work();
+        from.advance();
         ByteBuffer said = from.toSend();
         boolean any = said.hasRemaining();
         while (said.hasRemaining()) {
-            int n = Math.min(said.remaining(), to.room().remaining());
-            to.room().put(said.slice().limit(n));
+            int n = Math.min(said.remaining(), to.receiveBuffer().remaining());
+            to.receiveBuffer().put(said.slice().limit(n));
             said.position(said.position() + n);
-            to.work();
+            to.advance();
         }
         return any;
     }
--- a/src/main/java/olivechute/benchmark/TestTrustDomain.java
+++ b/src/main/java/olivechute/benchmark/TestTrustDomain.java
@@ -106,7 +106,7 @@
     }
 
     private static HttpWire connect(TlsContext identity, InetSocketAddress node) throws IOException {
-        Socket socket = identity.sockets().getSocketFactory().createSocket();
+        Socket socket = identity.sslContext().getSocketFactory().createSocket();
         socket.connect(node, HttpWire.SILENCE_MILLIS);
         return new HttpWire(socket);
     }
@@ -136,7 +136,7 @@
                 Socket plain = super.accept();
                 plain.setTcpNoDelay(true);
                 SSLSocket secured =
-                        (SSLSocket) host.sockets().getSocketFactory().createSocket(plain, null, true);
+                        (SSLSocket) host.sslContext().getSocketFactory().createSocket(plain, null, true);
                 secured.setUseClientMode(false);
                 secured.setNeedClientAuth(true);
                 return secured;
--- a/src/main/java/olivechute/grpc/GrpcConnection.java
+++ b/src/main/java/olivechute/grpc/GrpcConnection.java
@@ -6,10 +6,10 @@
 import static olivechute.grpc.Http2Frame.END_HEADERS;
 import static olivechute.grpc.Http2Frame.END_STREAM;
 import static olivechute.grpc.Http2Frame.GOAWAY;
-import static olivechute.grpc.Http2Frame.HEAD;
+import static olivechute.grpc.Http2Frame.HEADER_BYTES;
 import static olivechute.grpc.Http2Frame.HEADERS;
 import static olivechute.grpc.Http2Frame.INITIAL_WINDOW;
-import static olivechute.grpc.Http2Frame.MOST;
+import static olivechute.grpc.Http2Frame.MAX_PAYLOAD_BYTES;
 import static olivechute.grpc.Http2Frame.PADDED;
 import static olivechute.grpc.Http2Frame.PING;
 import static olivechute.grpc.Http2Frame.PRIORITY;
@@ -39,28 +39,28 @@
  */
 public final class GrpcConnection {
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int WINDOW = 65_535; // of a connection and of each stream, until more is told
-    private static final int ROOM = 1 << 20; // of ours: what a peer may send before it hears of more room
-    private static final int MOST_MESSAGE = 1 << 20;
-    private static final int MOST_BLOCK = 32 * 1024; // of a header block, encoded
-    private static final int MOST_HEADERS = 64 * 1024; // and decoded
-    private static final int MOST_STREAMS = 64;
-    private static final int MOST_WAITING = 4 << 20;
-    private static final int PREFIX = 5; // of a gRPC message: compressed or not, and its length
+    private static final int DEFAULT_WINDOW_BYTES = 65_535; // of a connection and of each stream, until more is told
+    private static final int RECEIVE_WINDOW_BYTES = 1 << 20; // of ours: what a peer may send before it hears of more room
+    private static final int MAX_MESSAGE_BYTES = 1 << 20;
+    private static final int MAX_HEADER_BLOCK_BYTES = 32 * 1024; // of a header block, encoded
+    private static final int MAX_HEADER_LIST_BYTES = 64 * 1024; // and decoded
+    private static final int MAX_STREAMS = 64;
+    private static final int MAX_PENDING_BYTES = 4 << 20;
+    private static final int MESSAGE_PREFIX_BYTES = 5; // of a gRPC message: compressed or not, and its length
 
     /** What the peer does. */
     public interface Listener {
         /** A call came in, or its answer's head. */
-        void headers(int stream, Map<String, String> headers);
+        void onHeaders(int stream, Map<String, String> headers);
 
         /** A message, whole. */
-        void message(int stream, byte[] body);
+        void onMessage(int stream, byte[] body);
 
         /**
          * Nothing more comes on this stream; trailers are empty where the peer sent none, and say so where it broke it
          * off.
          */
-        void ended(int stream, Map<String, String> trailers);
+        void onEnd(int stream, Map<String, String> trailers);
     }
 
     private final Listener listener;
@@ -69,30 +69,30 @@
     private final HPackDecoder decoder = new HPackDecoder(4096, StandardCharsets.US_ASCII);
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final Map<Integer, Stream> streams = new TreeMap<>();
-    private byte[] in = new byte[2 * (HEAD + MOST)];
-    private int held;
-    private int preface; // bytes of the client's greeting that a server still waits for
-    private int next = 1;
+    private byte[] in = new byte[2 * (HEADER_BYTES + MAX_PAYLOAD_BYTES)];
+    private int bufferedBytes;
+    private int prefaceBytesLeft; // bytes of the client's greeting that a server still waits for
+    private int nextStream = 1;
     private int block; // the stream whose header block goes on, 0 for none
-    private boolean blockEnds;
-    private final ByteArrayOutputStream blockBytes = new ByteArrayOutputStream();
-    private long window = WINDOW; // what we may send on the connection
-    private int initialWindow = WINDOW; // and on a new stream
-    private int waiting;
+    private boolean blockEndsStream;
+    private final ByteArrayOutputStream headerBlock = new ByteArrayOutputStream();
+    private long sendWindow = DEFAULT_WINDOW_BYTES; // what we may send on the connection
+    private int initialSendWindow = DEFAULT_WINDOW_BYTES; // and on a new stream
+    private int pendingBytes;
 
     private static final class Stream {
-        final ByteArrayOutputStream message = new ByteArrayOutputStream();
-        final ByteArrayOutputStream waiting = new ByteArrayOutputStream();
-        boolean finished; // after what waits
+        final ByteArrayOutputStream partialMessage = new ByteArrayOutputStream();
+        final ByteArrayOutputStream pending = new ByteArrayOutputStream();
+        boolean endPending; // after what waits
         Map<String, String> trailers; // after that
-        long window;
+        long sendWindow;
     }
 
     private GrpcConnection(boolean client, Listener listener) {
         this.client = client;
         this.listener = listener;
-        this.preface = client ? 0 : PREFACE.length;
-        decoder.setMaxListSize(MOST_HEADERS);
+        this.prefaceBytesLeft = client ? 0 : PREFACE.length;
+        decoder.setMaxListSize(MAX_HEADER_LIST_BYTES);
         if (client) {
             out.writeBytes(PREFACE);
         }
@@ -102,9 +102,9 @@
                 0,
                 ByteBuffer.allocate(6)
                         .putShort((short) INITIAL_WINDOW)
-                        .putInt(ROOM)
+                        .putInt(RECEIVE_WINDOW_BYTES)
                         .array());
-        frame(WINDOW_UPDATE, 0, 0, word(ROOM - WINDOW));
+        frame(WINDOW_UPDATE, 0, 0, int32(RECEIVE_WINDOW_BYTES - DEFAULT_WINDOW_BYTES));
     }
 
     /** The side that calls. */
@@ -128,9 +128,9 @@
 
     /** Calls a method with one message; returns the stream. {@code metadata} goes along. */
     public int call(String authority, String path, Map<String, String> metadata, byte[] request) throws GrpcException {
-        int stream = next;
-        next += 2;
-        open(stream);
+        int stream = nextStream;
+        nextStream += 2;
+        addStream(stream);
         Map<String, String> headers = new LinkedHashMap<>(Map.of());
         headers.put(":method", "POST");
         headers.put(":scheme", "http");
@@ -140,13 +140,13 @@
         headers.put("content-type", "application/grpc");
         headers.putAll(metadata);
         headers(stream, headers, false);
-        message(stream, request);
+        sendMessage(stream, request);
         finish(stream, null);
         return stream;
     }
 
     /** Sends the head of an answer. */
-    public void answer(int stream) throws GrpcException {
+    public void sendResponseHeaders(int stream) throws GrpcException {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put(":status", "200");
         headers.put("content-type", "application/grpc");
@@ -159,8 +159,8 @@
             for (Map.Entry<String, String> each : headers.entrySet()) {
                 encoder.encodeHeader(encoded, each.getKey(), each.getValue(), false);
             }
-            if (encoded.length() > MOST) {
-                throw new GrpcException("headers over " + MOST + " bytes");
+            if (encoded.length() > MAX_PAYLOAD_BYTES) {
+                throw new GrpcException("headers over " + MAX_PAYLOAD_BYTES + " bytes");
             }
             frame(HEADERS, END_HEADERS | (ends ? END_STREAM : 0), stream, encoded.toByteArray());
         } catch (CharacterCodingException e) {
@@ -169,49 +169,49 @@
     }
 
     /** Sends a message, as far as the peer has room; the rest follows as it makes some. */
-    public void message(int stream, byte[] body) throws GrpcException {
+    public void sendMessage(int stream, byte[] body) throws GrpcException {
         Stream s = streams.get(stream);
-        if (s == null || s.finished) {
+        if (s == null || s.endPending) {
             return; // the peer has broken it off
         }
-        waiting += PREFIX + body.length;
-        if (waiting > MOST_WAITING) {
-            throw new GrpcException("over " + MOST_WAITING + " bytes wait for the peer");
+        pendingBytes += MESSAGE_PREFIX_BYTES + body.length;
+        if (pendingBytes > MAX_PENDING_BYTES) {
+            throw new GrpcException("over " + MAX_PENDING_BYTES + " bytes wait for the peer");
         }
-        s.waiting.write(0);
-        s.waiting.writeBytes(word(body.length));
-        s.waiting.writeBytes(body);
+        s.pending.write(0);
+        s.pending.writeBytes(int32(body.length));
+        s.pending.writeBytes(body);
         flush(stream, s);
     }
 
     /** Says that no more comes from this side, after what waits; with trailers, null for none. */
     public void finish(int stream, Map<String, String> trailers) throws GrpcException {
         Stream s = streams.get(stream);
-        if (s != null && !s.finished) {
-            s.finished = true;
+        if (s != null && !s.endPending) {
+            s.endPending = true;
             s.trailers = trailers;
             flush(stream, s);
         }
     }
 
     private void flush(int stream, Stream s) throws GrpcException {
-        byte[] bytes = s.waiting.toByteArray();
+        byte[] bytes = s.pending.toByteArray();
         int at = 0;
         for (int n = room(s, bytes.length); n > 0; n = room(s, bytes.length - at)) {
-            boolean last = s.finished && s.trailers == null && at + n == bytes.length;
+            boolean last = s.endPending && s.trailers == null && at + n == bytes.length;
             frame(DATA, last ? END_STREAM : 0, stream, Arrays.copyOfRange(bytes, at, at + n));
-            s.finished &= !last;
+            s.endPending &= !last;
             at += n;
-            s.window -= n;
-            window -= n;
-            waiting -= n;
+            s.sendWindow -= n;
+            sendWindow -= n;
+            pendingBytes -= n;
         }
         if (at > 0) {
-            s.waiting.reset();
-            s.waiting.write(bytes, at, bytes.length - at);
+            s.pending.reset();
+            s.pending.write(bytes, at, bytes.length - at);
         }
-        if (s.finished && at == bytes.length) {
-            s.finished = false;
+        if (s.endPending && at == bytes.length) {
+            s.endPending = false;
             if (s.trailers == null) {
                 frame(DATA, END_STREAM, stream, new byte[0]);
             } else {
@@ -221,8 +221,8 @@
         }
     }
 
-    private int room(Stream s, int wanted) {
-        return (int) Math.max(0, Math.min(Math.min(wanted, MOST), Math.min(s.window, window)));
+    private int room(Stream s, int limit) {
+        return (int) Math.max(0, Math.min(Math.min(limit, MAX_PAYLOAD_BYTES), Math.min(s.sendWindow, sendWindow)));
     }
 
     private void frame(int type, int flags, int stream, byte[] payload) {
@@ -231,11 +231,11 @@
         out.write(payload.length);
         out.write(type);
         out.write(flags);
-        out.writeBytes(word(stream));
+        out.writeBytes(int32(stream));
         out.writeBytes(payload);
     }
 
-    private static byte[] word(int value) {
+    private static byte[] int32(int value) {
         return ByteBuffer.allocate(4).putInt(value).array();
     }
 
@@ -245,31 +245,31 @@
     public void feed(byte[] bytes, int from, int length) throws GrpcException {
         int at = from;
         int end = from + length;
-        while (preface > 0 && at < end) {
-            if (bytes[at++] != PREFACE[PREFACE.length - preface--]) {
+        while (prefaceBytesLeft > 0 && at < end) {
+            if (bytes[at++] != PREFACE[PREFACE.length - prefaceBytesLeft--]) {
                 throw new GrpcException("no HTTP/2");
             }
         }
         while (at < end) {
-            int n = Math.min(end - at, in.length - held);
-            System.arraycopy(bytes, at, in, held, n);
+            int n = Math.min(end - at, in.length - bufferedBytes);
+            System.arraycopy(bytes, at, in, bufferedBytes, n);
             at += n;
-            held += n;
-            take();
+            bufferedBytes += n;
+            handleFrames();
         }
-        if (out.size() > MOST_WAITING) {
+        if (out.size() > MAX_PENDING_BYTES) {
             throw new GrpcException("asks for more answers than it reads");
         }
     }
 
-    private void take() throws GrpcException {
+    private void handleFrames() throws GrpcException {
         int from = 0;
-        while (held - from >= HEAD) {
+        while (bufferedBytes - from >= HEADER_BYTES) {
             int length = (in[from] & 0xff) << 16 | (in[from + 1] & 0xff) << 8 | (in[from + 2] & 0xff);
-            if (length > MOST) {
-                throw new GrpcException("a frame of " + length + " bytes, " + MOST + " at most");
+            if (length > MAX_PAYLOAD_BYTES) {
+                throw new GrpcException("a frame of " + length + " bytes, " + MAX_PAYLOAD_BYTES + " at most");
             }
-            if (held - from < HEAD + length) {
+            if (bufferedBytes - from < HEADER_BYTES + length) {
                 break;
             }
             int stream = ByteBuffer.wrap(in, from + 5, 4).getInt() & Integer.MAX_VALUE;
@@ -277,11 +277,11 @@
                     in[from + 3] & 0xff,
                     in[from + 4] & 0xff,
                     stream,
-                    ByteBuffer.wrap(in, from + HEAD, length).slice());
-            from += HEAD + length;
+                    ByteBuffer.wrap(in, from + HEADER_BYTES, length).slice());
+            from += HEADER_BYTES + length;
         }
-        held -= from;
-        System.arraycopy(in, from, in, 0, held);
+        bufferedBytes -= from;
+        System.arraycopy(in, from, in, 0, bufferedBytes);
     }
 
     private void frame(int type, int flags, int stream, ByteBuffer payload) throws GrpcException {
@@ -289,15 +289,15 @@
             throw new GrpcException("a header block is broken off");
         }
         switch (type) {
-            case DATA -> data(flags, stream, payload);
+            case DATA -> handleData(flags, stream, payload);
             case HEADERS -> {
-                unpad(flags, payload);
+                removePadding(flags, payload);
                 if ((flags & PRIORITY) != 0) {
                     skip(payload, 5);
                 }
-                begin(stream);
+                acceptStream(stream);
                 block = stream;
-                blockEnds = (flags & END_STREAM) != 0;
+                blockEndsStream = (flags & END_STREAM) != 0;
                 block(flags, payload);
             }
             case CONTINUATION -> {
@@ -306,18 +306,18 @@
                 }
                 block(flags, payload);
             }
-            case SETTINGS -> settings(flags, payload);
+            case SETTINGS -> handleSettings(flags, payload);
             case PING -> {
                 if ((flags & ACK) == 0) {
-                    byte[] told = new byte[payload.remaining()];
-                    payload.get(told);
-                    frame(PING, ACK, 0, told);
+                    byte[] opaqueData = new byte[payload.remaining()];
+                    payload.get(opaqueData);
+                    frame(PING, ACK, 0, opaqueData);
                 }
             }
             case WINDOW_UPDATE -> room(stream, payload);
             case RST_STREAM -> {
                 if (streams.containsKey(stream)) {
-                    end(stream, Map.of("reset", payload.remaining() == 4 ? String.valueOf(payload.getInt()) : "?"));
+                    closeStream(stream, Map.of("reset", payload.remaining() == 4 ? String.valueOf(payload.getInt()) : "?"));
                 }
             }
             case GOAWAY -> throw new GrpcException("the peer goes away");
@@ -333,7 +333,7 @@
         payload.position(payload.position() + n);
     }
 
-    private static void unpad(int flags, ByteBuffer payload) throws GrpcException {
+    private static void removePadding(int flags, ByteBuffer payload) throws GrpcException {
         if ((flags & PADDED) != 0) {
             int pad = payload.hasRemaining() ? payload.get() & 0xff : 1;
             if (payload.remaining() < pad) {
@@ -343,112 +343,112 @@
         }
     }
 
-    private void begin(int stream) throws GrpcException {
+    private void acceptStream(int stream) throws GrpcException {
         if (streams.containsKey(stream)) {
             return;
         }
-        if (client || stream % 2 == 0 || stream < next) {
+        if (client || stream % 2 == 0 || stream < nextStream) {
             throw new GrpcException("headers on stream " + stream + ", which is not open");
         }
-        if (streams.size() >= MOST_STREAMS) {
-            throw new GrpcException("over " + MOST_STREAMS + " streams");
+        if (streams.size() >= MAX_STREAMS) {
+            throw new GrpcException("over " + MAX_STREAMS + " streams");
         }
-        next = stream + 1;
-        open(stream);
+        nextStream = stream + 1;
+        addStream(stream);
     }
 
-    private void open(int stream) {
+    private void addStream(int stream) {
         Stream s = new Stream();
-        s.window = initialWindow;
+        s.sendWindow = initialSendWindow;
         streams.put(stream, s);
     }
 
     private void block(int flags, ByteBuffer payload) throws GrpcException {
-        blockBytes.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
-        if (blockBytes.size() > MOST_BLOCK) {
-            throw new GrpcException("headers over " + MOST_BLOCK + " bytes");
+        headerBlock.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
+        if (headerBlock.size() > MAX_HEADER_BLOCK_BYTES) {
+            throw new GrpcException("headers over " + MAX_HEADER_BLOCK_BYTES + " bytes");
         }
         if ((flags & END_HEADERS) == 0) {
             return;
         }
         Map<String, String> headers = new LinkedHashMap<>();
         try {
-            for (Header each : decoder.decodeHeaders(ByteBuffer.wrap(blockBytes.toByteArray()))) {
+            for (Header each : decoder.decodeHeaders(ByteBuffer.wrap(headerBlock.toByteArray()))) {
                 headers.put(each.getName(), each.getValue());
             }
         } catch (HPackException | RuntimeException e) {
             throw new GrpcException(
                     "headers that cannot be read: " + e.getMessage()); // the library lets some of its own out
         }
-        blockBytes.reset();
+        headerBlock.reset();
         int stream = block;
         block = 0;
         // An answer may be a head alone that says how it ended.
-        if (client && blockEnds) {
-            end(stream, headers);
+        if (client && blockEndsStream) {
+            closeStream(stream, headers);
         } else {
-            listener.headers(stream, headers);
-            if (blockEnds) {
-                listener.ended(stream, Map.of());
+            listener.onHeaders(stream, headers);
+            if (blockEndsStream) {
+                listener.onEnd(stream, Map.of());
             }
         }
     }
 
-    private void end(int stream, Map<String, String> trailers) {
+    private void closeStream(int stream, Map<String, String> trailers) {
         Stream s = streams.remove(stream);
-        waiting -= s == null ? 0 : s.waiting.size();
-        listener.ended(stream, trailers);
+        pendingBytes -= s == null ? 0 : s.pending.size();
+        listener.onEnd(stream, trailers);
     }
 
-    private void data(int flags, int stream, ByteBuffer payload) throws GrpcException {
+    private void handleData(int flags, int stream, ByteBuffer payload) throws GrpcException {
         int length = payload.remaining();
         if (length > 0) {
-            frame(WINDOW_UPDATE, 0, 0, word(length));
+            frame(WINDOW_UPDATE, 0, 0, int32(length));
         }
         Stream s = streams.get(stream);
         if (s == null) {
             return; // of one that was ended meanwhile
         }
-        unpad(flags, payload);
+        removePadding(flags, payload);
         if (length > 0) {
-            frame(WINDOW_UPDATE, 0, stream, word(length));
+            frame(WINDOW_UPDATE, 0, stream, int32(length));
         }
-        s.message.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
-        messages(stream, s);
+        s.partialMessage.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
+        deliverMessages(stream, s);
         if ((flags & END_STREAM) != 0) {
             if (client) {
-                end(stream, Map.of());
+                closeStream(stream, Map.of());
             } else {
-                listener.ended(stream, Map.of());
+                listener.onEnd(stream, Map.of());
             }
         }
     }
 
-    private void messages(int stream, Stream s) throws GrpcException {
-        byte[] all = s.message.toByteArray();
+    private void deliverMessages(int stream, Stream s) throws GrpcException {
+        byte[] all = s.partialMessage.toByteArray();
         int at = 0;
-        while (all.length - at >= PREFIX) {
+        while (all.length - at >= MESSAGE_PREFIX_BYTES) {
             int length = ByteBuffer.wrap(all, at + 1, 4).getInt();
             if (all[at] != 0) {
                 throw new GrpcException("a compressed message, which was not agreed");
             }
-            if (length < 0 || length > MOST_MESSAGE) {
+            if (length < 0 || length > MAX_MESSAGE_BYTES) {
                 throw new GrpcException(
-                        "a message of " + (length & 0xffffffffL) + " bytes, " + MOST_MESSAGE + " at most");
+                        "a message of " + (length & 0xffffffffL) + " bytes, " + MAX_MESSAGE_BYTES + " at most");
             }
-            if (all.length - at < PREFIX + length) {
+            if (all.length - at < MESSAGE_PREFIX_BYTES + length) {
                 break;
             }
-            listener.message(stream, Arrays.copyOfRange(all, at + PREFIX, at + PREFIX + length));
-            at += PREFIX + length;
+            listener.onMessage(stream, Arrays.copyOfRange(all, at + MESSAGE_PREFIX_BYTES, at + MESSAGE_PREFIX_BYTES + length));
+            at += MESSAGE_PREFIX_BYTES + length;
         }
         if (at > 0) {
-            s.message.reset();
-            s.message.write(all, at, all.length - at);
+            s.partialMessage.reset();
+            s.partialMessage.write(all, at, all.length - at);
         }
     }
 
-    private void settings(int flags, ByteBuffer payload) throws GrpcException {
+    private void handleSettings(int flags, ByteBuffer payload) throws GrpcException {
         if ((flags & ACK) != 0) {
             return;
         }
@@ -460,9 +460,9 @@
                     throw new GrpcException("a window over 2^31 - 1");
                 }
                 for (Stream s : streams.values()) {
-                    s.window += value - initialWindow;
+                    s.sendWindow += value - initialSendWindow;
                 }
-                initialWindow = value;
+                initialSendWindow = value;
             }
         }
         frame(SETTINGS, ACK, 0, new byte[0]);
@@ -475,10 +475,10 @@
         }
         int more = payload.getInt() & Integer.MAX_VALUE;
         if (stream == 0) {
-            window = Math.min(Integer.MAX_VALUE, window + more);
+            sendWindow = Math.min(Integer.MAX_VALUE, sendWindow + more);
         } else if (streams.containsKey(stream)) {
             Stream s = streams.get(stream);
-            s.window = Math.min(Integer.MAX_VALUE, s.window + more);
+            s.sendWindow = Math.min(Integer.MAX_VALUE, s.sendWindow + more);
         }
         flushAll();
     }
--- a/src/main/java/olivechute/grpc/Http2Frame.java
+++ b/src/main/java/olivechute/grpc/Http2Frame.java
@@ -19,8 +19,8 @@
     static final int PRIORITY = 32;
 
     static final int INITIAL_WINDOW = 4; // of the settings
-    static final int HEAD = 9; // bytes ahead of a payload
-    static final int MOST = 16_384; // bytes of payload that either side may send without more being agreed
+    static final int HEADER_BYTES = 9; // bytes ahead of a payload
+    static final int MAX_PAYLOAD_BYTES = 16_384; // bytes of payload that either side may send without more being agreed
 
     private Http2Frame() {}
 }
--- a/src/main/java/olivechute/identity/JwtCheck.java
+++ b/src/main/java/olivechute/identity/JwtCheck.java
@@ -19,8 +19,8 @@
 
 /** Judges a JWT as the JWT-SVID standard says: for clients behind a proxy that ends their TLS. */
 public final class JwtCheck {
-    private static final int MOST = 8192;
-    private static final int LEAST_RSA = 2048;
+    private static final int MAX_TOKEN_BYTES = 8192;
+    private static final int MIN_RSA_BITS = 2048;
     /** Those of the standard and no other: above all neither none nor one whose key is shared. */
     private static final Set<JWSAlgorithm> ALGORITHMS = Set.of(
             JWSAlgorithm.RS256,
@@ -46,9 +46,9 @@
      */
     public static JwtSvid check(String token, String audience, TrustBundles bundles, Instant now)
             throws IdentityRejectedException {
-        if (token.length() > MOST) {
+        if (token.length() > MAX_TOKEN_BYTES) {
             throw new IdentityRejectedException(
-                    Reason.TOO_LARGE, "token of " + token.length() + " bytes, " + MOST + " at most");
+                    Reason.TOO_LARGE, "token of " + token.length() + " bytes, " + MAX_TOKEN_BYTES + " at most");
         }
         try {
             SignedJWT jwt = SignedJWT.parse(token);
@@ -63,50 +63,50 @@
             }
             JWTClaimsSet claims = jwt.getJWTClaimsSet();
             SpiffeId id = SpiffeId.parse(claims.getSubject());
-            if (!id.workload()) {
+            if (!id.isWorkload()) {
                 throw new IdentityRejectedException(Reason.BAD_ID, "a token names a workload: its ID must have a path");
             }
-            Instant end = lifetime(claims, now);
+            Instant expiry = checkLifetime(claims, now);
             List<String> audiences = claims.getAudience();
             if (!audiences.contains(audience)) {
                 throw new IdentityRejectedException(
                         Reason.WRONG_AUDIENCE, "for " + audiences.size() + " others, not for " + audience);
             }
             PublicKey key =
-                    bundles.of(id).keys().get(String.valueOf(jwt.getHeader().getKeyID()));
+                    bundles.bundleFor(id).keys().get(String.valueOf(jwt.getHeader().getKeyID()));
             if (key == null || !jwt.verify(verifier(key, algorithm))) {
                 throw new IdentityRejectedException(
                         Reason.NOT_VOUCHED,
                         "bundle of " + id.trustDomain()
                                 + (key == null ? ": no such key id" : ": the signature is not that key's"));
             }
-            return new JwtSvid(id, end);
+            return new JwtSvid(id, expiry);
         } catch (ParseException | JOSEException | IllegalArgumentException e) {
             throw new IdentityRejectedException(Reason.UNREADABLE, "no signed token");
         }
     }
 
-    private static Instant lifetime(JWTClaimsSet claims, Instant now) throws IdentityRejectedException {
-        Date end = claims.getExpirationTime();
-        if (end == null || now.isAfter(end.toInstant())) {
+    private static Instant checkLifetime(JWTClaimsSet claims, Instant now) throws IdentityRejectedException {
+        Date expiry = claims.getExpirationTime();
+        if (expiry == null || now.isAfter(expiry.toInstant())) {
             throw new IdentityRejectedException(
                     Reason.EXPIRED,
-                    end == null
+                    expiry == null
                             ? "does not say until when it holds"
-                            : "expired at " + end.toInstant() + ", it is " + now);
+                            : "expired at " + expiry.toInstant() + ", it is " + now);
         }
-        Date from = claims.getNotBeforeTime();
-        if (from != null && now.isBefore(from.toInstant())) {
-            throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + from.toInstant() + " on, it is " + now);
+        Date notBefore = claims.getNotBeforeTime();
+        if (notBefore != null && now.isBefore(notBefore.toInstant())) {
+            throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + notBefore.toInstant() + " on, it is " + now);
         }
-        return end.toInstant();
+        return expiry.toInstant();
     }
 
     private static JWSVerifier verifier(PublicKey key, JWSAlgorithm algorithm)
             throws JOSEException, IdentityRejectedException {
         boolean rsa = JWSAlgorithm.Family.RSA.contains(algorithm);
         if (rsa && key instanceof RSAPublicKey k) {
-            if (k.getModulus().bitLength() < LEAST_RSA) {
+            if (k.getModulus().bitLength() < MIN_RSA_BITS) {
                 throw new IdentityRejectedException(
                         Reason.WEAK, "an RSA key of " + k.getModulus().bitLength() + " bits");
             }
--- a/src/main/java/olivechute/identity/SpiffeId.java
+++ b/src/main/java/olivechute/identity/SpiffeId.java
@@ -10,20 +10,20 @@
 public record SpiffeId(String trustDomain, String path) {
     private static final String SCHEME = "spiffe://";
     /** Bytes that an ID and a trust domain may take. */
-    private static final int MOST = 2048;
+    private static final int MAX_BYTES = 2048;
 
-    private static final int MOST_DOMAIN = 255;
+    private static final int MAX_DOMAIN_BYTES = 255;
 
     /** Reads an ID; a {@link IdentityRejectedException} says what keeps the text from being one. */
     public static SpiffeId parse(String text) throws IdentityRejectedException {
         if (text == null || text.isEmpty()) {
-            throw bad("empty");
+            throw invalid("empty");
         }
-        if (text.length() > MOST) {
-            throw bad("over " + MOST + " bytes");
+        if (text.length() > MAX_BYTES) {
+            throw invalid("over " + MAX_BYTES + " bytes");
         }
         if (!text.startsWith(SCHEME)) {
-            throw bad("must begin with " + SCHEME);
+            throw invalid("must begin with " + SCHEME);
         }
         int slash = text.indexOf('/', SCHEME.length());
         int end = slash < 0 ? text.length() : slash;
@@ -34,55 +34,55 @@
 
     /** The text as a trust domain's name, which it must be. */
     public static String trustDomain(String name) throws IdentityRejectedException {
-        if (name.isEmpty() || name.length() > MOST_DOMAIN) {
-            throw bad("trust domain of " + name.length() + " bytes, 1 to " + MOST_DOMAIN + " allowed");
+        if (name.isEmpty() || name.length() > MAX_DOMAIN_BYTES) {
+            throw invalid("trust domain of " + name.length() + " bytes, 1 to " + MAX_DOMAIN_BYTES + " allowed");
         }
         for (int i = 0; i < name.length(); i++) {
             char c = name.charAt(i);
             if (!((c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '.' || c == '-' || c == '_')) {
-                throw bad("trust domain holds a character other than a-z, 0-9, dot, dash and underscore");
+                throw invalid("trust domain holds a character other than a-z, 0-9, dot, dash and underscore");
             }
         }
         return name;
     }
 
     private static void checkPath(String path) throws IdentityRejectedException {
-        for (int at = 0; at < path.length(); ) {
-            int next = path.indexOf('/', at + 1);
+        for (int slash = 0; slash < path.length(); ) {
+            int next = path.indexOf('/', slash + 1);
             int end = next < 0 ? path.length() : next;
-            checkSegment(path, at + 1, end);
-            at = end;
+            checkSegment(path, slash + 1, end);
+            slash = end;
         }
     }
 
     private static void checkSegment(String path, int from, int end) throws IdentityRejectedException {
         if (from == end) {
-            throw bad("an empty path segment, or a slash at the end");
+            throw invalid("an empty path segment, or a slash at the end");
         }
-        boolean dots = end - from <= 2;
+        boolean onlyDots = end - from <= 2;
         for (int i = from; i < end; i++) {
             char c = path.charAt(i);
-            dots &= c == '.';
+            onlyDots &= c == '.';
             if (!((c >= 'a' && c <= 'z')
                     || (c >= 'A' && c <= 'Z')
                     || (c >= '0' && c <= '9')
                     || c == '.'
                     || c == '-'
                     || c == '_')) {
-                throw bad("path holds a character other than letters, digits, dot, dash and underscore");
+                throw invalid("path holds a character other than letters, digits, dot, dash and underscore");
             }
         }
-        if (dots) {
-            throw bad("a path segment of dots");
+        if (onlyDots) {
+            throw invalid("a path segment of dots");
         }
     }
 
-    private static IdentityRejectedException bad(String text) {
+    private static IdentityRejectedException invalid(String text) {
         return new IdentityRejectedException(Reason.BAD_ID, text);
     }
 
     /** True if it names a workload rather than a whole trust domain. */
-    public boolean workload() {
+    public boolean isWorkload() {
         return !path.isEmpty();
     }
 
--- a/src/main/java/olivechute/identity/SvidManager.java
+++ b/src/main/java/olivechute/identity/SvidManager.java
@@ -21,17 +21,17 @@
     /** Both at one moment: an identity goes with the bundles that it came with. */
     public record State(OwnIdentity own, TrustBundles bundles) {
         /** True if there is an identity, and it holds at this moment. */
-        public boolean holds(Instant now) {
+        public boolean hasValidIdentity(Instant now) {
             return own != null && !now.isAfter(own.svid().notAfter());
         }
     }
 
     /** What became of an offer. */
-    public enum Taken {
+    public enum OfferResult {
         /** In force from now on. */
-        NEW,
+        APPLIED,
         /** In force already. */
-        SAME
+        UNCHANGED
     }
 
     /** For the identity of a workload of this trust domain. */
@@ -55,7 +55,7 @@
      * moment; a {@link IdentityRejectedException} says why they do not, and leaves all as it was. What is held of other
      * domains stays.
      */
-    public Taken offer(String chain, String key, String authorities, Instant now) throws IdentityRejectedException {
+    public OfferResult offer(String chain, String key, String authorities, Instant now) throws IdentityRejectedException {
         List<X509Certificate> certificates = PemReader.certificates(chain);
         TrustBundles bundles =
                 state.bundles.with(new TrustBundle(trustDomain, PemReader.certificates(authorities), Map.of()));
@@ -67,44 +67,44 @@
      * Takes an offer as a whole, if it holds together at this moment; a {@link IdentityRejectedException} leaves all as
      * it was.
      */
-    public Taken offer(Offer offer, Instant now) throws IdentityRejectedException {
-        State before = state;
+    public OfferResult offer(Offer offer, Instant now) throws IdentityRejectedException {
+        State previous = state;
         TrustBundles bundles = TrustBundles.EMPTY;
-        for (TrustBundle each : offer.bundles) {
-            bundles = bundles.with(each);
+        for (TrustBundle bundle : offer.bundles) {
+            bundles = bundles.with(bundle);
         }
         X509Svid svid = X509Check.check(offer.chain, bundles, now);
         if (!svid.id().trustDomain().equals(trustDomain)) {
             throw new IdentityRejectedException(Reason.BAD_ID, svid.id() + " is not of trust domain " + trustDomain);
         }
-        belongs(offer.key, offer.chain.get(0));
-        boolean sameOwn = before.own != null
-                && before.own.svid().equals(svid)
-                && before.own.key().equals(offer.key);
-        if (sameOwn && sameAuthorities(before.bundles, bundles)) {
-            return Taken.SAME;
+        checkKeyMatches(offer.key, offer.chain.get(0));
+        boolean sameIdentity = previous.own != null
+                && previous.own.svid().equals(svid)
+                && previous.own.key().equals(offer.key);
+        if (sameIdentity && sameBundles(previous.bundles, bundles)) {
+            return OfferResult.UNCHANGED;
         }
-        state = new State(sameOwn ? before.own : new OwnIdentity(svid, offer.key), bundles);
-        return Taken.NEW;
+        state = new State(sameIdentity ? previous.own : new OwnIdentity(svid, offer.key), bundles);
+        return OfferResult.APPLIED;
     }
 
     /** Takes the authorities of a trust domain that ours is federated with. */
-    public Taken federate(String domain, String authorities) throws IdentityRejectedException {
+    public OfferResult federate(String domain, String authorities) throws IdentityRejectedException {
         TrustBundles bundles = state.bundles.with(
                 new TrustBundle(SpiffeId.trustDomain(domain), PemReader.certificates(authorities), Map.of()));
-        if (sameAuthorities(state.bundles, bundles)) {
-            return Taken.SAME;
+        if (sameBundles(state.bundles, bundles)) {
+            return OfferResult.UNCHANGED;
         }
         state = new State(state.own, bundles);
-        return Taken.NEW;
+        return OfferResult.APPLIED;
     }
 
-    private static boolean sameAuthorities(TrustBundles one, TrustBundles other) {
+    private static boolean sameBundles(TrustBundles one, TrustBundles other) {
         return java.util.Set.copyOf(one.all()).equals(java.util.Set.copyOf(other.all()));
     }
 
     /** Signs and verifies once: a key of another document would fail at each handshake. */
-    private static void belongs(PrivateKey key, X509Certificate leaf) throws IdentityRejectedException {
+    private static void checkKeyMatches(PrivateKey key, X509Certificate leaf) throws IdentityRejectedException {
         String algorithm =
                 switch (key.getAlgorithm()) {
                     case "EC" -> "SHA256withECDSA";
--- a/src/main/java/olivechute/identity/TrustBundle.java
+++ b/src/main/java/olivechute/identity/TrustBundle.java
@@ -18,7 +18,7 @@
     }
 
     /** What either vouches for; both are of one trust domain. */
-    public TrustBundle and(TrustBundle other) {
+    public TrustBundle merge(TrustBundle other) {
         List<X509Certificate> all = new ArrayList<>(authorities);
         all.addAll(other.authorities);
         Map<String, PublicKey> allKeys = new HashMap<>(keys);
--- a/src/main/java/olivechute/identity/TrustBundles.java
+++ b/src/main/java/olivechute/identity/TrustBundles.java
@@ -39,7 +39,7 @@
         return byDomain.values();
     }
 
-    TrustBundle of(SpiffeId id) throws IdentityRejectedException {
+    TrustBundle bundleFor(SpiffeId id) throws IdentityRejectedException {
         TrustBundle bundle = byDomain.get(id.trustDomain());
         if (bundle == null) {
             throw new IdentityRejectedException(Reason.UNKNOWN_DOMAIN, "no bundle of trust domain " + id.trustDomain());
--- a/src/main/java/olivechute/identity/X509Check.java
+++ b/src/main/java/olivechute/identity/X509Check.java
@@ -34,17 +34,17 @@
  */
 public final class X509Check {
     /** Longer chains are not looked at: each certificate is work that a stranger can ask for. */
-    private static final int MOST_CHAIN = 6;
+    private static final int MAX_CHAIN_LENGTH = 6;
 
-    private static final int LEAST_RSA = 2048;
-    private static final int LEAST_EC = 256;
-    private static final int URI = 6; // of a GeneralName, RFC 5280
+    private static final int MIN_RSA_BITS = 2048;
+    private static final int MIN_EC_BITS = 256;
+    private static final int GENERAL_NAME_URI = 6; // of a GeneralName, RFC 5280
     private static final int DIGITAL_SIGNATURE = 0; // bits of the key usage, RFC 5280
     private static final int KEY_CERT_SIGN = 5;
     private static final int CRL_SIGN = 6;
-    private static final String NAME_CONSTRAINTS = "2.5.29.30";
-    private static final String SERVER = "1.3.6.1.5.5.7.3.1";
-    private static final String CLIENT = "1.3.6.1.5.5.7.3.2";
+    private static final String NAME_CONSTRAINTS_OID = "2.5.29.30";
+    private static final String SERVER_AUTH_OID = "1.3.6.1.5.5.7.3.1";
+    private static final String CLIENT_AUTH_OID = "1.3.6.1.5.5.7.3.2";
 
     private X509Check() {}
 
@@ -56,23 +56,23 @@
         if (chain.isEmpty()) {
             throw new IdentityRejectedException(Reason.UNREADABLE, "no certificate");
         }
-        if (chain.size() > MOST_CHAIN) {
+        if (chain.size() > MAX_CHAIN_LENGTH) {
             throw new IdentityRejectedException(
-                    Reason.TOO_LARGE, chain.size() + " certificates, " + MOST_CHAIN + " at most");
+                    Reason.TOO_LARGE, chain.size() + " certificates, " + MAX_CHAIN_LENGTH + " at most");
         }
         X509Certificate leaf = chain.get(0);
         SpiffeId id = leafId(leaf);
-        leafUsage(leaf);
-        for (X509Certificate each : chain) {
-            strong(each);
+        checkLeafUsage(leaf);
+        for (X509Certificate certificate : chain) {
+            checkStrength(certificate);
         }
         for (X509Certificate signer : chain.subList(1, chain.size())) {
-            signer(signer, id);
+            checkSigner(signer, id);
         }
-        Instant end = lifetime(chain, now);
-        TrustBundle bundle = bundles.of(id);
-        vouched(chain, bundle, now);
-        return new X509Svid(id, List.copyOf(chain), end);
+        Instant expiry = checkLifetime(chain, now);
+        TrustBundle bundle = bundles.bundleFor(id);
+        checkPath(chain, bundle, now);
+        return new X509Svid(id, List.copyOf(chain), expiry);
     }
 
     /** The one ID that a leaf names, whether it holds or not. */
@@ -83,7 +83,7 @@
                     Reason.NOT_ONE_ID, ids.size() + " URIs among the alternative names, exactly one is needed");
         }
         SpiffeId id = SpiffeId.parse(ids.get(0));
-        if (!id.workload()) {
+        if (!id.isWorkload()) {
             throw new IdentityRejectedException(Reason.BAD_ID, "a leaf names a workload: its ID must have a path");
         }
         return id;
@@ -94,7 +94,7 @@
         try {
             Collection<List<?>> names = certificate.getSubjectAlternativeNames();
             for (List<?> name : names == null ? List.<List<?>>of() : names) {
-                if (name.get(0).equals(URI)) {
+                if (name.get(0).equals(GENERAL_NAME_URI)) {
                     uris.add((String) name.get(1));
                 }
             }
@@ -104,7 +104,7 @@
         return uris;
     }
 
-    private static void leafUsage(X509Certificate leaf) throws IdentityRejectedException {
+    private static void checkLeafUsage(X509Certificate leaf) throws IdentityRejectedException {
         boolean[] usage = leaf.getKeyUsage();
         if (leaf.getBasicConstraints() >= 0 || (usage != null && (usage[KEY_CERT_SIGN] || usage[CRL_SIGN]))) {
             throw new IdentityRejectedException(
@@ -114,7 +114,7 @@
             throw new IdentityRejectedException(Reason.WRONG_USAGE, "its key may not make signatures");
         }
         List<String> extended = extendedUsage(leaf);
-        if (extended != null && !(extended.contains(SERVER) && extended.contains(CLIENT))) {
+        if (extended != null && !(extended.contains(SERVER_AUTH_OID) && extended.contains(CLIENT_AUTH_OID))) {
             throw new IdentityRejectedException(
                     Reason.WRONG_USAGE, "extended usage without both server and client authentication");
         }
@@ -128,7 +128,7 @@
         }
     }
 
-    private static void signer(X509Certificate signer, SpiffeId leaf) throws IdentityRejectedException {
+    private static void checkSigner(X509Certificate signer, SpiffeId leafId) throws IdentityRejectedException {
         boolean[] usage = signer.getKeyUsage();
         if (signer.getBasicConstraints() < 0 || usage == null || !usage[KEY_CERT_SIGN]) {
             throw new IdentityRejectedException(
@@ -140,18 +140,18 @@
         }
         if (ids.size() == 1) {
             SpiffeId id = SpiffeId.parse(ids.get(0));
-            if (id.workload() || !id.trustDomain().equals(leaf.trustDomain())) {
+            if (id.isWorkload() || !id.trustDomain().equals(leafId.trustDomain())) {
                 throw new IdentityRejectedException(Reason.UNFIT_SIGNER, "a signing certificate of " + id);
             }
         }
     }
 
-    private static void strong(X509Certificate certificate) throws IdentityRejectedException {
+    private static void checkStrength(X509Certificate certificate) throws IdentityRejectedException {
         PublicKey key = certificate.getPublicKey();
-        boolean strong = (key instanceof RSAPublicKey rsa && rsa.getModulus().bitLength() >= LEAST_RSA)
-                || (key instanceof ECPublicKey ec && ec.getParams().getOrder().bitLength() >= LEAST_EC)
+        boolean strongKey = (key instanceof RSAPublicKey rsa && rsa.getModulus().bitLength() >= MIN_RSA_BITS)
+                || (key instanceof ECPublicKey ec && ec.getParams().getOrder().bitLength() >= MIN_EC_BITS)
                 || key instanceof EdECPublicKey;
-        if (!strong) {
+        if (!strongKey) {
             throw new IdentityRejectedException(
                     Reason.WEAK, "a key of " + key.getAlgorithm() + " that is too short or unknown");
         }
@@ -162,29 +162,29 @@
     }
 
     /** When the first of the chain expires; all must hold now. */
-    private static Instant lifetime(List<X509Certificate> chain, Instant now) throws IdentityRejectedException {
-        Instant end = Instant.MAX;
-        for (X509Certificate each : chain) {
-            Instant from = each.getNotBefore().toInstant();
-            Instant to = each.getNotAfter().toInstant();
-            if (now.isBefore(from)) {
-                throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + from + " on, it is " + now);
+    private static Instant checkLifetime(List<X509Certificate> chain, Instant now) throws IdentityRejectedException {
+        Instant earliestExpiry = Instant.MAX;
+        for (X509Certificate certificate : chain) {
+            Instant notBefore = certificate.getNotBefore().toInstant();
+            Instant notAfter = certificate.getNotAfter().toInstant();
+            if (now.isBefore(notBefore)) {
+                throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + notBefore + " on, it is " + now);
             }
-            if (now.isAfter(to)) {
-                throw new IdentityRejectedException(Reason.EXPIRED, "expired at " + to + ", it is " + now);
+            if (now.isAfter(notAfter)) {
+                throw new IdentityRejectedException(Reason.EXPIRED, "expired at " + notAfter + ", it is " + now);
             }
-            end = to.isBefore(end) ? to : end;
+            earliestExpiry = notAfter.isBefore(earliestExpiry) ? notAfter : earliestExpiry;
         }
-        return end;
+        return earliestExpiry;
     }
 
     /**
      * True if an authority's own constraints on names let all of a chain be. The platform's validator takes no
      * authority that has any, but looks at constraints where a certificate is selected by them.
      */
-    private static boolean permits(X509Certificate authority, List<X509Certificate> chain)
+    private static boolean satisfiesNameConstraints(X509Certificate authority, List<X509Certificate> chain)
             throws IdentityRejectedException {
-        byte[] wrapped = authority.getExtensionValue(NAME_CONSTRAINTS);
+        byte[] wrapped = authority.getExtensionValue(NAME_CONSTRAINTS_OID);
         if (wrapped == null) {
             return true;
         }
@@ -198,13 +198,13 @@
         return chain.stream().allMatch(selector::match);
     }
 
-    private static void vouched(List<X509Certificate> chain, TrustBundle bundle, Instant now)
+    private static void checkPath(List<X509Certificate> chain, TrustBundle bundle, Instant now)
             throws IdentityRejectedException {
         Set<TrustAnchor> anchors = new HashSet<>();
         for (X509Certificate authority : bundle.authorities()) {
-            boolean holds = !now.isBefore(authority.getNotBefore().toInstant())
+            boolean validNow = !now.isBefore(authority.getNotBefore().toInstant())
                     && !now.isAfter(authority.getNotAfter().toInstant());
-            if (holds && authority.getBasicConstraints() >= 0 && permits(authority, chain)) {
+            if (validNow && authority.getBasicConstraints() >= 0 && satisfiesNameConstraints(authority, chain)) {
                 anchors.add(new TrustAnchor(authority, null));
             }
         }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -106,7 +106,7 @@
         loop.runPeriodically(SWEEP_PERIOD_US, pools::sweep);
         loop.runPeriodically(SWEEP_PERIOD_US, server::sweep);
         if (security != null) {
-            loop.runPeriodically(IDENTITY_CHECK_PERIOD_US, security::watch);
+            loop.runPeriodically(IDENTITY_CHECK_PERIOD_US, security::warnOfExpiry);
         }
         if (reporting != null) {
             reporting.start();
@@ -124,7 +124,7 @@
      */
     private ConnectionPools pools(NodeConfig config, int connections) throws IOException {
         Connector connector =
-                security != null && config.identity().upstream() ? security.dialler() : Connector.PLAINTEXT;
+                security != null && config.identity().upstream() ? security.connector() : Connector.PLAINTEXT;
         return new ConnectionPools(
                 loop,
                 new WriterThreads(2 * connections),
@@ -175,10 +175,10 @@
         security.start();
         InetSocketAddress listen = config.identity().downstream().listen();
         if (listen != null) {
-            secure = server.listen(listen, security.door());
+            secure = server.listen(listen, security.tlsAuthenticator());
             Logger.info("{} listens with identities on {}", config.name(), secure);
         }
-        return server.listen(config.listen(), security.platformDoor());
+        return server.listen(config.listen(), security.platformAuthenticator());
     }
 
     /** Half of the downstream connections stay free for news: without it no stream would end. */
--- a/src/main/java/olivechute/security/IdentityManager.java
+++ b/src/main/java/olivechute/security/IdentityManager.java
@@ -8,7 +8,7 @@
 import olivechute.identity.OwnIdentity;
 import olivechute.identity.SvidManager;
 import olivechute.identity.SvidManager.Offer;
-import olivechute.identity.SvidManager.Taken;
+import olivechute.identity.SvidManager.OfferResult;
 import olivechute.identity.TrustBundles;
 import olivechute.svid.SvidListener;
 import olivechute.tls.TlsContext;
@@ -20,19 +20,19 @@
  */
 @SuppressWarnings("ReferenceEquality") // the identity in force is one object
 final class IdentityManager implements SvidListener {
-    private final SvidManager keeper;
-    private final boolean lenient;
+    private final SvidManager svidManager;
+    private final boolean allowTls12;
     private final Supplier<Instant> clock;
-    private volatile Own own;
-    private volatile String failure; // said last, not to be said at each look
-    private Instant warned; // the moment that was told of last; one thread's
+    private volatile ActiveIdentity active;
+    private volatile String lastFailure; // said last, not to be said at each look
+    private Instant lastExpiryWarning; // the moment that was told of last; one thread's
 
     /** Our identity, the context made of it, and since when it is in force. */
-    record Own(OwnIdentity identity, TlsContext context, Instant since) {}
+    record ActiveIdentity(OwnIdentity identity, TlsContext context, Instant since) {}
 
     IdentityManager(String trustDomain, boolean lenient, Supplier<Instant> clock) throws IdentityRejectedException {
-        this.keeper = new SvidManager(trustDomain);
-        this.lenient = lenient;
+        this.svidManager = new SvidManager(trustDomain);
+        this.allowTls12 = lenient;
         this.clock = clock;
     }
 
@@ -41,42 +41,42 @@
     }
 
     SvidManager.State state() {
-        return keeper.state();
+        return svidManager.state();
     }
 
     TrustBundles bundles() {
-        return keeper.state().bundles();
+        return svidManager.state().bundles();
     }
 
     /** Ours, if it holds; without one there is no handshake. */
-    Own own() throws IOException {
-        Own held = own;
-        if (held == null) {
+    ActiveIdentity active() throws IOException {
+        ActiveIdentity current = active;
+        if (current == null) {
             throw new IOException("no identity of our own yet");
         }
-        if (clock.get().isAfter(held.identity.svid().notAfter())) {
+        if (clock.get().isAfter(current.identity.svid().notAfter())) {
             throw new IOException(
-                    "our own identity expired at " + held.identity.svid().notAfter());
+                    "our own identity expired at " + current.identity.svid().notAfter());
         }
-        return held;
+        return current;
     }
 
     @Override
-    public synchronized void offered(Offer offer) throws IdentityRejectedException {
-        Taken taken = keeper.offer(offer, clock.get());
-        failure = null;
-        if (taken == Taken.SAME) {
+    public synchronized void onOffer(Offer offer) throws IdentityRejectedException {
+        OfferResult result = svidManager.offer(offer, clock.get());
+        lastFailure = null;
+        if (result == OfferResult.UNCHANGED) {
             return;
         }
-        OwnIdentity next = keeper.state().own();
-        if (own == null || own.identity != next) {
-            own = new Own(
-                    next, new TlsContext(next.svid().chain(), next.key(), lenient, this::bundles, clock), clock.get());
+        OwnIdentity identity = svidManager.state().own();
+        if (active == null || active.identity != identity) {
+            active = new ActiveIdentity(
+                    identity, new TlsContext(identity.svid().chain(), identity.key(), allowTls12, this::bundles, clock), clock.get());
         }
         Logger.info(
                 "identity {} until {}, with bundles of {}",
-                next.svid().id(),
-                next.svid().notAfter(),
+                identity.svid().id(),
+                identity.svid().notAfter(),
                 bundles().all().stream()
                         .map(b -> b.trustDomain() + " (" + b.authorities().size() + ")")
                         .sorted()
@@ -84,16 +84,16 @@
     }
 
     @Override
-    public void failed(String reason) {
-        if (!reason.equals(failure)) {
-            failure = reason;
-            Own held = own;
+    public void onFailure(String reason) {
+        if (!reason.equals(lastFailure)) {
+            lastFailure = reason;
+            ActiveIdentity current = active;
             Logger.warn(
                     "identity not renewed, {}: {}",
-                    held == null
+                    current == null
                             ? "none is in force"
                             : "the last one is in force until "
-                                    + held.identity.svid().notAfter(),
+                                    + current.identity.svid().notAfter(),
                     reason);
         }
     }
@@ -102,23 +102,23 @@
      * Says in time that an identity runs out: once when a third of its time with us is left, once when it is over. True
      * when it says so. For one thread.
      */
-    boolean watch() {
-        Own held = own;
-        if (held == null) {
+    boolean warnOfExpiry() {
+        ActiveIdentity current = active;
+        if (current == null) {
             return false;
         }
-        Instant end = held.identity.svid().notAfter();
+        Instant expiry = current.identity.svid().notAfter();
         Instant now = clock.get();
-        Instant due = end.minus(Duration.between(held.since, end).dividedBy(3));
-        Instant mark = now.isAfter(end) ? end : now.isAfter(due) ? due : null;
-        if (mark == null || mark.equals(warned)) {
+        Instant warningTime = expiry.minus(Duration.between(current.since, expiry).dividedBy(3));
+        Instant reached = now.isAfter(expiry) ? expiry : now.isAfter(warningTime) ? warningTime : null;
+        if (reached == null || reached.equals(lastExpiryWarning)) {
             return false;
         }
-        warned = mark;
-        if (mark.equals(end)) {
-            Logger.error("our own identity expired at {}: no new connection until it is renewed", end);
+        lastExpiryWarning = reached;
+        if (reached.equals(expiry)) {
+            Logger.error("our own identity expired at {}: no new connection until it is renewed", expiry);
         } else {
-            Logger.warn("our own identity expires at {} and is not renewed yet", end);
+            Logger.warn("our own identity expires at {} and is not renewed yet", expiry);
         }
         return true;
     }
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -29,19 +29,19 @@
     private final IdentitySettings settings;
     private final IdentityManager identities;
     /** One for each side: hosts that come back together must not wait behind clients, nor clients behind them. */
-    private final Semaphore accepting;
+    private final Semaphore acceptPermits;
 
-    private final Semaphore dialling;
+    private final Semaphore dialPermits;
     private final TokenVerifier tokens = new TokenVerifier();
     private volatile Rules rules;
-    private WorkloadApiSvidSource agent; // null where the source is another
+    private WorkloadApiSvidSource workloadApiSource; // null where the source is another
 
     /** Under this clock, which may step either way. */
     public NodeSecurity(IdentitySettings settings, Supplier<Instant> clock) {
         this.settings = settings;
         this.rules = settings.rules();
-        this.accepting = new Semaphore(settings.tls().atOnce(), true);
-        this.dialling = new Semaphore(settings.tls().atOnce(), true);
+        this.acceptPermits = new Semaphore(settings.tls().atOnce(), true);
+        this.dialPermits = new Semaphore(settings.tls().atOnce(), true);
         try {
             identities =
                     new IdentityManager(settings.trustDomain(), settings.tls().lenient(), clock);
@@ -55,15 +55,15 @@
         IdentitySettings.Source source = settings.source();
         if (source.kind() == Kind.FOLDER) {
             FolderSvidSource folder = new FolderSvidSource(source.folder(), settings.trustDomain());
-            folder.look(identities);
+            folder.poll(identities);
             folder.start(identities, source.poll());
         } else {
-            agent = new WorkloadApiSvidSource(
+            workloadApiSource = new WorkloadApiSvidSource(
                     source.socket() == null ? source.address() : UnixDomainSocketAddress.of(source.socket()),
                     source.hint(),
                     settings.rules().audience() != null,
                     new SecureRandom());
-            agent.start(identities);
+            workloadApiSource.start(identities);
         }
     }
 
@@ -73,39 +73,39 @@
     }
 
     /** Tells in the log of an identity that runs out; to be called now and then, on one thread. */
-    public void watch() {
-        if (identities.watch() && agent != null) {
-            agent.nudge(); // it is connected, or seems to be, and yet has not renewed what is due
+    public void warnOfExpiry() {
+        if (identities.warnOfExpiry() && workloadApiSource != null) {
+            workloadApiSource.reconnect(); // it is connected, or seems to be, and yet has not renewed what is due
         }
     }
 
     /** To upstream hosts, each of which must be who its name asks for. */
-    public Connector dialler() {
-        return host -> TlsConnection.dialled(identities, dialling, host, peer -> {
-            if (!rules.hosts().is(peer.id(), host)) {
+    public Connector connector() {
+        return host -> TlsConnection.client(identities, dialPermits, host, peer -> {
+            if (!rules.hosts().matches(peer.id(), host)) {
                 throw new IOException(
-                        "host " + host + " must be " + rules.hosts().wanted(host) + ", is " + peer.id());
+                        "host " + host + " must be " + rules.hosts().requiredId(host) + ", is " + peer.id());
             }
         });
     }
 
     /** At the platform's address. */
-    public PeerIdentity.Authenticator platformDoor() {
+    public PeerIdentity.Authenticator platformAuthenticator() {
         return settings.downstream().mode() == Mode.ONLY
-                ? door()
-                : settings.rules().plain() ? new PlainDoor() : PeerIdentity.Authenticator.PLAINTEXT;
+                ? tlsAuthenticator()
+                : settings.rules().plain() ? new TokenAuthenticator() : PeerIdentity.Authenticator.PLAINTEXT;
     }
 
     /** At an address where TLS is spoken. */
-    public PeerIdentity.Authenticator door() {
+    public PeerIdentity.Authenticator tlsAuthenticator() {
         return new PeerIdentity.Authenticator() {
             @Override
             public Connection createTransport(SocketChannel accepted) {
                 try {
-                    return TlsConnection.accepted(accepted, identities, accepting, (int)
+                    return TlsConnection.server(accepted, identities, acceptPermits, (int)
                             settings.tls().downstreamHandshake().toMillis());
                 } catch (IOException noIdentity) {
-                    return new Refusing(accepted, noIdentity);
+                    return new RejectedConnection(accepted, noIdentity);
                 }
             }
 
@@ -113,21 +113,21 @@
             public PeerIdentity authenticate(Connection link) throws IOException {
                 X509Svid peer = ((TlsConnection) link).peer();
                 Rules now = rules;
-                if (!now.clients().client(peer.id()) && !now.hosts().host(peer.id()) && !proxy(now, peer.id())) {
+                if (!now.clients().isClient(peer.id()) && !now.hosts().isEndpoint(peer.id()) && !isProxy(now, peer.id())) {
                     String reason = "no rule is about " + peer.id();
                     RejectionLog.log(link.socket().getRemoteSocketAddress(), reason);
                     throw new IOException(reason);
                 }
-                return new Known((TlsConnection) link, peer.id());
+                return new AuthenticatedPeer((TlsConnection) link, peer.id());
             }
         };
     }
 
     /** A connection that goes no further, as we cannot say who we are. */
-    private static final class Refusing extends Connection {
+    private static final class RejectedConnection extends Connection {
         private final IOException reason;
 
-        Refusing(SocketChannel accepted, IOException reason) {
+        RejectedConnection(SocketChannel accepted, IOException reason) {
             super(accepted);
             this.reason = reason;
         }
@@ -139,37 +139,37 @@
         }
     }
 
-    private static boolean proxy(Rules rules, SpiffeId id) {
+    private static boolean isProxy(Rules rules, SpiffeId id) {
         return rules.proxies().stream().anyMatch(p -> p.matches(id));
     }
 
     /** Somebody whose identity is known by its connection. */
-    private final class Known implements PeerIdentity {
-        private final TlsConnection link;
+    private final class AuthenticatedPeer implements PeerIdentity {
+        private final TlsConnection connection;
         private final SpiffeId id;
 
-        Known(TlsConnection link, SpiffeId id) {
-            this.link = link;
+        AuthenticatedPeer(TlsConnection link, SpiffeId id) {
+            this.connection = link;
             this.id = id;
         }
 
         @Override
         public Rejection checkRequest(HttpRequest message, String tenant) {
-            if (!link.isPeerIdentityValid()) {
-                return link.ownLapsed()
+            if (!connection.isPeerIdentityValid()) {
+                return connection.isOwnIdentityExpired()
                         ? new Rejection(503, "this node has no identity that holds")
                         : new Rejection(403, "the identity of this connection holds no more");
             }
-            return proxy(rules, id) ? byToken(message, tenant) : byIdentity(id, tenant);
+            return isProxy(rules, id) ? checkToken(message, tenant) : checkClient(id, tenant);
         }
 
         @Override
         public boolean mayReportJobStatus(String host) {
-            return rules.hosts().is(id, host);
+            return rules.hosts().matches(id, host);
         }
     }
 
-    private PeerIdentity.Rejection byIdentity(SpiffeId id, String tenant) {
+    private PeerIdentity.Rejection checkClient(SpiffeId id, String tenant) {
         if (rules.clients().allows(id, tenant)) {
             return null;
         }
@@ -177,18 +177,18 @@
         return new PeerIdentity.Rejection(403, "X-Org: not a tenant of this identity");
     }
 
-    private PeerIdentity.Rejection byToken(HttpRequest message, String tenant) {
-        String shown = message.headers().hasSeveral(AUTHORIZATION)
+    private PeerIdentity.Rejection checkToken(HttpRequest message, String tenant) {
+        String authorization = message.headers().hasSeveral(AUTHORIZATION)
                 ? null
                 : message.headers().get(AUTHORIZATION);
-        if (shown == null || !shown.startsWith(SCHEME)) {
+        if (authorization == null || !authorization.startsWith(SCHEME)) {
             return new PeerIdentity.Rejection(403, "Authorization: one bearer token is needed");
         }
         try {
             SpiffeId id = tokens.check(
-                            shown.substring(SCHEME.length()), rules.audience(), identities.bundles(), identities.now())
+                            authorization.substring(SCHEME.length()), rules.audience(), identities.bundles(), identities.now())
                     .id();
-            return byIdentity(id, tenant);
+            return checkClient(id, tenant);
         } catch (IdentityRejectedException e) {
             RejectionLog.log("a token", e.getMessage());
             return new PeerIdentity.Rejection(403, "Authorization: the token does not hold");
@@ -199,7 +199,7 @@
      * Behind a proxy of our own that ends TLS: whoever comes shows a token with each job, and no host can be told from
      * another.
      */
-    private final class PlainDoor implements PeerIdentity.Authenticator, PeerIdentity {
+    private final class TokenAuthenticator implements PeerIdentity.Authenticator, PeerIdentity {
         @Override
         public PeerIdentity authenticate(Connection link) {
             return this;
@@ -207,7 +207,7 @@
 
         @Override
         public Rejection checkRequest(HttpRequest message, String tenant) {
-            return byToken(message, tenant);
+            return checkToken(message, tenant);
         }
 
         @Override
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -28,160 +28,160 @@
 }) // identity of the one message under way; the buffers are allocated on the heap here
 final class TlsConnection extends Connection {
     /** Head and body up to this size leave as one record. */
-    private static final int TOGETHER = 16 * 1024;
+    private static final int MAX_JOINED_BYTES = 16 * 1024;
 
     /**
      * Settles with whom a connection is to be, once that is known; an {@link IOException} says why not with this one.
      */
-    interface Wanted {
+    interface PeerCheck {
         void check(X509Svid peer) throws IOException;
     }
 
-    private interface Said {
-        void by() throws TlsException;
+    private interface TlsAction {
+        void run() throws TlsException;
     }
 
     private final IdentityManager identities;
-    private final IdentityManager.Own own;
-    private final TlsStateMachine machine;
-    private final Semaphore gate;
-    private final Wanted wanted;
-    private final Object writing = new Object();
-    private ByteBuffer received = ByteBuffer.allocate(0); // the reader's
-    private final int acceptMillis; // 0 for one that is dialled
-    private volatile SvidManager.State judged; // under which the peer held last
-    private volatile boolean lapsed;
+    private final IdentityManager.ActiveIdentity ownIdentity;
+    private final TlsStateMachine stateMachine;
+    private final Semaphore handshakePermits;
+    private final PeerCheck peerCheck;
+    private final Object writeLock = new Object();
+    private ByteBuffer plaintext = ByteBuffer.allocate(0); // the reader's
+    private final int acceptTimeoutMillis; // 0 for one that is dialled
+    private volatile SvidManager.State checkedState; // under which the peer held last
+    private volatile boolean peerRejected;
 
     private TlsConnection(
             SocketChannel channel,
             IdentityManager identities,
-            IdentityManager.Own own,
+            IdentityManager.ActiveIdentity own,
             TlsStateMachine machine,
             Semaphore gate,
             int acceptMillis,
-            Wanted wanted) {
+            PeerCheck wanted) {
         super(channel);
         this.identities = identities;
-        this.own = own;
-        this.machine = machine;
-        this.gate = gate;
-        this.acceptMillis = acceptMillis;
-        this.wanted = wanted;
+        this.ownIdentity = own;
+        this.stateMachine = machine;
+        this.handshakePermits = gate;
+        this.acceptTimeoutMillis = acceptMillis;
+        this.peerCheck = wanted;
     }
 
     /** For a connection that was accepted; its handshake must be over after so long. */
-    static TlsConnection accepted(SocketChannel channel, IdentityManager identities, Semaphore gate, int millis)
+    static TlsConnection server(SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
             throws IOException {
-        IdentityManager.Own own = identities.own();
-        return new TlsConnection(channel, identities, own, own.context().accepted(), gate, millis, peer -> {});
+        IdentityManager.ActiveIdentity own = identities.active();
+        return new TlsConnection(channel, identities, own, own.context().server(), handshakePermits, handshakeTimeoutMillis, peer -> {});
     }
 
     /** For one to be dialled; sessions are resumed with the peer of the same name only. */
-    static TlsConnection dialled(IdentityManager identities, Semaphore gate, String name, Wanted wanted)
+    static TlsConnection client(IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
             throws IOException {
-        IdentityManager.Own own = identities.own();
+        IdentityManager.ActiveIdentity own = identities.active();
         return new TlsConnection(
-                SocketChannel.open(), identities, own, own.context().dialled(name, 1), gate, 0, wanted);
+                SocketChannel.open(), identities, own, own.context().client(name, 1), handshakePermits, 0, peerCheck);
     }
 
     /** Dials and shakes hands, all within this time. */
     @Override
-    public void connect(InetSocketAddress address, int millis) throws IOException {
-        long end = System.nanoTime() + millis * 1_000_000L;
-        super.connect(address, millis);
+    public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
+        long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
+        super.connect(address, timeoutMillis);
         super.initialize();
-        handshake(end, millis);
+        handshake(deadlineNanos, timeoutMillis);
     }
 
     @Override
     public void initialize() throws IOException {
-        if (acceptMillis > 0) {
+        if (acceptTimeoutMillis > 0) {
             super.initialize();
-            handshake(System.nanoTime() + acceptMillis * 1_000_000L, acceptMillis);
+            handshake(System.nanoTime() + acceptTimeoutMillis * 1_000_000L, acceptTimeoutMillis);
         }
     }
 
-    private void handshake(long end, int millis) throws IOException {
+    private void handshake(long deadlineNanos, int timeoutMillis) throws IOException {
         SvidManager.State state = identities.state();
         try {
             InputStream in = socket().getInputStream();
-            boolean first = acceptMillis == 0;
-            while (first || !machine.open()) {
+            boolean first = acceptTimeoutMillis == 0;
+            while (first || !stateMachine.isOpen()) {
                 if (!first) {
-                    socket().setSoTimeout(left(end, millis));
-                    ByteBuffer room = machine.room();
-                    int n = TimedReads.read(in, room.array(), room.position(), room.remaining());
+                    socket().setSoTimeout(remainingMillis(deadlineNanos, timeoutMillis));
+                    ByteBuffer buffer = stateMachine.receiveBuffer();
+                    int n = TimedReads.read(in, buffer.array(), buffer.position(), buffer.remaining());
                     if (n < 0) {
                         throw new EOFException("ended within the handshake");
                     }
-                    room.position(room.position() + n);
+                    buffer.position(buffer.position() + n);
                 }
                 first = false;
-                compute(end, millis);
+                advanceWithPermit(deadlineNanos, timeoutMillis);
             }
-            wanted.check(machine.peer());
-            judged = state;
+            peerCheck.check(stateMachine.peer());
+            checkedState = state;
         } catch (IOException e) {
             RejectionLog.log(socket().getRemoteSocketAddress(), e.getMessage());
             throw e;
         }
     }
 
-    private static int left(long end, int millis) throws IOException {
-        long left = (end - System.nanoTime()) / 1_000_000;
+    private static int remainingMillis(long deadlineNanos, int timeoutMillis) throws IOException {
+        long left = (deadlineNanos - System.nanoTime()) / 1_000_000;
         if (left <= 0) {
-            throw new SocketTimeoutException("no handshake within " + millis + " ms");
+            throw new SocketTimeoutException("no handshake within " + timeoutMillis + " ms");
         }
         return (int) left;
     }
 
     /** One step of a handshake, among as many at once as the gate lets through. */
-    private void compute(long end, int millis) throws IOException {
+    private void advanceWithPermit(long deadlineNanos, int timeoutMillis) throws IOException {
         try {
-            if (!gate.tryAcquire(left(end, millis), TimeUnit.MILLISECONDS)) {
-                throw new SocketTimeoutException("too many handshakes at once for " + millis + " ms");
+            if (!handshakePermits.tryAcquire(remainingMillis(deadlineNanos, timeoutMillis), TimeUnit.MILLISECONDS)) {
+                throw new SocketTimeoutException("too many handshakes at once for " + timeoutMillis + " ms");
             }
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
         try {
-            work();
+            advance();
         } finally {
-            gate.release();
+            handshakePermits.release();
         }
     }
 
     /** Has the machine go on, and sends what it has to say, also where that is an alert and the end. */
-    private void work() throws IOException {
-        boolean speaks;
-        TlsException fault = null;
-        synchronized (machine) {
+    private void advance() throws IOException {
+        boolean hasOutput;
+        TlsException failure = null;
+        synchronized (stateMachine) {
             try {
-                machine.work();
+                stateMachine.advance();
             } catch (TlsException e) {
-                fault = e;
+                failure = e;
             }
-            speaks = machine.hasToSend();
+            hasOutput = stateMachine.hasToSend();
         }
-        if (speaks) {
+        if (hasOutput) {
             send(() -> {});
         }
-        if (fault != null) {
-            throw new IOException(fault.getMessage());
+        if (failure != null) {
+            throw new IOException(failure.getMessage());
         }
     }
 
     /** Has the machine say something, and sends it behind all that was to be sent before. */
-    private void send(Said said) throws IOException {
-        synchronized (writing) {
+    private void send(TlsAction action) throws IOException {
+        synchronized (writeLock) {
             ByteBuffer out;
-            synchronized (machine) {
+            synchronized (stateMachine) {
                 try {
-                    said.by();
+                    action.run();
                 } catch (TlsException e) {
                     throw new IOException(e.getMessage());
                 }
-                out = machine.toSend();
+                out = stateMachine.toSend();
             }
             super.write(out);
         }
@@ -189,12 +189,12 @@
 
     /** Who the peer is; to be asked once the handshake is over. */
     X509Svid peer() {
-        return machine.peer();
+        return stateMachine.peer();
     }
 
     /** True if our own identity, under which this connection was made, has run out. */
-    boolean ownLapsed() {
-        return identities.now().isAfter(own.identity().svid().notAfter());
+    boolean isOwnIdentityExpired() {
+        return identities.now().isAfter(ownIdentity.identity().svid().notAfter());
     }
 
     /**
@@ -203,23 +203,23 @@
      */
     @Override
     public boolean isPeerIdentityValid() {
-        SvidManager.State under = judged;
-        if (under == null) {
+        SvidManager.State checked = checkedState;
+        if (checked == null) {
             return true; // its handshake is under way, and has its own time
         }
         Instant now = identities.now();
-        if (lapsed || ownLapsed() || now.isAfter(machine.peer().notAfter())) {
+        if (peerRejected || isOwnIdentityExpired() || now.isAfter(stateMachine.peer().notAfter())) {
             return false;
         }
         SvidManager.State state = identities.state();
-        if (state != under) {
+        if (state != checked) {
             try {
-                X509Check.check(machine.peer().chain(), state.bundles(), now);
-                judged = state;
+                X509Check.check(stateMachine.peer().chain(), state.bundles(), now);
+                checkedState = state;
             } catch (IdentityRejectedException e) {
-                lapsed = true;
+                peerRejected = true;
                 RejectionLog.log(
-                        socket().getRemoteSocketAddress(), machine.peer().id() + " holds no more: " + e.getMessage());
+                        socket().getRemoteSocketAddress(), stateMachine.peer().id() + " holds no more: " + e.getMessage());
                 return false;
             }
         }
@@ -236,46 +236,46 @@
         return read(into, false);
     }
 
-    private int read(ByteBuffer into, boolean waits) throws IOException {
-        while (!received.hasRemaining()) {
-            work();
-            synchronized (machine) {
-                received = machine.received();
-                if (!received.hasRemaining() && machine.closed()) {
+    private int read(ByteBuffer into, boolean blocking) throws IOException {
+        while (!plaintext.hasRemaining()) {
+            advance();
+            synchronized (stateMachine) {
+                plaintext = stateMachine.received();
+                if (!plaintext.hasRemaining() && stateMachine.closed()) {
                     return -1;
                 }
             }
-            if (!received.hasRemaining()) {
-                int n = waits ? super.read(machine.room()) : super.readAvailable(machine.room());
+            if (!plaintext.hasRemaining()) {
+                int n = blocking ? super.read(stateMachine.receiveBuffer()) : super.readAvailable(stateMachine.receiveBuffer());
                 if (n < 0) {
                     throw new EOFException("ended without a word of leave");
                 }
-                if (n == 0 && !waits) {
+                if (n == 0 && !blocking) {
                     return 0;
                 }
             }
         }
-        int n = Math.min(into.remaining(), received.remaining());
-        into.put(received.slice().limit(n));
-        received.position(received.position() + n);
+        int n = Math.min(into.remaining(), plaintext.remaining());
+        into.put(plaintext.slice().limit(n));
+        plaintext.position(plaintext.position() + n);
         return n;
     }
 
     @Override
     public void write(ByteBuffer bytes) throws IOException {
-        send(() -> machine.send(bytes));
+        send(() -> stateMachine.send(bytes));
     }
 
     @Override
     public void write(ByteBuffer head, ByteBuffer body) throws IOException {
-        if (head.remaining() + body.remaining() <= TOGETHER) {
+        if (head.remaining() + body.remaining() <= MAX_JOINED_BYTES) {
             write(ByteBuffer.allocate(head.remaining() + body.remaining())
                     .put(head)
                     .put(body)
                     .flip());
             return;
         }
-        synchronized (writing) {
+        synchronized (writeLock) {
             write(head);
             write(body);
         }
@@ -283,12 +283,12 @@
 
     @Override
     public boolean hasUnreadInput() {
-        return received.hasRemaining() || super.hasUnreadInput();
+        return plaintext.hasRemaining() || super.hasUnreadInput();
     }
 
     @Override
     public void shutdownOutput() throws IOException {
-        send(machine::finish);
+        send(stateMachine::closeOutbound);
         super.shutdownOutput();
     }
 }
--- a/src/main/java/olivechute/security/TokenVerifier.java
+++ b/src/main/java/olivechute/security/TokenVerifier.java
@@ -10,35 +10,35 @@
 
 /** Judges tokens, and remembers those that held: a client shows one many times, and a signature is work. */
 final class TokenVerifier {
-    private static final int MOST = 512;
+    private static final int MAX_CACHED_TOKENS = 512;
 
-    private final Map<String, Held> held = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, CachedToken> cache = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Held> eldest) {
-            return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<String, CachedToken> eldest) {
+            return size() > MAX_CACHED_TOKENS;
         }
     };
 
-    private record Held(JwtSvid svid, String audience, TrustBundles bundles, Instant at) {}
+    private record CachedToken(JwtSvid svid, String audience, TrustBundles bundles, Instant checkedAt) {}
 
     /** The identity that a token shows at this moment, under these bundles. */
     JwtSvid check(String token, String audience, TrustBundles bundles, Instant now) throws IdentityRejectedException {
-        Held before;
-        synchronized (held) {
-            before = held.get(token);
+        CachedToken cached;
+        synchronized (cache) {
+            cached = cache.get(token);
         }
-        if (before != null
-                && before.bundles == bundles
-                && before.audience.equals(audience)
-                && !now.isBefore(before.at)
-                && !now.isAfter(before.svid.notAfter())) {
-            return before.svid;
+        if (cached != null
+                && cached.bundles == bundles
+                && cached.audience.equals(audience)
+                && !now.isBefore(cached.checkedAt)
+                && !now.isAfter(cached.svid.notAfter())) {
+            return cached.svid;
         }
         JwtSvid svid = JwtCheck.check(token, audience, bundles, now);
-        synchronized (held) {
-            held.put(token, new Held(svid, audience, bundles, now));
+        synchronized (cache) {
+            cache.put(token, new CachedToken(svid, audience, bundles, now));
         }
         return svid;
     }
--- a/src/main/java/olivechute/svid/FolderSvidSource.java
+++ b/src/main/java/olivechute/svid/FolderSvidSource.java
@@ -30,12 +30,12 @@
  * refused and looked at again.
  */
 public final class FolderSvidSource {
-    private static final long MOST = 256 * 1024;
-    private static final int MOST_FEDERATED = 64;
+    private static final long MAX_FILE_BYTES = 256 * 1024;
+    private static final int MAX_FILES = 64;
 
     private final Path folder;
     private final String trustDomain;
-    private Map<String, String> taken = Map.of(); // what was looked at last, by the files' stamps
+    private Map<String, String> appliedStamps = Map.of(); // what was looked at last, by the files' stamps
 
     /** {@code folder} may be a link, and may not be there yet. */
     public FolderSvidSource(Path folder, String trustDomain) {
@@ -44,12 +44,12 @@
     }
 
     /** Looks every so often, on a thread of its own that ends with the program. */
-    public void start(SvidListener sink, Duration poll) {
+    public void start(SvidListener listener, Duration interval) {
         Threads.start("svid-folder", () -> {
             try {
                 for (; ; ) {
-                    Thread.sleep(poll.toMillis());
-                    look(sink);
+                    Thread.sleep(interval.toMillis());
+                    poll(listener);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -58,47 +58,47 @@
     }
 
     /** Looks once; what has not changed since it was taken is no news. */
-    public synchronized void look(SvidListener sink) {
+    public synchronized void poll(SvidListener listener) {
         try {
-            Path now = folder.toRealPath();
-            Map<String, String> stamps = stamps(now);
-            if (stamps.equals(taken)) {
+            Path directory = folder.toRealPath();
+            Map<String, String> stamps = fileStamps(directory);
+            if (stamps.equals(appliedStamps)) {
                 return;
             }
-            Offer offer = read(now);
+            Offer offer = read(directory);
             // Swapped or written to while it was read: the next look sees it whole.
-            if (folder.toRealPath().equals(now) && stamps(now).equals(stamps)) {
-                sink.offered(offer);
-                taken = stamps;
+            if (folder.toRealPath().equals(directory) && fileStamps(directory).equals(stamps)) {
+                listener.onOffer(offer);
+                appliedStamps = stamps;
             }
         } catch (IdentityRejectedException e) {
-            sink.failed(folder + ": " + e.getMessage());
+            listener.onFailure(folder + ": " + e.getMessage());
         } catch (IOException e) {
-            sink.failed(folder + ": cannot read: " + e);
+            listener.onFailure(folder + ": cannot read: " + e);
         }
     }
 
-    private static Map<String, String> stamps(Path at) throws IOException {
+    private static Map<String, String> fileStamps(Path directory) throws IOException {
         Map<String, String> stamps = new TreeMap<>();
-        for (Path file : files(at)) {
-            BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-            stamps.put(file.toString(), Objects.toString(a.fileKey()) + a.lastModifiedTime() + a.size());
+        for (Path file : files(directory)) {
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            stamps.put(file.toString(), Objects.toString(attributes.fileKey()) + attributes.lastModifiedTime() + attributes.size());
         }
         return stamps;
     }
 
-    private static List<Path> files(Path at) throws IOException {
+    private static List<Path> files(Path directory) throws IOException {
         List<Path> files =
-                new ArrayList<>(List.of(at.resolve("svid.pem"), at.resolve("svid_key.pem"), at.resolve("bundle.pem")));
-        if (Files.exists(at.resolve("bundle.jwks"))) {
-            files.add(at.resolve("bundle.jwks"));
+                new ArrayList<>(List.of(directory.resolve("svid.pem"), directory.resolve("svid_key.pem"), directory.resolve("bundle.pem")));
+        if (Files.exists(directory.resolve("bundle.jwks"))) {
+            files.add(directory.resolve("bundle.jwks"));
         }
-        if (Files.isDirectory(at.resolve("federated"))) {
-            try (DirectoryStream<Path> others = Files.newDirectoryStream(at.resolve("federated"), "*.{pem,jwks}")) {
+        if (Files.isDirectory(directory.resolve("federated"))) {
+            try (DirectoryStream<Path> others = Files.newDirectoryStream(directory.resolve("federated"), "*.{pem,jwks}")) {
                 for (Path other : others) {
                     files.add(other);
-                    if (files.size() > MOST_FEDERATED) {
-                        throw new IOException("over " + MOST_FEDERATED + " files");
+                    if (files.size() > MAX_FILES) {
+                        throw new IOException("over " + MAX_FILES + " files");
                     }
                 }
             }
@@ -106,28 +106,28 @@
         return files;
     }
 
-    private Offer read(Path at) throws IOException, IdentityRejectedException {
-        List<X509Certificate> chain = PemReader.certificates(text(at.resolve("svid.pem")));
+    private Offer read(Path directory) throws IOException, IdentityRejectedException {
+        List<X509Certificate> chain = PemReader.certificates(readText(directory.resolve("svid.pem")));
         PrivateKey key = PemReader.key(
-                text(at.resolve("svid_key.pem")), chain.get(0).getPublicKey().getAlgorithm());
+                readText(directory.resolve("svid_key.pem")), chain.get(0).getPublicKey().getAlgorithm());
         Map<String, TrustBundle> bundles = new TreeMap<>();
-        for (Path file : files(at)) {
+        for (Path file : files(directory)) {
             String name = file.getFileName().toString();
-            boolean own = file.getParent().equals(at);
+            boolean own = file.getParent().equals(directory);
             if (own && !name.startsWith("bundle.")) {
                 continue;
             }
             String domain = own ? trustDomain : SpiffeId.trustDomain(name.substring(0, name.lastIndexOf('.')));
-            List<X509Certificate> authorities = name.endsWith(".pem") ? PemReader.certificates(text(file)) : List.of();
-            Map<String, PublicKey> keys = name.endsWith(".jwks") ? JwkSets.keys(text(file)) : Map.of();
-            bundles.merge(domain, new TrustBundle(domain, authorities, keys), TrustBundle::and);
+            List<X509Certificate> authorities = name.endsWith(".pem") ? PemReader.certificates(readText(file)) : List.of();
+            Map<String, PublicKey> keys = name.endsWith(".jwks") ? JwkSets.parseKeys(readText(file)) : Map.of();
+            bundles.merge(domain, new TrustBundle(domain, authorities, keys), TrustBundle::merge);
         }
         return new Offer(chain, key, List.copyOf(bundles.values()));
     }
 
-    private static String text(Path file) throws IOException {
-        if (Files.size(file) > MOST) {
-            throw new IOException(file.getFileName() + " is over " + MOST + " bytes");
+    private static String readText(Path file) throws IOException {
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException(file.getFileName() + " is over " + MAX_FILE_BYTES + " bytes");
         }
         return Files.readString(file, StandardCharsets.ISO_8859_1);
     }
--- a/src/main/java/olivechute/svid/SvidListener.java
+++ b/src/main/java/olivechute/svid/SvidListener.java
@@ -6,8 +6,8 @@
 /** Takes what a source brings; called by the source's thread. */
 public interface SvidListener {
     /** Something new is there; a {@link IdentityRejectedException} says why it is not taken. */
-    void offered(Offer offer) throws IdentityRejectedException;
+    void onOffer(Offer offer) throws IdentityRejectedException;
 
     /** The source brings nothing, or nothing that can be read; the reason is for the log. */
-    void failed(String reason);
+    void onFailure(String reason);
 }
--- a/src/main/java/olivechute/svid/WorkloadApiMessages.java
+++ b/src/main/java/olivechute/svid/WorkloadApiMessages.java
@@ -40,16 +40,16 @@
     private WorkloadApiMessages() {}
 
     /** A part with a number, in its bytes. */
-    private record Part(int number, byte[] bytes) {}
+    private record Field(int number, byte[] bytes) {}
 
     /** The parts of a message that have a length; others are passed over. */
-    private static List<Part> parts(byte[] message) throws IdentityRejectedException {
-        List<Part> parts = new ArrayList<>();
+    private static List<Field> parseFields(byte[] message) throws IdentityRejectedException {
+        List<Field> fields = new ArrayList<>();
         try {
             CodedInputStream in = CodedInputStream.newInstance(message);
             for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
                 if ((tag & 7) == 2) {
-                    parts.add(new Part(tag >>> 3, in.readByteArray()));
+                    fields.add(new Field(tag >>> 3, in.readByteArray()));
                 } else {
                     in.skipField(tag);
                 }
@@ -57,35 +57,35 @@
         } catch (IOException e) {
             throw new IdentityRejectedException(Reason.UNREADABLE, "no message of the workload API: " + e.getMessage());
         }
-        return parts;
+        return fields;
     }
 
-    private static byte[] last(List<Part> parts, int number) {
+    private static byte[] lastValue(List<Field> fields, int number) {
         byte[] found = new byte[0];
-        for (Part each : parts) {
-            found = each.number == number ? each.bytes : found;
+        for (Field field : fields) {
+            found = field.number == number ? field.bytes : found;
         }
         return found;
     }
 
     /** Our document of this hint, or the first where the hint is empty, and the bundles that go with it. */
-    public static Offer x509(byte[] message, String hint) throws IdentityRejectedException {
-        List<Part> response = parts(message);
-        for (Part each : response) {
-            if (each.number != SVIDS) {
+    public static Offer parseX509Response(byte[] message, String hint) throws IdentityRejectedException {
+        List<Field> response = parseFields(message);
+        for (Field field : response) {
+            if (field.number != SVIDS) {
                 continue;
             }
-            List<Part> svid = parts(each.bytes);
-            if (!hint.isEmpty() && !hint.equals(new String(last(svid, HINT), StandardCharsets.UTF_8))) {
+            List<Field> svid = parseFields(field.bytes);
+            if (!hint.isEmpty() && !hint.equals(new String(lastValue(svid, HINT), StandardCharsets.UTF_8))) {
                 continue;
             }
-            SpiffeId id = SpiffeId.parse(new String(last(svid, ID), StandardCharsets.UTF_8));
-            List<X509Certificate> chain = PemReader.derCertificates(last(svid, CHAIN));
+            SpiffeId id = SpiffeId.parse(new String(lastValue(svid, ID), StandardCharsets.UTF_8));
+            List<X509Certificate> chain = PemReader.derCertificates(lastValue(svid, CHAIN));
             PrivateKey key = PemReader.derKey(
-                    last(svid, KEY), chain.get(0).getPublicKey().getAlgorithm());
+                    lastValue(svid, KEY), chain.get(0).getPublicKey().getAlgorithm());
             List<TrustBundle> bundles = new ArrayList<>();
-            bundles.add(new TrustBundle(id.trustDomain(), PemReader.derCertificates(last(svid, BUNDLE)), Map.of()));
-            for (Map.Entry<String, byte[]> other : map(response, FEDERATED).entrySet()) {
+            bundles.add(new TrustBundle(id.trustDomain(), PemReader.derCertificates(lastValue(svid, BUNDLE)), Map.of()));
+            for (Map.Entry<String, byte[]> other : parseDomainMap(response, FEDERATED).entrySet()) {
                 bundles.add(new TrustBundle(other.getKey(), PemReader.derCertificates(other.getValue()), Map.of()));
             }
             return new Offer(chain, key, bundles);
@@ -95,24 +95,24 @@
     }
 
     /** The keys that sign tokens, by trust domain. */
-    public static Map<String, Map<String, PublicKey>> jwtBundles(byte[] message) throws IdentityRejectedException {
+    public static Map<String, Map<String, PublicKey>> parseJwtBundlesResponse(byte[] message) throws IdentityRejectedException {
         Map<String, Map<String, PublicKey>> keys = new HashMap<>();
-        for (Map.Entry<String, byte[]> each : map(parts(message), BUNDLES).entrySet()) {
-            keys.put(each.getKey(), JwkSets.keys(new String(each.getValue(), StandardCharsets.UTF_8)));
+        for (Map.Entry<String, byte[]> each : parseDomainMap(parseFields(message), BUNDLES).entrySet()) {
+            keys.put(each.getKey(), JwkSets.parseKeys(new String(each.getValue(), StandardCharsets.UTF_8)));
         }
         return keys;
     }
 
     /** A map from trust domains, with or without their scheme, to bytes. */
-    private static Map<String, byte[]> map(List<Part> parts, int number) throws IdentityRejectedException {
+    private static Map<String, byte[]> parseDomainMap(List<Field> fields, int number) throws IdentityRejectedException {
         Map<String, byte[]> map = new HashMap<>();
-        for (Part each : parts) {
-            if (each.number == number) {
-                List<Part> entry = parts(each.bytes);
-                String key = new String(last(entry, 1), StandardCharsets.UTF_8);
+        for (Field field : fields) {
+            if (field.number == number) {
+                List<Field> entry = parseFields(field.bytes);
+                String key = new String(lastValue(entry, 1), StandardCharsets.UTF_8);
                 map.put(
                         SpiffeId.trustDomain(key.startsWith(SCHEME) ? key.substring(SCHEME.length()) : key),
-                        last(entry, 2));
+                        lastValue(entry, 2));
             }
         }
         return map;
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -27,44 +27,44 @@
  */
 @SuppressWarnings("WaitNotInLoop") // the wait stands in the loop of the caller, which reads the state anew
 public final class WorkloadApiSvidSource {
-    private static final long LEAST_WAIT = 250; // ms
-    private static final long MOST_WAIT = 30_000;
-    private static final int READ = 16 * 1024;
-    private static final byte[] NOTHING = new byte[0]; // a request of no fields
+    private static final long MIN_RETRY_DELAY_MS = 250; // ms
+    private static final long MAX_RETRY_DELAY_MS = 30_000;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final byte[] EMPTY_REQUEST = new byte[0]; // a request of no fields
 
     private final SocketAddress address;
     private final String hint;
-    private final boolean tokens;
+    private final boolean fetchJwtBundles;
     private final Backoff backoff;
     private SocketChannel channel; // guarded by this
-    private boolean nudged; // guarded by this
+    private boolean reconnectRequested; // guarded by this
 
     /** {@code tokens}: the keys that sign them are asked for too. */
     public WorkloadApiSvidSource(SocketAddress address, String hint, boolean tokens, RandomGenerator random) {
         this.address = address;
         this.hint = hint;
-        this.tokens = tokens;
-        this.backoff = new Backoff(LEAST_WAIT, MOST_WAIT, random);
+        this.fetchJwtBundles = tokens;
+        this.backoff = new Backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, random);
     }
 
     /** Stays connected, on a thread of its own that ends with the program. */
-    public void start(SvidListener sink) {
+    public void start(SvidListener listener) {
         Threads.start("svid-workload-api", () -> {
             try {
                 for (; ; ) {
                     try {
-                        new Session(sink).run();
+                        new Session(listener).run();
                     } catch (IOException e) {
-                        sink.failed("workload API at " + address + ": "
+                        listener.onFailure("workload API at " + address + ": "
                                 + (e instanceof AsynchronousCloseException
                                         ? "asked anew, as a renewal is due"
                                         : e.getMessage()));
                     } catch (GrpcException e) {
-                        sink.failed("workload API at " + address + ": " + e.getMessage());
+                        listener.onFailure("workload API at " + address + ": " + e.getMessage());
                     } finally {
-                        hangUp();
+                        closeChannel();
                     }
-                    pause(backoff.nextDelayMillis());
+                    awaitRetry(backoff.nextDelayMillis());
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -73,20 +73,20 @@
     }
 
     /** Dials anew at once: what is connected has not brought what was due. */
-    public synchronized void nudge() {
-        nudged = true;
+    public synchronized void reconnect() {
+        reconnectRequested = true;
         notifyAll();
-        hangUp();
+        closeChannel();
     }
 
-    private synchronized void pause(long millis) throws InterruptedException {
-        if (!nudged) {
+    private synchronized void awaitRetry(long millis) throws InterruptedException {
+        if (!reconnectRequested) {
             wait(millis);
         }
-        nudged = false;
+        reconnectRequested = false;
     }
 
-    private synchronized void hangUp() {
+    private synchronized void closeChannel() {
         try {
             if (channel != null) {
                 channel.close();
@@ -97,7 +97,7 @@
         channel = null;
     }
 
-    private synchronized SocketChannel dial() throws IOException {
+    private synchronized SocketChannel openChannel() throws IOException {
         channel = address instanceof UnixDomainSocketAddress
                 ? SocketChannel.open(StandardProtocolFamily.UNIX)
                 : SocketChannel.open();
@@ -106,28 +106,28 @@
 
     /** One connection, from its dialling to its end. */
     private final class Session implements GrpcConnection.Listener {
-        private final SvidListener sink;
-        private final GrpcConnection machine = GrpcConnection.client(this);
-        private int documents;
+        private final SvidListener listener;
+        private final GrpcConnection connection = GrpcConnection.client(this);
+        private int x509Stream;
         private Offer offer;
         private Map<String, Map<String, PublicKey>> keys = Map.of();
-        private String end; // why it is over
+        private String endReason; // why it is over
 
         Session(SvidListener sink) {
-            this.sink = sink;
+            this.listener = sink;
         }
 
         void run() throws IOException, GrpcException {
-            SocketChannel dialled = dial();
+            SocketChannel dialled = openChannel();
             dialled.connect(address);
-            documents =
-                    machine.call("localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, NOTHING);
-            if (tokens) {
-                machine.call("localhost", WorkloadApiMessages.FETCH_JWT_BUNDLES, WorkloadApiMessages.METADATA, NOTHING);
+            x509Stream =
+                    connection.call("localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
+            if (fetchJwtBundles) {
+                connection.call("localhost", WorkloadApiMessages.FETCH_JWT_BUNDLES, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
             }
-            ByteBuffer room = ByteBuffer.allocate(READ);
-            while (end == null) {
-                ByteBuffer ready = ByteBuffer.wrap(machine.toSend());
+            ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
+            while (endReason == null) {
+                ByteBuffer ready = ByteBuffer.wrap(connection.toSend());
                 while (ready.hasRemaining()) {
                     dialled.write(ready);
                 }
@@ -135,44 +135,44 @@
                 if (n < 0) {
                     throw new EOFException("ended");
                 }
-                machine.feed(room.array(), 0, n);
+                connection.feed(room.array(), 0, n);
             }
-            throw new IOException(end);
+            throw new IOException(endReason);
         }
 
         @Override
-        public void headers(int stream, Map<String, String> headers) {
+        public void onHeaders(int stream, Map<String, String> headers) {
             if (!"200".equals(headers.get(":status"))) {
-                end = "answered " + headers.get(":status");
+                endReason = "answered " + headers.get(":status");
             }
         }
 
         @Override
-        public void message(int stream, byte[] body) {
+        public void onMessage(int stream, byte[] body) {
             try {
-                if (stream == documents) {
-                    offer = WorkloadApiMessages.x509(body, hint);
+                if (stream == x509Stream) {
+                    offer = WorkloadApiMessages.parseX509Response(body, hint);
                 } else {
-                    keys = WorkloadApiMessages.jwtBundles(body);
+                    keys = WorkloadApiMessages.parseJwtBundlesResponse(body);
                 }
                 if (offer != null) {
-                    sink.offered(new Offer(offer.chain(), offer.key(), withKeys(offer.bundles(), keys)));
+                    listener.onOffer(new Offer(offer.chain(), offer.key(), withKeys(offer.bundles(), keys)));
                     backoff.reset();
                 }
             } catch (IdentityRejectedException e) {
-                sink.failed("workload API at " + address + ": " + e.getMessage()); // the next one may be better
+                listener.onFailure("workload API at " + address + ": " + e.getMessage()); // the next one may be better
             }
         }
 
         @Override
-        public void ended(int stream, Map<String, String> trailers) {
+        public void onEnd(int stream, Map<String, String> trailers) {
             String status = trailers.containsKey("grpc-status")
                     ? "status " + trailers.get("grpc-status") + " " + trailers.getOrDefault("grpc-message", "")
                     : "stream ended " + trailers;
-            if (stream == documents) {
-                end = status.strip();
+            if (stream == x509Stream) {
+                endReason = status.strip();
             } else {
-                sink.failed("workload API at " + address + ", keys for tokens: " + status.strip());
+                listener.onFailure("workload API at " + address + ", keys for tokens: " + status.strip());
             }
         }
     }
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -17,20 +17,20 @@
 
 /** A certificate authority of a trust domain: its root, or one that the root signed. */
 public final class CertificateAuthority {
-    static final List<KeyPurposeId> BOTH = List.of(KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth);
+    static final List<KeyPurposeId> SERVER_AND_CLIENT_AUTH = List.of(KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth);
     private static final String ALGORITHM = "SHA256withECDSA";
 
     private final String trustDomain;
     private final KeyPair keys;
     private final X509Certificate certificate;
-    private final List<X509Certificate> above; // up to the root, which is left out
+    private final List<X509Certificate> issuerChain; // up to the root, which is left out
 
     private CertificateAuthority(
             String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> above) {
         this.trustDomain = trustDomain;
         this.keys = keys;
         this.certificate = certificate;
-        this.above = above;
+        this.issuerChain = above;
     }
 
     /** A workload's document: its chain, the leaf first and the root left out, and its key. */
@@ -38,7 +38,7 @@
 
     /** A new root that holds from one moment to another. */
     public static CertificateAuthority root(String trustDomain, Instant from, Instant to) {
-        return root(trustDomain, signing(trustDomain, "root", CertificateBuilder.ec(), from, to));
+        return root(trustDomain, authorityContent(trustDomain, "root", CertificateBuilder.newEcKeyPair(), from, to));
     }
 
     static CertificateAuthority root(String trustDomain, Content content) {
@@ -53,17 +53,17 @@
 
     /** One that this one signs. */
     public CertificateAuthority intermediate(Instant from, Instant to) {
-        KeyPair next = CertificateBuilder.ec();
-        return below(next, signing(trustDomain, "intermediate", next, from, to));
+        KeyPair next = CertificateBuilder.newEcKeyPair();
+        return subordinate(next, authorityContent(trustDomain, "intermediate", next, from, to));
     }
 
-    CertificateAuthority below(KeyPair next, Content content) {
+    CertificateAuthority subordinate(KeyPair next, Content content) {
         List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(content, signer())));
-        chain.addAll(above);
+        chain.addAll(issuerChain);
         return new CertificateAuthority(trustDomain, next, chain.get(0), List.copyOf(chain));
     }
 
-    static Content signing(String trustDomain, String name, KeyPair keys, Instant from, Instant to) {
+    static Content authorityContent(String trustDomain, String name, KeyPair keys, Instant from, Instant to) {
         return new Content(
                 "O=" + trustDomain + ",CN=" + name,
                 keys,
@@ -77,14 +77,14 @@
     }
 
     /** What a workload's certificate says when it is right. */
-    static Content leaf(String id, Instant from, Instant to) {
+    static Content leafContent(String id, Instant from, Instant to) {
         return new Content(
                 "O=workload",
-                CertificateBuilder.ec(),
+                CertificateBuilder.newEcKeyPair(),
                 List.of(id),
                 false,
                 KeyUsage.digitalSignature,
-                BOTH,
+                SERVER_AND_CLIENT_AUTH,
                 from,
                 to,
                 null);
@@ -97,7 +97,7 @@
 
     /** A document for a workload, with a key of its own. */
     public Issued issue(SpiffeId id, Instant from, Instant to) {
-        return issue(leaf(id.toString(), from, to));
+        return issue(leafContent(id.toString(), from, to));
     }
 
     Issued issue(Content leaf) {
@@ -106,7 +106,7 @@
 
     Issued issue(Content leaf, Signer by) {
         List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(leaf, by)));
-        chain.addAll(above);
+        chain.addAll(issuerChain);
         return new Issued(List.copyOf(chain), leaf.keys().getPrivate());
     }
 
--- a/src/main/java/olivechute/testca/CertificateBuilder.java
+++ b/src/main/java/olivechute/testca/CertificateBuilder.java
@@ -48,23 +48,23 @@
             boolean ca,
             int usage,
             List<KeyPurposeId> extended,
-            Instant from,
-            Instant to,
+            Instant notBefore,
+            Instant notAfter,
             String permitted) {
         Content uris(String... other) {
-            return new Content(subject, keys, List.of(other), ca, usage, extended, from, to, permitted);
+            return new Content(subject, keys, List.of(other), ca, usage, extended, notBefore, notAfter, permitted);
         }
 
         Content ca(boolean other) {
-            return new Content(subject, keys, uris, other, usage, extended, from, to, permitted);
+            return new Content(subject, keys, uris, other, usage, extended, notBefore, notAfter, permitted);
         }
 
         Content usage(int other) {
-            return new Content(subject, keys, uris, ca, other, extended, from, to, permitted);
+            return new Content(subject, keys, uris, ca, other, extended, notBefore, notAfter, permitted);
         }
 
         Content extended(List<KeyPurposeId> other) {
-            return new Content(subject, keys, uris, ca, usage, other, from, to, permitted);
+            return new Content(subject, keys, uris, ca, usage, other, notBefore, notAfter, permitted);
         }
 
         Content time(Instant otherFrom, Instant otherTo) {
@@ -72,16 +72,16 @@
         }
 
         Content keys(KeyPair other) {
-            return new Content(subject, other, uris, ca, usage, extended, from, to, permitted);
+            return new Content(subject, other, uris, ca, usage, extended, notBefore, notAfter, permitted);
         }
 
         Content permitted(String host) {
-            return new Content(subject, keys, uris, ca, usage, extended, from, to, host);
+            return new Content(subject, keys, uris, ca, usage, extended, notBefore, notAfter, host);
         }
     }
 
     /** A key on the curve P-256. */
-    static KeyPair ec() {
+    static KeyPair newEcKeyPair() {
         try {
             KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
             generator.initialize(new ECGenParameterSpec("secp256r1"), RANDOM);
@@ -91,7 +91,7 @@
         }
     }
 
-    static KeyPair rsa(int bits) {
+    static KeyPair newRsaKeyPair(int bits) {
         try {
             KeyPairGenerator generator = KeyPairGenerator.getInstance("RSA");
             generator.initialize(bits, RANDOM);
@@ -106,8 +106,8 @@
             X509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
                     signer.name,
                     new BigInteger(96, RANDOM),
-                    Date.from(content.from),
-                    Date.from(content.to),
+                    Date.from(content.notBefore),
+                    Date.from(content.notAfter),
                     new X500Name(content.subject),
                     content.keys.getPublic());
             builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(content.ca));
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -18,7 +18,7 @@
 /** Documents that must be refused, each for one reason. They are of the trust domain that {@link Ground} sets up. */
 @SuppressWarnings("ImmutableEnumChecker") // the functions hold no state
 public enum ForgedIdentity {
-    SELF_SIGNED(Reason.NOT_VOUCHED, g -> alone(g.leaf())),
+    SELF_SIGNED(Reason.NOT_VOUCHED, g -> selfSigned(g.leaf())),
     OTHER_ROOT_SAME_NAME(
             Reason.NOT_VOUCHED,
             g -> CertificateAuthority.root(g.domain, g.from, g.to).issue(g.leaf())),
@@ -63,21 +63,21 @@
     }),
     INTERMEDIATE_WITHOUT_RIGHT(
             Reason.UNFIT_SIGNER,
-            g -> g.between(c -> c.usage(KeyUsage.digitalSignature)).issue(g.leaf())),
+            g -> g.intermediateWith(c -> c.usage(KeyUsage.digitalSignature)).issue(g.leaf())),
     INTERMEDIATE_WITH_PATH(
             Reason.UNFIT_SIGNER,
-            g -> g.between(c -> c.uris("spiffe://" + g.domain + "/ca")).issue(g.leaf())),
+            g -> g.intermediateWith(c -> c.uris("spiffe://" + g.domain + "/ca")).issue(g.leaf())),
     INTERMEDIATE_OF_ANOTHER(
             Reason.UNFIT_SIGNER,
-            g -> g.between(c -> c.uris("spiffe://federated.example")).issue(g.leaf())),
+            g -> g.intermediateWith(c -> c.uris("spiffe://federated.example")).issue(g.leaf())),
     OUTSIDE_CONSTRAINTS(
             Reason.NOT_VOUCHED,
-            g -> g.between(c -> c.permitted("elsewhere.example")).issue(g.leaf())),
+            g -> g.intermediateWith(c -> c.permitted("elsewhere.example")).issue(g.leaf())),
     MISSING_INTERMEDIATE(Reason.NOT_VOUCHED, g -> {
         Issued whole = g.root.intermediate(g.from, g.to).issue(g.leaf());
         return new Issued(whole.chain().subList(0, 1), whole.key());
     }),
-    SHORT_RSA(Reason.WEAK, g -> g.root.issue(g.leaf().keys(CertificateBuilder.rsa(1024)))),
+    SHORT_RSA(Reason.WEAK, g -> g.root.issue(g.leaf().keys(CertificateBuilder.newRsaKeyPair(1024)))),
     SIGNED_WITH_SHA1(Reason.WEAK, g -> {
         Signer by = g.root.signer();
         return g.root.issue(g.leaf(), new Signer(by.name(), by.key(), "SHA1withECDSA"));
@@ -91,16 +91,16 @@
     }),
     EMPTY_CHAIN(Reason.UNREADABLE, g -> new Issued(List.of(), null));
 
-    private interface Make {
-        Issued make(Ground ground);
+    private interface Factory {
+        Issued make(ForgeryContext ground);
     }
 
-    private interface Change {
+    private interface ContentChange {
         Content change(Content content);
     }
 
     /** A trust domain to forge in: its root, the time it is, and the ID that forgeries claim. */
-    public static final class Ground {
+    public static final class ForgeryContext {
         private final String domain;
         private final CertificateAuthority root;
         private final Instant now;
@@ -109,7 +109,7 @@
         private final String id;
 
         /** For a root of this trust domain, at this moment. */
-        public Ground(String domain, CertificateAuthority root, Instant now) {
+        public ForgeryContext(String domain, CertificateAuthority root, Instant now) {
             this.domain = domain;
             this.root = root;
             this.now = now;
@@ -119,24 +119,24 @@
         }
 
         private Content leaf() {
-            return CertificateAuthority.leaf(id, from, to);
+            return CertificateAuthority.leafContent(id, from, to);
         }
 
-        private CertificateAuthority between(Change change) {
-            KeyPair keys = CertificateBuilder.ec();
-            return root.below(keys, change.change(CertificateAuthority.signing(domain, "between", keys, from, to)));
+        private CertificateAuthority intermediateWith(ContentChange change) {
+            KeyPair keys = CertificateBuilder.newEcKeyPair();
+            return root.subordinate(keys, change.change(CertificateAuthority.authorityContent(domain, "between", keys, from, to)));
         }
     }
 
     private final Reason reason;
-    private final Make make;
+    private final Factory make;
 
-    ForgedIdentity(Reason reason, Make make) {
+    ForgedIdentity(Reason reason, Factory make) {
         this.reason = reason;
         this.make = make;
     }
 
-    private static Issued alone(Content leaf) {
+    private static Issued selfSigned(Content leaf) {
         Signer own = new Signer(new X500Name(leaf.subject()), leaf.keys().getPrivate(), "SHA256withECDSA");
         return new Issued(
                 List.of(CertificateBuilder.sign(leaf, own)), leaf.keys().getPrivate());
@@ -156,7 +156,7 @@
     }
 
     /** Makes one. */
-    public Issued make(Ground ground) {
+    public Issued make(ForgeryContext ground) {
         return make.make(ground);
     }
 }
--- a/src/main/java/olivechute/testca/PemWriter.java
+++ b/src/main/java/olivechute/testca/PemWriter.java
@@ -16,13 +16,13 @@
 /** Certificates and keys as PEM files, each replaced in one step, so that a reader sees the old one or the new one. */
 final class PemWriter {
     private static final int COLUMNS = 64;
-    private static final byte[] END = {'\n'};
-    private static final Set<PosixFilePermission> OWNER = PosixFilePermissions.fromString("rw-------");
+    private static final byte[] LINE_END = {'\n'};
+    private static final Set<PosixFilePermission> OWNER_ONLY = PosixFilePermissions.fromString("rw-------");
 
     private PemWriter() {}
 
     static void write(Path file, List<X509Certificate> chain) throws IOException {
-        replace(file, text(chain));
+        replaceFile(file, text(chain));
     }
 
     static String text(List<X509Certificate> chain) throws IOException {
@@ -43,20 +43,20 @@
 
     /** A key in the form PKCS#8, which only its owner may read. */
     static void write(Path file, PrivateKey key) throws IOException {
-        replace(file, text(key));
+        replaceFile(file, text(key));
     }
 
     private static String block(String type, byte[] der) {
         return "-----BEGIN " + type + "-----\n"
-                + Base64.getMimeEncoder(COLUMNS, END).encodeToString(der) + "\n-----END " + type + "-----\n";
+                + Base64.getMimeEncoder(COLUMNS, LINE_END).encodeToString(der) + "\n-----END " + type + "-----\n";
     }
 
-    static void replace(Path file, String text) throws IOException {
+    static void replaceFile(Path file, String text) throws IOException {
         Path next = Files.createTempFile(
                 file.toAbsolutePath().getParent(),
                 file.getFileName().toString(),
                 ".next",
-                PosixFilePermissions.asFileAttribute(OWNER));
+                PosixFilePermissions.asFileAttribute(OWNER_ONLY));
         Files.writeString(next, text);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
--- a/src/main/java/olivechute/testca/TestCaCommand.java
+++ b/src/main/java/olivechute/testca/TestCaCommand.java
@@ -74,7 +74,7 @@
             names = "--life",
             paramLabel = "SECONDS",
             description = "With --serve: how long documents hold, in place of --hours.")
-    private int life;
+    private int lifetimeSeconds;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -87,23 +87,23 @@
                 ids.add(SpiffeId.parse("spiffe://" + trustDomain + path));
             }
             CertificateAuthority root = CertificateAuthority.root(trustDomain, from, to.plus(Duration.ofHours(hours)));
-            CertificateAuthority between = root.intermediate(from, to.plus(Duration.ofHours(hours)));
+            CertificateAuthority intermediate = root.intermediate(from, to.plus(Duration.ofHours(hours)));
             Files.createDirectories(dir);
             PemWriter.write(dir.resolve("bundle.pem"), List.of(root.certificate()));
             for (SpiffeId id : ids) {
-                new TrustDirectory(folder(id)).svid(between.issue(id, from, to)).bundle(List.of(root.certificate()));
+                new TrustDirectory(folder(id)).svid(intermediate.issue(id, from, to)).bundle(List.of(root.certificate()));
                 spec.commandLine().getOut().println(id);
             }
             if (forgery != null) {
                 new TrustDirectory(dir.resolve("forged"))
-                        .svid(forgery.make(new ForgedIdentity.Ground(trustDomain, root, now)))
+                        .svid(forgery.make(new ForgedIdentity.ForgeryContext(trustDomain, root, now)))
                         .bundle(List.of(root.certificate()));
             }
             Path settings = dir.resolve("olivechute.conf");
             Files.writeString(settings, settings(ids.get(0)));
             spec.commandLine().getOut().println("settings of a node: " + settings);
             if (serve != null) {
-                serve(ids.get(0), between, root);
+                serve(ids.get(0), intermediate, root);
             }
             return 0;
         } catch (IdentityRejectedException e) {
@@ -134,9 +134,9 @@
         return dir.resolve(id.path().substring(1).replace('/', '-'));
     }
 
-    private void serve(SpiffeId id, CertificateAuthority between, CertificateAuthority root)
+    private void serve(SpiffeId id, CertificateAuthority intermediate, CertificateAuthority root)
             throws IOException, InterruptedException {
-        Duration holds = life > 0 ? Duration.ofSeconds(life) : Duration.ofHours(hours);
+        Duration lifetime = lifetimeSeconds > 0 ? Duration.ofSeconds(lifetimeSeconds) : Duration.ofHours(hours);
         boolean unix = serve.startsWith("unix:");
         if (!unix && !serve.matches("tcp://127[0-9.]*:[0-9]{1,5}")) {
             throw new ParameterException(
@@ -151,13 +151,13 @@
                 Instant now = Instant.now();
                 agent.publish(
                         WorkloadApiMessages.FETCH_X509,
-                        WorkloadApiResponses.x509(
+                        WorkloadApiResponses.x509Response(
                                 id.toString(),
-                                between.issue(id, now.minusSeconds(60), now.plus(holds)),
+                                intermediate.issue(id, now.minusSeconds(60), now.plus(lifetime)),
                                 List.of(root.certificate()),
                                 Map.of(),
                                 ""));
-                Thread.sleep(holds.toMillis() / 2);
+                Thread.sleep(lifetime.toMillis() / 2);
             }
         }
     }
--- a/src/main/java/olivechute/testca/TokenIssuer.java
+++ b/src/main/java/olivechute/testca/TokenIssuer.java
@@ -19,7 +19,7 @@
 
 /** Makes a trust domain's tokens, and the key set that vouches for them. */
 public final class TokenIssuer {
-    private final KeyPair keys = CertificateBuilder.ec();
+    private final KeyPair keys = CertificateBuilder.newEcKeyPair();
     private final String keyId;
 
     /** With a key of its own under this id. */
--- a/src/main/java/olivechute/testca/TrustDirectory.java
+++ b/src/main/java/olivechute/testca/TrustDirectory.java
@@ -41,7 +41,7 @@
 
     /** The keys of the workload's own domain that sign tokens, as a key set. */
     public TrustDirectory keys(String jwks) throws IOException {
-        PemWriter.replace(folder.resolve("bundle.jwks"), jwks);
+        PemWriter.replaceFile(folder.resolve("bundle.jwks"), jwks);
         return this;
     }
 }
--- a/src/main/java/olivechute/testca/WorkloadApiResponses.java
+++ b/src/main/java/olivechute/testca/WorkloadApiResponses.java
@@ -13,11 +13,11 @@
 public final class WorkloadApiResponses {
     private WorkloadApiResponses() {}
 
-    private interface Parts {
+    private interface FieldWriter {
         void write(CodedOutputStream out) throws IOException;
     }
 
-    private static byte[] message(Parts parts) {
+    private static byte[] message(FieldWriter parts) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             CodedOutputStream out = CodedOutputStream.newInstance(bytes);
@@ -30,7 +30,7 @@
     }
 
     /** One identity's documents: {@code bundle} is of its own domain, {@code federated} by the names of others. */
-    public static byte[] x509(
+    public static byte[] x509Response(
             String id,
             CertificateAuthority.Issued issued,
             List<X509Certificate> bundle,
@@ -52,7 +52,7 @@
     }
 
     /** Key sets by the names of trust domains. */
-    public static byte[] jwtBundles(Map<String, String> keySets) {
+    public static byte[] jwtBundlesResponse(Map<String, String> keySets) {
         return message(out -> {
             for (Map.Entry<String, String> each : keySets.entrySet()) {
                 out.writeByteArray(1, entry(each.getKey(), each.getValue().getBytes(StandardCharsets.UTF_8)));
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -27,14 +27,14 @@
  * up.
  */
 public final class WorkloadApiServer implements AutoCloseable {
-    private static final int READ = 16 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     private final ServerSocketChannel server;
     private final Path path; // null for a loopback socket
     private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
     private final Map<String, byte[]> published = new ConcurrentHashMap<>();
     private final AtomicInteger calls = new AtomicInteger();
-    private volatile int status; // of gRPC, that calls end with; 0 for none
+    private volatile int rejectStatus; // of gRPC, that calls end with; 0 for none
     private volatile boolean silent;
 
     /** At this path, which must not be there yet. */
@@ -82,8 +82,8 @@
     }
 
     /** Calls end at once with this status of gRPC, 7 for a caller who is nobody; 0 serves them again. */
-    public void turnAway(int with) {
-        status = with;
+    public void rejectCalls(int grpcStatus) {
+        rejectStatus = grpcStatus;
     }
 
     /** Takes calls and says nothing. */
@@ -92,7 +92,7 @@
     }
 
     /** Ends all connections. */
-    public void hangUp() throws IOException {
+    public void closeConnections() throws IOException {
         for (Session each : sessions) {
             each.channel.close();
         }
@@ -101,7 +101,7 @@
     @Override
     public void close() throws IOException {
         server.close();
-        hangUp();
+        closeConnections();
         if (path != null) {
             Files.deleteIfExists(path);
         }
@@ -109,19 +109,19 @@
 
     private final class Session implements GrpcConnection.Listener {
         private final SocketChannel channel;
-        private final GrpcConnection machine = GrpcConnection.server(this); // guarded by this
-        private final Map<Integer, String> open = new HashMap<>(); // guarded by this: methods by their streams
+        private final GrpcConnection connection = GrpcConnection.server(this); // guarded by this
+        private final Map<Integer, String> methodByStream = new HashMap<>(); // guarded by this: methods by their streams
 
         Session(SocketChannel channel) {
             this.channel = channel;
         }
 
         void run() {
-            ByteBuffer room = ByteBuffer.allocate(READ);
+            ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
             try (channel) {
                 for (int n = 0; n >= 0; n = channel.read(room.clear())) {
                     synchronized (this) {
-                        machine.feed(room.array(), 0, n);
+                        connection.feed(room.array(), 0, n);
                         send();
                     }
                 }
@@ -133,7 +133,7 @@
         }
 
         private void send() throws IOException {
-            ByteBuffer ready = ByteBuffer.wrap(machine.toSend());
+            ByteBuffer ready = ByteBuffer.wrap(connection.toSend());
             while (ready.hasRemaining()) {
                 channel.write(ready);
             }
@@ -141,9 +141,9 @@
 
         synchronized void publish(String method, byte[] message) {
             try {
-                for (Map.Entry<Integer, String> each : open.entrySet()) {
+                for (Map.Entry<Integer, String> each : methodByStream.entrySet()) {
                     if (each.getValue().equals(method) && !silent) {
-                        machine.message(each.getKey(), message);
+                        connection.sendMessage(each.getKey(), message);
                     }
                 }
                 send();
@@ -153,23 +153,23 @@
         }
 
         @Override
-        public void headers(int stream, Map<String, String> headers) {
+        public void onHeaders(int stream, Map<String, String> headers) {
             calls.incrementAndGet();
             String method = headers.get(":path");
             boolean named = headers.entrySet().containsAll(WorkloadApiMessages.METADATA.entrySet());
             try {
-                int end = status != 0 ? status : !named ? 3 : 0;
+                int end = rejectStatus != 0 ? rejectStatus : !named ? 3 : 0;
                 if (silent) {
                     return;
                 }
-                machine.answer(stream);
+                connection.sendResponseHeaders(stream);
                 if (end != 0) {
-                    machine.finish(stream, Map.of("grpc-status", String.valueOf(end), "grpc-message", "turned away"));
+                    connection.finish(stream, Map.of("grpc-status", String.valueOf(end), "grpc-message", "turned away"));
                     return;
                 }
-                open.put(stream, method);
+                methodByStream.put(stream, method);
                 if (published.containsKey(method)) {
-                    machine.message(stream, published.get(method));
+                    connection.sendMessage(stream, published.get(method));
                 }
             } catch (GrpcException e) {
                 sessions.remove(this);
@@ -177,14 +177,14 @@
         }
 
         @Override
-        public void message(int stream, byte[] body) {
+        public void onMessage(int stream, byte[] body) {
             // requests have no fields
         }
 
         @Override
-        public void ended(int stream, Map<String, String> trailers) {
+        public void onEnd(int stream, Map<String, String> trailers) {
             if (trailers.containsKey("reset")) {
-                open.remove(stream);
+                methodByStream.remove(stream);
             }
         }
     }
--- a/src/main/java/olivechute/tls/TlsContext.java
+++ b/src/main/java/olivechute/tls/TlsContext.java
@@ -32,69 +32,69 @@
  */
 public final class TlsContext {
     /** Both versions that are spoken; the older one only where the settings say so. */
-    private static final String[] STRICT = {"TLSv1.3"};
+    private static final String[] TLS_1_3_ONLY = {"TLSv1.3"};
 
-    private static final String[] LENIENT = {"TLSv1.3", "TLSv1.2"};
-    private static final int SESSIONS = 512;
+    private static final String[] TLS_1_3_AND_1_2 = {"TLSv1.3", "TLSv1.2"};
+    private static final int SESSION_CACHE_SIZE = 512;
 
     private final SSLContext context;
-    private final String[] versions;
+    private final String[] protocols;
     private final Supplier<TrustBundles> bundles;
     private final Supplier<Instant> clock;
-    private final AtomicLong judged = new AtomicLong();
+    private final AtomicLong chainChecks = new AtomicLong();
 
     /** {@code chain} and {@code key} are our own, the leaf first; {@code lenient} lets TLS 1.2 in beside 1.3. */
     public TlsContext(
             List<X509Certificate> chain,
             PrivateKey key,
-            boolean lenient,
+            boolean allowTls12,
             Supplier<TrustBundles> bundles,
             Supplier<Instant> clock) {
-        this.versions = lenient ? LENIENT : STRICT;
+        this.protocols = allowTls12 ? TLS_1_3_AND_1_2 : TLS_1_3_ONLY;
         this.bundles = bundles;
         this.clock = clock;
         try {
             context = SSLContext.getInstance("TLS");
             context.init(
-                    new KeyManager[] {new OwnKey(chain.toArray(new X509Certificate[0]), key)},
-                    new TrustManager[] {new Judge()},
+                    new KeyManager[] {new SvidKeyManager(chain.toArray(new X509Certificate[0]), key)},
+                    new TrustManager[] {new SvidTrustManager()},
                     new SecureRandom());
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException("this platform has no TLS", e);
         }
-        context.getClientSessionContext().setSessionCacheSize(SESSIONS);
-        context.getServerSessionContext().setSessionCacheSize(SESSIONS);
+        context.getClientSessionContext().setSessionCacheSize(SESSION_CACHE_SIZE);
+        context.getServerSessionContext().setSessionCacheSize(SESSION_CACHE_SIZE);
     }
 
     /** For a connection that was accepted; the client must show an identity. */
-    public TlsStateMachine accepted() {
+    public TlsStateMachine server() {
         SSLEngine engine = context.createSSLEngine();
         engine.setUseClientMode(false);
         engine.setNeedClientAuth(true);
-        engine.setEnabledProtocols(versions);
+        engine.setEnabledProtocols(protocols);
         return new TlsStateMachine(engine, this);
     }
 
     /** For one that is dialled; sessions are kept by the peer's name, and resumed with the same name only. */
-    public TlsStateMachine dialled(String peer, int port) {
+    public TlsStateMachine client(String peer, int port) {
         SSLEngine engine = context.createSSLEngine(peer, port);
         engine.setUseClientMode(true);
-        engine.setEnabledProtocols(versions);
+        engine.setEnabledProtocols(protocols);
         return new TlsStateMachine(engine, this);
     }
 
     /** For blocking sockets of the platform's, as stand-ins use them: a resumed session is not judged again there. */
-    public SSLContext sockets() {
+    public SSLContext sslContext() {
         return context;
     }
 
     /** Full handshakes in which a peer's chain was judged, whatever came out: a resumed one has none. */
-    public long judged() {
-        return judged.get();
+    public long chainChecks() {
+        return chainChecks.get();
     }
 
     /** The peer's identity in a session, as it is judged now. */
-    X509Svid peer(SSLSession session) throws IdentityRejectedException, SSLPeerUnverifiedException {
+    X509Svid checkPeer(SSLSession session) throws IdentityRejectedException, SSLPeerUnverifiedException {
         List<X509Certificate> chain = new ArrayList<>();
         for (Certificate each : session.getPeerCertificates()) {
             chain.add((X509Certificate) each);
@@ -102,8 +102,8 @@
         return X509Check.check(chain, bundles.get(), clock.get());
     }
 
-    private void judge(X509Certificate[] chain) throws CertificateException {
-        judged.incrementAndGet();
+    private void checkChain(X509Certificate[] chain) throws CertificateException {
+        chainChecks.incrementAndGet();
         try {
             X509Check.check(List.of(chain), bundles.get(), clock.get());
         } catch (IdentityRejectedException e) {
@@ -112,39 +112,39 @@
     }
 
     /** Asks our own judgement of either side; names of hosts play no part in it. */
-    private final class Judge extends X509ExtendedTrustManager {
+    private final class SvidTrustManager extends X509ExtendedTrustManager {
         @Override
         public void checkClientTrusted(X509Certificate[] chain, String kind, SSLEngine engine)
                 throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
         public void checkServerTrusted(X509Certificate[] chain, String kind, SSLEngine engine)
                 throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
         public void checkClientTrusted(X509Certificate[] chain, String kind, Socket socket)
                 throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
         public void checkServerTrusted(X509Certificate[] chain, String kind, Socket socket)
                 throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
         public void checkClientTrusted(X509Certificate[] chain, String kind) throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
         public void checkServerTrusted(X509Certificate[] chain, String kind) throws CertificateException {
-            judge(chain);
+            checkChain(chain);
         }
 
         @Override
@@ -154,13 +154,13 @@
     }
 
     /** The one key that we have, for whoever asks. */
-    private static final class OwnKey extends X509ExtendedKeyManager {
+    private static final class SvidKeyManager extends X509ExtendedKeyManager {
         private static final String ALIAS = "svid";
 
         private final X509Certificate[] chain;
         private final PrivateKey key;
 
-        OwnKey(X509Certificate[] chain, PrivateKey key) {
+        SvidKeyManager(X509Certificate[] chain, PrivateKey key) {
             this.chain = chain;
             this.key = key;
         }
--- a/src/main/java/olivechute/tls/TlsStateMachine.java
+++ b/src/main/java/olivechute/tls/TlsStateMachine.java
@@ -18,24 +18,24 @@
 public final class TlsStateMachine {
     private static final byte HANDSHAKE_RECORD = 22;
     /** Records of a handshake that a peer may send: more than any needs, fewer than would keep a core busy. */
-    private static final int MOST_RECORDS = 64;
+    private static final int MAX_HANDSHAKE_RECORDS = 64;
 
     /** What a buffer holds at first: ordinary messages, and all of a handshake but certificates. */
-    private static final int SMALL = 2048;
+    private static final int INITIAL_BUFFER_BYTES = 2048;
     /**
      * The platform writes no record to less than a whole one's room: each thread has that once, not each connection.
      */
-    private static final ThreadLocal<ByteBuffer> RECORD = new ThreadLocal<>();
+    private static final ThreadLocal<ByteBuffer> RECORD_BUFFER = new ThreadLocal<>();
 
     private final SSLEngine engine;
     private final TlsContext context;
-    private ByteBuffer in = ByteBuffer.allocate(SMALL); // from the peer, to be written to
-    private ByteBuffer out = ByteBuffer.allocate(SMALL); // for the peer, to be written to
-    private ByteBuffer plain = ByteBuffer.allocate(SMALL); // from the peer, to be written to
-    private boolean begun;
-    private boolean spoken;
+    private ByteBuffer inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // from the peer, to be written to
+    private ByteBuffer outbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // for the peer, to be written to
+    private ByteBuffer plaintext = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // from the peer, to be written to
+    private boolean handshakeStarted;
+    private boolean firstByteChecked;
     private boolean closed;
-    private int records;
+    private int handshakeRecords;
     private X509Svid peer;
 
     TlsStateMachine(SSLEngine engine, TlsContext context) {
@@ -44,45 +44,45 @@
     }
 
     /** Where the peer's bytes are to be read to. */
-    public ByteBuffer room() {
-        return in;
+    public ByteBuffer receiveBuffer() {
+        return inbound;
     }
 
     /** True if bytes can be read; if not, what is received is to be taken first. */
-    public boolean hasRoom() {
-        return in.hasRemaining();
+    public boolean hasReceiveSpace() {
+        return inbound.hasRemaining();
     }
 
     /**
      * Goes on as far as it can with what was read to {@link #room}. A {@link TlsException} ends the connection, once
      * what is to be sent is sent.
      */
-    public void work() throws TlsException {
+    public void advance() throws TlsException {
         try {
-            begin();
-            in.flip();
+            beginHandshake();
+            inbound.flip();
             try {
-                if (!spoken && in.hasRemaining()) {
-                    spoken = true;
-                    if (in.get(0) != HANDSHAKE_RECORD) {
+                if (!firstByteChecked && inbound.hasRemaining()) {
+                    firstByteChecked = true;
+                    if (inbound.get(0) != HANDSHAKE_RECORD) {
                         closed = true;
-                        throw new TlsException("no TLS: its first byte is " + (in.get(0) & 0xff));
+                        throw new TlsException("no TLS: its first byte is " + (inbound.get(0) & 0xff));
                     }
                 }
                 while (step()) {
                     // one record or one task after the other
                 }
             } finally {
-                in.compact();
-                if (in.position() == 0 && in.capacity() > SMALL) {
-                    in = ByteBuffer.allocate(SMALL);
-                } else if (!in.hasRemaining()) {
-                    in = larger(in, engine.getSession().getPacketBufferSize()); // the rest of a record is to come
+                inbound.compact();
+                if (inbound.position() == 0 && inbound.capacity() > INITIAL_BUFFER_BYTES) {
+                    inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+                } else if (!inbound.hasRemaining()) {
+                    inbound = enlarge(inbound, engine.getSession().getPacketBufferSize()); // the rest of a record is to come
                 }
             }
         } catch (SSLException e) {
             closed = true;
-            alert();
+            wrapAlerts();
             throw new TlsException(reason(e));
         }
     }
@@ -95,9 +95,9 @@
         return String.valueOf(cause.getMessage());
     }
 
-    private void begin() throws SSLException {
-        if (!begun) {
-            begun = true;
+    private void beginHandshake() throws SSLException {
+        if (!handshakeStarted) {
+            handshakeStarted = true;
             engine.beginHandshake();
         }
     }
@@ -117,25 +117,25 @@
                 return wrap(ByteBuffer.allocate(0));
             }
             default -> {
-                return !closed && in.hasRemaining() && unwrap();
+                return !closed && inbound.hasRemaining() && unwrap();
             }
         }
     }
 
     private boolean unwrap() throws SSLException, TlsException {
-        SSLEngineResult result = engine.unwrap(in, plain);
-        if (result.getStatus() == Status.BUFFER_OVERFLOW && plain.capacity() <= SMALL) {
-            plain = larger(plain, SMALL + engine.getSession().getApplicationBufferSize());
-            result = engine.unwrap(in, plain);
+        SSLEngineResult result = engine.unwrap(inbound, plaintext);
+        if (result.getStatus() == Status.BUFFER_OVERFLOW && plaintext.capacity() <= INITIAL_BUFFER_BYTES) {
+            plaintext = enlarge(plaintext, INITIAL_BUFFER_BYTES + engine.getSession().getApplicationBufferSize());
+            result = engine.unwrap(inbound, plaintext);
         }
         if (result.getStatus() == Status.BUFFER_OVERFLOW || result.getStatus() == Status.BUFFER_UNDERFLOW) {
             return false; // what is received must be taken, or more must come
         }
-        if (peer == null && ++records > MOST_RECORDS) {
+        if (peer == null && ++handshakeRecords > MAX_HANDSHAKE_RECORDS) {
             closed = true;
-            throw new TlsException("over " + MOST_RECORDS + " records of a handshake");
+            throw new TlsException("over " + MAX_HANDSHAKE_RECORDS + " records of a handshake");
         }
-        finished(result);
+        checkPeerIfFinished(result);
         if (result.getStatus() == Status.CLOSED) {
             closed = true;
             return engine.getHandshakeStatus() == HandshakeStatus.NEED_WRAP;
@@ -144,58 +144,58 @@
     }
 
     private boolean wrap(ByteBuffer from) throws SSLException, TlsException {
-        SSLEngineResult result = record(from);
-        finished(result);
+        SSLEngineResult result = wrapRecord(from);
+        checkPeerIfFinished(result);
         return result.getStatus() == Status.OK && (result.bytesProduced() > 0 || result.bytesConsumed() > 0);
     }
 
     /** Has the engine write one record, and adds it to what is to be sent. */
-    private SSLEngineResult record(ByteBuffer from) throws SSLException {
-        int most = engine.getSession().getPacketBufferSize();
-        ByteBuffer record = RECORD.get();
-        if (record == null || record.capacity() < most) {
-            record = ByteBuffer.allocate(most);
-            RECORD.set(record);
+    private SSLEngineResult wrapRecord(ByteBuffer from) throws SSLException {
+        int maxRecordBytes = engine.getSession().getPacketBufferSize();
+        ByteBuffer record = RECORD_BUFFER.get();
+        if (record == null || record.capacity() < maxRecordBytes) {
+            record = ByteBuffer.allocate(maxRecordBytes);
+            RECORD_BUFFER.set(record);
         }
         SSLEngineResult result = engine.wrap(from, record.clear());
         record.flip();
-        if (out.remaining() < record.remaining()) {
-            out = larger(out, Math.max(2 * out.capacity(), out.position() + record.remaining()));
+        if (outbound.remaining() < record.remaining()) {
+            outbound = enlarge(outbound, Math.max(2 * outbound.capacity(), outbound.position() + record.remaining()));
         }
-        out.put(record);
+        outbound.put(record);
         return result;
     }
 
-    private static ByteBuffer larger(ByteBuffer full, int capacity) {
-        return full.capacity() >= capacity
-                ? full
-                : ByteBuffer.allocate(capacity).put(full.flip());
+    private static ByteBuffer enlarge(ByteBuffer buffer, int capacity) {
+        return buffer.capacity() >= capacity
+                ? buffer
+                : ByteBuffer.allocate(capacity).put(buffer.flip());
     }
 
     /**
      * At the end of each handshake the peer's identity is judged, whether the platform asked for it or took it from a
      * former session.
      */
-    private void finished(SSLEngineResult result) throws TlsException, SSLException {
+    private void checkPeerIfFinished(SSLEngineResult result) throws TlsException, SSLException {
         if (result.getHandshakeStatus() != HandshakeStatus.FINISHED) {
             return;
         }
         try {
-            peer = context.peer(engine.getSession());
+            peer = context.checkPeer(engine.getSession());
         } catch (IdentityRejectedException e) {
             closed = true;
             engine.getSession().invalidate();
             engine.closeOutbound();
-            alert();
+            wrapAlerts();
             throw new TlsException(e.getMessage());
         }
     }
 
     /** What the engine still has to say to a peer that is let go. */
-    private void alert() {
+    private void wrapAlerts() {
         try {
             while (engine.getHandshakeStatus() == HandshakeStatus.NEED_WRAP
-                    && record(ByteBuffer.allocate(0)).bytesProduced() > 0) {
+                    && wrapRecord(ByteBuffer.allocate(0)).bytesProduced() > 0) {
                 // an alert takes one record
             }
         } catch (SSLException e) {
@@ -205,7 +205,7 @@
 
     /** Makes plain bytes ready to be sent, all of them; only once {@link #open}. */
     public void send(ByteBuffer bytes) throws TlsException {
-        if (!open()) {
+        if (!isOpen()) {
             throw new TlsException("not open");
         }
         try {
@@ -219,36 +219,36 @@
     }
 
     /** Says that no more will come from this side. */
-    public void finish() {
+    public void closeOutbound() {
         engine.closeOutbound();
         closed = true;
-        alert();
+        wrapAlerts();
     }
 
     /** True if something is to be sent. */
     public boolean hasToSend() {
-        return out.position() > 0;
+        return outbound.position() > 0;
     }
 
     /** Hands out what is to be sent to the peer, which the driver must send or copy before it goes on. */
     public ByteBuffer toSend() {
-        ByteBuffer ready = ByteBuffer.wrap(out.array(), 0, out.position());
-        out = out.position() == 0 ? out : ByteBuffer.allocate(SMALL);
+        ByteBuffer ready = ByteBuffer.wrap(outbound.array(), 0, outbound.position());
+        outbound = outbound.position() == 0 ? outbound : ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
         return ready;
     }
 
     /** Hands out what the peer said, in plain bytes; empty until its identity holds. */
     public ByteBuffer received() {
-        if (peer == null || plain.position() == 0) {
+        if (peer == null || plaintext.position() == 0) {
             return ByteBuffer.allocate(0);
         }
-        ByteBuffer ready = plain.flip();
-        plain = ByteBuffer.allocate(SMALL);
+        ByteBuffer ready = plaintext.flip();
+        plaintext = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
         return ready;
     }
 
     /** True from the end of the handshake, its identity judged, to the connection's end. */
-    public boolean open() {
+    public boolean isOpen() {
         return peer != null && !closed;
     }
 
--- a/src/test/java/olivechute/SecureNodeRig.java
+++ b/src/test/java/olivechute/SecureNodeRig.java
@@ -147,7 +147,7 @@
     static Peer.Layer tls(TlsContext identity) {
         return accepted -> {
             SSLSocket socket =
-                    (SSLSocket) identity.sockets().getSocketFactory().createSocket(accepted, (InputStream) null, true);
+                    (SSLSocket) identity.sslContext().getSocketFactory().createSocket(accepted, (InputStream) null, true);
             socket.setNeedClientAuth(true);
             return socket;
         };
@@ -159,7 +159,7 @@
 
     Client client(TlsContext identity) throws IOException {
         Client client =
-                new Client(node.address(), identity.sockets().getSocketFactory().createSocket());
+                new Client(node.address(), identity.sslContext().getSocketFactory().createSocket());
         parties.add(client);
         return client;
     }
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -167,7 +167,7 @@
         };
         for (ForgedIdentity kind :
                 List.of(ForgedIdentity.SELF_SIGNED, ForgedIdentity.TWO_URIS)) { // a third attempt finds the honest one
-            TlsContext forged = context(kind.make(new ForgedIdentity.Ground(DOMAIN, root, start)));
+            TlsContext forged = context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, start)));
             Peer forger = host(forged, r -> ACCEPTED);
             forgers.add(forger);
             known.add(entry("s2" + kind.ordinal(), forger, "active", 0));
@@ -175,7 +175,7 @@
         startSecure(SETTINGS, known.toArray(new String[0]));
         for (ForgedIdentity kind : kinds) {
             assertEquals(
-                    tellAs(context(kind.make(new ForgedIdentity.Ground(DOMAIN, root, start))), "t", "s1", done("x")),
+                    tellAs(context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, start))), "t", "s1", done("x")),
                     0,
                     kind.name());
         }
--- a/src/test/java/olivechute/WorkloadNodeTest.java
+++ b/src/test/java/olivechute/WorkloadNodeTest.java
@@ -38,7 +38,7 @@
     private void publish(CertificateAuthority.Issued issued, X509Certificate... authorities) {
         agent.publish(
                 WorkloadApiMessages.FETCH_X509,
-                WorkloadApiResponses.x509("spiffe://dala.example/node", issued, List.of(authorities), Map.of(), ""));
+                WorkloadApiResponses.x509Response("spiffe://dala.example/node", issued, List.of(authorities), Map.of(), ""));
     }
 
     private void startByAgent(String extra, String... known) throws Exception {
@@ -70,14 +70,14 @@
         assertEquals(served(acme, "early"), false); // no identity of our own: nobody is spoken with
         publish(issue("/node", Duration.ofSeconds(30)), root.certificate());
         await(() -> served(acme, "a" + System.nanoTime()));
-        agent.turnAway(7);
-        agent.hangUp();
+        agent.rejectCalls(7);
+        agent.closeConnections();
         await(() -> agent.calls() > 1);
         assertTrue(served(acme, "b")); // the last one is in force
         step = Duration.ofSeconds(31);
         assertEquals(served(acme, "c"), false);
         publish(issue("/node", HOUR), root.certificate());
-        agent.turnAway(0);
+        agent.rejectCalls(0);
         await(() -> served(acme, "d" + System.nanoTime()));
     }
 
@@ -93,7 +93,7 @@
         publish(issue("/node", HOUR), authority().certificate());
         agent.publish(
                 WorkloadApiMessages.FETCH_X509,
-                WorkloadApiResponses.x509(
+                WorkloadApiResponses.x509Response(
                         "spiffe://other.example/x", issue("/node", HOUR), List.of(root.certificate()), Map.of(), ""));
         assertTrue(served(acme, "b"));
     }
@@ -108,7 +108,7 @@
         publish(issue("/node", HOUR), root.certificate());
         agent.publish(
                 WorkloadApiMessages.FETCH_JWT_BUNDLES,
-                WorkloadApiResponses.jwtBundles(Map.of(DOMAIN, tokens.keySet())));
+                WorkloadApiResponses.jwtBundlesResponse(Map.of(DOMAIN, tokens.keySet())));
         startByAgent(JWT, entry("s1", host, "active", 0));
         TlsContext proxy = workload("/proxy");
         String good = tokens.token("spiffe://dala.example/client/acme", List.of("node"), now().plusSeconds(60));
--- a/src/test/java/olivechute/authorization/AccessTest.java
+++ b/src/test/java/olivechute/authorization/AuthorizationTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who may be a client of whom, and who a host of which name. */
-class AccessTest {
+class AuthorizationTest {
     private static SpiffeId id(String text) throws IdentityRejectedException {
         return SpiffeId.parse(text);
     }
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aPatternStandsForWholeSegments() throws IdentityRejectedException {
+    void wildcardsMatchWholeSegments() throws IdentityRejectedException {
         String[][] yes = {
             {"spiffe://td/a", "spiffe://td/a"},
             {"spiffe://td", "spiffe://td/a/b"},
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatIsNoPatternIsBlamedOnItsKey() {
+    void invalidPatternNamesItsKey() {
         for (String text : new String[] {
             "",
             "td/a",
@@ -79,7 +79,7 @@
 
     /** Against the same rule as a regular expression, over short paths of few letters. */
     @Property(tries = 3000, seed = "20261201")
-    void patternsMatchAsTheirRegularExpressionsDo(@ForAll @LongRange(max = 1L << 40) long seed)
+    void patternsAgreeWithEquivalentRegularExpressions(@ForAll @LongRange(max = 1L << 40) long seed)
             throws IdentityRejectedException {
         Random random = new Random(seed);
         StringBuilder pattern = new StringBuilder("spiffe://td");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aClientSpeaksForTheTenantsOfItsRulesAlone() throws IdentityRejectedException {
+    void clientIsAllowedOnlyTheTenantsOfItsRules() throws IdentityRejectedException {
         ClientAuthorization rules = new ClientAuthorization(List.of(
                 new ClientAuthorization.Rule(
                         SpiffeIdPattern.parse("k", "spiffe://td/member/steppe/*"), Set.of("steppe-aid")),
@@ -116,29 +116,29 @@
                 && rules.allows(lead, "aral-water"));
         assertFalse(rules.allows(desk, "aral-water") || rules.allows(desk, null) || rules.allows(desk, "STEPPE-AID"));
         assertTrue(rules.allows(ops, "ile-rescue") && rules.allows(ops, null));
-        assertTrue(rules.client(desk));
+        assertTrue(rules.isClient(desk));
         assertFalse(
-                rules.client(id("spiffe://td/member")) || rules.client(id("spiffe://elsewhere/member/steppe/desk")));
-        assertFalse(new ClientAuthorization(List.of()).client(ops));
+                rules.isClient(id("spiffe://td/member")) || rules.isClient(id("spiffe://elsewhere/member/steppe/desk")));
+        assertFalse(new ClientAuthorization(List.of()).isClient(ops));
     }
 
     @Test
-    void aHostMustBeWhoItsNameSays() throws IdentityRejectedException {
+    void endpointMustHaveTheIdentityOfItsName() throws IdentityRejectedException {
         EndpointIdentityRules rules = new EndpointIdentityRules(List.of(
                 EndpointIdentityRules.Rule.parse("k", "s-old", "spiffe://former/signer"),
                 EndpointIdentityRules.Rule.parse("k", "s-*", "spiffe://td/sign-worker/{host}")));
         assertTrue(
-                rules.is(id("spiffe://td/sign-worker/s-1"), "s-1") && rules.is(id("spiffe://former/signer"), "s-old"));
-        assertFalse(rules.is(id("spiffe://td/sign-worker/s-2"), "s-1"));
-        assertFalse(rules.is(id("spiffe://td/sign-worker/s-old"), "s-old"));
-        assertNull(rules.wanted("w-1"));
+                rules.matches(id("spiffe://td/sign-worker/s-1"), "s-1") && rules.matches(id("spiffe://former/signer"), "s-old"));
+        assertFalse(rules.matches(id("spiffe://td/sign-worker/s-2"), "s-1"));
+        assertFalse(rules.matches(id("spiffe://td/sign-worker/s-old"), "s-old"));
+        assertNull(rules.requiredId("w-1"));
         for (String name : new String[] {"s-1/../s-2", "s-1/x", "s-\u00e9", "s-1 "}) {
-            assertNull(rules.wanted(name), name);
+            assertNull(rules.requiredId(name), name);
         }
     }
 
     @Test
-    void whatIsNoHostRuleIsBlamedOnItsKey() {
+    void invalidEndpointRuleNamesItsKey() {
         String[][] bad = {
             {"", "spiffe://td/a", "hosts.host"},
             {"s*1", "spiffe://td/a", "hosts.host"},
--- a/src/test/java/olivechute/grpc/GrpcConnectionTest.java
+++ b/src/test/java/olivechute/grpc/GrpcConnectionTest.java
@@ -21,35 +21,35 @@
 /** Two sides whose bytes are carried in pieces, and frames that no peer should send. */
 class GrpcConnectionTest {
     /** What a side heard, in order. */
-    private static final class Heard implements GrpcConnection.Listener {
-        private final List<String> words = new ArrayList<>();
+    private static final class RecordingListener implements GrpcConnection.Listener {
+        private final List<String> events = new ArrayList<>();
         private final List<byte[]> messages = new ArrayList<>();
         private int stream;
 
         @Override
-        public void headers(int on, Map<String, String> headers) {
+        public void onHeaders(int on, Map<String, String> headers) {
             stream = on;
-            words.add("headers " + headers.getOrDefault(":path", headers.get(":status")));
+            events.add("headers " + headers.getOrDefault(":path", headers.get(":status")));
         }
 
         @Override
-        public void message(int on, byte[] body) {
-            words.add("message " + body.length);
+        public void onMessage(int on, byte[] body) {
+            events.add("message " + body.length);
             messages.add(body);
         }
 
         @Override
-        public void ended(int on, Map<String, String> trailers) {
-            words.add("ended " + trailers);
+        public void onEnd(int on, Map<String, String> trailers) {
+            events.add("ended " + trailers);
         }
     }
 
-    private Heard atClient = new Heard();
-    private Heard atServer = new Heard();
+    private RecordingListener atClient = new RecordingListener();
+    private RecordingListener atServer = new RecordingListener();
     private GrpcConnection client = GrpcConnection.client(atClient);
     private GrpcConnection server = GrpcConnection.server(atServer);
 
-    private void carry(Random random) throws GrpcException {
+    private void exchange(Random random) throws GrpcException {
         for (boolean moved = true; moved; ) {
             byte[] up = client.toSend();
             byte[] down = server.toSend();
@@ -68,43 +68,43 @@
     }
 
     @Test
-    void aCallIsAnsweredByMessagesAndTrailers() throws GrpcException {
+    void callReceivesMessagesAndTrailers() throws GrpcException {
         client.call("localhost", "/S/M", Map.of("key", "value"), new byte[] {1, 2});
-        carry(new Random(1));
-        server.answer(atServer.stream);
-        server.message(atServer.stream, new byte[0]);
-        server.message(atServer.stream, new byte[] {7});
+        exchange(new Random(1));
+        server.sendResponseHeaders(atServer.stream);
+        server.sendMessage(atServer.stream, new byte[0]);
+        server.sendMessage(atServer.stream, new byte[] {7});
         server.finish(atServer.stream, Map.of("grpc-status", "0"));
-        carry(new Random(1));
-        assertEquals(List.of("headers /S/M", "message 2", "ended {}"), atServer.words);
-        assertEquals(List.of("headers 200", "message 0", "message 1", "ended {grpc-status=0}"), atClient.words);
+        exchange(new Random(1));
+        assertEquals(List.of("headers /S/M", "message 2", "ended {}"), atServer.events);
+        assertEquals(List.of("headers 200", "message 0", "message 1", "ended {grpc-status=0}"), atClient.events);
     }
 
     /** Beyond any window, and in pieces of any size: all of it comes, once and in order. */
     @Property(tries = 30, seed = "20261201")
-    void largeMessagesComeWhole(@ForAll @LongRange(max = 1L << 30) long seed) throws GrpcException {
+    void largeMessagesArriveIntact(@ForAll @LongRange(max = 1L << 30) long seed) throws GrpcException {
         Random random = new Random(seed);
-        atClient = new Heard(); // each try is a connection of its own
-        atServer = new Heard();
+        atClient = new RecordingListener(); // each try is a connection of its own
+        atServer = new RecordingListener();
         client = GrpcConnection.client(atClient);
         server = GrpcConnection.server(atServer);
         client.call("localhost", "/S/M", Map.of(), new byte[0]);
-        carry(random);
-        server.answer(atServer.stream);
+        exchange(random);
+        server.sendResponseHeaders(atServer.stream);
         List<byte[]> sent = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             byte[] body = new byte[random.nextInt(600_000)];
             random.nextBytes(body);
             sent.add(body);
-            server.message(atServer.stream, body);
+            server.sendMessage(atServer.stream, body);
         }
         server.finish(atServer.stream, Map.of("grpc-status", "0"));
-        carry(random);
+        exchange(random);
         assertEquals(sent.size(), atClient.messages.size());
         for (int i = 0; i < sent.size(); i++) {
             assertArrayEquals(sent.get(i), atClient.messages.get(i));
         }
-        assertTrue(atClient.words.get(6).startsWith("ended"));
+        assertTrue(atClient.events.get(6).startsWith("ended"));
     }
 
     /**
@@ -127,26 +127,26 @@
         "000004 05 04 00000001 00000002, a push",
         "000008 07 00 00000000 0000000000000000, goes away",
     })
-    void whatNoPeerShouldSendEndsTheConnection(String frames, String told) throws GrpcException {
+    void invalidFramesEndTheConnection(String frames, String expected) throws GrpcException {
         client.call("localhost", "/S/M", Map.of(), new byte[0]);
         client.toSend();
         byte[] bytes = java.util.HexFormat.of().parseHex(frames.replace(" ", ""));
         String text = assertThrows(GrpcException.class, () -> client.feed(bytes, 0, bytes.length))
                 .getMessage();
-        assertTrue(text.contains(told), text);
+        assertTrue(text.contains(expected), text);
     }
 
     @Test
-    void whoSpeaksNoHttp2IsToldApartAtOnce() {
+    void rejectsPeerWithoutHttp2Preface() {
         byte[] plain = "GET / HTTP/1.1\r\n".getBytes(UTF_8);
         assertThrows(GrpcException.class, () -> server.feed(plain, 0, plain.length));
     }
 
     /** Rubbish behind a sound beginning: no exception but the declared one, no buffer beyond its bound. */
     @Property(tries = 2000, seed = "20261201")
-    void rubbishEndsInNothingElse(@ForAll @LongRange(max = 1L << 40) long seed) {
+    void randomFramesThrowOnlyGrpcException(@ForAll @LongRange(max = 1L << 40) long seed) {
         Random random = new Random(seed);
-        GrpcConnection side = GrpcConnection.client(new Heard());
+        GrpcConnection side = GrpcConnection.client(new RecordingListener());
         try {
             side.call("localhost", "/S/M", Map.of(), new byte[0]);
             for (int i = 0; i < 20; i++) {
--- a/src/test/java/olivechute/identity/JwtCheckTest.java
+++ b/src/test/java/olivechute/identity/JwtCheckTest.java
@@ -73,7 +73,7 @@
                 ec.getPrivate()));
     }
 
-    private void refused(Reason reason, String token) {
+    private void assertRejected(Reason reason, String token) {
         assertEquals(
                 expectThrows(IdentityRejectedException.class, () -> JwtCheck.check(token, "node", bundles, NOW))
                         .reason(),
@@ -81,7 +81,7 @@
     }
 
     @Test
-    public void whatIsRightHolds() throws Exception {
+    public void acceptsValidTokens() throws Exception {
         assertEquals(
                 JwtCheck.check(ec(claims()), "node", bundles, NOW),
                 new JwtCheck.JwtSvid(SpiffeId.parse(ID), NOW.plusSeconds(60)));
@@ -93,44 +93,44 @@
     }
 
     @Test
-    public void forgeriesAreRefusedForTheirReasons() throws Exception {
+    public void rejectsForgedTokensWithTheirReasons() throws Exception {
         ECDSASigner own = new ECDSASigner((ECPrivateKey) ec.getPrivate());
-        refused(Reason.UNREADABLE, new PlainJWT(claims().build()).serialize()); // alg none
-        refused(
+        assertRejected(Reason.UNREADABLE, new PlainJWT(claims().build()).serialize()); // alg none
+        assertRejected(
                 Reason.WEAK,
                 signed(new JWSHeader.Builder(JWSAlgorithm.HS256).keyID("e"), claims(), new MACSigner(new byte[32])));
-        refused(
+        assertRejected(
                 Reason.WEAK,
                 signed(
                         new JWSHeader.Builder(JWSAlgorithm.RS256).keyID("s"),
                         claims(),
                         new RSASSASigner(shortRsa.getPrivate(), true)));
-        refused(
+        assertRejected(
                 Reason.UNREADABLE,
                 signed(
                         new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("e").type(new JOSEObjectType("at+jwt")),
                         claims(),
                         own));
-        refused(Reason.WRONG_AUDIENCE, ec(claims().audience("another")));
-        refused(Reason.WRONG_AUDIENCE, ec(claims().audience((String) null)));
-        refused(Reason.EXPIRED, ec(claims().expirationTime(Date.from(NOW.minusSeconds(1)))));
-        refused(Reason.EXPIRED, ec(claims().expirationTime(null)));
-        refused(Reason.NOT_YET, ec(claims().notBeforeTime(Date.from(NOW.plusSeconds(5)))));
-        refused(Reason.BAD_ID, ec(claims().subject("client")));
-        refused(Reason.BAD_ID, ec(claims().subject(null)));
-        refused(Reason.BAD_ID, ec(claims().subject("spiffe://td")));
-        refused(Reason.UNKNOWN_DOMAIN, ec(claims().subject("spiffe://nowhere/c")));
-        refused(Reason.NOT_VOUCHED, ec(claims().subject("spiffe://other/c"))); // another domain's key id
-        refused(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256), claims(), own));
-        refused(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("r"), claims(), own));
-        refused(
+        assertRejected(Reason.WRONG_AUDIENCE, ec(claims().audience("another")));
+        assertRejected(Reason.WRONG_AUDIENCE, ec(claims().audience((String) null)));
+        assertRejected(Reason.EXPIRED, ec(claims().expirationTime(Date.from(NOW.minusSeconds(1)))));
+        assertRejected(Reason.EXPIRED, ec(claims().expirationTime(null)));
+        assertRejected(Reason.NOT_YET, ec(claims().notBeforeTime(Date.from(NOW.plusSeconds(5)))));
+        assertRejected(Reason.BAD_ID, ec(claims().subject("client")));
+        assertRejected(Reason.BAD_ID, ec(claims().subject(null)));
+        assertRejected(Reason.BAD_ID, ec(claims().subject("spiffe://td")));
+        assertRejected(Reason.UNKNOWN_DOMAIN, ec(claims().subject("spiffe://nowhere/c")));
+        assertRejected(Reason.NOT_VOUCHED, ec(claims().subject("spiffe://other/c"))); // another domain's key id
+        assertRejected(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256), claims(), own));
+        assertRejected(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("r"), claims(), own));
+        assertRejected(
                 Reason.NOT_VOUCHED,
                 signed(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("e"), claims(), new ECDSASigner((ECPrivateKey)
                         ec().getPrivate())));
         String[] parts = ec(claims()).split("\\.");
-        refused(
+        assertRejected(
                 Reason.NOT_VOUCHED,
                 parts[0] + "." + ec(claims().subject("spiffe://td/admin")).split("\\.")[1] + "." + parts[2]);
-        refused(Reason.TOO_LARGE, "a".repeat(9000));
+        assertRejected(Reason.TOO_LARGE, "a".repeat(9000));
     }
 }
--- a/src/test/java/olivechute/identity/SpiffeIdTest.java
+++ b/src/test/java/olivechute/identity/SpiffeIdTest.java
@@ -21,7 +21,7 @@
     private static final String ALPHABET = "aZ09._-/:@%?#é \\~";
 
     @Test
-    void whatTheStandardAllowsIsReadAndWrittenAlike() throws IdentityRejectedException {
+    void validIdsAreParsedAndFormattedUnchanged() throws IdentityRejectedException {
         for (String text : new String[] {
             "spiffe://a",
             "spiffe://a.b-c_d/x",
@@ -34,12 +34,12 @@
         assertEquals(
                 2048,
                 SpiffeId.parse("spiffe://td/" + "p".repeat(2036)).toString().length());
-        assertTrue(!SpiffeId.parse("spiffe://td").workload()
-                && SpiffeId.parse("spiffe://td/w").workload());
+        assertTrue(!SpiffeId.parse("spiffe://td").isWorkload()
+                && SpiffeId.parse("spiffe://td/w").isWorkload());
     }
 
     @Test
-    void whatItForbidsIsRefused() {
+    void invalidIdsAreRejected() {
         for (String text : new String[] {
             null,
             "",
@@ -76,7 +76,7 @@
 
     /** Texts near the border of what is allowed: read exactly where the pattern fits. */
     @Property(tries = 3000, seed = "20261201")
-    void idsAreReadExactlyWhereTheStandardAllowsThem(@ForAll @LongRange(max = 1L << 40) long seed) {
+    void parsesExactlyTheIdsThatTheStandardAllows(@ForAll @LongRange(max = 1L << 40) long seed) {
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(random.nextInt(20) == 0 ? "spiff://" : "spiffe://");
         for (int i = random.nextInt(14); i > 0; i--) {
@@ -95,12 +95,12 @@
 
     /** No text makes a token's reader throw anything but the refusal. */
     @Property(tries = 2000, seed = "20261201")
-    void rubbishTokensAreRefusedAndNothingElse(@ForAll @StringLength(max = 300) String rubbish) {
+    void randomTokensThrowOnlyIdentityRejectedException(@ForAll @StringLength(max = 300) String randomText) {
         for (String token : new String[] {
-            rubbish,
-            rubbish + "." + rubbish + "." + rubbish,
-            "e30." + rubbish + ".e30",
-            "eyJhbGciOiJFUzI1NiJ9." + rubbish + ".AAAA"
+            randomText,
+            randomText + "." + randomText + "." + randomText,
+            "e30." + randomText + ".e30",
+            "eyJhbGciOiJFUzI1NiJ9." + randomText + ".AAAA"
         }) {
             assertThrows(
                     IdentityRejectedException.class,
--- a/src/test/java/olivechute/svid/SvidFuzzTest.java
+++ b/src/test/java/olivechute/svid/SvidFuzzTest.java
@@ -39,7 +39,7 @@
     private static final CertificateAuthority.Issued ISSUED = issued();
     private static final byte[] DER = der(ISSUED.chain());
     private static final byte[] KEYS = new TokenIssuer("k").keySet().getBytes(StandardCharsets.ISO_8859_1);
-    private static final byte[] RESPONSE = WorkloadApiResponses.x509(
+    private static final byte[] RESPONSE = WorkloadApiResponses.x509Response(
             ID, ISSUED, List.of(ROOT.certificate()), Map.of("other", List.of(ROOT.certificate())), "hint");
 
     private static CertificateAuthority.Issued issued() {
@@ -64,8 +64,8 @@
     }
 
     /** A few bytes changed, or a piece cut out or put in twice. */
-    private static byte[] spoilt(byte[] sound, Random random) {
-        byte[] bytes = sound.clone();
+    private static byte[] corrupt(byte[] valid, Random random) {
+        byte[] bytes = valid.clone();
         for (int n = random.nextInt(4); n >= 0; n--) {
             bytes[random.nextInt(bytes.length)] =
                     (byte) (random.nextBoolean() ? random.nextInt(256) : random.nextInt(3) - 1);
@@ -82,24 +82,24 @@
     }
 
     @Test
-    void whatIsSoundHolds() throws IdentityRejectedException {
+    void acceptsValidInput() throws IdentityRejectedException {
         assertEquals(
                 ID,
                 X509Check.check(PemReader.derCertificates(DER), TrustBundles.EMPTY.with(ROOT.bundle()), NOW)
                         .id()
                         .toString());
-        SvidManager keeper = new SvidManager("td");
-        Offer offer = WorkloadApiMessages.x509(RESPONSE, "hint");
-        keeper.offer(offer, NOW);
-        assertEquals(ID, keeper.state().own().svid().id().toString());
-        assertEquals(2, keeper.state().bundles().all().size());
+        SvidManager manager = new SvidManager("td");
+        Offer offer = WorkloadApiMessages.parseX509Response(RESPONSE, "hint");
+        manager.offer(offer, NOW);
+        assertEquals(ID, manager.state().own().svid().id().toString());
+        assertEquals(2, manager.state().bundles().all().size());
         assertEquals(
-                1, JwkSets.keys(new String(KEYS, StandardCharsets.ISO_8859_1)).size());
+                1, JwkSets.parseKeys(new String(KEYS, StandardCharsets.ISO_8859_1)).size());
     }
 
     @Property(tries = 1500, seed = "20261201")
-    void aSpoiltDocumentIsRefusedOrStillWhatItWas(@ForAll @LongRange(max = 1L << 40) long seed) {
-        byte[] bytes = spoilt(DER, new Random(seed));
+    void corruptCertificateIsRejectedOrKeepsItsIdentity(@ForAll @LongRange(max = 1L << 40) long seed) {
+        byte[] bytes = corrupt(DER, new Random(seed));
         try {
             SpiffeId id = X509Check.check(PemReader.derCertificates(bytes), TrustBundles.EMPTY.with(ROOT.bundle()), NOW)
                     .id();
@@ -110,23 +110,23 @@
     }
 
     @Property(tries = 1500, seed = "20261201")
-    void aSpoiltMessageIsRefusedOrTakenWhole(@ForAll @LongRange(max = 1L << 40) long seed) {
-        byte[] bytes = spoilt(RESPONSE, new Random(seed));
+    void corruptMessageIsRejectedOrAppliedWhole(@ForAll @LongRange(max = 1L << 40) long seed) {
+        byte[] bytes = corrupt(RESPONSE, new Random(seed));
         try {
-            SvidManager keeper = new SvidManager("td");
-            keeper.offer(WorkloadApiMessages.x509(bytes, ""), NOW);
-            assertEquals(ID, keeper.state().own().svid().id().toString(), "seed " + seed);
+            SvidManager manager = new SvidManager("td");
+            manager.offer(WorkloadApiMessages.parseX509Response(bytes, ""), NOW);
+            assertEquals(ID, manager.state().own().svid().id().toString(), "seed " + seed);
         } catch (IdentityRejectedException declared) {
             assertNotNull(declared.reason());
         }
     }
 
     @Property(tries = 1500, seed = "20261201")
-    void aSpoiltKeySetIsRefusedOrRead(@ForAll @LongRange(max = 1L << 40) long seed) {
-        byte[] bytes = spoilt(KEYS, new Random(seed));
+    void corruptKeySetIsRejectedOrParsed(@ForAll @LongRange(max = 1L << 40) long seed) {
+        byte[] bytes = corrupt(KEYS, new Random(seed));
         try {
-            assertNotNull(JwkSets.keys(new String(bytes, StandardCharsets.ISO_8859_1)));
-            WorkloadApiMessages.jwtBundles(bytes);
+            assertNotNull(JwkSets.parseKeys(new String(bytes, StandardCharsets.ISO_8859_1)));
+            WorkloadApiMessages.parseJwtBundlesResponse(bytes);
         } catch (IdentityRejectedException declared) {
             assertNotNull(declared.reason());
         }
--- a/src/test/java/olivechute/testca/ForgeryTest.java
+++ b/src/test/java/olivechute/testca/ForgeryTest.java
@@ -40,7 +40,7 @@
         return X509Check.check(issued.chain(), held, now);
     }
 
-    private Reason refused(CertificateAuthority.Issued issued, TrustBundles held, Instant now) {
+    private Reason rejectionReason(CertificateAuthority.Issued issued, TrustBundles held, Instant now) {
         return expectThrows(IdentityRejectedException.class, () -> check(issued, held, now))
                 .reason();
     }
@@ -55,17 +55,17 @@
     }
 
     @Test(dataProvider = "forgeries")
-    public void aForgeryIsRefusedForItsReason(ForgedIdentity forgery) {
+    public void forgedCertificateIsRejectedWithItsReason(ForgedIdentity forgery) {
         IdentityRejectedException refused = expectThrows(
                 IdentityRejectedException.class,
-                () -> check(forgery.make(new ForgedIdentity.Ground(DOMAIN, root, NOW)), bundles, NOW));
+                () -> check(forgery.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, NOW)), bundles, NOW));
         assertEquals(refused.reason(), forgery.reason(), refused.getMessage());
         assertTrue(refused.getMessage()
                 .startsWith(refused.reason().name().toLowerCase(Locale.ROOT).replace('_', '-') + ": "));
     }
 
     @Test
-    public void whatIsRightHoldsUntilTheFirstOfTheChainExpires() throws Exception {
+    public void validChainHoldsUntilItsEarliestExpiry() throws Exception {
         SpiffeId id = SpiffeId.parse("spiffe://" + DOMAIN + "/sign-worker/s-1");
         CertificateAuthority between = root.intermediate(NOW.minus(HOUR), NOW.plusSeconds(90));
         X509Svid svid = check(between.issue(id, NOW.minusSeconds(10), NOW.plusSeconds(600)), bundles, NOW);
@@ -84,31 +84,31 @@
 
     /** The forgery outside of its signer's constraints is refused for these alone: inside, all else alike, it holds. */
     @Test
-    public void insideTheConstraintsOfItsSignerItHolds() throws Exception {
-        java.security.KeyPair keys = CertificateBuilder.ec();
+    public void intermediateNameConstraintsAreEnforced() throws Exception {
+        java.security.KeyPair keys = CertificateBuilder.newEcKeyPair();
         for (String host : new String[] {DOMAIN, "elsewhere.example"}) {
-            CertificateAuthority between = root.below(
+            CertificateAuthority between = root.subordinate(
                     keys,
-                    CertificateAuthority.signing(DOMAIN, "between", keys, NOW.minus(HOUR), NOW.plus(HOUR))
+                    CertificateAuthority.authorityContent(DOMAIN, "between", keys, NOW.minus(HOUR), NOW.plus(HOUR))
                             .permitted(host));
             CertificateAuthority.Issued issued =
                     between.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/w"), NOW, NOW.plusSeconds(9));
             if (host.equals(DOMAIN)) {
                 assertEquals(check(issued, bundles, NOW).id().path(), "/w");
             } else {
-                assertEquals(refused(issued, bundles, NOW), Reason.NOT_VOUCHED);
+                assertEquals(rejectionReason(issued, bundles, NOW), Reason.NOT_VOUCHED);
             }
         }
     }
 
     /** The platform's validator passes over what an authority constrains itself to; ours does not. */
     @Test
-    public void anAuthorityIsBoundByItsOwnConstraints() throws Exception {
+    public void rootNameConstraintsAreEnforced() throws Exception {
         for (String host : new String[] {DOMAIN, "elsewhere.example"}) {
             CertificateAuthority own = CertificateAuthority.root(
                     DOMAIN,
-                    CertificateAuthority.signing(
-                                    DOMAIN, "root", CertificateBuilder.ec(), NOW.minus(HOUR), NOW.plus(HOUR))
+                    CertificateAuthority.authorityContent(
+                                    DOMAIN, "root", CertificateBuilder.newEcKeyPair(), NOW.minus(HOUR), NOW.plus(HOUR))
                             .permitted(host));
             CertificateAuthority.Issued issued =
                     own.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/w"), NOW, NOW.plusSeconds(9));
@@ -116,20 +116,20 @@
             if (host.equals(DOMAIN)) {
                 assertEquals(check(issued, held, NOW).id().path(), "/w");
             } else {
-                assertEquals(refused(issued, held, NOW), Reason.NOT_VOUCHED);
+                assertEquals(rejectionReason(issued, held, NOW), Reason.NOT_VOUCHED);
             }
         }
     }
 
     /** A clock that steps, and a bundle that changes, show at the next look: nothing is remembered between two. */
     @Test
-    public void theMomentAndTheBundlesOfTheLookDecide() throws Exception {
+    public void eachCheckUsesCurrentTimeAndBundles() throws Exception {
         SpiffeId id = SpiffeId.parse("spiffe://" + DOMAIN + "/w");
         CertificateAuthority.Issued issued = root.issue(id, NOW.minusSeconds(10), NOW.plusSeconds(10));
         assertEquals(check(issued, bundles, NOW).id(), id);
-        assertEquals(refused(issued, bundles, NOW.plusSeconds(11)), Reason.EXPIRED);
-        assertEquals(refused(issued, bundles, NOW.minusSeconds(11)), Reason.NOT_YET);
-        assertEquals(refused(issued, bundles.without(DOMAIN), NOW), Reason.UNKNOWN_DOMAIN);
+        assertEquals(rejectionReason(issued, bundles, NOW.plusSeconds(11)), Reason.EXPIRED);
+        assertEquals(rejectionReason(issued, bundles, NOW.minusSeconds(11)), Reason.NOT_YET);
+        assertEquals(rejectionReason(issued, bundles.without(DOMAIN), NOW), Reason.UNKNOWN_DOMAIN);
         CertificateAuthority next = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
         TrustBundle overlap =
                 new TrustBundle(DOMAIN, java.util.List.of(root.certificate(), next.certificate()), java.util.Map.of());
@@ -138,17 +138,17 @@
                 check(next.issue(id, NOW, NOW.plusSeconds(10)), bundles.with(overlap), NOW)
                         .id(),
                 id);
-        assertEquals(refused(issued, bundles.with(next.bundle()), NOW), Reason.NOT_VOUCHED);
+        assertEquals(rejectionReason(issued, bundles.with(next.bundle()), NOW), Reason.NOT_VOUCHED);
     }
 
     /** A root that has expired vouches for nobody, though the platform would not ask. */
     @Test
-    public void anAuthorityThatDoesNotHoldNowVouchesForNobody() throws Exception {
+    public void expiredAuthorityIsNotATrustAnchor() throws Exception {
         CertificateAuthority old = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.minusSeconds(1));
         CertificateAuthority.Issued issued =
                 old.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/w"), NOW.minusSeconds(10), NOW.plusSeconds(10));
-        assertEquals(refused(issued, TrustBundles.EMPTY.with(old.bundle()), NOW), Reason.NOT_VOUCHED);
+        assertEquals(rejectionReason(issued, TrustBundles.EMPTY.with(old.bundle()), NOW), Reason.NOT_VOUCHED);
         TrustBundle none = new TrustBundle(DOMAIN, java.util.List.of(), java.util.Map.of());
-        assertEquals(refused(issued, TrustBundles.EMPTY.with(none), NOW), Reason.NOT_VOUCHED);
+        assertEquals(rejectionReason(issued, TrustBundles.EMPTY.with(none), NOW), Reason.NOT_VOUCHED);
     }
 }
