--- a/src/test/java/olivechute/testca/SvidKeeperTest.java
+++ b/src/test/java/olivechute/testca/SvidManagerTest.java
@@ -15,32 +15,32 @@
 import olivechute.identity.IdentityRejectedException.Reason;
 import olivechute.identity.SpiffeId;
 import olivechute.identity.SvidManager;
-import olivechute.identity.SvidManager.Taken;
+import olivechute.identity.SvidManager.OfferResult;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** What a source offers: what holds is in force at once, what does not changes nothing. */
-public class SvidKeeperTest {
+public class SvidManagerTest {
     private static final Instant NOW = Instant.parse("2026-12-01T12:00:00Z");
     private static final Duration HOUR = Duration.ofHours(1);
     private static final String DOMAIN = "dala.example";
 
     private CertificateAuthority root;
-    private SvidManager keeper;
+    private SvidManager manager;
 
     @BeforeMethod
     public void setUp() throws Exception {
         root = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
-        keeper = new SvidManager(DOMAIN);
+        manager = new SvidManager(DOMAIN);
     }
 
     private CertificateAuthority.Issued issue(CertificateAuthority by, Instant to) throws IdentityRejectedException {
         return by.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/node"), NOW.minusSeconds(60), to);
     }
 
-    private Taken offer(CertificateAuthority.Issued issued, CertificateAuthority vouching, Instant now)
+    private OfferResult offer(CertificateAuthority.Issued issued, CertificateAuthority vouching, Instant now)
             throws IdentityRejectedException, IOException {
-        return keeper.offer(
+        return manager.offer(
                 PemWriter.text(issued.chain()),
                 PemWriter.text(issued.key()),
                 PemWriter.text(List.of(vouching.certificate())),
@@ -48,81 +48,81 @@
     }
 
     @Test
-    public void aRenewedDocumentIsInForceAtOnceAndTheSameOneIsNoNews() throws Exception {
-        assertNull(keeper.state().own());
-        assertFalse(keeper.state().holds(NOW));
+    public void renewedSvidAppliesAtOnceAndRepeatedOfferIsUnchanged() throws Exception {
+        assertNull(manager.state().own());
+        assertFalse(manager.state().hasValidIdentity(NOW));
         CertificateAuthority.Issued first = issue(root, NOW.plusSeconds(30));
-        assertEquals(offer(first, root, NOW), Taken.NEW);
-        assertEquals(offer(first, root, NOW), Taken.SAME);
-        assertTrue(keeper.state().holds(NOW.plusSeconds(30)));
-        assertFalse(keeper.state().holds(NOW.plusSeconds(31)));
-        assertEquals(offer(issue(root, NOW.plusSeconds(90)), root, NOW), Taken.NEW);
-        assertTrue(keeper.state().holds(NOW.plusSeconds(31)));
-        assertFalse(keeper.state().own().toString().contains("PRIVATE"));
+        assertEquals(offer(first, root, NOW), OfferResult.APPLIED);
+        assertEquals(offer(first, root, NOW), OfferResult.UNCHANGED);
+        assertTrue(manager.state().hasValidIdentity(NOW.plusSeconds(30)));
+        assertFalse(manager.state().hasValidIdentity(NOW.plusSeconds(31)));
+        assertEquals(offer(issue(root, NOW.plusSeconds(90)), root, NOW), OfferResult.APPLIED);
+        assertTrue(manager.state().hasValidIdentity(NOW.plusSeconds(31)));
+        assertFalse(manager.state().own().toString().contains("PRIVATE"));
     }
 
     @Test
-    public void whatDoesNotHoldLeavesTheLastGoodInForceUntilItExpires() throws Exception {
+    public void invalidOfferKeepsTheLastValidSvid() throws Exception {
         CertificateAuthority.Issued good = issue(root, NOW.plusSeconds(30));
         offer(good, root, NOW);
-        SvidManager.State before = keeper.state();
+        SvidManager.State before = manager.state();
         CertificateAuthority stranger = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
         String chain = PemWriter.text(good.chain());
         String key = PemWriter.text(good.key());
         String bundle = PemWriter.text(List.of(root.certificate()));
-        refused(Reason.UNREADABLE, "", key, bundle);
-        refused(Reason.UNREADABLE, chain.substring(0, chain.length() / 2), key, bundle);
-        refused(Reason.UNREADABLE, chain, "", bundle);
-        refused(Reason.UNREADABLE, chain, key.replace("PRIVATE", "PUBLIC"), bundle);
-        refused(
+        assertRejected(Reason.UNREADABLE, "", key, bundle);
+        assertRejected(Reason.UNREADABLE, chain.substring(0, chain.length() / 2), key, bundle);
+        assertRejected(Reason.UNREADABLE, chain, "", bundle);
+        assertRejected(Reason.UNREADABLE, chain, key.replace("PRIVATE", "PUBLIC"), bundle);
+        assertRejected(
                 Reason.UNREADABLE,
                 chain,
                 PemWriter.text(issue(root, NOW.plusSeconds(9)).key()),
                 bundle);
-        refused(
+        assertRejected(
                 Reason.UNREADABLE,
                 chain,
-                PemWriter.text(CertificateBuilder.rsa(2048).getPrivate()),
+                PemWriter.text(CertificateBuilder.newRsaKeyPair(2048).getPrivate()),
                 bundle);
-        refused(Reason.UNREADABLE, chain, key, "rubbish");
-        refused(Reason.NOT_VOUCHED, chain, key, PemWriter.text(List.of(stranger.certificate())));
-        refused(Reason.EXPIRED, PemWriter.text(issue(root, NOW.minusSeconds(1)).chain()), key, bundle);
-        assertSame(keeper.state(), before);
-        assertTrue(keeper.state().holds(NOW.plusSeconds(29)));
+        assertRejected(Reason.UNREADABLE, chain, key, "rubbish");
+        assertRejected(Reason.NOT_VOUCHED, chain, key, PemWriter.text(List.of(stranger.certificate())));
+        assertRejected(Reason.EXPIRED, PemWriter.text(issue(root, NOW.minusSeconds(1)).chain()), key, bundle);
+        assertSame(manager.state(), before);
+        assertTrue(manager.state().hasValidIdentity(NOW.plusSeconds(29)));
     }
 
-    private void refused(Reason reason, String chain, String key, String bundle) {
+    private void assertRejected(Reason reason, String chain, String key, String bundle) {
         assertEquals(
-                expectThrows(IdentityRejectedException.class, () -> keeper.offer(chain, key, bundle, NOW))
+                expectThrows(IdentityRejectedException.class, () -> manager.offer(chain, key, bundle, NOW))
                         .reason(),
                 reason);
     }
 
     @Test
-    public void anotherTrustDomainsDocumentIsNotOurs() throws Exception {
+    public void svidOfAnotherTrustDomainIsRejected() throws Exception {
         CertificateAuthority other = CertificateAuthority.root("other.example", NOW.minus(HOUR), NOW.plus(HOUR));
-        keeper.federate("other.example", PemWriter.text(List.of(other.certificate())));
-        assertEquals(keeper.federate("other.example", PemWriter.text(List.of(other.certificate()))), Taken.SAME);
+        manager.federate("other.example", PemWriter.text(List.of(other.certificate())));
+        assertEquals(manager.federate("other.example", PemWriter.text(List.of(other.certificate()))), OfferResult.UNCHANGED);
         CertificateAuthority.Issued theirs =
                 other.issue(SpiffeId.parse("spiffe://other.example/node"), NOW, NOW.plusSeconds(9));
         assertEquals(
                 expectThrows(IdentityRejectedException.class, () -> offer(theirs, root, NOW))
                         .reason(),
                 Reason.BAD_ID);
-        assertNull(keeper.state().own());
+        assertNull(manager.state().own());
     }
 
     /**
      * A bundle that rolls over: both authorities for a while, then the new one alone, with a document that it signed.
      */
     @Test
-    public void aBundleRollsOverWithOverlap() throws Exception {
+    public void bundleRotationAcceptsBothAuthoritiesDuringOverlap() throws Exception {
         CertificateAuthority next = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
         CertificateAuthority.Issued old = issue(root, NOW.plusSeconds(30));
         offer(old, root, NOW);
         String both = PemWriter.text(List.of(root.certificate(), next.certificate()));
-        assertEquals(keeper.offer(PemWriter.text(old.chain()), PemWriter.text(old.key()), both, NOW), Taken.NEW);
-        assertEquals(offer(issue(next, NOW.plusSeconds(60)), next, NOW), Taken.NEW);
+        assertEquals(manager.offer(PemWriter.text(old.chain()), PemWriter.text(old.key()), both, NOW), OfferResult.APPLIED);
+        assertEquals(offer(issue(next, NOW.plusSeconds(60)), next, NOW), OfferResult.APPLIED);
         assertEquals(
                 expectThrows(IdentityRejectedException.class, () -> offer(old, next, NOW))
                         .reason(),
--- a/src/test/java/olivechute/tls/TlsMachineTest.java
+++ b/src/test/java/olivechute/tls/TlsStateMachineTest.java
@@ -24,13 +24,13 @@
 
 /** Two machines whose bytes are carried from one to the other in pieces of any size. */
 @SuppressWarnings("IdentityHashMapUsage") // machines are told apart by identity
-public class TlsMachineTest {
+public class TlsStateMachineTest {
     private static final String DOMAIN = "dala.example";
     private static final Duration HOUR = Duration.ofHours(1);
     private static final long SEED = 41;
 
     private final Random random = new Random(SEED);
-    private final Map<TlsStateMachine, String> heard = new IdentityHashMap<>();
+    private final Map<TlsStateMachine, String> receivedText = new IdentityHashMap<>();
     private Instant now;
     private CertificateAuthority root;
     private TrustBundles bundles;
@@ -54,38 +54,38 @@
      * Carries what each has to say to the other until neither has any more; the first fault ends it once all is
      * carried.
      */
-    private void carry(TlsStateMachine one, TlsStateMachine other) throws TlsException {
-        TlsException fault = null;
+    private void exchange(TlsStateMachine one, TlsStateMachine other) throws TlsException {
+        TlsException failure = null;
         ByteArrayOutputStream toOne = new ByteArrayOutputStream();
         ByteArrayOutputStream toOther = new ByteArrayOutputStream();
         for (boolean moved = true; moved; ) {
             moved = false;
             for (TlsStateMachine side : new TlsStateMachine[] {one, other}) {
                 try {
-                    side.work();
+                    side.advance();
                 } catch (TlsException e) {
-                    fault = fault == null ? e : fault;
+                    failure = failure == null ? e : failure;
                 }
-                heard.merge(side, text(side.received()), String::concat);
-                ByteBuffer said = side.toSend();
+                receivedText.merge(side, text(side.received()), String::concat);
+                ByteBuffer output = side.toSend();
                 (side == one ? toOther : toOne)
-                        .write(said.array(), said.arrayOffset() + said.position(), said.remaining());
+                        .write(output.array(), output.arrayOffset() + output.position(), output.remaining());
             }
             moved |= feed(one, toOne);
             moved |= feed(other, toOther);
         }
-        if (fault != null) {
-            throw fault;
+        if (failure != null) {
+            throw failure;
         }
     }
 
     private boolean feed(TlsStateMachine side, ByteArrayOutputStream waiting) {
         byte[] all = waiting.toByteArray();
-        int n = Math.min(Math.min(all.length, side.room().remaining()), 1 + random.nextInt(3000));
+        int n = Math.min(Math.min(all.length, side.receiveBuffer().remaining()), 1 + random.nextInt(3000));
         if (n == 0 || side.closed()) {
             return false;
         }
-        side.room().put(all, 0, n);
+        side.receiveBuffer().put(all, 0, n);
         waiting.reset();
         waiting.write(all, n, all.length - n);
         return true;
@@ -105,21 +105,21 @@
     }
 
     @Test(dataProvider = "versions")
-    public void bothSidesKnowEachOtherAndHearEachOther(boolean lenient) throws Exception {
-        TlsStateMachine node = context(issue("/node"), lenient).accepted();
-        TlsStateMachine client = context(issue("/client"), lenient).dialled("node", 1);
-        assertFalse(client.open());
-        carry(client, node);
+    public void exchangesDataBetweenAuthenticatedPeers(boolean lenient) throws Exception {
+        TlsStateMachine node = context(issue("/node"), lenient).server();
+        TlsStateMachine client = context(issue("/client"), lenient).client("node", 1);
+        assertFalse(client.isOpen());
+        exchange(client, node);
         assertEquals(node.peer().id().path() + client.peer().id().path(), "/client/node");
         String document = "x".repeat(40_000);
         client.send(bytes(document));
-        carry(client, node);
-        assertTrue(heard.get(node).equals(document), heard.get(node).length() + " heard, seed " + SEED);
+        exchange(client, node);
+        assertTrue(receivedText.get(node).equals(document), receivedText.get(node).length() + " heard, seed " + SEED);
         node.send(bytes("signed"));
-        carry(client, node);
-        assertEquals(heard.get(client), "signed");
-        client.finish();
-        carry(client, node);
+        exchange(client, node);
+        assertEquals(receivedText.get(client), "signed");
+        client.closeOutbound();
+        exchange(client, node);
         assertTrue(node.closed());
     }
 
@@ -127,34 +127,34 @@
      * The second connection to a peer makes no chain travel, yet the identity it stands for is judged as it is then.
      */
     @Test
-    public void aResumedSessionIsJudgedByThatMomentsBundlesAndClock() throws Exception {
+    public void resumedSessionIsCheckedAgainstCurrentBundlesAndTime() throws Exception {
         TlsContext server = context(issue("/node"), false);
         TlsContext dialler = context(issue("/client"), false);
         for (int i = 0; i < 4; i++) {
-            TlsStateMachine node = server.accepted();
-            TlsStateMachine client = dialler.dialled("node", 1);
-            carry(client, node);
+            TlsStateMachine node = server.server();
+            TlsStateMachine client = dialler.client("node", 1);
+            exchange(client, node);
             assertEquals(client.peer().id().path(), "/node");
         }
-        assertEquals(dialler.judged() + server.judged(), 2, "one full handshake, three resumed");
+        assertEquals(dialler.chainChecks() + server.chainChecks(), 2, "one full handshake, three resumed");
         now = now.plusSeconds(61);
-        TlsStateMachine node = server.accepted();
-        TlsStateMachine client = dialler.dialled("node", 1);
+        TlsStateMachine node = server.server();
+        TlsStateMachine client = dialler.client("node", 1);
         String told =
-                expectThrows(TlsException.class, () -> carry(client, node)).getMessage();
+                expectThrows(TlsException.class, () -> exchange(client, node)).getMessage();
         assertTrue(told.startsWith("expired: "), told);
-        assertFalse(client.open() || node.open());
+        assertFalse(client.isOpen() || node.isOpen());
     }
 
     @Test
-    public void aWithdrawnAuthorityEndsWhatItVouchedForAtTheNextHandshake() throws Exception {
+    public void handshakeFailsAfterAuthorityIsRemoved() throws Exception {
         TlsContext server = context(issue("/node"), false);
         TlsContext dialler = context(issue("/client"), false);
-        carry(dialler.dialled("node", 1), server.accepted());
+        exchange(dialler.client("node", 1), server.server());
         bundles = TrustBundles.EMPTY.with(CertificateAuthority.root(DOMAIN, now.minus(HOUR), now.plus(HOUR))
                 .bundle());
-        TlsStateMachine client = dialler.dialled("node", 1);
-        String told = expectThrows(TlsException.class, () -> carry(client, server.accepted()))
+        TlsStateMachine client = dialler.client("node", 1);
+        String told = expectThrows(TlsException.class, () -> exchange(client, server.server()))
                 .getMessage();
         assertTrue(told.startsWith("not-vouched: "), told);
     }
@@ -174,25 +174,25 @@
      * said.
      */
     @Test(dataProvider = "forgeries")
-    public void aForgedIdentityGetsNoMoreThanAnAlert(ForgedIdentity forgery) throws Exception {
-        TlsContext forged = context(forgery.make(new ForgedIdentity.Ground(DOMAIN, root, now)), false);
+    public void forgedIdentityReceivesOnlyAnAlert(ForgedIdentity forgery) throws Exception {
+        TlsContext forged = context(forgery.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, now)), false);
         TlsContext honest = context(issue("/node"), false);
         for (boolean accepting : new boolean[] {true, false}) {
-            TlsStateMachine victim = accepting ? honest.accepted() : honest.dialled("x", 1);
-            TlsStateMachine forger = accepting ? forged.dialled("x", 1) : forged.accepted();
-            expectThrows(TlsException.class, () -> carry(victim, forger));
+            TlsStateMachine victim = accepting ? honest.server() : honest.client("x", 1);
+            TlsStateMachine forger = accepting ? forged.client("x", 1) : forged.server();
+            expectThrows(TlsException.class, () -> exchange(victim, forger));
             assertNull(victim.peer());
-            assertFalse(victim.open());
-            assertEquals(heard.get(forger), "");
+            assertFalse(victim.isOpen());
+            assertEquals(receivedText.get(forger), "");
             expectThrows(TlsException.class, () -> victim.send(bytes("secret")));
         }
     }
 
     @Test
-    public void plainTextIsToldByItsFirstByte() throws Exception {
-        TlsStateMachine node = context(issue("/node"), false).accepted();
-        node.room().put((byte) 'P');
-        String told = expectThrows(TlsException.class, node::work).getMessage();
+    public void plaintextIsDetectedByItsFirstByte() throws Exception {
+        TlsStateMachine node = context(issue("/node"), false).server();
+        node.receiveBuffer().put((byte) 'P');
+        String told = expectThrows(TlsException.class, node::advance).getMessage();
         assertEquals(told, "no TLS: its first byte is 80");
         assertTrue(node.closed());
         assertEquals(node.toSend().remaining(), 0);
@@ -203,11 +203,11 @@
      * alerts.
      */
     @Test
-    public void rubbishEndsTheConnectionAndNothingElse() throws Exception {
+    public void randomBytesOnlyEndTheConnection() throws Exception {
         TlsContext context = context(issue("/node"), false);
         int ended = 0;
         for (int i = 0; i < 300; i++) {
-            TlsStateMachine node = context.accepted();
+            TlsStateMachine node = context.server();
             byte[] rubbish = new byte[5 + random.nextInt(400)];
             random.nextBytes(rubbish);
             rubbish[0] = 22;
@@ -215,13 +215,13 @@
             rubbish[2] = 3;
             rubbish[3] = 0;
             rubbish[4] = (byte) random.nextInt(rubbish.length > 200 ? 127 : rubbish.length);
-            node.room().put(rubbish);
+            node.receiveBuffer().put(rubbish);
             try {
-                node.work();
+                node.advance();
             } catch (TlsException e) {
                 ended++;
             }
-            assertFalse(node.open());
+            assertFalse(node.isOpen());
             assertTrue(node.toSend().remaining() < 64);
         }
         assertTrue(ended > 200, ended + " of 300 ended at once, seed " + SEED);
