--- a/src/main/java/olivechute/benchmark/Profile.java
+++ b/src/main/java/olivechute/benchmark/AllocationProfile.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /** What a request allocates, by class: the whole heap, dead objects too, before and after. */
-final class Profile {
-    private static final int LINES = 40;
+final class AllocationProfile {
+    private static final int MAX_CLASSES = 40;
 
     private final PrintWriter out;
 
-    Profile(PrintWriter out) {
+    AllocationProfile(PrintWriter out) {
         this.out = out;
     }
 
@@ -21,16 +21,16 @@
         for (Scenario s : scenarios) {
             try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.ALLOCATIONS, -1, s)) {
                 rig.warmUp();
-                Map<String, long[]> first = read(rig.node().classes());
-                Map<String, long[]> before = read(rig.node().classes());
+                Map<String, long[]> first = read(rig.node().classHistogram());
+                Map<String, long[]> before = read(rig.node().classHistogram());
                 rig.drive(s.requests());
-                Map<String, long[]> after = read(rig.node().classes());
+                Map<String, long[]> after = read(rig.node().classHistogram());
                 out.println(s.key() + ": bytes, objects a request");
                 after.entrySet().stream()
                         .map(e -> Map.entry(
                                 e.getKey(), used(e.getValue(), before.get(e.getKey()), first.get(e.getKey()))))
                         .sorted((x, y) -> Long.compare(y.getValue()[1], x.getValue()[1]))
-                        .limit(LINES)
+                        .limit(MAX_CLASSES)
                         .forEach(e -> out.printf(
                                 Locale.ROOT,
                                 "%10.1f %8.2f  %s%n",
--- a/src/main/java/olivechute/benchmark/BenchmarkCommand.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkCommand.java
@@ -24,7 +24,7 @@
         description = "Counts what a request costs a node, between stand-ins on loopback.",
         footer = "Exit status: 0 within the record, 1 over it or not measured, 2 wrong call.")
 public final class BenchmarkCommand implements Callable<Integer> {
-    private static final int RECOUNTS = 3;
+    private static final int MAX_RECOUNTS = 3;
 
     @Spec
     private CommandSpec spec;
@@ -118,36 +118,36 @@
         List<Scenario> scenarios = scenarios();
         PrintWriter out = spec.commandLine().getOut();
         try {
-            NodeUnderTest measured = new NodeUnderTest(jar == null ? NodeProcess.ownJar() : jar.toAbsolutePath(), tls);
+            NodeUnderTest subject = new NodeUnderTest(jar == null ? NodeProcess.ownJar() : jar.toAbsolutePath(), tls);
             if (timed) {
-                NodeUnderTest former = against == null ? null : new NodeUnderTest(against, false);
-                new TimingBenchmark(out, core, requests, rounds).run(scenarios, measured, former);
+                NodeUnderTest baseline = against == null ? null : new NodeUnderTest(against, false);
+                new TimingBenchmark(out, core, requests, rounds).run(scenarios, subject, baseline);
             } else if (calls) {
-                new CallTrace(out).run(scenarios, measured);
+                new CallTrace(out).run(scenarios, subject);
             } else if (dials > 0) {
-                new ConnectBenchmark(out, core).run(measured.jar(), dials);
+                new ConnectBenchmark(out, core).run(subject.jar(), dials);
             } else if (rotations > 0) {
-                return new RotationBenchmark(out).run(measured.jar(), rotations) ? 0 : 1;
+                return new RotationBenchmark(out).run(subject.jar(), rotations) ? 0 : 1;
             } else if (handshakes > 0) {
                 new HandshakeBenchmark(out).run(handshakes);
             } else if (connections > 0) {
-                new ResidentMemoryBenchmark(out).run(measured, connections);
+                new ResidentMemoryBenchmark(out).run(subject, connections);
             } else if (classes) {
-                new Profile(out).run(scenarios, measured);
+                new AllocationProfile(out).run(scenarios, subject);
             } else if (epsilon) {
                 for (Scenario s : scenarios) {
                     out.printf(
                             Locale.ROOT,
                             "%-12s %9.0f bytes, never collected %9.0f%n",
                             s.key(),
-                            CountingBenchmark.count(measured, s).get(Count.BYTES),
-                            CountingBenchmark.neverCollected(measured, s));
+                            CountingBenchmark.count(subject, s).get(Count.BYTES),
+                            CountingBenchmark.bytesWithoutCollector(subject, s));
                     out.flush();
                 }
             } else if (spread > 0) {
-                spread(out, scenarios, measured);
+                spread(out, scenarios, subject);
             } else {
-                return counts(out, scenarios, measured);
+                return printCounts(out, scenarios, subject);
             }
             return 0;
         } catch (IOException e) {
@@ -166,47 +166,47 @@
         }
     }
 
-    private int counts(PrintWriter out, List<Scenario> scenarios, NodeUnderTest measured)
+    private int printCounts(PrintWriter out, List<Scenario> scenarios, NodeUnderTest subject)
             throws IOException, InterruptedException {
         CostRecord recorded = check == null ? null : CostRecord.read(check);
-        Map<Scenario, Counts> seen = new EnumMap<>(Scenario.class);
-        List<String> grown = new ArrayList<>();
+        Map<Scenario, Counts> measured = new EnumMap<>(Scenario.class);
+        List<String> violations = new ArrayList<>();
         out.println(Table.heading());
         for (Scenario s : scenarios) {
-            Counts counts = CountingBenchmark.count(measured, s);
+            Counts counts = CountingBenchmark.count(subject, s);
             // Whatever disturbs a count adds to it, so the least of several is the true one; what grew stays in all.
             for (int i = 0;
-                    i < RECOUNTS
+                    i < MAX_RECOUNTS
                             && recorded != null
-                            && !recorded.grown(s, counts).isEmpty();
+                            && !recorded.violations(s, counts).isEmpty();
                     i++) {
-                counts = counts.least(CountingBenchmark.count(measured, s));
+                counts = counts.min(CountingBenchmark.count(subject, s));
             }
-            seen.put(s, counts);
-            grown.addAll(recorded == null ? List.of() : recorded.grown(s, counts));
+            measured.put(s, counts);
+            violations.addAll(recorded == null ? List.of() : recorded.violations(s, counts));
             out.println(Table.row(s, counts));
             out.flush();
         }
         if (record != null) {
-            CostRecord.write(record, seen);
+            CostRecord.write(record, measured);
         }
-        grown.forEach(spec.commandLine().getErr()::println);
-        return grown.isEmpty() ? 0 : 1;
+        violations.forEach(spec.commandLine().getErr()::println);
+        return violations.isEmpty() ? 0 : 1;
     }
 
-    private void spread(PrintWriter out, List<Scenario> scenarios, NodeUnderTest measured)
+    private void spread(PrintWriter out, List<Scenario> scenarios, NodeUnderTest subject)
             throws IOException, InterruptedException {
         out.println(Table.heading());
         for (Scenario s : scenarios) {
-            Counts least = CountingBenchmark.count(measured, s);
-            Counts most = least;
+            Counts min = CountingBenchmark.count(subject, s);
+            Counts max = min;
             for (int i = 1; i < spread; i++) {
-                Counts next = CountingBenchmark.count(measured, s);
-                least = least.least(next);
-                most = most.most(next);
+                Counts next = CountingBenchmark.count(subject, s);
+                min = min.min(next);
+                max = max.max(next);
             }
-            out.println(Table.row(s, least));
-            out.println(Table.row(s, most));
+            out.println(Table.row(s, min));
+            out.println(Table.row(s, max));
             out.flush();
         }
     }
--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -15,12 +15,12 @@
 /** A node between its stand-ins, ready to run one scenario again and again. */
 final class BenchmarkRig implements AutoCloseable {
     /** Connections held at the bound that {@link Scenario#sockets} leaves: descriptors less 64, less a quarter. */
-    private static final int BOUND = (Scenario.SHED.sockets() - 64) * 3 / 4;
+    private static final int SHED_BOUND = (Scenario.SHED.maxSockets() - 64) * 3 / 4;
 
     /** The first looks at a node load classes; what a look takes is the same from then on. */
-    private static final int LOOKS = 4;
+    private static final int WARMUP_USAGE_READS = 4;
 
-    private static final int WARM_UP = 200;
+    private static final int WARMUP_REQUESTS = 200;
 
     /**
      * Over two of the decision module's intervals of 500 ms: its periodic work has run after requests, and its classes
@@ -29,46 +29,46 @@
     private static final long PERIODIC_WORK_MILLIS = 1100;
 
     private final Scenario scenario;
-    private final ConnectionFactory connecting;
-    private final StandInHosts hosts;
+    private final ConnectionFactory connectionFactory;
+    private final StandInEndpoints hosts;
     private final StandInDiscovery discovery;
     private final NodeProcess node;
     private final List<StandInClient> clients = new ArrayList<>();
-    private final Deque<HttpWire> held = new ArrayDeque<>();
-    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final Deque<BlockingHttpConnection> openConnections = new ArrayDeque<>();
+    private final ExecutorService executor = Executors.newCachedThreadPool();
 
     /** What a run of requests showed. */
-    record Run(int requests, Usage used, long dialled, Histogram times, double outsideMicros) {}
+    record Run(int requests, Usage usage, long upstreamConnects, Histogram latenciesUs, double meanEndpointTimeUs) {}
 
     BenchmarkRig(NodeUnderTest subject, Mode mode, int core, Scenario scenario) throws IOException {
         this.scenario = scenario;
-        connecting = subject.connecting();
-        hosts = new StandInHosts(connecting, scenario.hosts(), scenario.turnsAway(), scenario.newsOnNew());
+        connectionFactory = subject.connectionFactory();
+        hosts = new StandInEndpoints(connectionFactory, scenario.endpoints(), scenario.rejectionsPerRequest(), scenario.newConnectionPerStatusEvent());
         discovery = new StandInDiscovery(hosts.entries());
         node = new NodeProcess(
                 subject.jar(),
                 mode,
                 core,
-                scenario.sockets(),
-                discovery.text(),
+                scenario.maxSockets(),
+                discovery.addressText(),
                 hosts.entries(),
-                connecting.settings());
-        hosts.node(node.address());
+                connectionFactory.settings());
+        hosts.nodeAddress(node.address());
         for (int i = 0; i < (scenario.connectionsOnly() ? 0 : scenario.clients()); i++) {
-            clients.add(new StandInClient(scenario, connecting, node.address()));
+            clients.add(new StandInClient(scenario, connectionFactory, node.address()));
         }
-        while (scenario == Scenario.SHED && held.size() < BOUND) {
-            held.add(connecting.client(node.address()));
+        while (scenario == Scenario.SHED && openConnections.size() < SHED_BOUND) {
+            openConnections.add(connectionFactory.client(node.address()));
         }
     }
 
     /** Another connection of a client's. */
-    HttpWire dial() throws IOException {
-        return connecting.client(node.address());
+    BlockingHttpConnection openConnection() throws IOException {
+        return connectionFactory.client(node.address());
     }
 
-    boolean secured() {
-        return connecting.settings() != null;
+    boolean usesTls() {
+        return connectionFactory.settings() != null;
     }
 
     NodeProcess node() {
@@ -76,108 +76,108 @@
     }
 
     /** Runs so many requests, or connections, and tells what they used; {@code objects} too where asked. */
-    Run run(int requests, boolean objects) throws IOException, InterruptedException {
-        for (int i = 0; i < LOOKS; i++) {
-            node.usage(objects);
+    Run run(int requests, boolean countObjects) throws IOException, InterruptedException {
+        for (int i = 0; i < WARMUP_USAGE_READS; i++) {
+            node.usage(countObjects);
         }
-        Usage first = node.usage(objects);
-        Usage before = node.usage(objects);
-        long dialled = hosts.dialled();
-        long outside = hosts.outsideMicros();
-        Histogram times = times();
-        drive(requests, times, false);
-        Usage used = node.usage(objects).since(before, before.minus(first));
+        Usage first = node.usage(countObjects);
+        Usage before = node.usage(countObjects);
+        long connectsBefore = hosts.acceptedConnections();
+        long endpointTimeBeforeUs = hosts.endpointTimeUs();
+        Histogram latenciesUs = newHistogram();
+        drive(requests, latenciesUs, false);
+        Usage used = node.usage(countObjects).since(before, before.minus(first));
         return new Run(
                 requests,
                 used,
-                hosts.dialled() - dialled,
-                times,
-                (double) (hosts.outsideMicros() - outside) / requests);
+                hosts.acceptedConnections() - connectsBefore,
+                latenciesUs,
+                (double) (hosts.endpointTimeUs() - endpointTimeBeforeUs) / requests);
     }
 
     /** Before counting: every class is loaded, every buffer has its size. */
     void warmUp() throws IOException, InterruptedException {
-        if (scenario.turnsAway() > 0) {
-            drive(clients.get(0), WARM_UP, times(), true, false); // each host that turns away rests
+        if (scenario.rejectionsPerRequest() > 0) {
+            drive(clients.get(0), WARMUP_REQUESTS, newHistogram(), true, false); // each host that turns away rests
             drive(2);
         } else {
-            drive(scenario.requests() / 2, times(), secured());
+            drive(scenario.requests() / 2, newHistogram(), usesTls());
             Thread.sleep(PERIODIC_WORK_MILLIS);
-            hosts.settled();
+            hosts.reportedRequests();
         }
     }
 
     /** Runs so many without looking. */
     void drive(int requests) throws IOException, InterruptedException {
-        drive(requests, times(), false);
+        drive(requests, newHistogram(), false);
     }
 
-    private static Histogram times() {
+    private static Histogram newHistogram() {
         return new ConcurrentHistogram(10_000_000, 3);
     }
 
-    private void drive(int requests, Histogram times, boolean warming) throws IOException, InterruptedException {
+    private void drive(int requests, Histogram latenciesUs, boolean warmup) throws IOException, InterruptedException {
         if (scenario.connectionsOnly()) {
             for (int i = 0; i < requests; i++) {
-                connect();
+                connectAndAwaitClose();
             }
             return;
         }
         if (clients.size() == 1) {
-            drive(clients.get(0), requests, times, false, warming);
+            drive(clients.get(0), requests, latenciesUs, false, warmup);
             return;
         }
-        List<Future<Void>> ends = new ArrayList<>();
+        List<Future<Void>> results = new ArrayList<>();
         for (StandInClient client : clients) {
-            ends.add(threads.submit(() -> {
-                drive(client, requests / clients.size(), times, false, warming);
+            results.add(executor.submit(() -> {
+                drive(client, requests / clients.size(), latenciesUs, false, warmup);
                 return null;
             }));
         }
-        for (Future<Void> end : ends) {
+        for (Future<Void> result : results) {
             try {
-                end.get();
+                result.get();
             } catch (ExecutionException e) {
                 throw new IOException(e.getCause());
             }
         }
     }
 
-    private void drive(StandInClient client, int requests, Histogram times, boolean plain, boolean warming)
+    private void drive(StandInClient client, int requests, Histogram latenciesUs, boolean skipRejections, boolean warmup)
             throws IOException, InterruptedException {
         for (int i = 0; i < requests; i++) {
-            client.request(times, plain, warming);
-            if (scenario.served() && !warming) {
-                hosts.awaitSettled();
+            client.request(latenciesUs, skipRejections, warmup);
+            if (scenario.reachesEndpoint() && !warmup) {
+                hosts.awaitRequestReported();
             }
         }
     }
 
     /** One connection, until the node has ended it or the one that it sheds for it. */
-    private void connect() throws IOException {
-        HttpWire wire = dial();
+    private void connectAndAwaitClose() throws IOException {
+        BlockingHttpConnection wire = openConnection();
         if (scenario == Scenario.SHED) {
-            held.add(wire);
-            wire = held.remove();
+            openConnections.add(wire);
+            wire = openConnections.remove();
         } else {
-            wire.finish();
+            wire.shutdownOutput();
         }
-        wire.ended();
+        wire.awaitEnd();
         wire.close();
     }
 
     @Override
     public void close() throws IOException {
-        threads.shutdownNow();
+        executor.shutdownNow();
         node.close();
         for (StandInClient client : clients) {
             client.close();
         }
-        for (HttpWire wire : held) {
+        for (BlockingHttpConnection wire : openConnections) {
             wire.close();
         }
         hosts.close();
         discovery.close();
-        connecting.close();
+        connectionFactory.close();
     }
 }
--- a/src/main/java/olivechute/benchmark/HttpWire.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -11,17 +11,17 @@
 /**
  * One HTTP/1.1 connection as a stand-in drives it: blocking, one message at a time, with a length or without a body.
  */
-final class HttpWire implements AutoCloseable {
+final class BlockingHttpConnection implements AutoCloseable {
     /** Asks a node whether it is ready. */
-    static final byte[] READY = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+    static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
-    static final int SILENCE_MILLIS = 20_000;
+    static final int TIMEOUT_MILLIS = 20_000;
 
     private final Socket socket;
     private final InputStream in;
     private final byte[] buffer = new byte[96 * 1024];
-    private int from;
-    private int to;
+    private int readPosition;
+    private int readLimit;
 
     /** A message: its start line and fields as they came, and how many bytes of body followed. */
     record Message(String head, int bodyLength) {
@@ -43,17 +43,17 @@
         }
     }
 
-    HttpWire(Socket socket) throws IOException {
+    BlockingHttpConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(SILENCE_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         in = socket.getInputStream();
     }
 
-    static HttpWire connect(InetSocketAddress address) throws IOException {
+    static BlockingHttpConnection connect(InetSocketAddress address) throws IOException {
         Socket socket = new Socket();
-        socket.connect(address, SILENCE_MILLIS);
-        return new HttpWire(socket);
+        socket.connect(address, TIMEOUT_MILLIS);
+        return new BlockingHttpConnection(socket);
     }
 
     void write(byte[] bytes) throws IOException {
@@ -70,17 +70,17 @@
         if (end < 0) {
             return null;
         }
-        String head = new String(buffer, from, end - from, StandardCharsets.ISO_8859_1);
-        from = end + 4;
+        String head = new String(buffer, readPosition, end - readPosition, StandardCharsets.ISO_8859_1);
+        readPosition = end + 4;
         Message plain = new Message(head, 0);
         String length = plain.field("Content-Length");
         int body = length == null ? 0 : Integer.parseInt(length);
         for (int left = body; left > 0; ) {
-            if (from == to) {
+            if (readPosition == readLimit) {
                 fill();
             }
-            int n = Math.min(left, to - from);
-            from += n;
+            int n = Math.min(left, readLimit - readPosition);
+            readPosition += n;
             left -= n;
         }
         return new Message(head, body);
@@ -91,12 +91,12 @@
     }
 
     /** Says that no more will come. */
-    void finish() throws IOException {
+    void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
     /** True once the other side has ended the connection; waits for it. */
-    boolean ended() throws IOException {
+    boolean awaitEnd() throws IOException {
         try {
             return in.read() < 0;
         } catch (java.net.SocketException | javax.net.ssl.SSLException reset) {
@@ -106,39 +106,39 @@
 
     /** Where the blank line begins; negative if the connection ended between two messages. */
     private int headEnd() throws IOException {
-        if (from == to && !more()) {
+        if (readPosition == readLimit && !refill()) {
             return -1;
         }
         for (int length = 0; ; length++) {
-            while (from + length + 4 > to) {
+            while (readPosition + length + 4 > readLimit) {
                 fill();
             }
-            int at = from + length;
+            int at = readPosition + length;
             if (buffer[at] == '\r' && buffer[at + 1] == '\n' && buffer[at + 2] == '\r' && buffer[at + 3] == '\n') {
                 return at;
             }
         }
     }
 
-    private boolean more() throws IOException {
-        from = 0;
-        to = 0;
+    private boolean refill() throws IOException {
+        readPosition = 0;
+        readLimit = 0;
         int n = in.read(buffer);
-        to = Math.max(0, n);
+        readLimit = Math.max(0, n);
         return n >= 0;
     }
 
     private void fill() throws IOException {
-        if (from > 0) {
-            System.arraycopy(buffer, from, buffer, 0, to - from);
-            to -= from;
-            from = 0;
+        if (readPosition > 0) {
+            System.arraycopy(buffer, readPosition, buffer, 0, readLimit - readPosition);
+            readLimit -= readPosition;
+            readPosition = 0;
         }
-        int n = in.read(buffer, to, buffer.length - to);
+        int n = in.read(buffer, readLimit, buffer.length - readLimit);
         if (n < 0) {
             throw new EOFException("connection ended within a message");
         }
-        to += n;
+        readLimit += n;
     }
 
     @Override
--- a/src/main/java/olivechute/benchmark/CallTrace.java
+++ b/src/main/java/olivechute/benchmark/CallTrace.java
@@ -11,9 +11,9 @@
 /** System calls by kind, as {@code strace -f -c} counts them while it is attached to the node. */
 final class CallTrace {
     /** Kinds under this many a request are those of the node's own ticks. */
-    private static final double SHOWN = 0.02;
+    private static final double MIN_CALLS_PER_REQUEST = 0.02;
 
-    private static final int WARM_UPS = 8;
+    private static final int WARMUP_RUNS = 8;
 
     private final PrintWriter out;
 
@@ -26,7 +26,7 @@
             int n = s.requests();
             Path table = Files.createTempFile("calls", ".txt");
             try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, -1, s)) {
-                for (int i = 0; i < WARM_UPS; i++) {
+                for (int i = 0; i < WARMUP_RUNS; i++) {
                     rig.warmUp(); // until what is compiled is compiled: the compiler's own calls are no request's
                 }
                 Process tracer = new ProcessBuilder(
@@ -72,18 +72,18 @@
 
     private void print(Scenario scenario, int n, List<String> lines) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-12s", scenario.key()));
-        double all = 0;
+        double total = 0;
         for (String row : lines) {
             String[] f = row.strip().split("\\s+");
             if (f.length == 2 && f[1].matches("[0-9]+") && !f[0].equals("total")) {
-                double each = Long.parseLong(f[1]) / (double) n;
-                all += each;
-                if (each >= SHOWN) {
-                    line.append(String.format(Locale.ROOT, " %s %.2f", f[0], each));
+                double perRequest = Long.parseLong(f[1]) / (double) n;
+                total += perRequest;
+                if (perRequest >= MIN_CALLS_PER_REQUEST) {
+                    line.append(String.format(Locale.ROOT, " %s %.2f", f[0], perRequest));
                 }
             }
         }
-        out.printf(Locale.ROOT, "%s, in all %.2f%n", line, all);
+        out.printf(Locale.ROOT, "%s, in all %.2f%n", line, total);
         out.flush();
     }
 }
--- a/src/main/java/olivechute/benchmark/ConnectBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ConnectBenchmark.java
@@ -9,7 +9,7 @@
 
 /** What a connection costs with one answer on it: the node's CPU, and the time from dialling to that answer. */
 final class ConnectBenchmark {
-    private static final int WARM_UP = 300;
+    private static final int WARMUP_CONNECTIONS = 300;
 
     private final PrintWriter out;
     private final int core;
@@ -20,45 +20,45 @@
     }
 
     /** Prints a line each for plain connections, full handshakes and resumed ones; the node is pinned to one core. */
-    void run(Path jar, int dials) throws IOException {
+    void run(Path jar, int connections) throws IOException {
         out.printf("%-10s %8s %9s %9s%n", "connection", "cpu us", "p50 us", "p99 us");
-        one(new NodeUnderTest(jar, false), "plain", false, dials);
-        one(new NodeUnderTest(jar, true), "full", false, dials);
-        one(new NodeUnderTest(jar, true), "resumed", true, dials);
+        measure(new NodeUnderTest(jar, false), "plain", false, connections);
+        measure(new NodeUnderTest(jar, true), "full", false, connections);
+        measure(new NodeUnderTest(jar, true), "resumed", true, connections);
     }
 
-    private void one(NodeUnderTest subject, String name, boolean resumes, int dials) throws IOException {
+    private void measure(NodeUnderTest subject, String name, boolean resumes, int connections) throws IOException {
         try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, core, Scenario.SILENT)) {
-            dial(rig, resumes, WARM_UP);
+            openConnections(rig, resumes, WARMUP_CONNECTIONS);
             Usage before = rig.node().usage(false);
-            Histogram times = dial(rig, resumes, dials);
+            Histogram latenciesUs = openConnections(rig, resumes, connections);
             Usage used = rig.node().usage(false).minus(before);
             out.printf(
                     Locale.ROOT,
                     "%-10s %8.0f %9d %9d%n",
                     name,
-                    used.cpu() / (double) dials,
-                    times.getValueAtPercentile(50),
-                    times.getValueAtPercentile(99));
+                    used.cpuUs() / (double) connections,
+                    latenciesUs.getValueAtPercentile(50),
+                    latenciesUs.getValueAtPercentile(99));
             out.flush();
         }
     }
 
-    private static Histogram dial(BenchmarkRig rig, boolean resumes, int dials) throws IOException {
-        Histogram times = new Histogram(10_000_000, 3);
-        for (int i = 0; i < dials; i++) {
-            long begun = System.nanoTime();
-            try (HttpWire wire = rig.dial()) {
-                if (!rig.secured()) {
-                    wire.write(HttpWire.READY); // in TLS that is part of dialling
+    private static Histogram openConnections(BenchmarkRig rig, boolean resumes, int connections) throws IOException {
+        Histogram latenciesUs = new Histogram(10_000_000, 3);
+        for (int i = 0; i < connections; i++) {
+            long startNanos = System.nanoTime();
+            try (BlockingHttpConnection wire = rig.openConnection()) {
+                if (!rig.usesTls()) {
+                    wire.write(BlockingHttpConnection.READINESS_REQUEST); // in TLS that is part of dialling
                     wire.read();
                 }
-                times.recordValue((System.nanoTime() - begun) / 1000);
+                latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
                 if (!resumes && wire.socket() instanceof SSLSocket secured) {
                     secured.getSession().invalidate();
                 }
             }
         }
-        return times;
+        return latenciesUs;
     }
 }
--- a/src/main/java/olivechute/benchmark/ConnectionFactory.java
+++ b/src/main/java/olivechute/benchmark/ConnectionFactory.java
@@ -9,15 +9,15 @@
 /** How the stand-ins of a rig connect with its node. */
 interface ConnectionFactory extends AutoCloseable {
     /** In plain TCP. */
-    ConnectionFactory PLAIN = new ConnectionFactory() {
+    ConnectionFactory PLAINTEXT = new ConnectionFactory() {
         @Override
-        public HttpWire client(InetSocketAddress node) throws IOException {
-            return HttpWire.connect(node);
+        public BlockingHttpConnection client(InetSocketAddress node) throws IOException {
+            return BlockingHttpConnection.connect(node);
         }
 
         @Override
-        public HttpWire host(InetSocketAddress node) throws IOException {
-            return HttpWire.connect(node);
+        public BlockingHttpConnection endpoint(InetSocketAddress node) throws IOException {
+            return BlockingHttpConnection.connect(node);
         }
 
         @Override
@@ -39,10 +39,10 @@
     int BACKLOG = 512;
 
     /** A client's connection. */
-    HttpWire client(InetSocketAddress node) throws IOException;
+    BlockingHttpConnection client(InetSocketAddress node) throws IOException;
 
     /** A sign worker's, for news. */
-    HttpWire host(InetSocketAddress node) throws IOException;
+    BlockingHttpConnection endpoint(InetSocketAddress node) throws IOException;
 
     /** Where a sign worker takes jobs. */
     ServerSocket listener() throws IOException;
--- a/src/main/java/olivechute/benchmark/CopyAgent.java
+++ b/src/main/java/olivechute/benchmark/CopyAgent.java
@@ -65,15 +65,15 @@
                     @Override
                     public MethodVisitor visitMethod(
                             int access, String method, String type, String generic, String[] thrown) {
-                        return new Calls(super.visitMethod(access, method, type, generic, thrown));
+                        return new CallRewriter(super.visitMethod(access, method, type, generic, thrown));
                     }
                 },
                 0);
         return writer.toByteArray();
     }
 
-    private static final class Calls extends MethodVisitor {
-        Calls(MethodVisitor next) {
+    private static final class CallRewriter extends MethodVisitor {
+        CallRewriter(MethodVisitor next) {
             super(Opcodes.ASM9, next);
         }
 
--- a/src/main/java/olivechute/benchmark/CopyCounter.java
+++ b/src/main/java/olivechute/benchmark/CopyCounter.java
@@ -16,14 +16,14 @@
  */
 public final class CopyCounter {
     private static final AtomicLong COPIES = new AtomicLong();
-    private static final AtomicLong BODY = new AtomicLong();
-    private static final AtomicLong HEAD = new AtomicLong();
+    private static final AtomicLong BODY_BYTES = new AtomicLong();
+    private static final AtomicLong OTHER_BYTES = new AtomicLong();
 
     private CopyCounter() {}
 
     /** Copies, bytes of body in them and other bytes, since the start. */
-    static String figures() {
-        return COPIES.get() + " " + BODY.get() + " " + HEAD.get();
+    static String totals() {
+        return COPIES.get() + " " + BODY_BYTES.get() + " " + OTHER_BYTES.get();
     }
 
     private static void count(byte[] bytes, int from, int length) {
@@ -33,8 +33,8 @@
         }
         if (length > 0) {
             COPIES.incrementAndGet();
-            BODY.addAndGet(body);
-            HEAD.addAndGet(length - body);
+            BODY_BYTES.addAndGet(body);
+            OTHER_BYTES.addAndGet(length - body);
         }
     }
 
--- a/src/main/java/olivechute/benchmark/CostRecord.java
+++ b/src/main/java/olivechute/benchmark/CostRecord.java
@@ -52,23 +52,23 @@
     }
 
     /** A line for each count of a scenario that outgrew what is recorded, its margin counted in, or if nothing is. */
-    List<String> grown(Scenario scenario, Counts now) {
+    List<String> violations(Scenario scenario, Counts measured) {
         Counts recorded = counts.get(scenario);
         if (recorded == null) {
             return List.of("cost " + scenario.key() + ": nothing recorded; run cost --record");
         }
         List<String> lines = new ArrayList<>();
         for (Count c : Count.values()) {
-            double most = c.bound(scenario, recorded.get(c));
-            if (now.get(c) > most) {
+            double max = c.bound(scenario, recorded.get(c));
+            if (measured.get(c) > max) {
                 lines.add(String.format(
                         Locale.ROOT,
                         "cost %s: %s grew: recorded %.2f, seen %.2f, at most %.2f",
                         scenario.key(),
                         c.key(),
                         recorded.get(c),
-                        now.get(c),
-                        most));
+                        measured.get(c),
+                        max));
             }
         }
         return lines;
--- a/src/main/java/olivechute/benchmark/CountingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/CountingBenchmark.java
@@ -11,9 +11,9 @@
     }
 
     /** Bytes allocated a request where nothing is ever collected, to hold against the usual figure. */
-    static double neverCollected(NodeUnderTest subject, Scenario scenario) throws IOException, InterruptedException {
+    static double bytesWithoutCollector(NodeUnderTest subject, Scenario scenario) throws IOException, InterruptedException {
         BenchmarkRig.Run run = run(subject, Mode.EPSILON, scenario);
-        return run.used().allocated() / (double) run.requests();
+        return run.usage().allocatedBytes() / (double) run.requests();
     }
 
     private static BenchmarkRig.Run run(NodeUnderTest subject, Mode mode, Scenario scenario)
@@ -21,7 +21,7 @@
         try (BenchmarkRig rig = new BenchmarkRig(subject, mode, -1, scenario)) {
             rig.warmUp();
             BenchmarkRig.Run run = rig.run(scenario.requests(), mode == Mode.ALLOCATIONS);
-            if (mode == Mode.ALLOCATIONS && run.used().collections() > 0) {
+            if (mode == Mode.ALLOCATIONS && run.usage().collections() > 0) {
                 throw new IOException(scenario.key() + ": something was collected, so the count of bytes is void");
             }
             return run;
--- a/src/main/java/olivechute/benchmark/Counts.java
+++ b/src/main/java/olivechute/benchmark/Counts.java
@@ -28,16 +28,16 @@
         COPIES("copies", 0.05, 2, true);
 
         private final String key;
-        private final double part;
-        private final double least;
-        private final boolean moved;
+        private final double relativeMargin;
+        private final double absoluteMargin;
+        private final boolean timingDependent;
 
         /** {@code part} and {@code least} are the margin; {@code moved}: chance in timing moves this count. */
-        Count(String key, double part, double least, boolean moved) {
+        Count(String key, double relativeMargin, double absoluteMargin, boolean timingDependent) {
             this.key = key;
-            this.part = part;
-            this.least = least;
-            this.moved = moved;
+            this.relativeMargin = relativeMargin;
+            this.absoluteMargin = absoluteMargin;
+            this.timingDependent = timingDependent;
         }
 
         /** The name in tables and records. */
@@ -47,7 +47,7 @@
 
         /** The most that may be seen of this scenario where so much is recorded. */
         double bound(Scenario scenario, double recorded) {
-            return recorded + Math.max(least, part * recorded) * (moved ? scenario.chance() : 1);
+            return recorded + Math.max(absoluteMargin, relativeMargin * recorded) * (timingDependent ? scenario.marginFactor() : 1);
         }
     }
 
@@ -55,17 +55,17 @@
     static Counts of(Scenario scenario, BenchmarkRig.Run allocating, BenchmarkRig.Run copying) {
         double n = allocating.requests();
         double m = copying.requests();
-        Usage used = allocating.used();
+        Usage used = allocating.usage();
         return new Counts(new double[] {
-            used.allocated() / n,
+            used.allocatedBytes() / n,
             used.objects() / n,
             used.reads() / n,
             used.writes() / n,
             Math.max(0, used.waits() / n),
-            allocating.dialled() / n,
-            copying.used().bodyCopied() / m / Math.max(1, scenario.body()),
-            copying.used().headCopied() / m,
-            copying.used().copies() / m
+            allocating.upstreamConnects() / n,
+            copying.usage().bodyBytesCopied() / m / Math.max(1, scenario.body()),
+            copying.usage().otherBytesCopied() / m,
+            copying.usage().copies() / m
         });
     }
 
@@ -74,16 +74,16 @@
     }
 
     /** The larger of each. */
-    Counts most(Counts other) {
-        double[] most = values.clone();
-        Arrays.setAll(most, i -> Math.max(values[i], other.values[i]));
-        return new Counts(most);
+    Counts max(Counts other) {
+        double[] result = values.clone();
+        Arrays.setAll(result, i -> Math.max(values[i], other.values[i]));
+        return new Counts(result);
     }
 
     /** The smaller of each. */
-    Counts least(Counts other) {
-        double[] least = values.clone();
-        Arrays.setAll(least, i -> Math.min(values[i], other.values[i]));
-        return new Counts(least);
+    Counts min(Counts other) {
+        double[] result = values.clone();
+        Arrays.setAll(result, i -> Math.min(values[i], other.values[i]));
+        return new Counts(result);
     }
 }
--- a/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
+++ b/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
@@ -20,7 +20,7 @@
 /** CPU and heap of handshakes between two machines in memory: what a connection costs beyond its sockets. */
 final class HandshakeBenchmark {
     private static final String DOMAIN = "cost.example";
-    private static final int WARM_UP = 200;
+    private static final int WARMUP_HANDSHAKES = 200;
 
     private final PrintWriter out;
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -55,19 +55,19 @@
         return new TlsContext(own.chain(), own.key(), false, () -> bundles, Instant::now);
     }
 
-    private interface Dial {
-        TlsStateMachine dial(int i);
+    private interface ClientFactory {
+        TlsStateMachine create(int i);
     }
 
-    private void measure(String name, int handshakes, Dial dial, Supplier<TlsStateMachine> accept) throws TlsException {
-        for (int i = 0; i < WARM_UP; i++) {
-            shake(dial.dial(-i), accept.get());
+    private void measure(String name, int handshakes, ClientFactory dial, Supplier<TlsStateMachine> accept) throws TlsException {
+        for (int i = 0; i < WARMUP_HANDSHAKES; i++) {
+            handshake(dial.create(-i), accept.get());
         }
         long cpu = threads.getCurrentThreadCpuTime();
         long heap = ((com.sun.management.ThreadMXBean) threads)
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
         for (int i = 1; i <= handshakes; i++) {
-            shake(dial.dial(i), accept.get());
+            handshake(dial.create(i), accept.get());
         }
         long used = threads.getCurrentThreadCpuTime() - cpu;
         long allocated = ((com.sun.management.ThreadMXBean) threads)
@@ -82,29 +82,29 @@
         out.flush();
     }
 
-    private static void shake(TlsStateMachine client, TlsStateMachine server) throws TlsException {
-        while (carryBoth(client, server)) {
+    private static void handshake(TlsStateMachine client, TlsStateMachine server) throws TlsException {
+        while (transferBoth(client, server)) {
             // until neither has anything more to say, tickets included
         }
     }
 
     /** Both directions, whether or not the first had anything to say. */
-    private static boolean carryBoth(TlsStateMachine client, TlsStateMachine server) throws TlsException {
-        boolean fromClient = carry(client, server);
-        boolean fromServer = carry(server, client);
+    private static boolean transferBoth(TlsStateMachine client, TlsStateMachine server) throws TlsException {
+        boolean fromClient = transfer(client, server);
+        boolean fromServer = transfer(server, client);
         return fromClient || fromServer;
     }
 
-    private static boolean carry(TlsStateMachine from, TlsStateMachine to) throws TlsException {
+    private static boolean transfer(TlsStateMachine from, TlsStateMachine to) throws TlsException {
         from.advance();
-        ByteBuffer said = from.toSend();
-        boolean any = said.hasRemaining();
-        while (said.hasRemaining()) {
-            int n = Math.min(said.remaining(), to.receiveBuffer().remaining());
-            to.receiveBuffer().put(said.slice().limit(n));
-            said.position(said.position() + n);
+        ByteBuffer outgoing = from.toSend();
+        boolean transferred = outgoing.hasRemaining();
+        while (outgoing.hasRemaining()) {
+            int n = Math.min(outgoing.remaining(), to.receiveBuffer().remaining());
+            to.receiveBuffer().put(outgoing.slice().limit(n));
+            outgoing.position(outgoing.position() + n);
             to.advance();
         }
-        return any;
+        return transferred;
     }
 }
--- a/src/main/java/olivechute/benchmark/Listener.java
+++ b/src/main/java/olivechute/benchmark/Listener.java
@@ -13,20 +13,20 @@
 final class Listener implements AutoCloseable {
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final AtomicLong accepted = new AtomicLong();
+    private final AtomicLong acceptedConnections = new AtomicLong();
 
     /** What a stand-in does with one connection, from its first byte to its end. */
-    interface Service {
-        void serve(HttpWire wire) throws IOException, InterruptedException;
+    interface ConnectionHandler {
+        void serve(BlockingHttpConnection wire) throws IOException, InterruptedException;
     }
 
-    Listener(String name, ServerSocket listener, Service service) {
+    Listener(String name, ServerSocket listener, ConnectionHandler service) {
         server = listener;
         Threads.start(name, () -> {
             try {
                 for (; ; ) {
                     Socket socket = server.accept();
-                    accepted.incrementAndGet();
+                    acceptedConnections.incrementAndGet();
                     sockets.add(socket);
                     Threads.start(name, () -> run(socket, service));
                 }
@@ -36,9 +36,9 @@
         });
     }
 
-    private void run(Socket socket, Service service) {
+    private void run(Socket socket, ConnectionHandler service) {
         try (socket) {
-            service.serve(new HttpWire(socket));
+            service.serve(new BlockingHttpConnection(socket));
         } catch (IOException | InterruptedException ended) {
             return;
         } finally {
@@ -51,13 +51,13 @@
     }
 
     /** As discovery and the configuration write it. */
-    String text() {
+    String addressText() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
     /** Connections accepted so far. */
-    long accepted() {
-        return accepted.get();
+    long acceptedConnections() {
+        return acceptedConnections.get();
     }
 
     @Override
--- a/src/main/java/olivechute/benchmark/NodeProbe.java
+++ b/src/main/java/olivechute/benchmark/NodeProbe.java
@@ -23,7 +23,7 @@
  */
 public final class NodeProbe {
     /** What begins each answer, apart from the node's own log. */
-    static final String MARK = "@cost ";
+    static final String ANSWER_PREFIX = "@cost ";
 
     private NodeProbe() {}
 
@@ -40,33 +40,33 @@
         BufferedReader lines = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.US_ASCII));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             if (line.equals("objects")) {
-                System.out.println(MARK + histogramTotal());
+                System.out.println(ANSWER_PREFIX + histogramTotal());
             } else if (line.equals("classes")) {
-                System.out.println(histogram() + MARK + "end");
+                System.out.println(histogram() + ANSWER_PREFIX + "end");
             } else {
                 long collections = 0;
                 for (GarbageCollectorMXBean c : collectors) {
                     collections += Math.max(0, c.getCollectionCount());
                 }
-                System.out.println(MARK + (eden == null ? 0 : eden.getUsage().getUsed()) + " " + collections + " "
-                        + system.getProcessCpuTime() / 1000 + " " + io("syscr") + " " + io("syscw") + " " + switches()
+                System.out.println(ANSWER_PREFIX + (eden == null ? 0 : eden.getUsage().getUsed()) + " " + collections + " "
+                        + system.getProcessCpuTime() / 1000 + " " + io("syscr") + " " + io("syscw") + " " + voluntarySwitches()
                         + " "
-                        + CopyCounter.figures());
+                        + CopyCounter.totals());
             }
         }
         Runtime.getRuntime().halt(0);
     }
 
     private static long io(String key) {
-        return figure(Path.of("/proc/self/io"), key);
+        return kernelCounter(Path.of("/proc/self/io"), key);
     }
 
     /** How often threads that still run gave the core up to wait. */
-    private static long switches() {
+    private static long voluntarySwitches() {
         long sum = 0;
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
             for (Path task : tasks) {
-                sum += figure(task.resolve("status"), "voluntary_ctxt_switches");
+                sum += kernelCounter(task.resolve("status"), "voluntary_ctxt_switches");
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -75,7 +75,7 @@
     }
 
     /** A figure of one of the kernel's files; 0 where that is gone. */
-    static long figure(Path file, String key) {
+    static long kernelCounter(Path file, String key) {
         try {
             for (String line : Files.readAllLines(file, StandardCharsets.US_ASCII)) {
                 if (line.startsWith(key + ":")) {
--- a/src/main/java/olivechute/benchmark/NodeProcess.java
+++ b/src/main/java/olivechute/benchmark/NodeProcess.java
@@ -33,15 +33,15 @@
         """;
 
     private final Process process;
-    private final BufferedReader out;
-    private final PrintStream in;
+    private final BufferedReader stdout;
+    private final PrintStream stdin;
     private final Path config;
     private final InetSocketAddress address;
 
     /** Starts the node of {@code jar}; {@code core} pins it, negative leaves it free; {@code settings} may be null. */
     NodeProcess(Path jar, Mode mode, int core, int sockets, String discovery, String known, Path settings)
             throws IOException {
-        Path own = ownJar();
+        Path benchmarkJar = ownJar();
         config = Files.createTempFile("cost", ".json");
         Files.writeString(
                 config,
@@ -57,9 +57,9 @@
         command.addAll(
                 List.of("-XX:-UsePerfData", "-XX:TieredStopAtLevel=1", "-XX:StackShadowPages=10", "-Xshare:auto"));
         if (mode == Mode.COPIES) {
-            command.add("-javaagent:" + own);
+            command.add("-javaagent:" + benchmarkJar);
         }
-        command.addAll(List.of("-cp", jar + java.io.File.pathSeparator + own, NodeProbe.class.getName()));
+        command.addAll(List.of("-cp", jar + java.io.File.pathSeparator + benchmarkJar, NodeProbe.class.getName()));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment()
                 .putAll(Map.of("LB_CONFIG", config.toString(), "LB_NAME", "", "LB_LISTEN", "", "LB_DISCOVERY", ""));
@@ -67,12 +67,12 @@
             builder.environment().put("OLIVECHUTE_SETTINGS", settings.toString());
         }
         process = builder.start();
-        out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-        in = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
+        stdout = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        stdin = new PrintStream(process.getOutputStream(), true, StandardCharsets.US_ASCII);
         String line = await(" listens on ");
-        String at = line.substring(line.lastIndexOf('/') + 1);
+        String addressText = line.substring(line.lastIndexOf('/') + 1);
         address = new InetSocketAddress(
-                at.substring(0, at.lastIndexOf(':')), Integer.parseInt(at.substring(at.lastIndexOf(':') + 1)));
+                addressText.substring(0, addressText.lastIndexOf(':')), Integer.parseInt(addressText.substring(addressText.lastIndexOf(':') + 1)));
     }
 
     /** The jar that this program runs from. */
@@ -86,7 +86,7 @@
 
     private String await(String part) throws IOException {
         StringBuilder seen = new StringBuilder();
-        for (String line = out.readLine(); line != null; line = out.readLine()) {
+        for (String line = stdout.readLine(); line != null; line = stdout.readLine()) {
             if (line.contains(part)) {
                 return line;
             }
@@ -105,23 +105,23 @@
 
     /** What it has used so far; {@code objects} costs a walk through the heap. */
     Usage usage(boolean objects) throws IOException {
-        in.println("usage");
-        String[] f = await(NodeProbe.MARK).substring(NodeProbe.MARK.length()).split(" ");
+        stdin.println("usage");
+        String[] f = await(NodeProbe.ANSWER_PREFIX).substring(NodeProbe.ANSWER_PREFIX.length()).split(" ");
         long[] v = new long[9];
         for (int i = 0; i < v.length; i++) {
             v[i] = Long.parseLong(f[i]);
         }
         long count = 0;
         if (objects) {
-            in.println("objects");
-            count = Long.parseLong(await(NodeProbe.MARK).substring(NodeProbe.MARK.length()));
+            stdin.println("objects");
+            count = Long.parseLong(await(NodeProbe.ANSWER_PREFIX).substring(NodeProbe.ANSWER_PREFIX.length()));
         }
         return new Usage(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7], v[8], count);
     }
 
     /** Its resident memory in KiB, seen from outside: a look from within would add to it. */
-    long resident() throws IOException {
-        return NodeProbe.figure(Path.of("/proc/" + process.pid() + "/status"), "VmRSS");
+    long residentKib() throws IOException {
+        return NodeProbe.kernelCounter(Path.of("/proc/" + process.pid() + "/status"), "VmRSS");
     }
 
     /** Threads that it has now. */
@@ -132,10 +132,10 @@
     }
 
     /** Instances and bytes by class, of all that was ever allocated; one line a class. */
-    List<String> classes() throws IOException {
-        in.println("classes");
+    List<String> classHistogram() throws IOException {
+        stdin.println("classes");
         List<String> lines = new ArrayList<>();
-        for (String line = out.readLine(); line != null && !line.startsWith(NodeProbe.MARK); line = out.readLine()) {
+        for (String line = stdout.readLine(); line != null && !line.startsWith(NodeProbe.ANSWER_PREFIX); line = stdout.readLine()) {
             lines.add(line);
         }
         return lines;
--- a/src/main/java/olivechute/benchmark/NodeUnderTest.java
+++ b/src/main/java/olivechute/benchmark/NodeUnderTest.java
@@ -5,7 +5,7 @@
 /** What is measured: the node of a jar, in plain TCP or in TLS under identities on both sides. */
 record NodeUnderTest(Path jar, boolean tls) {
     /** How the stand-ins round it connect. */
-    ConnectionFactory connecting() throws java.io.IOException {
-        return tls ? new TestTrustDomain() : ConnectionFactory.PLAIN;
+    ConnectionFactory connectionFactory() throws java.io.IOException {
+        return tls ? new TestTrustDomain() : ConnectionFactory.PLAINTEXT;
     }
 }
--- a/src/main/java/olivechute/benchmark/RotationBenchmark.java
+++ b/src/main/java/olivechute/benchmark/RotationBenchmark.java
@@ -19,7 +19,7 @@
  */
 final class RotationBenchmark {
     private static final int CLIENTS = 16;
-    private static final int HOSTS = 24;
+    private static final int ENDPOINT_COUNT = 24;
     /**
      * The node's folder is looked at every 50 ms, which is the time that a helper tool needs to leave between the
      * steps.
@@ -27,10 +27,10 @@
     private static final long STEP_MILLIS = 250;
 
     private final PrintWriter out;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean stopped = new AtomicBoolean();
     private final AtomicLong ids = new AtomicLong(0x2000_0000_0000L);
     private final AtomicLong served = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private final AtomicLong resent = new AtomicLong();
     private final AtomicLong lost = new AtomicLong();
 
@@ -41,59 +41,59 @@
     /** Prints what became of all jobs; true if each was answered and none ran twice. */
     boolean run(Path jar, int rotations) throws IOException, InterruptedException {
         try (TestTrustDomain trust = new TestTrustDomain();
-                StandInHosts hosts = new StandInHosts(trust, HOSTS, 0, false);
-                StandInDiscovery discovery = new StandInDiscovery(hosts.entries());
+                StandInEndpoints endpoints = new StandInEndpoints(trust, ENDPOINT_COUNT, 0, false);
+                StandInDiscovery discovery = new StandInDiscovery(endpoints.entries());
                 NodeProcess node = new NodeProcess(
-                        jar, Mode.SERVICE, -1, 1024, discovery.text(), hosts.entries(), trust.settings())) {
-            hosts.node(node.address());
+                        jar, Mode.SERVICE, -1, 1024, discovery.addressText(), endpoints.entries(), trust.settings())) {
+            endpoints.nodeAddress(node.address());
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 clients.add(Threads.start("client", () -> load(trust, node)));
             }
             for (int i = 0; i < rotations; i++) {
                 Thread.sleep(STEP_MILLIS);
-                trust.overlap();
+                trust.addAuthority();
                 Thread.sleep(STEP_MILLIS);
-                trust.renew();
+                trust.renewSvids();
                 Thread.sleep(STEP_MILLIS);
-                trust.withdraw();
+                trust.removeOldAuthority();
             }
             Thread.sleep(STEP_MILLIS);
-            over.set(true);
+            stopped.set(true);
             for (Thread client : clients) {
                 client.join();
             }
-            long twice = hosts.runs() - hosts.jobs();
+            long duplicateRuns = endpoints.acceptedRequests() - endpoints.distinctRequests();
             out.printf(
                     Locale.ROOT,
                     "%d rotations: %d served, %d refused, %d sent again on a new connection, %d lost, %d ran twice,"
                             + " %d dialled%n",
                     rotations,
                     served.get(),
-                    refused.get(),
+                    rejected.get(),
                     resent.get(),
                     lost.get(),
-                    twice,
-                    hosts.dialled());
+                    duplicateRuns,
+                    endpoints.acceptedConnections());
             out.flush();
-            return lost.get() == 0 && twice == 0 && served.get() > 0;
+            return lost.get() == 0 && duplicateRuns == 0 && served.get() > 0;
         }
     }
 
     private void load(TestTrustDomain trust, NodeProcess node) {
-        HttpWire wire = null;
-        TlsContext under = null;
-        while (!over.get()) {
-            byte[] job = job();
-            for (int tries = 0; ; tries++) {
+        BlockingHttpConnection wire = null;
+        TlsContext identity = null;
+        while (!stopped.get()) {
+            byte[] request = newRequest();
+            for (int retries = 0; ; retries++) {
                 try {
-                    if (wire == null || under != trust.client()) {
+                    if (wire == null || identity != trust.client()) {
                         close(wire);
-                        under = trust.client();
+                        identity = trust.client();
                         wire = trust.client(node.address());
                     }
-                    wire.write(job);
-                    HttpWire.Message answer = wire.read();
+                    wire.write(request);
+                    BlockingHttpConnection.Message answer = wire.read();
                     if (answer == null) {
                         throw new IOException("ended");
                     }
@@ -102,7 +102,7 @@
                 } catch (IOException e) {
                     close(wire);
                     wire = null;
-                    if (tries > 0) {
+                    if (retries > 0) {
                         lost("no answer on a new connection: " + e.getMessage());
                         break;
                     }
@@ -113,10 +113,10 @@
         close(wire);
     }
 
-    private void count(HttpWire.Message answer) {
+    private void count(BlockingHttpConnection.Message answer) {
         switch (answer.status()) {
             case 200 -> served.incrementAndGet();
-            case 503 -> refused.incrementAndGet();
+            case 503 -> rejected.incrementAndGet();
             default -> lost("answered " + answer.status());
         }
     }
@@ -126,7 +126,7 @@
         out.println("lost: " + why);
     }
 
-    private static void close(HttpWire wire) {
+    private static void close(BlockingHttpConnection wire) {
         try {
             if (wire != null) {
                 wire.close();
@@ -136,7 +136,7 @@
         }
     }
 
-    private byte[] job() {
+    private byte[] newRequest() {
         String id = Long.toHexString(ids.incrementAndGet());
         return ("POST /sign?user=7f3a9c21e0b4d655 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + id
                         + "\r\nX-Org: acme\r\n" + "X-Remaining: 4800m\r\nIdempotency-Key: k" + id
--- a/src/main/java/olivechute/benchmark/Scenario.java
+++ b/src/main/java/olivechute/benchmark/Scenario.java
@@ -17,15 +17,15 @@
     SHED("shed", "a connection that is shed at the bound", 0);
 
     /** Hosts enough that those resting after they turned a job away are never all. */
-    private static final int MANY_HOSTS = 24;
+    private static final int MANY_ENDPOINTS = 24;
 
     private final String key;
-    private final String text;
+    private final String description;
     private final int body;
 
     Scenario(String key, String text, int body) {
         this.key = key;
-        this.text = text;
+        this.description = text;
         this.body = body;
     }
 
@@ -34,8 +34,8 @@
         return key;
     }
 
-    String text() {
-        return text;
+    String description() {
+        return description;
     }
 
     /** Bytes of body a request. */
@@ -47,15 +47,15 @@
         return this == PARALLEL ? 64 : 1;
     }
 
-    int hosts() {
-        return this == TURNED_AWAY || this == PARALLEL ? MANY_HOSTS : 1;
+    int endpoints() {
+        return this == TURNED_AWAY || this == PARALLEL ? MANY_ENDPOINTS : 1;
     }
 
-    int turnsAway() {
+    int rejectionsPerRequest() {
         return this == TURNED_AWAY ? 2 : 0;
     }
 
-    boolean newsOnNew() {
+    boolean newConnectionPerStatusEvent() {
         return this == NEWS_ON_NEW;
     }
 
@@ -64,12 +64,12 @@
     }
 
     /** True where the host has the request in the end. */
-    boolean served() {
+    boolean reachesEndpoint() {
         return this != REFUSED && !connectionsOnly();
     }
 
     /** Descriptors that the node is told it may hold: few where its bound is to be met. */
-    int sockets() {
+    int maxSockets() {
         return this == SHED ? 160 : 1024;
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** By how much chance moves its counts over those of others, as 20 runs of each showed; see docs/cost-design.md. */
-    double chance() {
+    double marginFactor() {
         return switch (this) {
             case BODY_64K -> 2;
             case PIECES -> 4; // how many pieces are read at once
--- a/src/main/java/olivechute/benchmark/StandInClient.java
+++ b/src/main/java/olivechute/benchmark/StandInClient.java
@@ -11,18 +11,18 @@
 /** One client with a connection that it keeps: sends one request and waits for its answer, again and again. */
 final class StandInClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong(0x1000_0000_0000L);
-    private static final int PIECE = 256;
-    private static final int CHUNK = 512;
+    private static final int PIECE_BYTES = 256;
+    private static final int CHUNK_BYTES = 512;
     /** Between pieces: the node should read each by itself, as from a slow client. */
     private static final long GAP_NANOS = 30_000;
 
     private final Scenario scenario;
-    private final HttpWire wire;
+    private final BlockingHttpConnection wire;
     private final byte[] body;
 
-    StandInClient(Scenario scenario, ConnectionFactory connecting, InetSocketAddress node) throws IOException {
+    StandInClient(Scenario scenario, ConnectionFactory connectionFactory, InetSocketAddress node) throws IOException {
         this.scenario = scenario;
-        this.wire = connecting.client(node);
+        this.wire = connectionFactory.client(node);
         this.body = new byte[scenario.body()];
         Arrays.fill(body, (byte) 0xb5); // the high bit tells body from head, see CopyCounter
     }
@@ -32,14 +32,14 @@
      * {@code plain} one is never turned away, and one for {@code warming} up may be refused: the first handshakes take
      * long.
      */
-    void request(Histogram times, boolean plain, boolean warming) throws IOException {
-        byte[] head = head(plain || scenario.turnsAway() == 0 ? "user=7f3a9c21e0b4d655" : StandInHosts.MARKED);
-        long begun = System.nanoTime();
+    void request(Histogram latenciesUs, boolean skipRejections, boolean warmup) throws IOException {
+        byte[] head = head(skipRejections || scenario.rejectionsPerRequest() == 0 ? "user=7f3a9c21e0b4d655" : StandInEndpoints.REJECTION_MARKER);
+        long startNanos = System.nanoTime();
         send(head);
-        HttpWire.Message answer = wire.read();
-        times.recordValue((System.nanoTime() - begun) / 1000);
-        int wanted = scenario == Scenario.REFUSED ? 503 : 200;
-        if (answer == null || (answer.status() != wanted && !warming)) {
+        BlockingHttpConnection.Message answer = wire.read();
+        latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
+        int expectedStatus = scenario == Scenario.REFUSED ? 503 : 200;
+        if (answer == null || (answer.status() != expectedStatus && !warmup)) {
             throw new IOException(scenario.key() + ": answered " + (answer == null ? "nothing" : answer.head()));
         }
     }
@@ -57,9 +57,9 @@
         switch (scenario) {
             case PIECES -> {
                 wire.write(head);
-                for (int at = 0; at < body.length; at += PIECE) {
+                for (int at = 0; at < body.length; at += PIECE_BYTES) {
                     pause();
-                    wire.write(body, at, PIECE);
+                    wire.write(body, at, PIECE_BYTES);
                 }
             }
             case HEAD_OCTETS -> {
@@ -71,9 +71,9 @@
             }
             case CHUNKED -> wire.write(chunked(head));
             default -> {
-                byte[] whole = Arrays.copyOf(head, head.length + body.length);
-                System.arraycopy(body, 0, whole, head.length, body.length);
-                wire.write(whole);
+                byte[] message = Arrays.copyOf(head, head.length + body.length);
+                System.arraycopy(body, 0, message, head.length, body.length);
+                wire.write(message);
             }
         }
     }
@@ -81,10 +81,10 @@
     private byte[] chunked(byte[] head) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(head);
-        byte[] size = (Integer.toHexString(CHUNK) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        for (int at = 0; at < body.length; at += CHUNK) {
+        byte[] size = (Integer.toHexString(CHUNK_BYTES) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        for (int at = 0; at < body.length; at += CHUNK_BYTES) {
             out.writeBytes(size);
-            out.write(body, at, CHUNK);
+            out.write(body, at, CHUNK_BYTES);
             out.write('\r');
             out.write('\n');
         }
--- a/src/main/java/olivechute/benchmark/StandInDiscovery.java
+++ b/src/main/java/olivechute/benchmark/StandInDiscovery.java
@@ -15,20 +15,20 @@
     private static final Pattern WAIT = Pattern.compile("timeout_ms=([0-9]+)");
 
     private final Listener listener;
-    private final CountDownLatch end = new CountDownLatch(1);
+    private final CountDownLatch closed = new CountDownLatch(1);
 
     StandInDiscovery(String entries) throws IOException {
         String list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}";
-        byte[] whole = response(list);
-        byte[] nothingNew = response("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
-        listener = new Listener("stand-in-discovery", ConnectionFactory.PLAIN.listener(), wire -> {
-            for (HttpWire.Message m = wire.read(); m != null; m = wire.read()) {
+        byte[] fullList = response(list);
+        byte[] emptyUpdate = response("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
+        listener = new Listener("stand-in-discovery", ConnectionFactory.PLAINTEXT.listener(), wire -> {
+            for (BlockingHttpConnection.Message m = wire.read(); m != null; m = wire.read()) {
                 Matcher wait = WAIT.matcher(m.head());
                 boolean watch = wait.find();
                 if (watch) {
-                    end.await(Long.parseLong(wait.group(1)), TimeUnit.MILLISECONDS);
+                    closed.await(Long.parseLong(wait.group(1)), TimeUnit.MILLISECONDS);
                 }
-                wire.write(watch ? nothingNew : whole);
+                wire.write(watch ? emptyUpdate : fullList);
             }
         });
     }
@@ -38,13 +38,13 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    String text() {
-        return listener.text();
+    String addressText() {
+        return listener.addressText();
     }
 
     @Override
     public void close() throws IOException {
-        end.countDown();
+        closed.countDown();
         listener.close();
     }
 }
--- a/src/main/java/olivechute/benchmark/TestTrustDomain.java
+++ b/src/main/java/olivechute/benchmark/TestTrustDomain.java
@@ -46,14 +46,14 @@
     private CertificateAuthority root;
     private volatile TrustBundles bundles;
     private volatile TlsContext client;
-    private volatile TlsContext host;
+    private volatile TlsContext endpoint;
 
     TestTrustDomain() throws IOException {
         Files.writeString(
                 settings, SETTINGS.replace("FOLDER", dir.resolve("node").toString()));
         root = authority();
         trust(List.of(root.certificate()));
-        renew();
+        renewSvids();
     }
 
     private static CertificateAuthority authority() {
@@ -62,7 +62,7 @@
     }
 
     /** Has another authority vouch beside the one that does. */
-    CertificateAuthority overlap() throws IOException {
+    CertificateAuthority addAuthority() throws IOException {
         CertificateAuthority before = root;
         root = authority();
         trust(List.of(before.certificate(), root.certificate()));
@@ -70,7 +70,7 @@
     }
 
     /** Has only the latest one vouch. */
-    void withdraw() throws IOException {
+    void removeOldAuthority() throws IOException {
         trust(List.of(root.certificate()));
     }
 
@@ -80,10 +80,10 @@
     }
 
     /** New documents for all, by the latest authority. */
-    void renew() throws IOException {
+    void renewSvids() throws IOException {
         node.svid(issue("/node"));
         client = context("/client");
-        host = context("/sign-worker");
+        endpoint = context("/sign-worker");
     }
 
     private CertificateAuthority.Issued issue(String path) throws IOException {
@@ -105,17 +105,17 @@
         return client;
     }
 
-    private static HttpWire connect(TlsContext identity, InetSocketAddress node) throws IOException {
+    private static BlockingHttpConnection connect(TlsContext identity, InetSocketAddress node) throws IOException {
         Socket socket = identity.sslContext().getSocketFactory().createSocket();
-        socket.connect(node, HttpWire.SILENCE_MILLIS);
-        return new HttpWire(socket);
+        socket.connect(node, BlockingHttpConnection.TIMEOUT_MILLIS);
+        return new BlockingHttpConnection(socket);
     }
 
     /** Its first message comes at once: a connection that says nothing for 2 s is let go, its handshake included. */
     @Override
-    public HttpWire client(InetSocketAddress at) throws IOException {
-        HttpWire wire = connect(client, at);
-        wire.write(HttpWire.READY);
+    public BlockingHttpConnection client(InetSocketAddress at) throws IOException {
+        BlockingHttpConnection wire = connect(client, at);
+        wire.write(BlockingHttpConnection.READINESS_REQUEST);
         if (wire.read() == null) {
             throw new IOException("no answer on a new connection");
         }
@@ -123,8 +123,8 @@
     }
 
     @Override
-    public HttpWire host(InetSocketAddress at) throws IOException {
-        return connect(host, at);
+    public BlockingHttpConnection endpoint(InetSocketAddress at) throws IOException {
+        return connect(endpoint, at);
     }
 
     /** Each connection is accepted under the document of its moment. */
@@ -133,13 +133,13 @@
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress()) {
             @Override
             public Socket accept() throws IOException {
-                Socket plain = super.accept();
-                plain.setTcpNoDelay(true);
-                SSLSocket secured =
-                        (SSLSocket) host.sslContext().getSocketFactory().createSocket(plain, null, true);
-                secured.setUseClientMode(false);
-                secured.setNeedClientAuth(true);
-                return secured;
+                Socket accepted = super.accept();
+                accepted.setTcpNoDelay(true);
+                SSLSocket tlsSocket =
+                        (SSLSocket) endpoint.sslContext().getSocketFactory().createSocket(accepted, null, true);
+                tlsSocket.setUseClientMode(false);
+                tlsSocket.setNeedClientAuth(true);
+                return tlsSocket;
             }
         };
     }
--- a/src/main/java/olivechute/benchmark/TimingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/TimingBenchmark.java
@@ -32,29 +32,29 @@
                 List<NodeUnderTest> subjects =
                         new ArrayList<>(against == null ? List.of(subject) : List.of(against, subject));
                 for (NodeUnderTest each : subjects) {
-                    once(s, each);
+                    measure(s, each);
                 }
             }
         }
     }
 
-    private void once(Scenario scenario, NodeUnderTest subject) throws IOException, InterruptedException {
-        int n = scenario.turnsAway() > 0 ? scenario.requests() : requests * scenario.requests() / 400;
+    private void measure(Scenario scenario, NodeUnderTest subject) throws IOException, InterruptedException {
+        int n = scenario.rejectionsPerRequest() > 0 ? scenario.requests() : requests * scenario.requests() / 400;
         try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, core, scenario)) {
             rig.warmUp();
             rig.drive(n);
             BenchmarkRig.Run run = rig.run(n, false);
-            Histogram t = run.times();
+            Histogram t = run.latenciesUs();
             out.printf(
                     Locale.ROOT,
                     "%-12s %-24s %8.1f %8.2f %9.0f %9.0f %9.0f%n",
                     scenario.key(),
                     subject.jar().getFileName() + (subject.tls() ? " tls" : ""),
-                    run.used().cpu() / (double) n,
-                    run.used().waits() / (double) n,
-                    Math.max(0, t.getValueAtPercentile(50) - run.outsideMicros()),
-                    Math.max(0, t.getValueAtPercentile(99) - run.outsideMicros()),
-                    Math.max(0, t.getValueAtPercentile(99.9) - run.outsideMicros()));
+                    run.usage().cpuUs() / (double) n,
+                    run.usage().waits() / (double) n,
+                    Math.max(0, t.getValueAtPercentile(50) - run.meanEndpointTimeUs()),
+                    Math.max(0, t.getValueAtPercentile(99) - run.meanEndpointTimeUs()),
+                    Math.max(0, t.getValueAtPercentile(99.9) - run.meanEndpointTimeUs()));
             out.flush();
         }
     }
--- a/src/main/java/olivechute/benchmark/Usage.java
+++ b/src/main/java/olivechute/benchmark/Usage.java
@@ -5,32 +5,32 @@
  * and write calls, times a thread gave up the core, copies, body and other bytes copied, objects.
  */
 record Usage(
-        long allocated,
+        long allocatedBytes,
         long collections,
-        long cpu,
+        long cpuUs,
         long reads,
         long writes,
         long waits,
         long copies,
-        long bodyCopied,
-        long headCopied,
+        long bodyBytesCopied,
+        long otherBytesCopied,
         long objects) {
     /** What was used since another moment, less what looking itself uses. */
-    Usage since(Usage before, Usage looking) {
-        return minus(before).minus(looking);
+    Usage since(Usage before, Usage measurementCost) {
+        return minus(before).minus(measurementCost);
     }
 
-    Usage minus(Usage o) {
+    Usage minus(Usage other) {
         return new Usage(
-                allocated - o.allocated,
-                collections - o.collections,
-                cpu - o.cpu,
-                reads - o.reads,
-                writes - o.writes,
-                waits - o.waits,
-                copies - o.copies,
-                bodyCopied - o.bodyCopied,
-                headCopied - o.headCopied,
-                objects - o.objects);
+                allocatedBytes - other.allocatedBytes,
+                collections - other.collections,
+                cpuUs - other.cpuUs,
+                reads - other.reads,
+                writes - other.writes,
+                waits - other.waits,
+                copies - other.copies,
+                bodyBytesCopied - other.bodyBytesCopied,
+                otherBytesCopied - other.otherBytesCopied,
+                objects - other.objects);
     }
 }
--- a/src/main/java/olivechute/cli/FleetClassLoader.java
+++ b/src/main/java/olivechute/cli/FleetClassLoader.java
@@ -26,22 +26,22 @@
         System.setProperty(
                 "tinylog.level@org.apache.ratis", System.getProperty("tinylog.level@org.apache.ratis", "warn"));
         try {
-            File own = new File(FleetClassLoader.class
+            File jar = new File(FleetClassLoader.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
                     .toURI());
-            File[] libraries = new File(own.getParentFile(), "lib").listFiles((folder, name) -> name.endsWith(".jar"));
-            if (!own.isFile() || libraries == null) {
+            File[] libraries = new File(jar.getParentFile(), "lib").listFiles((folder, name) -> name.endsWith(".jar"));
+            if (!jar.isFile() || libraries == null) {
                 return RootCommand.run(args);
             }
-            List<URL> path = new ArrayList<>();
-            path.add(own.toURI().toURL());
-            for (File each : libraries) {
-                path.add(each.toURI().toURL());
+            List<URL> urls = new ArrayList<>();
+            urls.add(jar.toURI().toURL());
+            for (File library : libraries) {
+                urls.add(library.toURI().toURL());
             }
             // Never closed: the command's threads load from it until the process ends.
-            URLClassLoader loader = new URLClassLoader(path.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
+            URLClassLoader loader = new URLClassLoader(urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(loader);
             var run = loader.loadClass("olivechute.cli.RootCommand").getDeclaredMethod("run", String[].class);
             run.setAccessible(true);
--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -58,7 +58,7 @@
                 paramLabel = "FILE|ADDRESS",
                 description = "Certificates as PEM, the workload's first, or ADDRESS:PORT of somebody who "
                         + "shows some in TLS.")
-        private String from;
+        private String source;
 
         @Option(
                 names = "--bundle",
@@ -84,43 +84,43 @@
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
             try {
-                List<X509Certificate> chain = Files.exists(Path.of(from))
-                        ? PemReader.certificates(text(Path.of(from)))
-                        : PeerCertificateProbe.at(Address.parse("ADDRESS", from), own());
-                for (X509Certificate each : chain) {
-                    out.println(each.getSubjectX500Principal() + ", " + each.getSigAlgName() + ", from "
-                            + each.getNotBefore().toInstant() + " to "
-                            + each.getNotAfter().toInstant());
+                List<X509Certificate> chain = Files.exists(Path.of(source))
+                        ? PemReader.certificates(readText(Path.of(source)))
+                        : PeerCertificateProbe.presentedChain(Address.parse("ADDRESS", source), ownIdentity());
+                for (X509Certificate certificate : chain) {
+                    out.println(certificate.getSubjectX500Principal() + ", " + certificate.getSigAlgName() + ", from "
+                            + certificate.getNotBefore().toInstant() + " to "
+                            + certificate.getNotAfter().toInstant());
                 }
                 SpiffeId id = X509Check.leafId(chain.get(0));
                 out.println("names " + id);
-                TrustBundle held = new TrustBundle(id.trustDomain(), PemReader.certificates(text(bundle)), Map.of());
-                X509Svid svid = X509Check.check(chain, TrustBundles.EMPTY.with(held), at == null ? Instant.now() : at);
+                TrustBundle trustBundle = new TrustBundle(id.trustDomain(), PemReader.certificates(readText(bundle)), Map.of());
+                X509Svid svid = X509Check.check(chain, TrustBundles.EMPTY.with(trustBundle), at == null ? Instant.now() : at);
                 out.println("holds until " + svid.notAfter());
                 return 0;
             } catch (IdentityRejectedException e) {
                 out.println("refused: " + e.getMessage());
                 return 1;
             } catch (InvalidValueException e) {
-                throw new ParameterException(spec.commandLine(), from + ": no such file, and " + e.getMessage());
+                throw new ParameterException(spec.commandLine(), source + ": no such file, and " + e.getMessage());
             } catch (IOException e) {
                 spec.commandLine().getErr().println("cannot read " + e.getMessage());
                 return 1;
             }
         }
 
-        private KeyStore.PrivateKeyEntry own() throws IOException, IdentityRejectedException {
+        private KeyStore.PrivateKeyEntry ownIdentity() throws IOException, IdentityRejectedException {
             if (svid == null) {
                 return null;
             }
-            List<X509Certificate> chain = PemReader.certificates(text(svid.resolve("svid.pem")));
+            List<X509Certificate> chain = PemReader.certificates(readText(svid.resolve("svid.pem")));
             PrivateKey key = PemReader.key(
-                    text(svid.resolve("svid_key.pem")),
+                    readText(svid.resolve("svid_key.pem")),
                     chain.get(0).getPublicKey().getAlgorithm());
             return new KeyStore.PrivateKeyEntry(key, chain.toArray(new X509Certificate[0]));
         }
 
-        private static String text(Path file) throws IOException {
+        private static String readText(Path file) throws IOException {
             return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1);
         }
     }
--- a/src/main/java/olivechute/cli/PeerCertificateProbe.java
+++ b/src/main/java/olivechute/cli/PeerCertificateProbe.java
@@ -17,51 +17,51 @@
 
 /** Dials somebody in TLS to see which documents it shows; sends nothing else and trusts nobody. */
 final class PeerCertificateProbe {
-    private static final int MILLIS = 3000;
+    private static final int TIMEOUT_MILLIS = 3000;
 
     private PeerCertificateProbe() {}
 
     /** The certificates that are shown there, whether they hold or not; {@code own} may be null. */
-    static List<X509Certificate> at(InetSocketAddress address, KeyStore.PrivateKeyEntry own) throws IOException {
-        Seen seen = new Seen();
+    static List<X509Certificate> presentedChain(InetSocketAddress address, KeyStore.PrivateKeyEntry ownIdentity) throws IOException {
+        RecordingTrustManager trustManager = new RecordingTrustManager();
         try {
             SSLContext context = SSLContext.getInstance("TLS");
-            context.init(own == null ? null : keys(own), new TrustManager[] {seen}, new SecureRandom());
+            context.init(ownIdentity == null ? null : keyManagers(ownIdentity), new TrustManager[] {trustManager}, new SecureRandom());
             try (SSLSocket socket = (SSLSocket) context.getSocketFactory().createSocket()) {
-                socket.connect(address, MILLIS);
-                socket.setSoTimeout(MILLIS);
+                socket.connect(address, TIMEOUT_MILLIS);
+                socket.setSoTimeout(TIMEOUT_MILLIS);
                 socket.startHandshake();
             } catch (IOException e) {
-                if (seen.chain.isEmpty()) {
+                if (trustManager.chain.isEmpty()) {
                     throw new IOException(address + ": " + e.getMessage(), e); // else it has shown what we came for
                 }
             }
-            return seen.chain;
+            return trustManager.chain;
         } catch (GeneralSecurityException e) {
             throw new IOException(address + ": " + e.getMessage(), e);
         }
     }
 
-    private static KeyManager[] keys(KeyStore.PrivateKeyEntry own) throws GeneralSecurityException, IOException {
+    private static KeyManager[] keyManagers(KeyStore.PrivateKeyEntry ownIdentity) throws GeneralSecurityException, IOException {
         KeyStore store = KeyStore.getInstance("PKCS12");
         store.load(null, new char[0]);
-        store.setEntry("svid", own, new KeyStore.PasswordProtection(new char[0]));
+        store.setEntry("svid", ownIdentity, new KeyStore.PasswordProtection(new char[0]));
         KeyManagerFactory factory = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
         factory.init(store, new char[0]);
         return factory.getKeyManagers();
     }
 
-    private static final class Seen implements X509TrustManager {
+    private static final class RecordingTrustManager implements X509TrustManager {
         private List<X509Certificate> chain = new ArrayList<>();
 
         @Override
-        public void checkClientTrusted(X509Certificate[] shown, String kind) {
+        public void checkClientTrusted(X509Certificate[] certificates, String authType) {
             throw new IllegalStateException("dials only");
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] shown, String kind) {
-            chain = List.of(shown);
+        public void checkServerTrusted(X509Certificate[] certificates, String authType) {
+            chain = List.of(certificates);
         }
 
         @Override
--- a/src/main/java/olivechute/cli/RootCommand.java
+++ b/src/main/java/olivechute/cli/RootCommand.java
@@ -56,7 +56,7 @@
         return 2;
     }
 
-    private static void name(Map<String, String> environment, String settings) {
+    private static void setSettingsFile(Map<String, String> environment, String settings) {
         if (settings != null) {
             environment.put("OLIVECHUTE_SETTINGS", settings);
         }
@@ -90,13 +90,13 @@
             Map<String, String> environment = new HashMap<>(System.getenv());
             try {
                 if (log != null) {
-                    LogSettings.named("--log", log);
-                    environment.put(LogSettings.FORM, log);
+                    LogSettings.parse("--log", log);
+                    environment.put(LogSettings.FORMAT_VARIABLE, log);
                 }
             } catch (InvalidValueException e) {
                 throw new ParameterException(spec.commandLine(), e.getMessage());
             }
-            name(environment, settings);
+            setSettingsFile(environment, settings);
             NodeLauncher.launch(environment);
             Thread.currentThread().join(); // the node's threads go on until a signal
             return 0;
@@ -129,13 +129,13 @@
         public Integer call() {
             Map<String, String> environment = new HashMap<>(System.getenv());
             environment.put("LB_CONFIG", file);
-            name(environment, settings);
-            List<String> faults = NodeConfig.faults(environment);
-            faults.forEach(spec.commandLine().getErr()::println);
-            if (faults.isEmpty()) {
-                spec.commandLine().getOut().println(NodeConfig.identitiesIn(environment));
+            setSettingsFile(environment, settings);
+            List<String> errors = NodeConfig.validate(environment);
+            errors.forEach(spec.commandLine().getErr()::println);
+            if (errors.isEmpty()) {
+                spec.commandLine().getOut().println(NodeConfig.describeIdentity(environment));
             }
-            return faults.isEmpty() ? 0 : 1;
+            return errors.isEmpty() ? 0 : 1;
         }
     }
 
--- a/src/main/java/olivechute/cli/StoreCommand.java
+++ b/src/main/java/olivechute/cli/StoreCommand.java
@@ -22,7 +22,7 @@
         description = "Runs one replica of the shared store.",
         footer = "Exit status: 0 done, 1 settings that cannot be used or trouble that is told, 2 wrong call.")
 final class StoreCommand implements Callable<Integer> {
-    private static final Duration PATIENCE = Duration.ofSeconds(1);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
     @Spec
     private CommandSpec spec;
@@ -33,31 +33,31 @@
     @Override
     public Integer call() {
         try {
-            ReplicaSettings own = ReplicaSettings.load(settings);
-            ControllerSettings rollout = ControllerSettings.load(settings, DelayBuckets.UPPER_BOUNDS);
-            Replica replica = new Replica(own, this::say);
+            ReplicaSettings replicaSettings = ReplicaSettings.load(settings);
+            ControllerSettings controllerSettings = ControllerSettings.load(settings, DelayBuckets.UPPER_BOUNDS);
+            Replica replica = new Replica(replicaSettings, this::print);
             replica.start();
             Runtime.getRuntime().addShutdownHook(new Thread(replica::close, "close"));
             // The driver is a client like any other: that the lead is its own process saves it nothing but a hop.
             new RolloutController(
-                            RatisStore.connect(own.region(), own.replicas(), PATIENCE),
+                            RatisStore.connect(replicaSettings.region(), replicaSettings.replicas(), REQUEST_TIMEOUT),
                             replica::isLeader,
                             System::currentTimeMillis,
-                            rollout,
-                            own.id())
+                            controllerSettings,
+                            replicaSettings.id())
                     .start();
-            FleetException fault = replica.terminated().join();
-            if (fault == null) {
+            FleetException failure = replica.terminated().join();
+            if (failure == null) {
                 return 0;
             }
-            say(fault.getMessage());
+            print(failure.getMessage());
         } catch (FleetException e) {
             spec.commandLine().getErr().println(e.getMessage());
         }
         return 1;
     }
 
-    private synchronized void say(String line) {
+    private synchronized void print(String line) {
         spec.commandLine().getOut().println(line);
         spec.commandLine().getOut().flush();
     }
--- a/src/main/java/olivechute/config/EndpointListDecoder.java
+++ b/src/main/java/olivechute/config/EndpointListDecoder.java
@@ -12,23 +12,23 @@
     private EndpointListDecoder() {}
 
     public static EndpointListUpdate parse(byte[] text) throws IOException {
-        return list(JsonFields.parse("list", text));
+        return decode(JsonFields.parse("list", text));
     }
 
-    static EndpointListUpdate list(JsonFields n) {
-        List<ResolvedEndpoint> hosts = new ArrayList<>();
-        for (JsonFields e : n.nodes("endpoints")) {
-            EndpointInfo entry = new EndpointInfo(
-                    e.text("name"),
-                    e.textOr("zone", ""),
-                    e.textOr("type", ""),
-                    (int) e.integerOr("group", 0),
-                    LoadBalancerSettingsDecoder.state(e),
-                    e.numberOr("weight", 1),
-                    e.integerOr("since_ms", 0) * 1000);
-            Address.parse("address", e.text("address")); // a list with a bad one is no list
-            hosts.add(new ResolvedEndpoint(entry, e.text("address")));
+    static EndpointListUpdate decode(JsonFields json) {
+        List<ResolvedEndpoint> endpoints = new ArrayList<>();
+        for (JsonFields element : json.nodes("endpoints")) {
+            EndpointInfo info = new EndpointInfo(
+                    element.text("name"),
+                    element.textOr("zone", ""),
+                    element.textOr("type", ""),
+                    (int) element.integerOr("group", 0),
+                    LoadBalancerSettingsDecoder.state(element),
+                    element.numberOr("weight", 1),
+                    element.integerOr("since_ms", 0) * 1000);
+            Address.parse("address", element.text("address")); // a list with a bad one is no list
+            endpoints.add(new ResolvedEndpoint(info, element.text("address")));
         }
-        return new EndpointListUpdate(n.integer("index"), n.flag("snapshot"), hosts);
+        return new EndpointListUpdate(json.integer("index"), json.flag("snapshot"), endpoints);
     }
 }
--- a/src/main/java/olivechute/config/HoconObject.java
+++ b/src/main/java/olivechute/config/HoconObject.java
@@ -23,21 +23,21 @@
  * it.
  */
 public final class HoconObject {
-    private static final int FAR = 4; // single letters that a name may be off to be taken for a slip
+    private static final int MAX_TYPO_DISTANCE = 4; // single letters that a name may be off to be taken for a slip
 
     private final String path;
     private final ConfigObject object;
-    private final List<String> faults;
-    private final TreeSet<String> known = new TreeSet<>();
+    private final List<String> errors;
+    private final TreeSet<String> knownKeys = new TreeSet<>();
 
-    private HoconObject(String path, ConfigObject object, List<String> faults) {
+    private HoconObject(String path, ConfigObject object, List<String> errors) {
         this.path = path;
         this.object = object;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     /** Reads a text; what is wrong with it, and with what is read from it, goes to {@code faults}. */
-    public static HoconObject parse(String text, List<String> faults) {
+    public static HoconObject parse(String text, List<String> errors) {
         ConfigObject root = ConfigFactory.empty().root();
         try {
             // Neither the environment nor another file or address has a part in it: what is checked is what is there.
@@ -46,9 +46,9 @@
                     .resolve(ConfigResolveOptions.noSystem())
                     .root();
         } catch (ConfigException e) {
-            faults.add("settings: " + e.getMessage());
+            errors.add("settings: " + e.getMessage());
         }
-        return new HoconObject("", root, faults);
+        return new HoconObject("", root, errors);
     }
 
     private String key(String name) {
@@ -56,16 +56,16 @@
     }
 
     /** Notes a fault of a key of this object. */
-    public void wrong(String name, String text) {
+    public void addError(String name, String message) {
         ConfigValue value = object.get(name);
         String line = value == null || value.origin().lineNumber() < 0
                 ? ""
                 : " (line " + value.origin().lineNumber() + ")";
-        faults.add(key(name) + ": " + text + line);
+        errors.add(key(name) + ": " + message + line);
     }
 
     private ConfigValue value(String name) {
-        known.add(name);
+        knownKeys.add(name);
         return object.get(name);
     }
 
@@ -73,56 +73,56 @@
         return value(name) != null;
     }
 
-    private <T> T read(String name, T otherwise, String wanted, Function<Config, T> reader) {
+    private <T> T read(String name, T defaultValue, String expected, Function<Config, T> reader) {
         if (value(name) == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             return reader.apply(object.toConfig());
         } catch (ConfigException e) {
-            wrong(name, "must be " + wanted);
-            return otherwise;
+            addError(name, "must be " + expected);
+            return defaultValue;
         }
     }
 
     /** A text; the fallback where the key is absent or wrong. */
-    public String text(String name, String otherwise) {
+    public String text(String name, String defaultValue) {
         ConfigValue value = value(name);
         if (value != null && value.valueType() != ConfigValueType.STRING) {
-            wrong(name, "must be text");
-            return otherwise;
+            addError(name, "must be text");
+            return defaultValue;
         }
-        return value == null ? otherwise : (String) value.unwrapped();
+        return value == null ? defaultValue : (String) value.unwrapped();
     }
 
     /** A text that must be there. */
-    public String needed(String name) {
+    public String requiredText(String name) {
         if (!has(name)) {
-            wrong(name, "missing, must be text");
+            addError(name, "missing, must be text");
         }
         return text(name, "");
     }
 
-    public boolean flag(String name, boolean otherwise) {
-        return read(name, otherwise, "true or false", c -> c.getBoolean(name));
+    public boolean flag(String name, boolean defaultValue) {
+        return read(name, defaultValue, "true or false", c -> c.getBoolean(name));
     }
 
     /** A whole number within these bounds; a wrong one is noted, and the default taken. */
-    public int integer(String name, int otherwise, int least, int most) {
-        int value = read(name, otherwise, "a whole number", c -> c.getInt(name));
-        if (value < least || value > most) {
-            wrong(name, "must be from " + least + " to " + most);
-            return otherwise;
+    public int integer(String name, int defaultValue, int min, int max) {
+        int value = read(name, defaultValue, "a whole number", c -> c.getInt(name));
+        if (value < min || value > max) {
+            addError(name, "must be from " + min + " to " + max);
+            return defaultValue;
         }
         return value;
     }
 
     /** A number, of which parts may be given. */
-    public double number(String name, double otherwise, double least, double most) {
-        double value = read(name, otherwise, "a number", c -> c.getDouble(name));
-        if (!(value >= least && value <= most)) {
-            wrong(name, "must be from " + least + " to " + most);
-            return otherwise;
+    public double number(String name, double defaultValue, double min, double max) {
+        double value = read(name, defaultValue, "a number", c -> c.getDouble(name));
+        if (!(value >= min && value <= max)) {
+            addError(name, "must be from " + min + " to " + max);
+            return defaultValue;
         }
         return value;
     }
@@ -133,48 +133,48 @@
     }
 
     /** A duration with its unit, as {@code 2s} or {@code 250ms}. */
-    public Duration duration(String name, Duration otherwise, Duration least, Duration most) {
+    public Duration duration(String name, Duration defaultValue, Duration min, Duration max) {
         ConfigValue value = value(name);
         if (value != null && value.valueType() != ConfigValueType.STRING) {
-            wrong(name, "must be a duration with a unit, as 2s or 250ms");
-            return otherwise;
+            addError(name, "must be a duration with a unit, as 2s or 250ms");
+            return defaultValue;
         }
-        Duration read = read(name, otherwise, "a duration with a unit, as 2s or 250ms", c -> c.getDuration(name));
-        if (read.compareTo(least) < 0 || read.compareTo(most) > 0) {
-            wrong(name, "must be from " + least.toMillis() + "ms to " + most.toMillis() + "ms");
-            return otherwise;
+        Duration duration = read(name, defaultValue, "a duration with a unit, as 2s or 250ms", c -> c.getDuration(name));
+        if (duration.compareTo(min) < 0 || duration.compareTo(max) > 0) {
+            addError(name, "must be from " + min.toMillis() + "ms to " + max.toMillis() + "ms");
+            return defaultValue;
         }
-        return read;
+        return duration;
     }
 
     /** One of some words, written in small letters with dashes. */
-    public <E extends Enum<E>> E word(String name, E otherwise) {
-        String text = text(name, word(otherwise));
-        List<String> words = new ArrayList<>();
-        for (E each : otherwise.getDeclaringClass().getEnumConstants()) {
-            if (word(each).equals(text)) {
-                return each;
+    public <E extends Enum<E>> E keyword(String name, E defaultValue) {
+        String text = text(name, keyword(defaultValue));
+        List<String> keywords = new ArrayList<>();
+        for (E constant : defaultValue.getDeclaringClass().getEnumConstants()) {
+            if (keyword(constant).equals(text)) {
+                return constant;
             }
-            words.add(word(each));
+            keywords.add(keyword(constant));
         }
-        wrong(name, "must be one of " + String.join(", ", words) + ", not '" + text + "'");
-        return otherwise;
+        addError(name, "must be one of " + String.join(", ", keywords) + ", not '" + text + "'");
+        return defaultValue;
     }
 
-    private static String word(Enum<?> value) {
+    private static String keyword(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    public List<String> texts(String name) {
+    public List<String> textList(String name) {
         return read(name, List.of(), "a list of texts", c -> List.copyOf(c.getStringList(name)));
     }
 
     /** What a text stands for, by a reader that blames the key itself; null where it stands for nothing. */
-    public <T> T meaning(String name, Function<String, T> reader) {
+    public <T> T convert(String name, Function<String, T> reader) {
         try {
             return reader.apply(key(name));
         } catch (IllegalArgumentException | InvalidValueException e) {
-            faults.add(e.getMessage());
+            errors.add(e.getMessage());
             return null;
         }
     }
@@ -183,12 +183,12 @@
     public HoconObject node(String name) {
         ConfigValue value = value(name);
         if (value != null && !(value instanceof ConfigObject)) {
-            wrong(name, "must be an object");
+            addError(name, "must be an object");
         }
         return new HoconObject(
                 key(name),
                 value instanceof ConfigObject o ? o : ConfigFactory.empty().root(),
-                faults);
+                errors);
     }
 
     /** The objects of a list. */
@@ -196,42 +196,42 @@
         List<? extends ConfigObject> objects = read(name, List.of(), "a list of objects", c -> c.getObjectList(name));
         List<HoconObject> nodes = new ArrayList<>();
         for (int i = 0; i < objects.size(); i++) {
-            nodes.add(new HoconObject(key(name) + "[" + i + "]", objects.get(i), faults));
+            nodes.add(new HoconObject(key(name) + "[" + i + "]", objects.get(i), errors));
         }
         return nodes;
     }
 
     /** All keys have been asked for: whatever else is there is none. */
-    public void close() {
+    public void rejectUnknownKeys() {
         for (String name : new TreeSet<>(object.keySet())) {
-            if (!known.contains(name)) {
-                Optional<String> near = known.stream().min(Comparator.comparingInt(k -> distance(k, name)));
-                boolean slip = near.isPresent() && distance(near.get(), name) <= FAR;
-                wrong(
+            if (!knownKeys.contains(name)) {
+                Optional<String> nearest = knownKeys.stream().min(Comparator.comparingInt(k -> editDistance(k, name)));
+                boolean likelyTypo = nearest.isPresent() && editDistance(nearest.get(), name) <= MAX_TYPO_DISTANCE;
+                addError(
                         name,
                         "unknown key"
-                                + (slip
-                                        ? ", did you mean " + near.get() + "?"
-                                        : ", known here: " + String.join(", ", known)));
+                                + (likelyTypo
+                                        ? ", did you mean " + nearest.get() + "?"
+                                        : ", known here: " + String.join(", ", knownKeys)));
             }
         }
     }
 
     /** Letters to put in, take out or change to make one of the other (Levenshtein). */
-    static int distance(String one, String other) {
-        int[] row = new int[other.length() + 1];
-        for (int j = 0; j < row.length; j++) {
-            row[j] = j;
-        }
-        for (int i = 1; i <= one.length(); i++) {
-            int corner = row[0];
-            row[0] = i;
-            for (int j = 1; j < row.length; j++) {
-                int changed = corner + (one.charAt(i - 1) == other.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(changed, Math.min(row[j], row[j - 1]) + 1);
+    static int editDistance(String first, String second) {
+        int[] distances = new int[second.length() + 1];
+        for (int j = 0; j < distances.length; j++) {
+            distances[j] = j;
+        }
+        for (int i = 1; i <= first.length(); i++) {
+            int diagonal = distances[0];
+            distances[0] = i;
+            for (int j = 1; j < distances.length; j++) {
+                int substituted = diagonal + (first.charAt(i - 1) == second.charAt(j - 1) ? 0 : 1);
+                diagonal = distances[j];
+                distances[j] = Math.min(substituted, Math.min(distances[j], distances[j - 1]) + 1);
             }
         }
-        return row[other.length()];
+        return distances[second.length()];
     }
 }
--- a/src/main/java/olivechute/config/InvalidValueException.java
+++ b/src/main/java/olivechute/config/InvalidValueException.java
@@ -4,7 +4,7 @@
 public class InvalidValueException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public InvalidValueException(String text) {
-        super(text);
+    public InvalidValueException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/olivechute/config/JsonFields.java
+++ b/src/main/java/olivechute/config/JsonFields.java
@@ -31,13 +31,13 @@
         return fields.get(field) != null;
     }
 
-    public InvalidValueException wrong(String field, String wanted) {
+    public InvalidValueException invalid(String field, String expected) {
         return new InvalidValueException(
-                name + "." + field + ": " + (has(field) ? "must be " : "missing, must be ") + wanted);
+                name + "." + field + ": " + (has(field) ? "must be " : "missing, must be ") + expected);
     }
 
     /** For a word that is none of those that the field may hold. */
-    public InvalidValueException unknown(String field) {
+    public InvalidValueException unknownValue(String field) {
         return new InvalidValueException(name + "." + field + ": unknown word " + text(field));
     }
 
@@ -46,11 +46,11 @@
         if (fields.get(field) instanceof String s) {
             return s;
         }
-        throw wrong(field, "text");
+        throw invalid(field, "text");
     }
 
-    public String textOr(String field, String otherwise) {
-        return has(field) ? text(field) : otherwise;
+    public String textOr(String field, String defaultValue) {
+        return has(field) ? text(field) : defaultValue;
     }
 
     /** A number; an {@link InvalidValueException} names the field if it is missing or of another type. */
@@ -58,20 +58,20 @@
         if (fields.get(field) instanceof Number v) {
             return v.doubleValue();
         }
-        throw wrong(field, "a number");
+        throw invalid(field, "a number");
     }
 
-    public double numberOr(String field, double otherwise) {
-        return has(field) ? number(field) : otherwise;
+    public double numberOr(String field, double defaultValue) {
+        return has(field) ? number(field) : defaultValue;
     }
 
     /** A number from 0 to {@code most}; 0 where it is not told. */
-    public double part(String field, double most) {
-        double part = numberOr(field, 0);
-        if (part >= 0 && part <= most) {
-            return part;
+    public double fraction(String field, double max) {
+        double value = numberOr(field, 0);
+        if (value >= 0 && value <= max) {
+            return value;
         }
-        throw wrong(field, "from 0 to " + most);
+        throw invalid(field, "from 0 to " + max);
     }
 
     /** A whole number; an {@link InvalidValueException} names the field if it is missing or of another type. */
@@ -82,19 +82,19 @@
         if (fields.get(field) instanceof Double v && v == Math.rint(v)) {
             return v.longValue();
         }
-        throw wrong(field, "a whole number");
+        throw invalid(field, "a whole number");
     }
 
-    public long integerOr(String field, long otherwise) {
-        return has(field) ? integer(field) : otherwise;
+    public long integerOr(String field, long defaultValue) {
+        return has(field) ? integer(field) : defaultValue;
     }
 
     public long micros(String field) {
         return Math.round(number(field) * 1e6);
     }
 
-    public long microsOr(String field, long otherwise) {
-        return has(field) ? micros(field) : otherwise;
+    public long microsOr(String field, long defaultValue) {
+        return has(field) ? micros(field) : defaultValue;
     }
 
     /** True or false, false if missing; an {@link InvalidValueException} names a field of another type. */
@@ -103,7 +103,7 @@
         if (v == null || v instanceof Boolean) {
             return v != null && (Boolean) v;
         }
-        throw wrong(field, "true or false");
+        throw invalid(field, "true or false");
     }
 
     /** An array, empty if missing; an {@link InvalidValueException} names a field of another type. */
@@ -115,7 +115,7 @@
         if (v instanceof List<?> l) {
             return Arrays.asList(l.toArray());
         }
-        throw wrong(field, "an array");
+        throw invalid(field, "an array");
     }
 
     /** An object, empty if missing; an {@link InvalidValueException} names a field of another type. */
@@ -127,7 +127,7 @@
         if (v instanceof Map<?, ?>) {
             return cast(field, v);
         }
-        throw wrong(field, "an object");
+        throw invalid(field, "an object");
     }
 
     /** An array of objects, empty if missing; an {@link InvalidValueException} names a field of another type. */
@@ -135,7 +135,7 @@
         List<JsonFields> nodes = new ArrayList<>();
         for (Object v : list(field)) {
             if (!(v instanceof Map<?, ?>)) {
-                throw wrong(field, "an array of objects");
+                throw invalid(field, "an array of objects");
             }
             nodes.add(cast(field, v));
         }
@@ -148,7 +148,7 @@
     }
 
     /** A reader of the JSON in part of an array, under the same bounds as all that is read here. */
-    public static JsonParser reader(byte[] text, int from, int length) throws IOException {
+    public static JsonParser createParser(byte[] text, int from, int length) throws IOException {
         return JSON.createParser(text, from, length);
     }
 
--- a/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
+++ b/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
@@ -19,111 +19,111 @@
     private LoadBalancerSettingsDecoder() {}
 
     /** Decodes what an instance is told at its start; absent keys get the defaults given here. */
-    public static LoadBalancerSettings settings(JsonFields n) {
+    public static LoadBalancerSettings settings(JsonFields json) {
         return new LoadBalancerSettings(
-                classes(n),
-                tenants(n),
-                n.textOr("az", ""),
-                fleetSize(n),
-                rules(n.node("rules")),
-                limits(n.node("ceilings")),
-                reports(n),
-                n.node("domain").flag("tells_start"),
-                n.textOr("discovery", "automatic").equals("subscribe"),
-                n.numberOr("over_share_worth", 1),
-                prices(n.node("prices")),
-                tail(n.node("result_mix")),
-                n.node("clients").flag("marks_retry"));
+                classes(json),
+                tenants(json),
+                json.textOr("az", ""),
+                fleetSize(json),
+                rules(json.node("rules")),
+                limits(json.node("ceilings")),
+                loadReporting(json),
+                json.node("domain").flag("tells_start"),
+                json.textOr("discovery", "automatic").equals("subscribe"),
+                json.numberOr("over_share_worth", 1),
+                costWeights(json.node("prices")),
+                tail(json.node("result_mix")),
+                json.node("clients").flag("marks_retry"));
     }
 
     /** Reads each part on its own, so that a fault in one hides none in another. */
-    static List<Runnable> parts(JsonFields n) {
-        List<Runnable> parts = new ArrayList<>(List.of(
-                () -> n.textOr("az", ""),
-                () -> fleetSize(n),
-                () -> rules(n.node("rules")),
-                () -> limits(n.node("ceilings")),
-                () -> reports(n),
-                () -> n.node("domain").flag("tells_start"),
-                () -> n.textOr("discovery", ""),
-                () -> n.numberOr("over_share_worth", 1),
-                () -> prices(n.node("prices")),
-                () -> tail(n.node("result_mix")),
-                () -> n.node("clients").flag("marks_retry")));
-        parts.add(() -> {
-            for (int i = 0; i < n.nodes("profiles").size(); i++) {
-                int at = i;
-                parts.add(() -> requestClass(n, at));
+    static List<Runnable> sectionReaders(JsonFields json) {
+        List<Runnable> readers = new ArrayList<>(List.of(
+                () -> json.textOr("az", ""),
+                () -> fleetSize(json),
+                () -> rules(json.node("rules")),
+                () -> limits(json.node("ceilings")),
+                () -> loadReporting(json),
+                () -> json.node("domain").flag("tells_start"),
+                () -> json.textOr("discovery", ""),
+                () -> json.numberOr("over_share_worth", 1),
+                () -> costWeights(json.node("prices")),
+                () -> tail(json.node("result_mix")),
+                () -> json.node("clients").flag("marks_retry")));
+        readers.add(() -> {
+            for (int i = 0; i < json.nodes("profiles").size(); i++) {
+                int index = i;
+                readers.add(() -> requestClass(json, index));
             }
         });
-        parts.add(() -> n.nodes("accounts").forEach(t -> parts.add(() -> tenant(t))));
-        return parts;
+        readers.add(() -> json.nodes("accounts").forEach(t -> readers.add(() -> tenant(t))));
+        return readers;
     }
 
-    private static int fleetSize(JsonFields n) {
-        return (int) n.integerOr("fleet_size", 1);
+    private static int fleetSize(JsonFields json) {
+        return (int) json.integerOr("fleet_size", 1);
     }
 
-    private static List<RequestClass> classes(JsonFields n) {
+    private static List<RequestClass> classes(JsonFields json) {
         List<RequestClass> classes = new ArrayList<>();
-        for (int i = 0; i < n.nodes("profiles").size(); i++) {
-            classes.add(requestClass(n, i));
+        for (int i = 0; i < json.nodes("profiles").size(); i++) {
+            classes.add(requestClass(json, i));
         }
         return classes;
     }
 
-    private static RequestClass requestClass(JsonFields n, int i) {
-        JsonFields domain = n.node("domain");
-        JsonFields c = n.nodes("profiles").get(i);
-        List<Object> kindNames = n.list("kinds");
-        Idempotency effect =
-                switch (c.textOr("effect", "fragile")) {
+    private static RequestClass requestClass(JsonFields json, int index) {
+        JsonFields domain = json.node("domain");
+        JsonFields profile = json.nodes("profiles").get(index);
+        List<Object> kindNames = json.list("kinds");
+        Idempotency idempotency =
+                switch (profile.textOr("effect", "fragile")) {
                     case "retryable" -> Idempotency.IDEMPOTENT;
                     case "dedup" -> Idempotency.KEYED;
                     case "fragile" -> Idempotency.NOT_IDEMPOTENT;
-                    default -> throw c.unknown("effect");
+                    default -> throw profile.unknownValue("effect");
                 };
-        DeduplicationScope group =
-                switch (c.textOr("group", "cell")) {
+        DeduplicationScope deduplicationScope =
+                switch (profile.textOr("group", "cell")) {
                     case "all" -> DeduplicationScope.ALL;
                     case "zone" -> DeduplicationScope.ZONE;
                     case "cell" -> DeduplicationScope.CELL;
-                    default -> throw c.unknown("group");
+                    default -> throw profile.unknownValue("group");
                 };
-        long deadline = c.micros("deadline");
-        int kind = (int) at(domain.list("class_kind"), i, -1);
+        long deadline = profile.micros("deadline");
+        int kindIndex = (int) numberAt(domain.list("class_kind"), index, -1);
         return new RequestClass(
-                c.text("name"),
+                profile.text("name"),
                 deadline,
-                Math.min(deadline, c.microsOr("goal_time", deadline)),
-                c.numberOr("aim_stretch", at(domain.list("class_stretch"), i, 0)),
-                c.numberOr("credit", 1),
-                c.numberOr("late_share", 0),
-                effect,
-                group,
-                c.microsOr("window", 0),
-                kind >= 0 && kind < kindNames.size() ? String.valueOf(kindNames.get(kind)) : null,
-                (int) at(domain.list("class_priority"), i, 0));
+                Math.min(deadline, profile.microsOr("goal_time", deadline)),
+                profile.numberOr("aim_stretch", numberAt(domain.list("class_stretch"), index, 0)),
+                profile.numberOr("credit", 1),
+                profile.numberOr("late_share", 0),
+                idempotency,
+                deduplicationScope,
+                profile.microsOr("window", 0),
+                kindIndex >= 0 && kindIndex < kindNames.size() ? String.valueOf(kindNames.get(kindIndex)) : null,
+                (int) numberAt(domain.list("class_priority"), index, 0));
     }
 
-    private static List<Tenant> tenants(JsonFields n) {
-        return n.nodes("accounts").stream()
+    private static List<Tenant> tenants(JsonFields json) {
+        return json.nodes("accounts").stream()
                 .map(LoadBalancerSettingsDecoder::tenant)
                 .toList();
     }
 
-    private static Tenant tenant(JsonFields t) {
-        return new Tenant(t.text("name"), t.numberOr("share", 0), t.numberOr("quota_per_s", 0));
+    private static Tenant tenant(JsonFields account) {
+        return new Tenant(account.text("name"), account.numberOr("share", 0), account.numberOr("quota_per_s", 0));
     }
 
-    private static LoadReporting reports(JsonFields n) {
-        LoadReporting via =
-                switch (n.node("report").textOr("via", "off")) {
+    private static LoadReporting loadReporting(JsonFields json) {
+        LoadReporting configured =
+                switch (json.node("report").textOr("via", "off")) {
                     case "inline" -> LoadReporting.WITH_RESPONSES;
                     case "on_probe" -> LoadReporting.ON_PROBE;
                     default -> LoadReporting.NONE;
                 };
-        return LoadReportFields.of(n).tellFreeSlots() ? via : LoadReporting.NONE;
+        return LoadReportFields.of(json).reportsFreeSlots() ? configured : LoadReporting.NONE;
     }
 
     private static ServiceRules rules(JsonFields rules) {
@@ -149,7 +149,7 @@
                 limits.microsOr("conn_idle", 0));
     }
 
-    private static CostWeights prices(JsonFields prices) {
+    private static CostWeights costWeights(JsonFields prices) {
         return new CostWeights(
                 prices.numberOr("cross_zone", 0),
                 prices.numberOr("probe", 0),
@@ -158,20 +158,20 @@
     }
 
     private static TailObjective tail(JsonFields mix) {
-        return new TailObjective(mix.part("tail_part", 1), mix.part("tail_miss", 1));
+        return new TailObjective(mix.fraction("tail_part", 1), mix.fraction("tail_miss", 1));
     }
 
     /** What a list's entry says of its worker. */
-    public static EndpointState state(JsonFields n) {
-        return switch (n.text("status")) {
+    public static EndpointState state(JsonFields endpoint) {
+        return switch (endpoint.text("status")) {
             case "active" -> EndpointState.ACTIVE;
             case "leaving" -> EndpointState.DRAINING;
             case "left" -> EndpointState.REMOVED;
-            default -> throw n.unknown("status");
+            default -> throw endpoint.unknownValue("status");
         };
     }
 
-    static double at(List<Object> list, int i, double otherwise) {
-        return i >= 0 && i < list.size() && list.get(i) instanceof Number v ? v.doubleValue() : otherwise;
+    static double numberAt(List<Object> list, int index, double defaultValue) {
+        return index >= 0 && index < list.size() && list.get(index) instanceof Number v ? v.doubleValue() : defaultValue;
     }
 }
--- a/src/main/java/olivechute/config/LogSettings.java
+++ b/src/main/java/olivechute/config/LogSettings.java
@@ -12,39 +12,39 @@
     JSON;
 
     /** The variable that names the form. */
-    public static final String FORM = "OLIVECHUTE_LOG";
+    public static final String FORMAT_VARIABLE = "OLIVECHUTE_LOG";
     /** The variable that names the least level. */
-    public static final String LEVEL = "OLIVECHUTE_LOG_LEVEL";
+    public static final String LEVEL_VARIABLE = "OLIVECHUTE_LOG_LEVEL";
 
     private static final String LEVELS = "trace|debug|info|warn|error|off";
 
     /** Sets the log up as the environment says, as text at the level of the built-in settings where it says nothing. */
-    public static void settle(Map<String, String> environment) {
-        String form = environment.getOrDefault(FORM, "");
-        if (!form.isEmpty()) {
-            named(FORM, form).settle();
+    public static void apply(Map<String, String> environment) {
+        String format = environment.getOrDefault(FORMAT_VARIABLE, "");
+        if (!format.isEmpty()) {
+            parse(FORMAT_VARIABLE, format).apply();
         }
-        String level = environment.getOrDefault(LEVEL, "");
+        String level = environment.getOrDefault(LEVEL_VARIABLE, "");
         if (!level.isEmpty()) {
             if (!level.matches(LEVELS)) {
-                throw new InvalidValueException(LEVEL + ": must be one of " + LEVELS + ", not '" + level + "'");
+                throw new InvalidValueException(LEVEL_VARIABLE + ": must be one of " + LEVELS + ", not '" + level + "'");
             }
             System.setProperty("tinylog.level", level);
         }
     }
 
     /** The form of that name; {@code key} is blamed if there is none. */
-    public static LogSettings named(String key, String name) {
-        for (LogSettings form : values()) {
-            if (form.name().toLowerCase(Locale.ROOT).equals(name)) {
-                return form;
+    public static LogSettings parse(String key, String name) {
+        for (LogSettings format : values()) {
+            if (format.name().toLowerCase(Locale.ROOT).equals(name)) {
+                return format;
             }
         }
         throw new InvalidValueException(key + ": must be text or json, not '" + name + "'");
     }
 
     /** Has what is logged from now on written so. */
-    private void settle() {
+    private void apply() {
         if (this == JSON) {
             System.setProperty("tinylog.writer", "json lines");
         }
--- a/src/main/java/olivechute/config/MetricsSettings.java
+++ b/src/main/java/olivechute/config/MetricsSettings.java
@@ -7,24 +7,24 @@
  * Where a node under a supervisor sends what it counts, and the name of the version that it was started as, empty for
  * none.
  */
-public record MetricsSettings(InetSocketAddress supervisor, String version) {
+public record MetricsSettings(InetSocketAddress supervisorAddress, String version) {
     /** The variables that tell. */
-    static final String ADDRESS = "OLIVECHUTE_FIGURES";
+    static final String ADDRESS_VARIABLE = "OLIVECHUTE_FIGURES";
 
-    static final String VERSION = "OLIVECHUTE_VERSION";
-    private static final int MOST_VERSION = 100;
+    static final String VERSION_VARIABLE = "OLIVECHUTE_VERSION";
+    private static final int MAX_VERSION_LENGTH = 100;
 
     /** Null where the environment names no supervisor; a {@link InvalidValueException} names the faulty variable. */
     static MetricsSettings read(Map<String, String> environment) {
-        String address = environment.getOrDefault(ADDRESS, "");
+        String address = environment.getOrDefault(ADDRESS_VARIABLE, "");
         if (address.isEmpty()) {
             return null;
         }
-        String version = environment.getOrDefault(VERSION, "");
-        if (version.length() > MOST_VERSION || version.chars().anyMatch(Character::isISOControl)) {
+        String version = environment.getOrDefault(VERSION_VARIABLE, "");
+        if (version.length() > MAX_VERSION_LENGTH || version.chars().anyMatch(Character::isISOControl)) {
             throw new InvalidValueException(
-                    VERSION + ": must be at most " + MOST_VERSION + " characters, none of them control characters");
+                    VERSION_VARIABLE + ": must be at most " + MAX_VERSION_LENGTH + " characters, none of them control characters");
         }
-        return new MetricsSettings(Address.parse(ADDRESS, address), version);
+        return new MetricsSettings(Address.parse(ADDRESS_VARIABLE, address), version);
     }
 }
--- a/src/main/java/olivechute/config/NodeConfig.java
+++ b/src/main/java/olivechute/config/NodeConfig.java
@@ -25,42 +25,42 @@
 @SuppressWarnings("ReferenceEquality") // the same object or both absent
 public record NodeConfig(
         String name,
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
         long seed,
-        int connections,
-        EndpointListUpdate known,
+        int maxConnections,
+        EndpointListUpdate initialEndpoints,
         LoadBalancerSettings settings,
-        LoadReportFields report,
-        int openStreams,
-        long dialTimeout,
+        LoadReportFields loadReportFields,
+        int maxOpenRequests,
+        long connectTimeoutUs,
         IdentitySettings identity,
-        MetricsSettings figures) {
+        MetricsSettings metrics) {
     /** The environment's variable that names the configuration's file. */
     public static final String FILE_VARIABLE = "LB_CONFIG";
     /** Descriptors kept for files, the listener and discovery. */
-    public static final int RESERVED = 64;
+    public static final int RESERVED_DESCRIPTORS = 64;
     /**
      * Memory that the process takes without connections, in KiB: measured 44 MB, and what the heap grows under load.
      */
-    private static final int BASE_KIB = 72 * 1024;
+    private static final int BASE_MEMORY_KIB = 72 * 1024;
     /**
      * What a connection adds, nearly all of it its thread's stack: measured 69 with the flags in deploy/, 110 without.
      */
-    private static final int CONNECTION_KIB = 130;
+    private static final int CONNECTION_MEMORY_KIB = 130;
     /**
      * The same with identities: TLS's classes, and for each connection its engine and session; measured 25 MB, and 94
      * to 125 KiB in all.
      */
-    private static final int SECURED_BASE_KIB = BASE_KIB + 25 * 1024;
+    private static final int TLS_BASE_MEMORY_KIB = BASE_MEMORY_KIB + 25 * 1024;
 
-    private static final int SECURED_CONNECTION_KIB = 160;
+    private static final int TLS_CONNECTION_MEMORY_KIB = 160;
     /**
      * However little memory is told: with fewer a node cannot serve at all, and what is told may be more than it takes.
      */
-    public static final int LEAST_CONNECTIONS = 48;
+    public static final int MIN_CONNECTIONS = 48;
     /** Names in the messages of the load balancer's checks, and the keys on the wire that they come from. */
-    private static final String[][] KEYS = {
+    private static final String[][] SETTINGS_KEYS = {
         {"limits.maxAttempts", "ceilings.try_limit"},
         {"limits.maxRetryAfterUs", "ceilings.max_retry_after"},
         {"limits.connectionIdleTimeoutUs", "ceilings.conn_idle"},
@@ -88,7 +88,7 @@
 
     /** Reads the configuration that the environment names; a {@link InvalidValueException} names the faulty key. */
     public static NodeConfig load(Map<String, String> environment) {
-        return read(file(environment), environment);
+        return read(readFile(environment), environment);
     }
 
     /**
@@ -96,23 +96,23 @@
      * a replaced file names must come before the one that the environment names.
      */
     public static NodeConfig reload(Map<String, String> environment) {
-        JsonFields config = file(environment);
-        Map<String, String> rest = new HashMap<>(environment);
+        JsonFields config = readFile(environment);
+        Map<String, String> variables = new HashMap<>(environment);
         if (config.has("discovery")) {
-            rest.remove("LB_DISCOVERY");
+            variables.remove("LB_DISCOVERY");
         }
-        return read(config, rest);
+        return read(config, variables);
     }
 
     /** The keys whose values differ from another configuration's but cannot change while the node runs. */
-    public List<String> fixedSince(NodeConfig running) {
+    public List<String> restartRequiredKeys(NodeConfig running) {
         List<String> keys = new ArrayList<>();
         note(keys, "name", name, running.name);
-        note(keys, "listen", listen, running.listen);
-        note(keys, "limits", connections, running.connections);
-        note(keys, "settings", List.of(settings, report), List.of(running.settings, running.report));
+        note(keys, "listen", listenAddress, running.listenAddress);
+        note(keys, "limits", maxConnections, running.maxConnections);
+        note(keys, "settings", List.of(settings, loadReportFields), List.of(running.settings, running.loadReportFields));
         if (identity != running.identity) {
-            keys.addAll(IdentitySettings.fixed(identity, running.identity));
+            keys.addAll(IdentitySettings.restartRequiredKeys(identity, running.identity));
         }
         return keys;
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    private static JsonFields file(Map<String, String> environment) {
+    private static JsonFields readFile(Map<String, String> environment) {
         String file = environment.get(FILE_VARIABLE);
         if (file == null || file.isEmpty()) {
             throw new InvalidValueException("LB_CONFIG: missing, must name a file");
@@ -143,60 +143,60 @@
      * All that is wrong with what the environment names, a line for each, beginning with its key; empty if a node would
      * start.
      */
-    public static List<String> faults(Map<String, String> environment) {
+    public static List<String> validate(Map<String, String> environment) {
         JsonFields config;
         try {
-            config = file(environment);
+            config = readFile(environment);
         } catch (InvalidValueException e) {
             return List.of(e.getMessage());
         }
-        Set<String> faults = new LinkedHashSet<>();
-        note(faults, () -> text(config, environment, "name", "LB_NAME"));
-        note(faults, () -> Address.parse("listen", text(config, environment, "listen", "LB_LISTEN")));
-        note(faults, () -> Address.parse("discovery", text(config, environment, "discovery", "LB_DISCOVERY")));
-        note(faults, () -> seed(config));
-        note(faults, () -> connections(config.node("limits"), false));
-        note(faults, () -> known(config));
+        Set<String> errors = new LinkedHashSet<>();
+        note(errors, () -> text(config, environment, "name", "LB_NAME"));
+        note(errors, () -> Address.parse("listen", text(config, environment, "listen", "LB_LISTEN")));
+        note(errors, () -> Address.parse("discovery", text(config, environment, "discovery", "LB_DISCOVERY")));
+        note(errors, () -> seed(config));
+        note(errors, () -> maxConnections(config.node("limits"), false));
+        note(errors, () -> initialEndpoints(config));
         if (config.has("settings")) {
-            note(faults, () -> {
-                List<Runnable> parts = LoadBalancerSettingsDecoder.parts(config.node("settings"));
-                for (int i = 0; i < parts.size(); i++) {
-                    note(faults, parts.get(i)); // some add the parts that they are made of
+            note(errors, () -> {
+                List<Runnable> sections = LoadBalancerSettingsDecoder.sectionReaders(config.node("settings"));
+                for (int i = 0; i < sections.size(); i++) {
+                    note(errors, sections.get(i)); // some add the parts that they are made of
                 }
             });
         }
-        note(faults, () -> MetricsSettings.read(environment));
-        if (OperatorSettingsFile.named(environment)) {
-            List<String> own = new ArrayList<>();
-            OperatorSettingsFile.read(environment, own);
-            faults.addAll(own);
+        note(errors, () -> MetricsSettings.read(environment));
+        if (OperatorSettingsFile.isConfigured(environment)) {
+            List<String> operatorErrors = new ArrayList<>();
+            OperatorSettingsFile.read(environment, operatorErrors);
+            errors.addAll(operatorErrors);
         }
         // What only shows where parts meet, or stands above them.
-        note(faults, () -> read(config, environment));
-        return List.copyOf(faults);
+        note(errors, () -> read(config, environment));
+        return List.copyOf(errors);
     }
 
     /** Whether a node under this environment would use identities, where, and if not why; its configuration holds. */
-    public static String identitiesIn(Map<String, String> environment) {
-        if (!OperatorSettingsFile.named(environment)) {
+    public static String describeIdentity(Map<String, String> environment) {
+        if (!OperatorSettingsFile.isConfigured(environment)) {
             return "identities: off, as neither --settings nor " + OperatorSettingsFile.VARIABLE + " names a file";
         }
         IdentitySettings identity = OperatorSettingsFile.load(environment);
-        return identity == null ? "identities: off, as identity.enabled is false" : identity.about();
+        return identity == null ? "identities: off, as identity.enabled is false" : identity.describe();
     }
 
-    private static void note(Set<String> faults, Runnable part) {
+    private static void note(Set<String> errors, Runnable reader) {
         try {
-            part.run();
+            reader.run();
         } catch (InvalidValueException e) {
-            faults.add(e.getMessage());
+            errors.add(e.getMessage());
         }
     }
 
     static NodeConfig read(JsonFields config, Map<String, String> environment) {
         JsonFields limits = config.node("limits");
         if (!config.has("settings")) {
-            throw config.wrong("settings", "an object");
+            throw config.invalid("settings", "an object");
         }
         JsonFields settings = config.node("settings");
         JsonFields ceilings = settings.node("ceilings");
@@ -206,33 +206,33 @@
                 Address.parse("listen", text(config, environment, "listen", "LB_LISTEN")),
                 Address.parse("discovery", text(config, environment, "discovery", "LB_DISCOVERY")),
                 seed(config),
-                connections(limits, identity != null),
-                known(config),
+                maxConnections(limits, identity != null),
+                initialEndpoints(config),
                 decode(settings),
                 LoadReportFields.of(settings),
-                within("ceilings.open_cap", ceilings.integerOr("open_cap", 4096), 1, Integer.MAX_VALUE),
-                within("ceilings.dial_timeout", ceilings.microsOr("dial_timeout", 250_000), 1000, 60_000_000),
+                checkRange("ceilings.open_cap", ceilings.integerOr("open_cap", 4096), 1, Integer.MAX_VALUE),
+                checkRange("ceilings.dial_timeout", ceilings.microsOr("dial_timeout", 250_000), 1000, 60_000_000),
                 identity,
                 MetricsSettings.read(environment));
     }
 
-    private static EndpointListUpdate known(JsonFields config) {
+    private static EndpointListUpdate initialEndpoints(JsonFields config) {
         return config.has("known")
-                ? EndpointListDecoder.list(config.node("known"))
+                ? EndpointListDecoder.decode(config.node("known"))
                 : new EndpointListUpdate(0, true, List.of());
     }
 
     /** As many as both limits bear; a memory limit too small for that is logged, and the node starts all the same. */
-    private static int connections(JsonFields limits, boolean secured) {
-        int sockets = within("limits.sockets", limits.integerOr("sockets", 1024), RESERVED + 16, 1 << 20);
-        int memory = within("limits.memory_mb", limits.integerOr("memory_mb", 192), 1, 1 << 20);
-        long bears = secured
-                ? (memory * 1024L - SECURED_BASE_KIB) / SECURED_CONNECTION_KIB
-                : (memory * 1024L - BASE_KIB) / CONNECTION_KIB;
-        if (bears < LEAST_CONNECTIONS) {
-            Logger.warn("limits.memory_mb: {} bears few connections, {} are kept", memory, LEAST_CONNECTIONS);
+    private static int maxConnections(JsonFields limits, boolean withIdentity) {
+        int sockets = checkRange("limits.sockets", limits.integerOr("sockets", 1024), RESERVED_DESCRIPTORS + 16, 1 << 20);
+        int memoryMb = checkRange("limits.memory_mb", limits.integerOr("memory_mb", 192), 1, 1 << 20);
+        long memoryBound = withIdentity
+                ? (memoryMb * 1024L - TLS_BASE_MEMORY_KIB) / TLS_CONNECTION_MEMORY_KIB
+                : (memoryMb * 1024L - BASE_MEMORY_KIB) / CONNECTION_MEMORY_KIB;
+        if (memoryBound < MIN_CONNECTIONS) {
+            Logger.warn("limits.memory_mb: {} bears few connections, {} are kept", memoryMb, MIN_CONNECTIONS);
         }
-        return (int) Math.min(sockets - RESERVED, Math.max(LEAST_CONNECTIONS, bears));
+        return (int) Math.min(sockets - RESERVED_DESCRIPTORS, Math.max(MIN_CONNECTIONS, memoryBound));
     }
 
     private static LoadBalancerSettings decode(JsonFields settings) {
@@ -246,7 +246,7 @@
     /** The module's checks name its own fields; the key that was read is the wire's. */
     private static String wireKey(String message) {
         String text = message;
-        for (String[] name : KEYS) {
+        for (String[] name : SETTINGS_KEYS) {
             text = text.replaceFirst("^" + name[0] + "\\b", name[1]);
         }
         int end = text.split("[ :]")[0].length();
@@ -263,13 +263,13 @@
         try {
             return config.has("seed") ? Long.parseUnsignedLong(config.text("seed"), 16) : System.nanoTime();
         } catch (NumberFormatException e) {
-            throw config.wrong("seed", "up to 16 hexadecimal digits");
+            throw config.invalid("seed", "up to 16 hexadecimal digits");
         }
     }
 
-    private static int within(String key, long value, long least, long most) {
-        if (value < least || value > most) {
-            throw new InvalidValueException(key + ": must be from " + least + " to " + most);
+    private static int checkRange(String key, long value, long min, long max) {
+        if (value < min || value > max) {
+            throw new InvalidValueException(key + ": must be from " + min + " to " + max);
         }
         return (int) value;
     }
--- a/src/main/java/olivechute/config/OperatorSettingsFile.java
+++ b/src/main/java/olivechute/config/OperatorSettingsFile.java
@@ -18,45 +18,45 @@
     /** The variable that names the file. */
     static final String VARIABLE = "OLIVECHUTE_SETTINGS";
 
-    private static final int MOST = 256 * 1024;
+    private static final int MAX_BYTES = 256 * 1024;
 
     private OperatorSettingsFile() {}
 
     /** True if the environment names a file. */
-    static boolean named(Map<String, String> environment) {
+    static boolean isConfigured(Map<String, String> environment) {
         return !environment.getOrDefault(VARIABLE, "").isEmpty();
     }
 
     /** Reads the file; null where identities are off. What is wrong goes to {@code faults}, a line for each. */
-    static IdentitySettings read(Map<String, String> environment, List<String> faults) {
+    static IdentitySettings read(Map<String, String> environment, List<String> errors) {
         String file = environment.get(VARIABLE);
         try {
             Path path = Path.of(file);
-            if (Files.size(path) > MOST) {
-                faults.add(VARIABLE + ": " + file + " is over " + MOST + " bytes");
+            if (Files.size(path) > MAX_BYTES) {
+                errors.add(VARIABLE + ": " + file + " is over " + MAX_BYTES + " bytes");
                 return null;
             }
-            HoconObject root = HoconObject.parse(text(path), faults);
+            HoconObject root = HoconObject.parse(readText(path), errors);
             IdentitySettings identity = IdentitySettings.read(root.node("identity"));
-            root.close();
+            root.rejectUnknownKeys();
             return identity;
         } catch (IOException | InvalidPathException e) {
-            faults.add(VARIABLE + ": cannot read " + file + ": " + e);
+            errors.add(VARIABLE + ": cannot read " + file + ": " + e);
             return null;
         }
     }
 
-    private static String text(Path path) throws IOException {
+    private static String readText(Path path) throws IOException {
         ByteBuffer bytes = ByteBuffer.wrap(ConfigurationFile.read(path));
         return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
     }
 
     /** Reads the file where one is named; a {@link InvalidValueException} names the first faulty key. */
     static IdentitySettings load(Map<String, String> environment) {
-        List<String> faults = new ArrayList<>();
-        IdentitySettings identity = named(environment) ? read(environment, faults) : null;
-        if (!faults.isEmpty()) {
-            throw new InvalidValueException(faults.get(0));
+        List<String> errors = new ArrayList<>();
+        IdentitySettings identity = isConfigured(environment) ? read(environment, errors) : null;
+        if (!errors.isEmpty()) {
+            throw new InvalidValueException(errors.get(0));
         }
         return identity;
     }
--- a/src/main/java/olivechute/config/RejectingIncluder.java
+++ b/src/main/java/olivechute/config/RejectingIncluder.java
@@ -23,22 +23,22 @@
     }
 
     @Override
-    public ConfigObject include(ConfigIncludeContext context, String what) {
-        throw new ConfigException.Generic("includes no other file: '" + what + "'");
+    public ConfigObject include(ConfigIncludeContext context, String location) {
+        throw new ConfigException.Generic("includes no other file: '" + location + "'");
     }
 
     @Override
-    public ConfigObject includeFile(ConfigIncludeContext context, File what) {
-        return include(context, what.toString());
+    public ConfigObject includeFile(ConfigIncludeContext context, File location) {
+        return include(context, location.toString());
     }
 
     @Override
-    public ConfigObject includeURL(ConfigIncludeContext context, URL what) {
-        return include(context, what.toString());
+    public ConfigObject includeURL(ConfigIncludeContext context, URL location) {
+        return include(context, location.toString());
     }
 
     @Override
-    public ConfigObject includeResources(ConfigIncludeContext context, String what) {
-        return include(context, what);
+    public ConfigObject includeResources(ConfigIncludeContext context, String location) {
+        return include(context, location);
     }
 }
--- a/src/main/java/olivechute/config/UnreadableFileException.java
+++ b/src/main/java/olivechute/config/UnreadableFileException.java
@@ -4,7 +4,7 @@
 public final class UnreadableFileException extends InvalidValueException {
     private static final long serialVersionUID = 1L;
 
-    UnreadableFileException(String text) {
-        super(text);
+    UnreadableFileException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/olivechute/controller/ControllerSettings.java
+++ b/src/main/java/olivechute/controller/ControllerSettings.java
@@ -45,7 +45,7 @@
         }
         Duration tickInterval = rollout.duration(
                 "tick", Duration.ofSeconds(1), Duration.ofMillis(50), RolloutController.LEASE_TTL.dividedBy(2));
-        rollout.close();
+        rollout.rejectUnknownKeys();
         return new ControllerSettings(
                 new PriorityWeights(
                         weightByClass,
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -47,7 +47,7 @@
             try {
                 return operation.run();
             } catch (StoreException e) {
-                if (e.kind() != ErrorCode.CONFLICT) {
+                if (e.code() != ErrorCode.CONFLICT) {
                     throw e;
                 }
             }
@@ -119,7 +119,7 @@
             List<RolloutException> errors =
                     Rollout.validate(initialState.spec(), fleet.nodes().size());
             if (!errors.isEmpty()) {
-                String errorText = errors.stream().map(RolloutException::what).collect(Collectors.joining("; "));
+                String errorText = errors.stream().map(RolloutException::subject).collect(Collectors.joining("; "));
                 throw new RolloutException(ErrorCode.CHANGE_INVALID, "change " + requested.getId() + ": " + errorText);
             }
             ChangeRecord record = RolloutCodec.toRecord(
--- a/src/main/java/olivechute/controller/RolloutClientSettings.java
+++ b/src/main/java/olivechute/controller/RolloutClientSettings.java
@@ -50,16 +50,16 @@
         List<ReplicaAddress> replicas = new ArrayList<>();
         HoconObject store = root.node("store");
         for (HoconObject item : store.nodes("replicas")) {
-            replicas.add(new ReplicaAddress(item.needed("id"), item.needed("address")));
-            item.close();
+            replicas.add(new ReplicaAddress(item.requiredText("id"), item.requiredText("address")));
+            item.rejectUnknownKeys();
         }
         if (replicas.isEmpty()) {
-            store.wrong("replicas", "must name the replicas of the store");
+            store.addError("replicas", "must name the replicas of the store");
         }
         Duration timeout =
                 store.duration("timeout", Duration.ofSeconds(5), Duration.ofMillis(100), Duration.ofMinutes(5));
         String region = store.text("region", "");
-        store.close();
+        store.rejectUnknownKeys();
         List<StageSpec> stages = new ArrayList<>();
         for (HoconObject item : root.nodes("stages")) {
             stages.add(StageSpec.newBuilder()
@@ -71,10 +71,10 @@
                             .toMillis())
                     .setLeastJobs(item.integer("least_jobs", 200, 0, Integer.MAX_VALUE))
                     .build());
-            item.close();
+            item.rejectUnknownKeys();
         }
         if (stages.isEmpty()) {
-            root.wrong("stages", "must name the stages of a change");
+            root.addError("stages", "must name the stages of a change");
         }
         RolloutClientSettings settings = new RolloutClientSettings(
                 region,
@@ -83,7 +83,7 @@
                 stages,
                 root.integer("most_away", 1, 1, MAX_NODES),
                 root.duration("ready_within", Duration.ofMinutes(1), Duration.ofSeconds(1), MAX_DURATION));
-        root.close();
+        root.rejectUnknownKeys();
         return settings;
     }
 }
--- a/src/main/java/olivechute/controller/RolloutCommand.java
+++ b/src/main/java/olivechute/controller/RolloutCommand.java
@@ -193,7 +193,7 @@
                     return reached;
                 }
             } catch (StoreException e) {
-                boolean transientError = e.kind() == ErrorCode.NOT_REACHED || e.kind() == ErrorCode.NO_MAJORITY;
+                boolean transientError = e.code() == ErrorCode.NOT_REACHED || e.code() == ErrorCode.NO_MAJORITY;
                 if (!transientError || System.nanoTime() - startNanos > timeoutNanos) {
                     throw e;
                 }
--- a/src/main/java/olivechute/controller/RolloutController.java
+++ b/src/main/java/olivechute/controller/RolloutController.java
@@ -125,10 +125,10 @@
 
     private void handleStoreError(StoreException e) {
         fleet = null; // the write may have taken effect, or others wrote: list again first
-        if (e.kind() == ErrorCode.STALE_FENCE || e.kind() == ErrorCode.SESSION_ENDED) {
+        if (e.code() == ErrorCode.STALE_FENCE || e.code() == ErrorCode.SESSION_ENDED) {
             lease = null;
         }
-        if (e.kind() != ErrorCode.CONFLICT && e.kind() != ErrorCode.LEASE_HELD) {
+        if (e.code() != ErrorCode.CONFLICT && e.code() != ErrorCode.LEASE_HELD) {
             logOnce(e.getMessage());
         }
     }
--- a/src/main/java/olivechute/downstream/JobStatusDecoder.java
+++ b/src/main/java/olivechute/downstream/JobStatusDecoder.java
@@ -35,7 +35,7 @@
         double progress = 0;
         byte[] result = EMPTY_RESULT;
         LoadReport loadReport = LoadReport.NONE;
-        try (JsonParser parser = JsonFields.reader(body.bytes(), body.offset(), body.length())) {
+        try (JsonParser parser = JsonFields.createParser(body.bytes(), body.offset(), body.length())) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
                 throw new InvalidValueException("news: must be an object");
             }
@@ -116,7 +116,7 @@
         for (String field = parser.nextFieldName(); field != null; field = parser.nextFieldName()) {
             parser.nextToken();
             if (parser.currentToken().isNumeric()) {
-                loadReport = loadReportFields.with(loadReport, field, parser.getDoubleValue());
+                loadReport = loadReportFields.withValue(loadReport, field, parser.getDoubleValue());
             } else {
                 parser.skipChildren();
             }
--- a/src/main/java/olivechute/error/DiskException.java
+++ b/src/main/java/olivechute/error/DiskException.java
@@ -5,12 +5,12 @@
     private static final long serialVersionUID = 1;
 
     /** {@code what}: the thing that it happened to and how, as a clause. */
-    public DiskException(ErrorCode kind, String what) {
-        this(kind, what, null);
+    public DiskException(ErrorCode code, String subject) {
+        this(code, subject, null);
     }
 
     /** With what lies behind it. */
-    public DiskException(ErrorCode kind, String what, Throwable cause) {
-        super(kind, what, cause);
+    public DiskException(ErrorCode code, String subject, Throwable cause) {
+        super(code, subject, cause);
     }
 }
--- a/src/main/java/olivechute/error/FleetException.java
+++ b/src/main/java/olivechute/error/FleetException.java
@@ -5,22 +5,22 @@
         permits StoreException, DiskException, RolloutException, SupervisionException, SettingsException {
     private static final long serialVersionUID = 1;
 
-    private final ErrorCode kind;
-    private final String what;
+    private final ErrorCode code;
+    private final String subject;
 
-    FleetException(ErrorCode kind, String what, Throwable cause) {
-        super(kind + ": " + what + " (" + kind.cause() + "). To do: " + kind.remedy() + ".", cause);
-        this.kind = kind;
-        this.what = what;
+    FleetException(ErrorCode code, String subject, Throwable cause) {
+        super(code + ": " + subject + " (" + code.cause() + "). To do: " + code.remedy() + ".", cause);
+        this.code = code;
+        this.subject = subject;
     }
 
     /** Which kind of trouble. */
-    public ErrorCode kind() {
-        return kind;
+    public ErrorCode code() {
+        return code;
     }
 
     /** What it happened to, without the kind's own words. */
-    public String what() {
-        return what;
+    public String subject() {
+        return subject;
     }
 }
--- a/src/main/java/olivechute/error/RolloutException.java
+++ b/src/main/java/olivechute/error/RolloutException.java
@@ -5,12 +5,12 @@
     private static final long serialVersionUID = 1;
 
     /** {@code what}: the thing that it happened to and how, as a clause. */
-    public RolloutException(ErrorCode kind, String what) {
-        this(kind, what, null);
+    public RolloutException(ErrorCode code, String subject) {
+        this(code, subject, null);
     }
 
     /** With what lies behind it. */
-    public RolloutException(ErrorCode kind, String what, Throwable cause) {
-        super(kind, what, cause);
+    public RolloutException(ErrorCode code, String subject, Throwable cause) {
+        super(code, subject, cause);
     }
 }
--- a/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
+++ b/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
@@ -28,12 +28,12 @@
 
     @Override
     public Integer call() {
-        FleetLogAnalysis count = new FleetLogAnalysis();
+        FleetLogAnalysis analysis = new FleetLogAnalysis();
         int files = 0;
         try (DirectoryStream<Path> logs = Files.newDirectoryStream(folder, "*.log")) {
             for (Path log : logs) {
                 files++;
-                read(count, log);
+                read(analysis, log);
             }
         } catch (IOException e) {
             spec.commandLine().getErr().println("FOLDER: cannot be read: " + e.getMessage());
@@ -43,15 +43,15 @@
             spec.commandLine().getErr().println("FOLDER: no file NODE.log in it");
             return 1;
         }
-        count.report().forEach(spec.commandLine().getOut()::println);
+        analysis.report().forEach(spec.commandLine().getOut()::println);
         return 0;
     }
 
     /** A log may end in the middle of a line, or of a character: what was written so far counts. */
-    private static void read(FleetLogAnalysis count, Path log) throws IOException {
+    private static void read(FleetLogAnalysis analysis, Path log) throws IOException {
         String node = log.getFileName().toString().replaceFirst("\\.log$", "");
         try (Stream<String> lines = Files.lines(log, StandardCharsets.ISO_8859_1)) {
-            lines.map(LogEntry::of).filter(line -> line != null).forEach(line -> count.add(node, line));
+            lines.map(LogEntry::parse).filter(line -> line != null).forEach(line -> analysis.add(node, line));
         }
     }
 }
--- a/src/main/java/olivechute/loganalysis/LogEntry.java
+++ b/src/main/java/olivechute/loganalysis/LogEntry.java
@@ -8,53 +8,53 @@
  * day is passed over. Times are microseconds, {@code at} since midnight.
  */
 sealed interface LogEntry {
-    long at();
+    long atUs();
 
     /** An upstream request ended; {@code accepted} is negative where the host never took it. */
-    record Ended(long at, String stream, String host, String outcome, long took, long accepted) implements LogEntry {
-        long sentAt() {
-            return at - took;
+    record AttemptEnded(long atUs, String request, String endpoint, String outcome, long tookUs, long acceptedAfterUs) implements LogEntry {
+        long sentAtUs() {
+            return atUs - tookUs;
         }
     }
 
     /** A stream was refused; {@code last} is the outcome of its last upstream request. */
-    record Refused(long at, String last) implements LogEntry {}
+    record RequestRejected(long atUs, String lastOutcome) implements LogEntry {}
 
     /** A connection to an endpoint was made. */
-    record Dialled(long at, String host) implements LogEntry {}
+    record EndpointConnected(long atUs, String endpoint) implements LogEntry {}
 
     /** A host as a list had it; {@code started} is Unix time in microseconds, 0 for long ago. */
-    record Listed(long at, String host, String state, long started) implements LogEntry {}
+    record EndpointListed(long atUs, String endpoint, String state, long startedUs) implements LogEntry {}
 
     /** A call to discovery was answered. */
-    record Asked(long at) implements LogEntry {}
+    record DiscoveryCalled(long atUs) implements LogEntry {}
 
     /** A call to discovery failed. */
-    record AskFailed(long at) implements LogEntry {}
+    record DiscoveryCallFailed(long atUs) implements LogEntry {}
 
     /** The line's content; null for one that counts nothing. */
-    static LogEntry of(String line) {
-        Matcher m = Form.LINE.matcher(line);
-        if (!m.find()) {
+    static LogEntry parse(String line) {
+        Matcher matcher = Form.LINE.matcher(line);
+        if (!matcher.find()) {
             return null;
         }
-        long at = ((Long.parseLong(m.group(1)) * 60 + Long.parseLong(m.group(2))) * 60 + Long.parseLong(m.group(3)))
+        long atUs = ((Long.parseLong(matcher.group(1)) * 60 + Long.parseLong(matcher.group(2))) * 60 + Long.parseLong(matcher.group(3)))
                         * 1_000_000
-                + Long.parseLong(m.group(4)) * 1000;
-        String text = m.group(5);
-        if ((m = Form.ENDED.matcher(text)).matches()) {
-            return new Ended(
-                    at, m.group(1), m.group(2), m.group(3), Long.parseLong(m.group(4)), Long.parseLong(m.group(5)));
-        } else if ((m = Form.REFUSED.matcher(text)).matches()) {
-            return new Refused(at, m.group(1));
-        } else if ((m = Form.DIALLED.matcher(text)).matches()) {
-            return new Dialled(at, m.group(1));
-        } else if ((m = Form.LISTED.matcher(text)).matches()) {
-            return new Listed(at, m.group(1), m.group(2), Long.parseLong(m.group(3)));
-        } else if ((m = Form.ASKED.matcher(text)).matches()) {
-            return new Asked(at);
+                + Long.parseLong(matcher.group(4)) * 1000;
+        String text = matcher.group(5);
+        if ((matcher = Form.ENDED.matcher(text)).matches()) {
+            return new AttemptEnded(
+                    atUs, matcher.group(1), matcher.group(2), matcher.group(3), Long.parseLong(matcher.group(4)), Long.parseLong(matcher.group(5)));
+        } else if ((matcher = Form.REJECTED.matcher(text)).matches()) {
+            return new RequestRejected(atUs, matcher.group(1));
+        } else if ((matcher = Form.CONNECTED.matcher(text)).matches()) {
+            return new EndpointConnected(atUs, matcher.group(1));
+        } else if ((matcher = Form.LISTED.matcher(text)).matches()) {
+            return new EndpointListed(atUs, matcher.group(1), matcher.group(2), Long.parseLong(matcher.group(3)));
+        } else if ((matcher = Form.DISCOVERY_CALLED.matcher(text)).matches()) {
+            return new DiscoveryCalled(atUs);
         }
-        return (m = Form.ASK_FAILED.matcher(text)).matches() ? new AskFailed(at) : null;
+        return (matcher = Form.DISCOVERY_CALL_FAILED.matcher(text)).matches() ? new DiscoveryCallFailed(atUs) : null;
     }
 
     /**
@@ -65,12 +65,12 @@
         static final Pattern LINE = Pattern.compile("(\\d\\d):(\\d\\d):(\\d\\d)\\.(\\d{3}) [A-Z]+ +\\w+ (.*)");
         static final Pattern ENDED = Pattern.compile(
                 "request (\\S+) attempt \\d+ at (\\S+): (\\w+) after (\\d+) us, accepted after (-?\\d+) us");
-        static final Pattern REFUSED =
+        static final Pattern REJECTED =
                 Pattern.compile("request \\S+ rejected after \\d+ us, \\d+ attempts, last (\\w+)");
-        static final Pattern DIALLED = Pattern.compile("endpoint (\\S+) connected in \\d+ us");
+        static final Pattern CONNECTED = Pattern.compile("endpoint (\\S+) connected in \\d+ us");
         static final Pattern LISTED = Pattern.compile("endpoint (\\S+) (\\w+) in \\S+, a \\S+, started (\\d+)");
-        static final Pattern ASKED = Pattern.compile("discovery \\S+: asked from -?\\d+");
-        static final Pattern ASK_FAILED =
+        static final Pattern DISCOVERY_CALLED = Pattern.compile("discovery \\S+: asked from -?\\d+");
+        static final Pattern DISCOVERY_CALL_FAILED =
                 Pattern.compile("discovery \\S+: (?:answered \\d+|connection ended|.* timed out|Connection .*)");
 
         private Form() {}
--- a/src/main/java/olivechute/metrics/MetricsReporting.java
+++ b/src/main/java/olivechute/metrics/MetricsReporting.java
@@ -26,7 +26,7 @@
         this.loop = loop;
         counters = new RequestCounters(classNames.size());
         sender = new MetricsSender(
-                settings.supervisor(),
+                settings.supervisorAddress(),
                 new MetricsSnapshot.Origin(node, settings.version(), loop.now(), classNames),
                 MetricsSender.Limits.DEFAULT,
                 random);
--- a/src/main/java/olivechute/node/ConfigurationReloader.java
+++ b/src/main/java/olivechute/node/ConfigurationReloader.java
@@ -20,40 +20,40 @@
  */
 public final class ConfigurationReloader {
     /** A change is left to its signal for so long. */
-    private static final long LEFT_TO_SIGNAL = 1_000_000_000;
+    private static final long SIGHUP_WAIT_NANOS = 1_000_000_000;
 
     private final Map<String, String> environment;
-    private FileState read; // guarded by this, as the rest
-    private FileState seen; // of a change that discovery's failures brought to light
-    private long seenAt;
+    private FileState loadedState; // guarded by this, as the rest
+    private FileState changedState; // of a change that discovery's failures brought to light
+    private long changeSeenNanos;
 
     /** What tells one state of a file from another; no clock is asked, as the wall clock may step. */
-    private record FileState(FileTime modified, long size, Object key) {}
+    private record FileState(FileTime modified, long size, Object fileKey) {}
 
     /** To be made before the configuration is read for the first time. */
     public ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
-        this.read = stamp();
+        this.loadedState = currentFileState();
     }
 
     /** SIGHUP came. */
     public synchronized void onSighup(Node node) {
-        read = stamp();
+        loadedState = currentFileState();
         reload(node);
     }
 
     /** A call to discovery failed. */
     public synchronized void onDiscoveryFailed(Node node) {
-        FileState now = stamp();
-        if (now == null || now.equals(read)) {
+        FileState currentState = currentFileState();
+        if (currentState == null || currentState.equals(loadedState)) {
             return;
         }
-        if (!now.equals(seen)) {
-            seen = now;
-            seenAt = System.nanoTime();
-        } else if (System.nanoTime() - seenAt >= LEFT_TO_SIGNAL) {
+        if (!currentState.equals(changedState)) {
+            changedState = currentState;
+            changeSeenNanos = System.nanoTime();
+        } else if (System.nanoTime() - changeSeenNanos >= SIGHUP_WAIT_NANOS) {
             Logger.warn("configuration changed and no SIGHUP came: read again, as discovery fails");
-            read = now;
+            loadedState = currentState;
             reload(node);
         }
     }
@@ -63,7 +63,7 @@
         try {
             node.reload(NodeConfig.reload(environment));
         } catch (UnreadableFileException e) {
-            read = null; // so that a call to discovery that fails finds it changed
+            loadedState = null; // so that a call to discovery that fails finds it changed
             Logger.error("configuration not read: {}", e.getMessage());
         } catch (InvalidValueException e) {
             Logger.error("configuration not changed: {}", e.getMessage());
@@ -71,7 +71,7 @@
     }
 
     /** The file's state; null if it cannot be told. */
-    private FileState stamp() {
+    private FileState currentFileState() {
         String file = environment.get(NodeConfig.FILE_VARIABLE);
         try {
             BasicFileAttributes attributes =
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -44,23 +44,23 @@
     private static final long DRAIN_EXTRA_US = 500_000;
     private static final long QUIET_BEFORE_CLOSE_US = 500_000;
     /** Of what is left after that, so much is for the last answers to arrive, and so much for the process to end. */
-    private static final long EXIT_TIME_US = 100_000;
+    private static final long EXIT_RESERVE_US = 100_000;
 
-    private static final long LAST_ANSWER_TIME_US = 50_000;
-    private static final long POLL_MS = 10;
+    private static final long LAST_ANSWER_RESERVE_US = 50_000;
+    private static final long DRAIN_POLL_MS = 10;
 
     private final EventLoop loop = new EventLoop();
-    private final NodeConfig started;
-    private final int downstream;
+    private final NodeConfig startConfig;
+    private final int maxDownstreamConnections;
     private final ConnectionPools pools;
     private final EndpointListLease lease;
-    private final EndpointListWatcher watch;
+    private final EndpointListWatcher listWatcher;
     private final DownstreamServer server;
     private final RequestDispatcher dispatcher;
     private final NodeSecurity security; // null where identities are off
     private final MetricsReporting reporting; // null where no supervisor is named
     private final InetSocketAddress address;
-    private InetSocketAddress secure;
+    private InetSocketAddress tlsAddress;
 
     /** Starts a node; it listens once this returns. */
     public Node(NodeConfig config) throws IOException {
@@ -69,40 +69,40 @@
 
     /** With a clock for identities that may step; all else runs on the loop's steady one. */
     public Node(NodeConfig config, Supplier<Instant> clock) throws IOException {
-        started = config;
-        int connections = connections(config);
-        int upstream = connections / 4;
-        downstream = connections - upstream;
+        startConfig = config;
+        int totalConnections = maxConnections(config);
+        int maxUpstreamConnections = totalConnections / 4;
+        maxDownstreamConnections = totalConnections - maxUpstreamConnections;
         security = config.identity() == null ? null : new NodeSecurity(config.identity(), clock);
-        pools = pools(config, upstream);
+        pools = pools(config, maxUpstreamConnections);
         lease = config.settings().pollsList()
                 ? EndpointListLease.forPolledList(config.settings().rules())
                 : EndpointListLease.nonExpiring();
-        watch = new EndpointListWatcher(
-                loop, config.discovery(), config.known(), config.settings(), config.seed(), lease);
-        reporting = config.figures() == null ? null : reporting(config);
+        listWatcher = new EndpointListWatcher(
+                loop, config.discoveryAddress(), config.initialEndpoints(), config.settings(), config.seed(), lease);
+        reporting = config.metrics() == null ? null : reporting(config);
         dispatcher = new RequestDispatcher(
                 loop,
                 config.settings(),
                 config.seed(),
                 pools,
-                watch,
-                maxOpenRequests(config.openStreams(), downstream),
+                listWatcher,
+                maxOpenRequests(config.maxOpenRequests(), maxDownstreamConnections),
                 Runtime.getRuntime().maxMemory() / BODY_HEAP_DIVISOR,
                 reporting == null ? RequestMetrics.NONE : reporting.requestMetrics(),
                 lease);
         server = new DownstreamServer(
                 loop,
-                new WriterThreads(2 * downstream),
+                new WriterThreads(2 * maxDownstreamConnections),
                 Threads.connectionThreads(),
                 config.settings(),
-                config.report(),
-                downstream);
-        loop.post(new ProxyEvent.Task(() -> dispatcher.start(config.known())));
-        watch.start();
-        watch.watch(); // answered, if all goes well, while the node rehearses
-        int rehearsed = Warmup.run(config);
-        Logger.debug("rehearsed {} jobs", rehearsed);
+                config.loadReportFields(),
+                maxDownstreamConnections);
+        loop.post(new ProxyEvent.Task(() -> dispatcher.start(config.initialEndpoints())));
+        listWatcher.start();
+        listWatcher.watch(); // answered, if all goes well, while the node rehearses
+        int answeredRequests = Warmup.run(config);
+        Logger.debug("rehearsed {} jobs", answeredRequests);
         loop.runPeriodically(SWEEP_PERIOD_US, pools::sweep);
         loop.runPeriodically(SWEEP_PERIOD_US, server::sweep);
         if (security != null) {
@@ -112,7 +112,7 @@
             reporting.start();
         }
         loop.start(dispatcher);
-        awaitList();
+        awaitEndpointList();
         address = listen(config);
         server.ready();
         Logger.info("{} listens on {}", config.name(), address);
@@ -122,33 +122,33 @@
      * Each side has writers of its own: clients that do not read hold up theirs, and no upstream request may wait for
      * that.
      */
-    private ConnectionPools pools(NodeConfig config, int connections) throws IOException {
+    private ConnectionPools pools(NodeConfig config, int maxConnections) throws IOException {
         Connector connector =
-                security != null && config.identity().upstream() ? security.connector() : Connector.PLAINTEXT;
+                security != null && config.identity().upstreamTls() ? security.connector() : Connector.PLAINTEXT;
         return new ConnectionPools(
                 loop,
-                new WriterThreads(2 * connections),
+                new WriterThreads(2 * maxConnections),
                 connector,
-                new LoadReportHeader(config.report()),
+                new LoadReportHeader(config.loadReportFields()),
                 config.settings().limits().connectionIdleTimeoutUs(),
-                config.dialTimeout(),
-                connections,
+                config.connectTimeoutUs(),
+                maxConnections,
                 config.settings().rules().keepsUnlistedEndpoints());
     }
 
     private MetricsReporting reporting(NodeConfig config) throws IOException {
         List<String> classes =
                 config.settings().classes().stream().map(RequestClass::name).toList();
-        return new MetricsReporting(loop, config.figures(), config.name(), classes, new SplittableRandom());
+        return new MetricsReporting(loop, config.metrics(), config.name(), classes, new SplittableRandom());
     }
 
     /**
      * Waits for the first answer of discovery, as the configured list may be of any age. If none comes in time the node
      * listens all the same and, where discovery is polled, rejects requests until one does.
      */
-    private void awaitList() {
+    private void awaitEndpointList() {
         try {
-            if (!watch.awaitFirstAnswer() && !lease.holds(loop.now())) {
+            if (!listWatcher.awaitFirstAnswer() && !lease.holds(loop.now())) {
                 Logger.warn("discovery has not answered yet: nothing is sent until it does");
             }
         } catch (InterruptedException e) {
@@ -160,58 +160,58 @@
      * As many as the settings allow, and the system: past its own limit neither dials nor news of what is out would
      * come through.
      */
-    private static int connections(NodeConfig config) {
-        int may = Math.max(NodeConfig.LEAST_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED);
-        if (may < config.connections()) {
-            Logger.warn("limits.sockets: the system lets this process hold fewer, {} connections are kept", may);
+    private static int maxConnections(NodeConfig config) {
+        int systemLimit = Math.max(NodeConfig.MIN_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED_DESCRIPTORS);
+        if (systemLimit < config.maxConnections()) {
+            Logger.warn("limits.sockets: the system lets this process hold fewer, {} connections are kept", systemLimit);
         }
-        return Math.min(may, config.connections());
+        return Math.min(systemLimit, config.maxConnections());
     }
 
     private InetSocketAddress listen(NodeConfig config) throws IOException {
         if (security == null) {
-            return server.listen(config.listen(), PeerIdentity.Authenticator.PLAINTEXT);
+            return server.listen(config.listenAddress(), PeerIdentity.Authenticator.PLAINTEXT);
         }
         security.start();
-        InetSocketAddress listen = config.identity().downstream().listen();
-        if (listen != null) {
-            secure = server.listen(listen, security.tlsAuthenticator());
-            Logger.info("{} listens with identities on {}", config.name(), secure);
+        InetSocketAddress tlsListen = config.identity().downstream().tlsListen();
+        if (tlsListen != null) {
+            tlsAddress = server.listen(tlsListen, security.tlsAuthenticator());
+            Logger.info("{} listens with identities on {}", config.name(), tlsAddress);
         }
-        return server.listen(config.listen(), security.platformAuthenticator());
+        return server.listen(config.listenAddress(), security.platformAuthenticator());
     }
 
     /** Half of the downstream connections stay free for news: without it no stream would end. */
-    private static int maxOpenRequests(int openCap, int downstream) {
-        return Math.min(openCap, Math.max(1, downstream / 2));
+    private static int maxOpenRequests(int configuredLimit, int downstreamConnections) {
+        return Math.min(configuredLimit, Math.max(1, downstreamConnections / 2));
     }
 
     /** Goes on under another configuration; what is open and all that the decisions know stays. */
     public void reload(NodeConfig config) {
-        for (String key : config.fixedSince(started)) {
+        for (String key : config.restartRequiredKeys(startConfig)) {
             Logger.warn("{}: changed, but cannot change while running; takes a restart", key);
         }
         if (security != null && config.identity() != null) {
             security.rules(config.identity().rules());
         }
-        int streams = maxOpenRequests(config.openStreams(), downstream);
+        int openRequestLimit = maxOpenRequests(config.maxOpenRequests(), maxDownstreamConnections);
         loop.post(new ProxyEvent.Task(() -> {
-            watch.moveTo(config.discovery());
-            pools.setConnectTimeout(config.dialTimeout());
-            dispatcher.limitOpenRequests(streams);
+            listWatcher.moveTo(config.discoveryAddress());
+            pools.setConnectTimeout(config.connectTimeoutUs());
+            dispatcher.limitOpenRequests(openRequestLimit);
         }));
         Logger.info("configuration read again");
     }
 
     /** Has this done after each call to discovery that failed. */
-    public void whenDiscoveryFails(Runnable task) {
-        watch.onCallFailure(task);
+    public void onDiscoveryFailure(Runnable task) {
+        listWatcher.onCallFailure(task);
     }
 
     /** Has what is believed of the hosts logged. */
-    public void describe() {
+    public void logStatus() {
         loop.post(new ProxyEvent.Task(dispatcher::logStatus));
-        Logger.info(watch.describe());
+        Logger.info(listWatcher.describe());
     }
 
     /** Where it listens. */
@@ -220,12 +220,12 @@
     }
 
     /** Where it listens in TLS beside that; null if it does not. */
-    public InetSocketAddress secureAddress() {
-        return secure;
+    public InetSocketAddress tlsAddress() {
+        return tlsAddress;
     }
 
     /** Streams that are owed an answer. */
-    public int unanswered() {
+    public int unansweredRequests() {
         return server.unansweredRequests();
     }
 
@@ -240,30 +240,30 @@
     /** The same, so many microseconds after it was told to. */
     public void drain(long sinceSignalUs) throws InterruptedException {
         Logger.info("draining");
-        long longest = started.settings().classes().stream()
+        long longestDeadlineUs = startConfig.settings().classes().stream()
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        long end = loop.now() - sinceSignalUs + Math.min(longest, MAX_DRAIN_DEADLINE_US) + DRAIN_EXTRA_US;
-        loop.post(new ProxyEvent.Task(() -> dispatcher.answerAllBy(end)));
+        long drainDeadlineUs = loop.now() - sinceSignalUs + Math.min(longestDeadlineUs, MAX_DRAIN_DEADLINE_US) + DRAIN_EXTRA_US;
+        loop.post(new ProxyEvent.Task(() -> dispatcher.answerAllBy(drainDeadlineUs)));
         server.markNotReady();
-        Thread.sleep(Math.max(0, Math.min(SERVE_AFTER_SIGTERM_MS, longest / 1000) - sinceSignalUs / 1000));
+        Thread.sleep(Math.max(0, Math.min(SERVE_AFTER_SIGTERM_MS, longestDeadlineUs / 1000) - sinceSignalUs / 1000));
         server.drain();
         // News of what is owed comes on new connections: as long as anything is, it listens.
         while (server.unansweredRequests() > 0
-                || (loop.now() < end
+                || (loop.now() < drainDeadlineUs
                         && (!server.isQuiescent() || loop.now() - server.lastRequestAtUs() < QUIET_BEFORE_CLOSE_US))) {
-            Thread.sleep(POLL_MS);
+            Thread.sleep(DRAIN_POLL_MS);
         }
-        server.close(POLL_MS);
+        server.close(DRAIN_POLL_MS);
         server.endConnections();
         while (server.unansweredRequests() > 0
-                || (loop.now() < end + EXIT_TIME_US && !server.isQuiescentSince(loop.now() - LAST_ANSWER_TIME_US))) {
-            Thread.sleep(POLL_MS);
+                || (loop.now() < drainDeadlineUs + EXIT_RESERVE_US && !server.isQuiescentSince(loop.now() - LAST_ANSWER_RESERVE_US))) {
+            Thread.sleep(DRAIN_POLL_MS);
         }
         if (reporting != null) {
             reporting.shutDown();
-            Thread.sleep(LAST_ANSWER_TIME_US / 1000);
+            Thread.sleep(LAST_ANSWER_RESERVE_US / 1000);
         }
         Logger.info("drained");
     }
--- a/src/main/java/olivechute/node/NodeLauncher.java
+++ b/src/main/java/olivechute/node/NodeLauncher.java
@@ -24,12 +24,12 @@
         NodeLifecycle lifecycle = new NodeLifecycle();
         ConfigurationReloader reloader = new ConfigurationReloader(environment);
         // Without a handler of ours the virtual machine ends on SIGHUP; one that comes early waits for the node.
-        boolean reloadIgnored = ProcessSignals.handle("HUP", () -> lifecycle.onceStarted(reloader::onSighup));
-        lifecycle.onceStarted(node -> node.whenDiscoveryFails(() -> reloader.onDiscoveryFailed(node)));
-        ProcessSignals.handle("USR2", () -> lifecycle.onceStarted(Node::describe));
+        boolean sighupIgnored = ProcessSignals.handle("HUP", () -> lifecycle.whenStarted(reloader::onSighup));
+        lifecycle.whenStarted(node -> node.onDiscoveryFailure(() -> reloader.onDiscoveryFailed(node)));
+        ProcessSignals.handle("USR2", () -> lifecycle.whenStarted(Node::logStatus));
         try {
-            LogSettings.settle(environment);
-            if (reloadIgnored) {
+            LogSettings.apply(environment);
+            if (sighupIgnored) {
                 Logger.warn("SIGHUP: ignored, as whoever started this process had it ignored (nohup does): a new"
                         + " configuration counts only once discovery fails");
             }
--- a/src/main/java/olivechute/node/NodeLifecycle.java
+++ b/src/main/java/olivechute/node/NodeLifecycle.java
@@ -19,19 +19,19 @@
     private static final long START_WAIT_MS = 2000;
 
     /** Makes a node that listens. */
-    public interface Maker {
-        Node make() throws IOException;
+    public interface NodeFactory {
+        Node create() throws IOException;
     }
 
-    private final CompletableFuture<Node> started = new CompletableFuture<>();
+    private final CompletableFuture<Node> startedNode = new CompletableFuture<>();
 
     /** Starts a node once its end is arranged: {@code atEnd} is given what is to run at the end of the process. */
-    public void start(Consumer<Thread> atEnd, Maker maker) throws IOException {
+    public void start(Consumer<Thread> addShutdownHook, NodeFactory factory) throws IOException {
         try {
-            atEnd.accept(new Thread(this::end, "drain"));
-            started.complete(maker.make());
+            addShutdownHook.accept(new Thread(this::drainOnShutdown, "drain"));
+            startedNode.complete(factory.create());
         } finally {
-            started.cancel(false); // nothing if it is complete; else whoever waits goes on without a node
+            startedNode.cancel(false); // nothing if it is complete; else whoever waits goes on without a node
         }
     }
 
@@ -39,8 +39,8 @@
      * Has this done with the node: at once if it has started, else as it does, never if it does not. What it throws is
      * logged.
      */
-    public void onceStarted(Consumer<Node> task) {
-        started.thenAccept(node -> {
+    public void whenStarted(Consumer<Node> task) {
+        startedNode.thenAccept(node -> {
             try {
                 task.accept(node);
             } catch (RuntimeException | Error e) {
@@ -49,11 +49,11 @@
         });
     }
 
-    private void end() {
-        long from = System.nanoTime();
+    private void drainOnShutdown() {
+        long shutdownBeganNanos = System.nanoTime();
         try {
-            Node node = started.get(START_WAIT_MS, TimeUnit.MILLISECONDS);
-            node.drain((System.nanoTime() - from) / 1000);
+            Node node = startedNode.get(START_WAIT_MS, TimeUnit.MILLISECONDS);
+            node.drain((System.nanoTime() - shutdownBeganNanos) / 1000);
         } catch (ExecutionException | CancellationException e) {
             return; // the start has said why it failed: that is its last word, and a supervisor reads it
         } catch (TimeoutException e) {
--- a/src/main/java/olivechute/node/Warmup.java
+++ b/src/main/java/olivechute/node/Warmup.java
@@ -20,16 +20,16 @@
  * is thrown away; what stays is that the code is loaded and compiled.
  */
 public final class Warmup implements UpstreamTransport {
-    private static final int JOBS = 40;
-    private static final int HOSTS = 8;
-    private static final int AT_ONCE = 4;
+    private static final int MAX_REQUESTS = 40;
+    private static final int ENDPOINT_COUNT = 8;
+    private static final int MAX_OPEN_REQUESTS = 4;
     /**
      * It ends after so long, whatever it has played: on a busy machine it must not hold up a node that others wait for.
      */
     private static final long MAX_DURATION_US = 1_500_000;
 
     private final Queue<UpstreamRequest> sent = new ArrayDeque<>();
-    private int answers;
+    private int answeredRequests;
 
     /** Returns how many of the jobs were answered. */
     public static int run(NodeConfig config) {
@@ -37,36 +37,36 @@
     }
 
     /** Begins no further job after so many microseconds. */
-    public static int run(NodeConfig config, long longest) {
-        return new Warmup().play(config, longest);
+    public static int run(NodeConfig config, long maxDurationUs) {
+        return new Warmup().execute(config, maxDurationUs);
     }
 
-    private int play(NodeConfig config, long longest) {
+    private int execute(NodeConfig config, long maxDurationUs) {
         EventLoop loop = new EventLoop(); // never started: this thread has its events to itself
         RequestDispatcher dispatcher =
-                new RequestDispatcher(loop, config.settings(), 1, this, () -> {}, JOBS, Long.MAX_VALUE);
-        List<ResolvedEndpoint> hosts = IntStream.range(0, HOSTS)
+                new RequestDispatcher(loop, config.settings(), 1, this, () -> {}, MAX_REQUESTS, Long.MAX_VALUE);
+        List<ResolvedEndpoint> endpoints = IntStream.range(0, ENDPOINT_COUNT)
                 .mapToObj(i -> new ResolvedEndpoint(
                         new EndpointInfo("warmup-" + i, config.settings().zone(), null, 0, EndpointState.ACTIVE, 1, 0),
                         "127.0.0.1:1"))
                 .toList();
         dispatcher.disableRequestLog();
-        dispatcher.start(new EndpointListUpdate(1, true, hosts));
-        CodecWarmup rehearsal = new CodecWarmup(config.settings(), config.report());
-        long end = loop.now() + longest;
+        dispatcher.start(new EndpointListUpdate(1, true, endpoints));
+        CodecWarmup codecWarmup = new CodecWarmup(config.settings(), config.loadReportFields());
+        long deadlineUs = loop.now() + maxDurationUs;
         boolean last = false;
-        for (int n = 0; n < JOBS && !last; n++) {
-            rehearsal.request(n, loop.now(), dispatcher, bytes -> answers++);
-            last = n == JOBS - 1 || loop.now() >= end;
-            while (sent.size() > (last ? 0 : AT_ONCE)) {
+        for (int sequence = 0; sequence < MAX_REQUESTS && !last; sequence++) {
+            codecWarmup.request(sequence, loop.now(), dispatcher, bytes -> answeredRequests++);
+            last = sequence == MAX_REQUESTS - 1 || loop.now() >= deadlineUs;
+            while (sent.size() > (last ? 0 : MAX_OPEN_REQUESTS)) {
                 UpstreamRequest request = sent.poll();
-                int job = Integer.parseInt(request.requestId(), 16);
-                rehearsal.jobStatus(job, request.endpoint(), "started", dispatcher);
-                rehearsal.jobStatus(job, request.endpoint(), "running", dispatcher);
-                rehearsal.jobStatus(job, request.endpoint(), "done", dispatcher);
+                int requestNumber = Integer.parseInt(request.requestId(), 16);
+                codecWarmup.jobStatus(requestNumber, request.endpoint(), "started", dispatcher);
+                codecWarmup.jobStatus(requestNumber, request.endpoint(), "running", dispatcher);
+                codecWarmup.jobStatus(requestNumber, request.endpoint(), "done", dispatcher);
             }
         }
-        return answers;
+        return answeredRequests;
     }
 
     @Override
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public boolean acceptsRequests(String host) {
+    public boolean acceptsRequests(String endpoint) {
         return true;
     }
 
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void closeIdleConnections(String host) {
+    public void closeIdleConnections(String endpoint) {
         // there are no connections
     }
 }
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -40,11 +40,11 @@
     public NodeSecurity(IdentitySettings settings, Supplier<Instant> clock) {
         this.settings = settings;
         this.rules = settings.rules();
-        this.acceptPermits = new Semaphore(settings.tls().atOnce(), true);
-        this.dialPermits = new Semaphore(settings.tls().atOnce(), true);
+        this.acceptPermits = new Semaphore(settings.tls().maxConcurrentHandshakes(), true);
+        this.dialPermits = new Semaphore(settings.tls().maxConcurrentHandshakes(), true);
         try {
             identities =
-                    new IdentityManager(settings.trustDomain(), settings.tls().lenient(), clock);
+                    new IdentityManager(settings.trustDomain(), settings.tls().allowTls12(), clock);
         } catch (IdentityRejectedException e) {
             throw new IllegalArgumentException("identity.trust_domain: " + e.getMessage());
         }
@@ -56,11 +56,11 @@
         if (source.kind() == Kind.FOLDER) {
             FolderSvidSource folder = new FolderSvidSource(source.folder(), settings.trustDomain());
             folder.poll(identities);
-            folder.start(identities, source.poll());
+            folder.start(identities, source.pollInterval());
         } else {
             workloadApiSource = new WorkloadApiSvidSource(
-                    source.socket() == null ? source.address() : UnixDomainSocketAddress.of(source.socket()),
-                    source.hint(),
+                    source.socketPath() == null ? source.socketAddress() : UnixDomainSocketAddress.of(source.socketPath()),
+                    source.svidHint(),
                     settings.rules().audience() != null,
                     new SecureRandom());
             workloadApiSource.start(identities);
@@ -82,9 +82,9 @@
     /** To upstream hosts, each of which must be who its name asks for. */
     public Connector connector() {
         return host -> TlsConnection.client(identities, dialPermits, host, peer -> {
-            if (!rules.hosts().matches(peer.id(), host)) {
+            if (!rules.endpointIdentities().matches(peer.id(), host)) {
                 throw new IOException(
-                        "host " + host + " must be " + rules.hosts().requiredId(host) + ", is " + peer.id());
+                        "host " + host + " must be " + rules.endpointIdentities().requiredId(host) + ", is " + peer.id());
             }
         });
     }
@@ -93,7 +93,7 @@
     public PeerIdentity.Authenticator platformAuthenticator() {
         return settings.downstream().mode() == Mode.ONLY
                 ? tlsAuthenticator()
-                : settings.rules().plain() ? new TokenAuthenticator() : PeerIdentity.Authenticator.PLAINTEXT;
+                : settings.rules().allowPlaintextProxies() ? new TokenAuthenticator() : PeerIdentity.Authenticator.PLAINTEXT;
     }
 
     /** At an address where TLS is spoken. */
@@ -103,7 +103,7 @@
             public Connection createTransport(SocketChannel accepted) {
                 try {
                     return TlsConnection.server(accepted, identities, acceptPermits, (int)
-                            settings.tls().downstreamHandshake().toMillis());
+                            settings.tls().downstreamHandshakeTimeout().toMillis());
                 } catch (IOException noIdentity) {
                     return new RejectedConnection(accepted, noIdentity);
                 }
@@ -113,7 +113,7 @@
             public PeerIdentity authenticate(Connection link) throws IOException {
                 X509Svid peer = ((TlsConnection) link).peer();
                 Rules now = rules;
-                if (!now.clients().isClient(peer.id()) && !now.hosts().isEndpoint(peer.id()) && !isProxy(now, peer.id())) {
+                if (!now.clientAuthorization().isClient(peer.id()) && !now.endpointIdentities().isEndpoint(peer.id()) && !isProxy(now, peer.id())) {
                     String reason = "no rule is about " + peer.id();
                     RejectionLog.log(link.socket().getRemoteSocketAddress(), reason);
                     throw new IOException(reason);
@@ -140,7 +140,7 @@
     }
 
     private static boolean isProxy(Rules rules, SpiffeId id) {
-        return rules.proxies().stream().anyMatch(p -> p.matches(id));
+        return rules.trustedProxies().stream().anyMatch(p -> p.matches(id));
     }
 
     /** Somebody whose identity is known by its connection. */
@@ -165,12 +165,12 @@
 
         @Override
         public boolean mayReportJobStatus(String host) {
-            return rules.hosts().matches(id, host);
+            return rules.endpointIdentities().matches(id, host);
         }
     }
 
     private PeerIdentity.Rejection checkClient(SpiffeId id, String tenant) {
-        if (rules.clients().allows(id, tenant)) {
+        if (rules.clientAuthorization().allows(id, tenant)) {
             return null;
         }
         RejectionLog.log(id, "no rule lets it hand in jobs of tenant " + tenant);
--- a/src/main/java/olivechute/simulator/SimulatorAdapter.java
+++ b/src/main/java/olivechute/simulator/SimulatorAdapter.java
@@ -180,7 +180,7 @@
                             decodeOutcome(event),
                             event.microsOr("took", 0),
                             event.flag("complete"),
-                            loadReportFields.row(event.list("feedback")));
+                            loadReportFields.fromRow(event.list("feedback")));
                 case "SIGNAL" -> onAttemptSignal(nowUs, event);
                 case "PROBE_DONE" ->
                     loadBalancer.onProbeResult(
@@ -188,7 +188,7 @@
                             event.text("executor"),
                             event.integer("code") == 1,
                             event.microsOr("took", 0),
-                            loadReportFields.row(event.list("feedback")));
+                            loadReportFields.fromRow(event.list("feedback")));
                 case "HANGUP" -> loadBalancer.onClientDisconnected(nowUs, event.text("ref"));
                 case "WAKEUP" -> loadBalancer.onTimer(nowUs, event.integer("mark"));
                 default -> {}
@@ -202,7 +202,7 @@
                         case "replace" -> ListUpdateKind.FULL;
                         case "restored" -> ListUpdateKind.RESTORED;
                         case "unavailable" -> ListUpdateKind.FAILED;
-                        default -> throw event.unknown("scope");
+                        default -> throw event.unknownValue("scope");
                     };
             List<EndpointInfo> listed =
                     kind == ListUpdateKind.FAILED ? List.of() : endpointLists.get(event.integer("ref"));
--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -121,7 +121,7 @@
 
     /** A fault as the reply that carries it to the client. */
     public static Reply rejection(StoreException fault, long version) {
-        return rejection(fault.kind(), fault.what(), version);
+        return rejection(fault.code(), fault.subject(), version);
     }
 
     /** The same reply, once it is known to refuse nothing. */
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -143,7 +143,7 @@
                 startMember();
             } catch (FleetException e) {
                 leaveGroup();
-                if (e.kind() == ErrorCode.DISK_FULL) {
+                if (e.code() == ErrorCode.DISK_FULL) {
                     disk.execute(() -> diskMonitor.writeFailed(e));
                 } else {
                     terminated.complete(e);
@@ -182,7 +182,7 @@
                             store.apply(StoreMessages.announce(settings.id(), StoreStateMachine.SUPPORTED_LEVEL)));
                     return;
                 } catch (StoreException e) {
-                    if (e.kind() != ErrorCode.NO_MAJORITY && e.kind() != ErrorCode.NOT_REACHED) {
+                    if (e.code() != ErrorCode.NO_MAJORITY && e.code() != ErrorCode.NOT_REACHED) {
                         Logger.warn("feature level not told: {}", e.getMessage());
                         return;
                     }
