--- a/src/main/java/olivechute/store/raft/ReplicaSettings.java
+++ b/src/main/java/olivechute/store/raft/ReplicaSettings.java
@@ -62,19 +62,19 @@
         Duration maxElection =
                 election.duration("most", Duration.ofMillis(1_000), Duration.ofMillis(150), Duration.ofSeconds(60));
         if (maxElection.compareTo(minElection) <= 0) {
-            election.wrong("most", "must be longer than least");
+            election.addError("most", "must be longer than least");
         }
-        election.close();
+        election.rejectUnknownKeys();
         HoconObject log = root.node("log");
         int snapshotEvery = log.integer("snapshot_every", 20_000, 100, 10_000_000);
         long snapshotBytes = (long) log.integer("snapshot_mb", 16, 1, 1024) * MIB;
         int segmentBytes = log.integer("segment_mb", 2, 1, 16) * MIB;
-        log.close();
+        log.rejectUnknownKeys();
         HoconObject bounds = root.node("bounds");
         ReplicaSettings settings = new ReplicaSettings(
                 root.has("region") ? name(root, "region") : "",
                 name(root, "id"),
-                Path.of(root.needed("folder")),
+                Path.of(root.requiredText("folder")),
                 replicas,
                 (long) root.integer("quota_mb", 0, 0, 1 << 20) * MIB,
                 minElection,
@@ -87,14 +87,14 @@
                 bounds.integer("value_kb", 512, 1, 2048) * 1024,
                 bounds.integer("leases", 1_000, 1, 100_000),
                 bounds.integer("watches", 500, 1, 10_000));
-        bounds.close();
+        bounds.rejectUnknownKeys();
         root.has("rollout"); // the driver's, read by it
-        root.close();
+        root.rejectUnknownKeys();
         if (faults.isEmpty() && replicas.stream().noneMatch(r -> r.id().equals(settings.id()))) {
-            root.wrong("id", "must be one of the replicas");
+            root.addError("id", "must be one of the replicas");
         }
         if (settings.quotaBytes() > 0 && settings.quotaBytes() < settings.minQuotaBytes()) {
-            root.wrong(
+            root.addError(
                     "quota_mb", "must be at least " + settings.minQuotaBytes() / MIB + " for these bounds, or 0 for none");
         }
         if (!faults.isEmpty()) {
@@ -107,26 +107,26 @@
         List<ReplicaAddress> replicas = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         for (HoconObject each : root.nodes("replicas")) {
-            ReplicaAddress replica = new ReplicaAddress(name(each, "id"), each.needed("address"));
-            each.meaning("address", key -> Address.parse(key, replica.address()));
+            ReplicaAddress replica = new ReplicaAddress(name(each, "id"), each.requiredText("address"));
+            each.convert("address", key -> Address.parse(key, replica.address()));
             boolean newId = seen.add(replica.id());
             boolean newAddress = seen.add(replica.address());
             if (!newId || !newAddress) {
-                each.wrong("id", "each replica needs an id and an address of its own");
+                each.addError("id", "each replica needs an id and an address of its own");
             }
-            each.close();
+            each.rejectUnknownKeys();
             replicas.add(replica);
         }
         if (replicas.isEmpty()) {
-            root.wrong("replicas", "must name at least one replica");
+            root.addError("replicas", "must name at least one replica");
         }
         return List.copyOf(replicas);
     }
 
     private static String name(HoconObject from, String key) {
-        String name = from.needed(key);
+        String name = from.requiredText(key);
         if (!name.isEmpty() && !NAME.matcher(name).matches()) {
-            from.wrong(key, "must be letters, digits, dots, dashes or underscores, at most 63");
+            from.addError(key, "must be letters, digits, dots, dashes or underscores, at most 63");
         }
         return name;
     }
--- a/src/main/java/olivechute/supervisor/LeaseRenewer.java
+++ b/src/main/java/olivechute/supervisor/LeaseRenewer.java
@@ -138,14 +138,14 @@
     }
 
     private synchronized void handleFailure(StoreException error) {
-        switch (error.kind()) {
+        switch (error.code()) {
             case SESSION_ENDED, STALE_FENCE -> lease = null;
             case LEASE_HELD -> heldByOther = true;
             default -> {}
         }
         reportChanged = true; // what was not written is written as soon as there is a lease
-        if (error.kind() != lastLoggedError) {
-            lastLoggedError = error.kind();
+        if (error.code() != lastLoggedError) {
+            lastLoggedError = error.code();
             output.accept("supervisor " + settings.machine() + ": " + error.getMessage());
         }
     }
--- a/src/main/java/olivechute/supervisor/MetricsPublisher.java
+++ b/src/main/java/olivechute/supervisor/MetricsPublisher.java
@@ -52,8 +52,8 @@
             store.write(writes, List.of(lease.fence()));
             lastLoggedError = null;
         } catch (StoreException e) {
-            if (e.kind() != lastLoggedError) {
-                lastLoggedError = e.kind();
+            if (e.code() != lastLoggedError) {
+                lastLoggedError = e.code();
                 Logger.warn("figures: not passed on: {}", e.getMessage());
             }
         }
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -85,8 +85,8 @@
     }
 
     private void warnOnce(StoreException error) {
-        if (error.kind() != lastLoggedError) {
-            lastLoggedError = error.kind();
+        if (error.code() != lastLoggedError) {
+            lastLoggedError = error.code();
             Logger.warn("orders: {}", error.getMessage());
         }
     }
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -59,7 +59,7 @@
         List<String> errors = new ArrayList<>();
         HoconObject root = HoconObject.parse(text, errors);
         SupervisorSettings settings = readRoot(root);
-        root.close();
+        root.rejectUnknownKeys();
         if (!errors.isEmpty()) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, String.join("; ", errors));
         }
@@ -70,31 +70,31 @@
         HoconObject store = root.node("store");
         List<ReplicaAddress> replicas = new ArrayList<>();
         for (HoconObject each : store.nodes("replicas")) {
-            replicas.add(new ReplicaAddress(each.needed("id"), address(each, "address", each.needed("address"))));
-            each.close();
+            replicas.add(new ReplicaAddress(each.requiredText("id"), address(each, "address", each.requiredText("address"))));
+            each.rejectUnknownKeys();
         }
         if (replicas.isEmpty()) {
-            store.wrong("replicas", "missing, must be a list of { id, address }");
+            store.addError("replicas", "missing, must be a list of { id, address }");
         }
         String region = store.text("region", "");
         Duration timeout =
                 store.duration("timeout", Duration.ofSeconds(1), Duration.ofMillis(100), Duration.ofSeconds(30));
         Duration lease = store.duration("lease", Duration.ofSeconds(3), Duration.ofMillis(500), Duration.ofMinutes(1));
-        store.close();
+        store.rejectUnknownKeys();
         HoconObject program = root.node("program");
         String jar = program.text("jar", "");
-        List<String> java = program.has("java") ? program.texts("java") : List.of("java");
+        List<String> java = program.has("java") ? program.textList("java") : List.of("java");
         if (java.isEmpty()) {
-            program.wrong("java", "must be the command and its flags");
+            program.addError("java", "must be the command and its flags");
         }
-        program.close();
+        program.rejectUnknownKeys();
         String machine = name(root, "machine");
         String zone = root.text("zone", "");
-        String folder = root.needed("folder");
+        String folder = root.requiredText("folder");
         String figures = root.text("figures", "127.0.0.1:7900");
-        InetSocketAddress listen = root.meaning("figures", key -> Address.parse(key, figures));
+        InetSocketAddress listen = root.convert("figures", key -> Address.parse(key, figures));
         if (listen != null && !listen.getAddress().isLoopbackAddress()) {
-            root.wrong("figures", "must be a loopback address");
+            root.addError("figures", "must be a loopback address");
         }
         return new SupervisorSettings(
                 machine,
@@ -118,9 +118,9 @@
         Duration least = backoff.duration("least", Duration.ofMillis(200), Duration.ofMillis(10), HOUR);
         Duration most = backoff.duration("most", Duration.ofSeconds(30), Duration.ofMillis(10), HOUR);
         if (most.compareTo(least) < 0) {
-            backoff.wrong("most", "must be no less than least");
+            backoff.addError("most", "must be no less than least");
         }
-        backoff.close();
+        backoff.rejectUnknownKeys();
         return new NodeTimeouts(ready, drain, least, most);
     }
 
@@ -130,39 +130,39 @@
         Set<String> usedAddresses = new HashSet<>();
         for (HoconObject each : root.nodes("nodes")) {
             String name = name(each, "name");
-            String config = each.needed("config");
-            List<String> addresses = new ArrayList<>(List.of(address(each, "listen", each.needed("listen"))));
+            String config = each.requiredText("config");
+            List<String> addresses = new ArrayList<>(List.of(address(each, "listen", each.requiredText("listen"))));
             String second = each.text("second", "");
             if (!second.isEmpty()) {
                 addresses.add(address(each, "second", second));
             }
             if (!names.add(name)) {
-                each.wrong("name", "there is another node of that name");
+                each.addError("name", "there is another node of that name");
             }
             if (!usedAddresses.addAll(addresses) || new HashSet<>(addresses).size() < addresses.size()) {
-                each.wrong("listen", "each address can be used once");
+                each.addError("listen", "each address can be used once");
             }
             nodes.add(new ManagedNode(name, Path.of(config), List.copyOf(addresses), name(each, "version")));
-            each.close();
+            each.rejectUnknownKeys();
         }
         if (nodes.isEmpty() || nodes.size() > MAX_NODES) {
-            root.wrong("nodes", "must be a list of 1 to " + MAX_NODES + " nodes");
+            root.addError("nodes", "must be a list of 1 to " + MAX_NODES + " nodes");
         }
         return List.copyOf(nodes);
     }
 
     private static String address(HoconObject parent, String key, String text) {
         if (!text.isEmpty()) {
-            parent.meaning(key, path -> Address.parse(path, text));
+            parent.convert(key, path -> Address.parse(path, text));
         }
         return text;
     }
 
     /** Names are parts of keys and of file names. */
     private static String name(HoconObject parent, String key) {
-        String name = parent.needed(key);
+        String name = parent.requiredText(key);
         if (!name.isEmpty() && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
-            parent.wrong(key, "must be up to 64 letters, digits, dots, dashes and underscores");
+            parent.addError(key, "must be up to 64 letters, digits, dots, dashes and underscores");
         }
         return name;
     }
--- a/src/main/java/olivechute/upstream/LoadReportHeader.java
+++ b/src/main/java/olivechute/upstream/LoadReportHeader.java
@@ -18,7 +18,7 @@
             return LoadReport.NONE;
         }
         String[] pairs = text.substring(5).split(",");
-        return fields.load(name -> {
+        return fields.fromValues(name -> {
             for (String pair : pairs) {
                 String[] nameAndValue = pair.strip().split("=", 2);
                 if (nameAndValue.length == 2 && nameAndValue[0].equals(name)) {
--- a/src/test/java/olivechute/FiguresNodeTest.java
+++ b/src/test/java/olivechute/FiguresNodeTest.java
@@ -63,7 +63,7 @@
             await(() -> host.requests().size() > before);
             assertEquals(client().call(Client.job("verify", "left", 5000)).status(), 409);
             leaves.close();
-            await(() -> node.unanswered() == 0);
+            await(() -> node.unansweredRequests() == 0);
             node.drain();
 
             NodeFigures last = null;
--- a/src/test/java/olivechute/FrontRig.java
+++ b/src/test/java/olivechute/FrontRig.java
@@ -62,7 +62,7 @@
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         loop = new EventLoop();
-        front = new DownstreamServer(loop, writers, threads, config.settings(), config.report(), most);
+        front = new DownstreamServer(loop, writers, threads, config.settings(), config.loadReportFields(), most);
         loop.runPeriodically(SWEEP, front::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
--- a/src/test/java/olivechute/LateNodeTest.java
+++ b/src/test/java/olivechute/LateNodeTest.java
@@ -29,7 +29,7 @@
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         DownstreamServer front = new DownstreamServer(
-                loop, new WriterThreads(100), Threads.connectionThreads(), config.settings(), config.report(), 100);
+                loop, new WriterThreads(100), Threads.connectionThreads(), config.settings(), config.loadReportFields(), 100);
         loop.runPeriodically(SWEEP, front::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
--- a/src/test/java/olivechute/LifeTest.java
+++ b/src/test/java/olivechute/LifeTest.java
@@ -41,11 +41,11 @@
                 throw new IllegalStateException(e);
             }
         });
-        life.onceStarted(n -> asked.incrementAndGet()); // SIGHUP: while it starts
+        life.whenStarted(n -> asked.incrementAndGet()); // SIGHUP: while it starts
         assertTrue(listens.await(5, TimeUnit.SECONDS));
         Client client = client().send(Client.job("sign", "t1", 5000));
         end.get().start(); // SIGTERM
-        life.onceStarted(n -> asked.incrementAndGet()); // and SIGHUP once more
+        life.whenStarted(n -> asked.incrementAndGet()); // and SIGHUP once more
         assertFalse(hasEnded(100));
         go.countDown();
         assertEquals(text(client.receive()), "200 ok");
@@ -62,7 +62,7 @@
                 () -> life.start(end::set, () -> {
                     throw new IOException("in use");
                 }));
-        life.onceStarted(n -> {
+        life.whenStarted(n -> {
             throw new AssertionError("has not started");
         });
         end.get().start();
--- a/src/test/java/olivechute/NoDelayTest.java
+++ b/src/test/java/olivechute/NoDelayTest.java
@@ -76,7 +76,7 @@
                 loop,
                 new WriterThreads(10),
                 name -> asking(SocketChannel.open()),
-                new LoadReportHeader(config.report()),
+                new LoadReportHeader(config.loadReportFields()),
                 1_500_000,
                 250_000,
                 10,
@@ -109,8 +109,8 @@
         Files.delete(file);
         EndpointListWatcher watch = new EndpointListWatcher(
                 loop,
-                config.discovery(),
-                config.known(),
+                config.discoveryAddress(),
+                config.initialEndpoints(),
                 config.settings(),
                 config.seed(),
                 EndpointListLease.nonExpiring());
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -115,7 +115,7 @@
         Peer host = peer(r -> ACCEPTED);
         start(entry("s1", host, "active", 0));
         client().send(Client.job("verify", "t1", 5000)).close();
-        await(() -> node.unanswered() == 0);
+        await(() -> node.unansweredRequests() == 0);
         host.answer = works("s1", done("ok"));
         tell("t1", "s1", done("late"));
         assertEquals(text(client().call(Client.job("verify", "t2", 5000))), "200 ok");
@@ -307,7 +307,7 @@
         assertEquals(Warmup.run(config, 60_000_000), 40);
         assertEquals(Warmup.run(config, 0), 1); // out of time at once: what has begun ends, no more begins
         start();
-        assertEquals(node.unanswered(), 0);
+        assertEquals(node.unansweredRequests(), 0);
     }
 
     // ---- discovery ----------------------------------------------------------------------------------------
@@ -604,7 +604,7 @@
             smallServed.complete(null);
         }
         assertTrue(slowest < 2000, slowest + " ms");
-        await(() -> node.unanswered() == 0);
+        await(() -> node.unansweredRequests() == 0);
     }
 
     /**
@@ -832,7 +832,7 @@
         startWith(80, entry("s1", host, "active", 0)); // twelve for the downstream side
         for (int i = 0; i < 3; i++) {
             Client busy = client().send(Client.job("verify", "t" + i, 5000));
-            await(() -> node.unanswered() == 1);
+            await(() -> node.unansweredRequests() == 1);
             for (int n = 0; n < 40; n++) {
                 client().send(n % 2 == 0 ? new byte[0] : "POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8));
             }
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -326,7 +326,7 @@
         awaitRequests(host, 1);
         long from = System.nanoTime();
         client.close();
-        await(() -> node.unanswered() == 0);
+        await(() -> node.unansweredRequests() == 0);
         assertTrue(System.nanoTime() - from < 1_000_000_000L);
         Thread.sleep(150);
         assertEquals(
@@ -437,6 +437,6 @@
         java.nio.file.Files.delete(folder.resolve("bundle.pem"));
         Thread.sleep(150); // three looks of the source
         assertEquals(text(client(acme).call(Client.job("sign", "t1", 5000))), "200 signed");
-        assertNull(node.secureAddress());
+        assertNull(node.tlsAddress());
     }
 }
--- a/src/test/java/olivechute/benchmark/CopyAgentTest.java
+++ b/src/test/java/olivechute/benchmark/CopyAgentTest.java
@@ -60,9 +60,9 @@
 
     @Test(dataProvider = "ways")
     public void everyWayToCopyIsCounted(String way, int copies) throws Exception {
-        long[] before = figures();
-        byte[] copy = (byte[]) counted().getMethod("copy", String.class).invoke(null, way);
-        long[] after = figures();
+        long[] before = totals();
+        byte[] copy = (byte[]) rewrittenClass().getMethod("copy", String.class).invoke(null, way);
+        long[] after = totals();
         assertEquals(copy, MIXED);
         assertEquals(after[0] - before[0], copies);
         assertEquals(after[1] - before[1], 3);
@@ -75,14 +75,14 @@
         assertEquals(new CopyAgent().transform(null, "olivechute/benchmark/HttpWire", null, null, new byte[0]), null);
     }
 
-    private static long[] figures() {
-        return Arrays.stream(CopyCounter.figures().split(" "))
+    private static long[] totals() {
+        return Arrays.stream(CopyCounter.totals().split(" "))
                 .mapToLong(Long::parseLong)
                 .toArray();
     }
 
     /** The class above as the agent rewrites it, under the name of a class that is counted. */
-    private static Class<?> counted() throws IOException {
+    private static Class<?> rewrittenClass() throws IOException {
         String name = Copies.class.getName();
         byte[] code;
         try (InputStream in = CopyAgentTest.class.getResourceAsStream("CopyAgentTest$Copies.class")) {
--- a/src/test/java/olivechute/benchmark/CostRecordTest.java
+++ b/src/test/java/olivechute/benchmark/CostRecordTest.java
@@ -30,8 +30,8 @@
         for (Scenario scenario : Scenario.values()) {
             for (Count c : Count.values()) {
                 double most = c.bound(scenario, 100) - 100;
-                assertEquals(recorded(scenario).grown(scenario, counts(c, most)), List.of(), c.key());
-                List<String> grown = recorded(scenario).grown(scenario, counts(c, most + 0.01));
+                assertEquals(recorded(scenario).violations(scenario, counts(c, most)), List.of(), c.key());
+                List<String> grown = recorded(scenario).violations(scenario, counts(c, most + 0.01));
                 assertEquals(grown.size(), 1, c.key());
                 String start = "cost " + scenario.key() + ": " + c.key() + " grew: recorded 100.00, seen ";
                 assertEquals(grown.get(0).substring(0, start.length()), start);
@@ -52,7 +52,7 @@
     @Test
     public void aScenarioWithoutARecordFails() {
         assertEquals(
-                recorded(Scenario.BODY_1K).grown(Scenario.SHED, counts(Count.BYTES, 0)),
+                recorded(Scenario.BODY_1K).violations(Scenario.SHED, counts(Count.BYTES, 0)),
                 List.of("cost shed: nothing recorded; run cost --record"));
     }
 
--- a/src/test/java/olivechute/config/NodeConfigTest.java
+++ b/src/test/java/olivechute/config/NodeConfigTest.java
@@ -36,8 +36,8 @@
     public void theEnvironmentOverridesAndTheRestIsRead() throws IOException {
         NodeConfig config = read(Map.of("LB_NAME", "n7", "LB_LISTEN", "127.0.0.2:7070"));
         assertEquals(
-                config.name() + config.listen().getPort() + config.discovery().getPort(), "n770708500");
-        assertEquals(config.dialTimeout(), 250_000);
+                config.name() + config.listenAddress().getPort() + config.discoveryAddress().getPort(), "n770708500");
+        assertEquals(config.connectTimeoutUs(), 250_000);
         assertEquals(config.settings().classes().size(), 3);
         assertEquals(config.seed(), 0x8c1f30d27a5be964L);
     }
@@ -53,7 +53,7 @@
                     .replace("KNOWN", "");
             Map<String, String> environment = Map.of("LB_CONFIG", file.toString());
             Files.writeString(file, good);
-            assertEquals(NodeConfig.faults(environment), List.of());
+            assertEquals(NodeConfig.validate(environment), List.of());
             Files.writeString(
                     file,
                     good.replace("127.0.0.1:8500", "x")
@@ -62,7 +62,7 @@
                             .replace("\"effect\":\"dedup\"", "\"effect\":\"twice\"")
                             .replace("\"quota_per_s\":1000", "\"quota_per_s\":\"q\"")
                             .replace("\"sockets\":1024", "\"sockets\":3"));
-            List<String> faults = NodeConfig.faults(environment);
+            List<String> faults = NodeConfig.validate(environment);
             assertEquals(
                     faults.stream().map(f -> f.split(":")[0]).toList(),
                     List.of(
@@ -75,14 +75,14 @@
         } finally {
             Files.delete(file);
         }
-        assertEquals(NodeConfig.faults(Map.of("LB_CONFIG", "/nowhere/at.all")).size(), 1);
+        assertEquals(NodeConfig.validate(Map.of("LB_CONFIG", "/nowhere/at.all")).size(), 1);
     }
 
     /** 960 connections fit the descriptors; their threads' stacks did not fit the memory. */
     @Test
     public void theTighterOfDescriptorsAndMemoryBoundsTheConnections() throws IOException {
-        assertEquals(read(Map.of()).connections(), (192 - 72) * 1024 / 130);
-        assertEquals(read(Map.of(), "\"memory_mb\":192", "\"memory_mb\":4096").connections(), 1024 - 64);
+        assertEquals(read(Map.of()).maxConnections(), (192 - 72) * 1024 / 130);
+        assertEquals(read(Map.of(), "\"memory_mb\":192", "\"memory_mb\":4096").maxConnections(), 1024 - 64);
     }
 
     /** Limits under 112 MB stopped the start; a node that serves with few connections is of more use. */
@@ -90,7 +90,7 @@
     public void aSmallMemoryLimitDoesNotStopTheStart() throws IOException {
         for (String memory : new String[] {"32", "64", "96"}) {
             int connections = read(Map.of(), "\"memory_mb\":192", "\"memory_mb\":" + memory)
-                    .connections();
+                    .maxConnections();
             assertTrue(connections >= 48 && connections < 200, memory + " MB: " + connections);
         }
     }
@@ -135,7 +135,7 @@
     @Test
     public void whatCannotChangeWhileRunningIsNamed() throws IOException {
         NodeConfig running = read(Map.of());
-        assertEquals(read(Map.of(), "127.0.0.1:8500", "127.0.0.1:8501").fixedSince(running), java.util.List.of());
+        assertEquals(read(Map.of(), "127.0.0.1:8500", "127.0.0.1:8501").restartRequiredKeys(running), java.util.List.of());
         assertEquals(
                 read(
                                 Map.of(),
@@ -145,7 +145,7 @@
                                 "\"memory_mb\":150",
                                 "\"try_limit\":3",
                                 "\"try_limit\":2")
-                        .fixedSince(running),
+                        .restartRequiredKeys(running),
                 java.util.List.of("name", "limits", "settings"));
     }
 
@@ -160,15 +160,15 @@
 
     @Test
     public void aSupervisorIsNamedByTheEnvironmentOnly() throws IOException {
-        assertNull(read(Map.of()).figures());
+        assertNull(read(Map.of()).metrics());
         assertNull(read(Map.of("OLIVECHUTE_FIGURES", "", "OLIVECHUTE_VERSION", "v1"))
-                .figures());
+                .metrics());
         assertEquals(
-                read(Map.of("OLIVECHUTE_FIGURES", "127.0.0.1:90")).figures(),
+                read(Map.of("OLIVECHUTE_FIGURES", "127.0.0.1:90")).metrics(),
                 new MetricsSettings(new InetSocketAddress("127.0.0.1", 90), ""));
         assertEquals(
                 read(Map.of("OLIVECHUTE_FIGURES", "127.0.0.1:90", "OLIVECHUTE_VERSION", "v1"))
-                        .figures()
+                        .metrics()
                         .version(),
                 "v1");
     }
@@ -191,11 +191,11 @@
     @Test
     public void aWrongFormOrLevelNamesItsVariable() {
         assertEquals(
-                expectThrows(InvalidValueException.class, () -> LogSettings.settle(Map.of(LogSettings.FORM, "xml")))
+                expectThrows(InvalidValueException.class, () -> LogSettings.apply(Map.of(LogSettings.FORMAT_VARIABLE, "xml")))
                         .getMessage(),
                 "OLIVECHUTE_LOG: must be text or json, not 'xml'");
         assertTrue(expectThrows(
-                        InvalidValueException.class, () -> LogSettings.settle(Map.of(LogSettings.LEVEL, "loud")))
+                        InvalidValueException.class, () -> LogSettings.apply(Map.of(LogSettings.LEVEL_VARIABLE, "loud")))
                 .getMessage()
                 .startsWith("OLIVECHUTE_LOG_LEVEL: must be one of "));
     }
--- a/src/test/java/olivechute/config/OperatorFileTest.java
+++ b/src/test/java/olivechute/config/OperatorFileTest.java
@@ -43,18 +43,18 @@
         IdentitySettings read = read(GOOD);
         assertEquals(List.of(), faults);
         assertEquals("td", read.trustDomain());
-        assertEquals(250, read.source().poll().toMillis());
-        assertEquals(7443, read.downstream().listen().getPort());
-        assertEquals(2000, read.tls().downstreamHandshake().toMillis());
-        assertTrue(read.upstream());
+        assertEquals(250, read.source().pollInterval().toMillis());
+        assertEquals(7443, read.downstream().tlsListen().getPort());
+        assertEquals(2000, read.tls().downstreamHandshakeTimeout().toMillis());
+        assertTrue(read.upstreamTls());
         assertEquals("node", read.rules().audience());
-        assertEquals(1, read.rules().proxies().size());
+        assertEquals(1, read.rules().trustedProxies().size());
         assertEquals(
                 "identities: asked of clients at /127.0.0.1:7443 only; asked of every sign worker; tokens for node",
-                read.about());
-        assertEquals(List.of(), IdentitySettings.fixed(read, read(GOOD)));
-        assertEquals(List.of("identity.source"), IdentitySettings.fixed(read, read(GOOD.replace("250ms", "300ms"))));
-        assertEquals(List.of("identity.enabled"), IdentitySettings.fixed(null, read));
+                read.describe());
+        assertEquals(List.of(), IdentitySettings.restartRequiredKeys(read, read(GOOD)));
+        assertEquals(List.of("identity.source"), IdentitySettings.restartRequiredKeys(read, read(GOOD.replace("250ms", "300ms"))));
+        assertEquals(List.of("identity.enabled"), IdentitySettings.restartRequiredKeys(null, read));
     }
 
     /** The file that is shipped: off as it stands, and sound once it is turned on. */
--- a/src/test/java/olivechute/controller/RolloutClientTest.java
+++ b/src/test/java/olivechute/controller/RolloutClientTest.java
@@ -30,7 +30,7 @@
     RolloutClientTest() throws FleetException {}
 
     private static void assertFails(ErrorCode kind, Executable call) {
-        assertEquals(kind, assertThrows(FleetException.class, call).kind());
+        assertEquals(kind, assertThrows(FleetException.class, call).code());
     }
 
     private VersionSpec storedVersion(String id) throws FleetException {
@@ -105,7 +105,7 @@
                     try {
                         return rig.propose(id).getSpec().getId();
                     } catch (FleetException e) {
-                        return e.kind().name();
+                        return e.code().name();
                     }
                 };
                 results.add(pool.submit(call));
--- a/src/test/java/olivechute/controller/RolloutCodecTest.java
+++ b/src/test/java/olivechute/controller/RolloutCodecTest.java
@@ -118,7 +118,7 @@
                 RolloutException.class,
                 () -> RolloutCodec.toState(
                         record().toBuilder().setPhase("WARMING").build()));
-        assertEquals(ErrorCode.MALFORMED, fault.kind());
+        assertEquals(ErrorCode.MALFORMED, fault.code());
         assertTrue(fault.getMessage().contains("'WARMING'"), fault.getMessage());
         assertEquals(
                 ErrorCode.MALFORMED,
@@ -126,7 +126,7 @@
                                 RolloutException.class,
                                 () -> RolloutCodec.toState(
                                         record().toBuilder().setStage(2).build()))
-                        .kind());
+                        .code());
         NodeState odd = NodeState.newBuilder()
                 .setNode("n1")
                 .setVersion("v1")
@@ -161,7 +161,7 @@
         RolloutException fault = assertThrows(
                 RolloutException.class,
                 () -> RolloutCodec.parse(ChangeRecord.parser(), StoreKeys.CURRENT_CHANGE, new byte[] {(byte) 0xff}));
-        assertEquals(ErrorCode.MALFORMED, fault.kind());
+        assertEquals(ErrorCode.MALFORMED, fault.code());
         assertTrue(fault.getMessage().contains(StoreKeys.CURRENT_CHANGE));
     }
 
--- a/src/test/java/olivechute/controller/RolloutControllerTest.java
+++ b/src/test/java/olivechute/controller/RolloutControllerTest.java
@@ -257,7 +257,7 @@
         rig.rounds(3);
         assertEquals(version, rig.client.fleetState().version(StoreKeys.CURRENT_CHANGE));
         RolloutException fault = assertThrows(RolloutException.class, rig.client::stop);
-        assertEquals(ErrorCode.MALFORMED, fault.kind());
+        assertEquals(ErrorCode.MALFORMED, fault.code());
     }
 
     @Test
--- a/src/test/java/olivechute/error/ErrorCodeTableTest.java
+++ b/src/test/java/olivechute/error/ErrorCodeTableTest.java
@@ -11,26 +11,26 @@
 /** The operators' table of errors says what the code says, and each error says what its kind says. */
 class ErrorCodeTableTest {
     @Test
-    void theRunbooksTableIsTheCodes() throws IOException {
+    void theRunbookTableMatchesTheCodes() throws IOException {
         List<String> rows = Runbook.rowsOutside("Discovery");
-        List<String> kinds = Arrays.stream(ErrorCode.values())
+        List<String> codes = Arrays.stream(ErrorCode.values())
                 .map(kind -> "| `" + kind + "` | " + kind.cause() + " | " + kind.remedy() + " |")
                 .toList();
-        assertEquals(String.join("\n", kinds), String.join("\n", rows));
+        assertEquals(String.join("\n", codes), String.join("\n", rows));
     }
 
     @Test
-    void aMessageNamesItsKindWhatItHitAndWhatToDo() {
-        List<FleetException> faults = List.of(
+    void aMessageNamesItsCodeSubjectAndRemedy() {
+        List<FleetException> exceptions = List.of(
                 new StoreException(ErrorCode.CONFLICT, "key base at version 4"),
                 new DiskException(ErrorCode.DISK_FULL, "folder r1"),
                 new RolloutException(ErrorCode.CHANGE_UNDER_WAY, "c7"),
                 new SupervisionException(ErrorCode.NODE_CRASHED, "node n1 ended with 137"),
                 new SettingsException(ErrorCode.SETTINGS_INVALID, "replicas: missing"));
-        for (FleetException fault : faults) {
-            String message = fault.getMessage();
-            assertTrue(message.startsWith(fault.kind() + ": " + fault.what()), message);
-            assertTrue(message.endsWith("To do: " + fault.kind().remedy() + "."), message);
+        for (FleetException exception : exceptions) {
+            String message = exception.getMessage();
+            assertTrue(message.startsWith(exception.code() + ": " + exception.subject()), message);
+            assertTrue(message.endsWith("To do: " + exception.code().remedy() + "."), message);
         }
     }
 }
--- a/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
+++ b/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
@@ -31,11 +31,11 @@
 
     @Test
     public void whatAllNodesDidTogetherIsCounted() {
-        FleetLogAnalysis count = new FleetLogAnalysis();
-        N0.stream().map(LogEntry::of).filter(l -> l != null).forEach(l -> count.add("n0", l));
-        N1.stream().map(LogEntry::of).filter(l -> l != null).forEach(l -> count.add("n1", l));
+        FleetLogAnalysis analysis = new FleetLogAnalysis();
+        N0.stream().map(LogEntry::parse).filter(l -> l != null).forEach(l -> analysis.add("n0", l));
+        N1.stream().map(LogEntry::parse).filter(l -> l != null).forEach(l -> analysis.add("n1", l));
         assertEquals(
-                count.report(),
+                analysis.report(),
                 List.of(
                         "2 nodes, 4 streams sent on, 5 attempts",
                         "attempts by outcome: {ACCEPT_TIMEOUT=1, CONNECT_FAILED=1, ERROR=1, OK=1, TIMEOUT=1}",
@@ -52,8 +52,8 @@
 
     @Test
     public void aLineCutShortOrOfSomethingElseCountsNothing() {
-        assertNull(LogEntry.of(N0.get(N0.size() - 1)));
-        assertNull(LogEntry.of(N0.get(2)));
-        assertNull(LogEntry.of(""));
+        assertNull(LogEntry.parse(N0.get(N0.size() - 1)));
+        assertNull(LogEntry.parse(N0.get(2)));
+        assertNull(LogEntry.parse(""));
     }
 }
--- a/src/test/java/olivechute/rollout/RolloutTest.java
+++ b/src/test/java/olivechute/rollout/RolloutTest.java
@@ -289,7 +289,7 @@
         SmallFleet fleet = fleetInPhase(phase);
         if (outcome.startsWith("CHANGE_")) {
             RolloutException error = assertThrows(RolloutException.class, () -> applyAction(action, fleet));
-            assertEquals(ErrorCode.valueOf(outcome), error.kind());
+            assertEquals(ErrorCode.valueOf(outcome), error.code());
         } else {
             assertEquals(
                     RolloutPhase.valueOf(outcome), applyAction(action, fleet).phase());
@@ -407,7 +407,7 @@
         for (RolloutSpec change : invalid) {
             List<RolloutException> errors = Rollout.validate(change, 6);
             assertFalse(errors.isEmpty(), change.toString());
-            assertTrue(errors.stream().allMatch(fault -> fault.kind() == ErrorCode.CHANGE_INVALID));
+            assertTrue(errors.stream().allMatch(fault -> fault.code() == ErrorCode.CHANGE_INVALID));
         }
     }
 
--- a/src/test/java/olivechute/store/MemoryStoreTest.java
+++ b/src/test/java/olivechute/store/MemoryStoreTest.java
@@ -30,7 +30,7 @@
     private final MemoryStore store = new MemoryStore(clock::get);
 
     private static void assertRejected(ErrorCode kind, Executable call) {
-        assertEquals(kind, assertThrows(StoreException.class, call).kind());
+        assertEquals(kind, assertThrows(StoreException.class, call).code());
     }
 
     @Test
--- a/src/test/java/olivechute/store/SnapshotCodecTest.java
+++ b/src/test/java/olivechute/store/SnapshotCodecTest.java
@@ -61,12 +61,12 @@
         byte[] file = StateChecks.snapshotBytes(sampleState(), SMALL_FRAME_BYTES);
         for (int length = 0; length < file.length; length++) {
             DiskException fault = assertReadFails(Arrays.copyOf(file, length));
-            assertEquals(ErrorCode.DATA_CORRUPT, fault.kind());
-            assertTrue(fault.what().contains("the file ends at byte " + length), fault.what());
+            assertEquals(ErrorCode.DATA_CORRUPT, fault.code());
+            assertTrue(fault.subject().contains("the file ends at byte " + length), fault.subject());
         }
         assertEquals(
                 ErrorCode.DATA_CORRUPT,
-                assertReadFails(Arrays.copyOf(file, file.length + 1)).kind());
+                assertReadFails(Arrays.copyOf(file, file.length + 1)).code());
     }
 
     /** Every bit; the fault names the piece that the bit is in. */
@@ -85,10 +85,10 @@
                 byte[] flipped = file.clone();
                 flipped[offset] ^= (byte) (1 << bit);
                 DiskException fault = assertReadFails(flipped);
-                assertEquals(ErrorCode.DATA_CORRUPT, fault.kind(), fault.what());
+                assertEquals(ErrorCode.DATA_CORRUPT, fault.code(), fault.subject());
                 assertTrue(
-                        fault.what().startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", "),
-                        fault.what());
+                        fault.subject().startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", "),
+                        fault.subject());
             }
         }
         assertTrue(frameNumber > 8, frameNumber + " pieces");
@@ -97,8 +97,8 @@
     @Test
     void newerFormatIsDistinguishedFromCorruption() throws Exception {
         DiskException fault = assertReadFails(snapshotOf(Snapshot.newBuilder().setFormat(2).build()));
-        assertEquals(ErrorCode.LEVEL_TOO_LOW, fault.kind());
-        assertTrue(fault.what().contains("format 2"), fault.what());
+        assertEquals(ErrorCode.LEVEL_TOO_LOW, fault.code());
+        assertTrue(fault.subject().contains("format 2"), fault.subject());
     }
 
     @Test
@@ -125,7 +125,7 @@
                             .build())
         };
         for (byte[] file : invalid) {
-            assertEquals(ErrorCode.DATA_CORRUPT, assertReadFails(file).kind());
+            assertEquals(ErrorCode.DATA_CORRUPT, assertReadFails(file).code());
         }
     }
 }
--- a/src/test/java/olivechute/store/StoreStateMachineTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachineTest.java
@@ -48,7 +48,7 @@
         assertEquals(
                 kind,
                 assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(reply), reply.toString())
-                        .kind());
+                        .code());
     }
 
     /** The bytes with one more field, length-delimited, of a number that nobody knows. */
@@ -221,7 +221,7 @@
         assertEquals(
                 ErrorCode.LEVEL_TOO_LOW,
                 assertThrows(StoreException.class, () -> apply(StoreMessages.tick()))
-                        .kind());
+                        .code());
     }
 
     @Test
@@ -282,8 +282,8 @@
                 .setRefusal(Refusal.newBuilder().setKind("MOON_TOO_FULL").setText("at night"))
                 .build();
         StoreException fault = assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(reply));
-        assertEquals(ErrorCode.MALFORMED, fault.kind());
-        assertTrue(fault.what().contains("MOON_TOO_FULL") && fault.what().contains("at night"));
+        assertEquals(ErrorCode.MALFORMED, fault.code());
+        assertTrue(fault.subject().contains("MOON_TOO_FULL") && fault.subject().contains("at night"));
         StoreException held = new StoreException(ErrorCode.LEASE_HELD, "by x");
         StoreException decoded =
                 assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(StoreMessages.rejection(held, 3)));
--- a/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
+++ b/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
@@ -54,9 +54,9 @@
 
     private static void assertInvalid(String text, String... expectedTexts) {
         SettingsException fault = assertThrows(SettingsException.class, () -> ReplicaSettings.parse(text));
-        assertEquals(ErrorCode.SETTINGS_INVALID, fault.kind());
+        assertEquals(ErrorCode.SETTINGS_INVALID, fault.code());
         for (String each : expectedTexts) {
-            assertTrue(fault.what().contains(each), fault.what());
+            assertTrue(fault.subject().contains(each), fault.subject());
         }
     }
 }
--- a/src/test/java/olivechute/store/raft/StoreGroupIT.java
+++ b/src/test/java/olivechute/store/raft/StoreGroupIT.java
@@ -44,7 +44,7 @@
             StoreException conflict = assertThrows(
                     StoreException.class,
                     () -> store.write(List.of(Write.putIf("order/n2", bytes("v3"), version)), List.of()));
-            assertEquals(ErrorCode.CONFLICT, conflict.kind());
+            assertEquals(ErrorCode.CONFLICT, conflict.code());
             Store.Lease lease = store.acquire("machine/m1", "m1", Duration.ofMillis(600));
             store.write(List.of(new Write("machine/m1", bytes("up"), null, lease.session())), List.of(lease.fence()));
             // Nobody renews it and nobody writes: the lead's clock alone ends it, and the watch tells.
@@ -83,7 +83,7 @@
                         version = store.write(List.of(Write.putIf("count", bytes("" + next), version)), List.of());
                         acknowledged = next;
                     } catch (StoreException e) {
-                        if (e.kind() != ErrorCode.NOT_REACHED && e.kind() != ErrorCode.NO_MAJORITY) {
+                        if (e.code() != ErrorCode.NOT_REACHED && e.code() != ErrorCode.NO_MAJORITY) {
                             throw e;
                         }
                         unknownOutcomes++;
@@ -102,7 +102,7 @@
                 try {
                     return store.get("count").orElse(new Store.Entry("count", bytes("0"), 0));
                 } catch (StoreException e) {
-                    if (stopped || (e.kind() != ErrorCode.NOT_REACHED && e.kind() != ErrorCode.NO_MAJORITY)) {
+                    if (stopped || (e.code() != ErrorCode.NOT_REACHED && e.code() != ErrorCode.NO_MAJORITY)) {
                         throw e;
                     }
                 }
@@ -264,11 +264,11 @@
             group.awaitLine(0, 0, "replica r0 serves on");
             StoreException fault = assertThrows(
                     StoreException.class, () -> store.write(List.of(Write.put("a", bytes("b"))), List.of()));
-            assertEquals(ErrorCode.NO_MAJORITY, fault.kind());
+            assertEquals(ErrorCode.NO_MAJORITY, fault.code());
             group.kill(0);
             StoreException none = assertThrows(
                     StoreException.class, () -> store.write(List.of(Write.put("a", bytes("b"))), List.of()));
-            assertEquals(ErrorCode.NOT_REACHED, none.kind());
+            assertEquals(ErrorCode.NOT_REACHED, none.code());
         }
     }
 }
--- a/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
@@ -66,7 +66,7 @@
             })
     void theErrorNamesTheInvalidKey(String line, String expectedError) {
         SettingsException error = assertThrows(SettingsException.class, () -> SupervisorSettings.parse(MINIMAL + line));
-        assertEquals(ErrorCode.SETTINGS_INVALID, error.kind());
+        assertEquals(ErrorCode.SETTINGS_INVALID, error.code());
         assertTrue(error.getMessage().contains(expectedError), error.getMessage());
     }
 
--- a/src/test/java/olivechute/supervisor/SupervisorTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorTest.java
@@ -211,7 +211,7 @@
             try {
                 return store.acquire("machine/m", "another", Duration.ofMinutes(1));
             } catch (StoreException e) {
-                assertEquals(ErrorCode.LEASE_HELD, e.kind());
+                assertEquals(ErrorCode.LEASE_HELD, e.code());
                 lease = new Store.Lease(
                         "machine/m",
                         "",
@@ -250,6 +250,6 @@
                         new Random(1),
                         System::currentTimeMillis,
                         rig::addLine));
-        assertEquals(ErrorCode.DATA_IN_USE, error.kind());
+        assertEquals(ErrorCode.DATA_IN_USE, error.code());
     }
 }
