--- a/src/test/java/olivechute/ClientGoneTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -26,24 +26,24 @@
  * What a client sends behind a request that waits, and when it leaves there: seen at once, and nothing done for it
  * after.
  */
-public class ClientGoneTest extends FrontRig {
-    private static final long GONE_MILLIS =
+public class ClientDisconnectTest extends DownstreamServerTestBase {
+    private static final long DISCONNECT_DETECTION_MILLIS =
             100; // a client that left this long ago has gone; how often it is looked at: LookTest
-    private static final int FLOOD = 1 << 20; // more than is kept of what comes behind a request
+    private static final int FLOOD_BYTES = 1 << 20; // more than is kept of what comes behind a request
 
-    private static byte[] jobs(String... ids) {
+    private static byte[] jobRequests(String... ids) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (String id : ids) {
-            all.writeBytes(Client.job("verify", id, 5000));
+            all.writeBytes(TestClient.jobRequest("verify", id, 5000));
         }
         return all.toByteArray();
     }
 
     /** While the stream is unanswered: nothing but the look at the client can show it. */
-    private void awaitGone(ProxyEvent.RequestArrived stream) throws InterruptedException {
-        ProxyEvent.ClientDisconnected e = gone.poll(2, TimeUnit.SECONDS);
-        assertTrue(e != null && e.client() == stream.client(), "not seen to have gone");
-        assertFalse(stream.client().isPresent());
+    private void awaitDisconnect(ProxyEvent.RequestArrived request) throws InterruptedException {
+        ProxyEvent.ClientDisconnected e = disconnects.poll(2, TimeUnit.SECONDS);
+        assertTrue(e != null && e.client() == request.client(), "not seen to have gone");
+        assertFalse(request.client().isPresent());
     }
 
     /**
@@ -51,45 +51,45 @@
      * was taken.
      */
     @Test
-    public void aClientThatLeavesBehindPipelinedRequestsIsSeenToAndNoneOfThemIsTaken() throws Exception {
+    public void disconnectWithPipelinedRequestsIsDetectedAndNoneIsForwarded() throws Exception {
         listen(Connection::new);
-        Client client = connect().send(jobs("t1", "t2", "t3"));
-        ProxyEvent.RequestArrived first = next();
+        TestClient client = connect().send(jobRequests("t1", "t2", "t3"));
+        ProxyEvent.RequestArrived first = awaitRequest();
         client.close();
-        awaitGone(first);
-        serve(first, "late");
-        await(() -> front.unansweredRequests() == 0 && front.isQuiescent());
-        assertEquals(opened.size(), 0);
+        awaitDisconnect(first);
+        sendResult(first, "late");
+        await(() -> server.unansweredRequests() == 0 && server.isQuiescent());
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /** The same where what is behind is only the beginning of a request. */
     @Test
-    public void aClientThatLeavesBehindHalfARequestIsSeenTo() throws Exception {
+    public void disconnectWithPartialPipelinedRequestIsDetected() throws Exception {
         listen(Connection::new);
-        Client client = connect().send(jobs("t1")).send("POST /verify HTT".getBytes(UTF_8));
-        ProxyEvent.RequestArrived first = next();
+        TestClient client = connect().send(jobRequests("t1")).send("POST /verify HTT".getBytes(UTF_8));
+        ProxyEvent.RequestArrived first = awaitRequest();
         client.close();
-        awaitGone(first);
-        await(front::isQuiescent);
+        awaitDisconnect(first);
+        await(server::isQuiescent);
     }
 
     @Test
-    public void pipelinedRequestsOfAClientThatStaysAreAnsweredInTurnAndOnlyThen() throws Exception {
+    public void pipelinedRequestsAreAnsweredInOrder() throws Exception {
         listen(Connection::new);
-        byte[] all = jobs("t1", "t2", "t3");
-        Client client = connect();
+        byte[] all = jobRequests("t1", "t2", "t3");
+        TestClient client = connect();
         client.send(Arrays.copyOf(all, all.length - 5));
         for (String id : List.of("t1", "t2")) {
-            ProxyEvent.RequestArrived e = next();
+            ProxyEvent.RequestArrived e = awaitRequest();
             assertEquals(e.request().id(), id);
             Thread.sleep(60); // three looks
-            assertEquals(opened.size(), 0);
-            serve(e, id);
-            assertEquals(text(client.receive()), "200 " + id);
+            assertEquals(arrivedRequests.size(), 0);
+            sendResult(e, id);
+            assertEquals(statusAndBody(client.receive()), "200 " + id);
         }
         client.send(Arrays.copyOfRange(all, all.length - 5, all.length));
-        serve(next(), "t3");
-        assertEquals(text(client.receive()), "200 t3");
+        sendResult(awaitRequest(), "t3");
+        assertEquals(statusAndBody(client.receive()), "200 t3");
     }
 
     /**
@@ -97,30 +97,30 @@
      * rest.
      */
     @Test
-    public void aFloodBehindARequestIsThrownAwayAndTheRequestAnsweredAllTheSame() throws Exception {
+    public void excessPipelinedDataIsDiscardedAndTheRequestIsAnswered() throws Exception {
         AtomicInteger bytesRead = new AtomicInteger();
         listen(channel -> new CountingConnection(channel, bytesRead));
-        Client flood = connect().send(jobs("t1"));
+        TestClient flood = connect().send(jobRequests("t1"));
         flood.socket.setReceiveBufferSize(4096);
-        ProxyEvent.RequestArrived first = next();
-        byte[] job = jobs("t3");
+        ProxyEvent.RequestArrived first = awaitRequest();
+        byte[] job = jobRequests("t3");
         int sent = job.length; // t1 is as long
-        for (int behind = 0; behind < FLOOD; behind += job.length) {
+        for (int behind = 0; behind < FLOOD_BYTES; behind += job.length) {
             flood.send(job);
             sent += job.length;
         }
         int allBytes = sent;
         await(() -> bytesRead.get() == allBytes); // an answer before the first look behind it would let one be taken
         assertTrue(first.client().isPresent());
-        Client other = connect().send(jobs("other"));
-        serve(next(), "ok");
-        assertEquals(text(other.receive()), "200 ok");
+        TestClient other = connect().send(jobRequests("other"));
+        sendResult(awaitRequest(), "ok");
+        assertEquals(statusAndBody(other.receive()), "200 ok");
         String large = "x".repeat(60_000);
-        serve(first, large);
-        await(() -> front.unansweredRequests() == 0);
-        assertEquals(text(flood.receive()), "200 " + large);
+        sendResult(first, large);
+        await(() -> server.unansweredRequests() == 0);
+        assertEquals(statusAndBody(flood.receive()), "200 " + large);
         assertNull(flood.receive());
-        assertEquals(opened.size(), 0);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /** Counts the bytes that the node has read, from all connections together. */
@@ -149,12 +149,12 @@
     }
 
     /** Each write on a connection tells that it begins, and waits. */
-    private void listenHolding(CountDownLatch writes, CountDownLatch go) throws Exception {
-        listen(channel -> new Watched(channel) {
+    private void listenWithBlockedWrites(CountDownLatch writeStarted, CountDownLatch release) throws Exception {
+        listen(channel -> new ObservedConnection(channel) {
             @Override
             void beforeWrite() {
-                writes.countDown();
-                hold(go);
+                writeStarted.countDown();
+                awaitLatch(release);
             }
         });
     }
@@ -164,16 +164,16 @@
      * their answers.
      */
     @Test
-    public void aFloodBehindALocalReplyEndsItsConnection() throws Exception {
+    public void excessDataAfterLocalReplyClosesTheConnection() throws Exception {
         byte[] two = "GET /health/ready HTTP/1.1\r\n\r\n".repeat(2).getBytes(UTF_8);
         CountDownLatch writes = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        listenHolding(writes, go);
-        Client flood = connect().send(two);
+        listenWithBlockedWrites(writes, go);
+        TestClient flood = connect().send(two);
         assertTrue(writes.await(2, TimeUnit.SECONDS));
         Threads.start("flood", () -> {
             try {
-                flood.send(new byte[FLOOD]);
+                flood.send(new byte[FLOOD_BYTES]);
             } catch (IOException ended) {
                 return;
             }
@@ -182,41 +182,41 @@
         go.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
-            assertTrue(front.unansweredRequests() == 0);
+            assertTrue(server.unansweredRequests() == 0);
         }
         flood.close();
-        await(front::isQuiescent);
+        await(server::isQuiescent);
     }
 
     /** It sends much, reads nothing and goes: what it holds is given back, and nothing of it is taken. */
     @Test
-    public void aClientThatFloodsAndGoesHoldsNothing() throws Exception {
+    public void floodFollowedByDisconnectReleasesAllResources() throws Exception {
         listen(Connection::new);
-        Client flood = connect().send(jobs("t1"));
-        ProxyEvent.RequestArrived first = next();
-        flood.send(new byte[FLOOD]);
+        TestClient flood = connect().send(jobRequests("t1"));
+        ProxyEvent.RequestArrived first = awaitRequest();
+        flood.send(new byte[FLOOD_BYTES]);
         flood.close();
-        awaitGone(first);
-        await(front::isQuiescent);
-        assertEquals(opened.size(), 0);
+        awaitDisconnect(first);
+        await(server::isQuiescent);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /** What waits behind the last answer is not taken, and does not cut that answer off. */
     @Test
-    public void anAnswerThatEndsAConnectionArrivesWholeWhateverIsBehindIt() throws Exception {
+    public void finalResponseIsCompleteDespitePipelinedData() throws Exception {
         listen(Connection::new);
-        Client client = connect();
+        TestClient client = connect();
         client.socket.setReceiveBufferSize(4096);
         client.send(MessageWriter.request("POST", "/verify", "b", null, "X-Txn", "t1", "Connection", "close"));
-        ProxyEvent.RequestArrived first = next();
-        client.send(jobs("t2", "t3"));
+        ProxyEvent.RequestArrived first = awaitRequest();
+        client.send(jobRequests("t2", "t3"));
         String large = "x".repeat(60_000);
-        serve(first, large);
-        await(() -> front.unansweredRequests() == 0);
-        client.send(jobs("t4"));
-        assertEquals(text(client.receive()), "200 " + large);
+        sendResult(first, large);
+        await(() -> server.unansweredRequests() == 0);
+        client.send(jobRequests("t4"));
+        assertEquals(statusAndBody(client.receive()), "200 " + large);
         assertNull(client.receive());
-        assertEquals(opened.size(), 0);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /**
@@ -224,52 +224,52 @@
      * answer along.
      */
     @Test
-    public void anAnswerThatEndsAConnectionArrivesWholeWhateverIsUnread() throws Exception {
+    public void finalResponseIsCompleteDespiteUnreadData() throws Exception {
         AtomicReference<Connection> link = new AtomicReference<>();
         AtomicInteger reads = new AtomicInteger();
         CountDownLatch go = new CountDownLatch(1);
         listen(channel -> {
-            Watched made = new Watched(channel) {
+            ObservedConnection made = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (reads.incrementAndGet() == 2) {
-                        hold(go);
+                        awaitLatch(go);
                     }
                 }
             };
             link.set(made);
             return made;
         });
-        Client client = connect();
+        TestClient client = connect();
         client.socket.setReceiveBufferSize(4096);
         client.send(MessageWriter.request("POST", "/verify", "b", null, "X-Txn", "t1", "Connection", "close"));
-        ProxyEvent.RequestArrived first = next();
-        client.send(jobs("t2"));
+        ProxyEvent.RequestArrived first = awaitRequest();
+        client.send(jobRequests("t2"));
         await(() -> link.get().hasUnreadInput());
         String large = "x".repeat(60_000);
-        serve(first, large);
-        await(() -> front.unansweredRequests() == 0);
+        sendResult(first, large);
+        await(() -> server.unansweredRequests() == 0);
         go.countDown();
-        assertEquals(text(client.receive()), "200 " + large);
+        assertEquals(statusAndBody(client.receive()), "200 " + large);
         assertNull(client.receive());
-        assertEquals(opened.size(), 0);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /** An answer that its client no longer waits for ends in nothing: no stream is owed, none is left. */
     @Test
-    public void aClientThatLeavesInTheMiddleOfItsAnswerLeavesNothing() throws Exception {
+    public void disconnectDuringResponseReleasesTheRequest() throws Exception {
         CountDownLatch writes = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        listenHolding(writes, go);
-        Client client = connect().send(jobs("t1", "t2"));
-        ProxyEvent.RequestArrived first = next();
-        Threads.start("answer", () -> serve(first, "x".repeat(60_000)));
+        listenWithBlockedWrites(writes, go);
+        TestClient client = connect().send(jobRequests("t1", "t2"));
+        ProxyEvent.RequestArrived first = awaitRequest();
+        Threads.start("answer", () -> sendResult(first, "x".repeat(60_000)));
         assertTrue(writes.await(2, TimeUnit.SECONDS));
-        assertEquals(front.unansweredRequests(), 1); // handed over, not written: still owed
+        assertEquals(server.unansweredRequests(), 1); // handed over, not written: still owed
         client.close();
-        Thread.sleep(GONE_MILLIS);
+        Thread.sleep(DISCONNECT_DETECTION_MILLIS);
         go.countDown();
-        await(front::isQuiescent);
-        assertEquals(opened.size(), 0);
+        await(server::isQuiescent);
+        assertEquals(arrivedRequests.size(), 0);
     }
 }
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -18,62 +18,62 @@
 import org.testng.annotations.Test;
 
 /** No connection is closed under a request that the node has read, whatever the node decides at that moment. */
-public class ConnectionCloseTest extends FrontRig {
-    private static final byte[] READY = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
+public class ConnectionCloseTest extends DownstreamServerTestBase {
+    private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
     /** After so long a message that does not end, and a connection that never carried one, are given up. */
-    private static final int STALLED_MILLIS = 2000;
+    private static final int STALL_TIMEOUT_MILLIS = 2000;
 
-    private static final int HELD_UP_MILLIS = 900;
+    private static final int THREAD_DELAY_MILLIS = 900;
     /** After so long a connection that carries nothing may go for a newcomer. */
-    private static final int SETTLED_MILLIS = 150;
+    private static final int EVICTABLE_AFTER_MILLIS = 150;
 
-    private static final String LONG_ANSWER = "x".repeat(40_000);
+    private static final String LARGE_RESULT = "x".repeat(40_000);
 
-    private final CountDownLatch never = new CountDownLatch(1);
+    private final CountDownLatch neverReleased = new CountDownLatch(1);
 
     /** Holds up the thread that took the request, after the request has gone to the event loop. */
-    private void holdUpWhoeverTakesARequest() {
-        onRequest = () -> loop.defer(() -> hold(never, HELD_UP_MILLIS));
+    private void delayRequestThreads() {
+        onRequest = () -> loop.defer(() -> awaitLatch(neverReleased, THREAD_DELAY_MILLIS));
     }
 
-    private static void hold(CountDownLatch gate, int millis) {
+    private static void awaitLatch(CountDownLatch latch, int millis) {
         try {
-            gate.await(millis, TimeUnit.MILLISECONDS);
+            latch.await(millis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     @Test
-    public void aRequestWhoseThreadIsHeldUpAfterItIsTakenIsNotClosedAsAStalledMessage() throws Exception {
+    public void requestWithDelayedThreadIsNotClosedAsStalled() throws Exception {
         listen(Connection::new);
-        holdUpWhoeverTakesARequest();
-        Client client = connect();
-        byte[] job = Client.job("verify", "t1", 5000);
+        delayRequestThreads();
+        TestClient client = connect();
+        byte[] job = TestClient.jobRequest("verify", "t1", 5000);
         client.send(Arrays.copyOf(job, 30));
-        Thread.sleep(STALLED_MILLIS - 500);
+        Thread.sleep(STALL_TIMEOUT_MILLIS - 500);
         client.send(Arrays.copyOfRange(job, 30, job.length));
-        var taken = next();
-        Thread.sleep(HELD_UP_MILLIS);
-        serve(taken, "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        var taken = awaitRequest();
+        Thread.sleep(THREAD_DELAY_MILLIS);
+        sendResult(taken, "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     @Test
-    public void aFirstRequestOnARestedConnectionIsNotClosedAsAStalledMessage() throws Exception {
+    public void firstRequestOnIdleConnectionIsNotClosedAsStalled() throws Exception {
         listen(Connection::new);
-        holdUpWhoeverTakesARequest();
-        Client client = connect();
-        Thread.sleep(STALLED_MILLIS - 500);
-        client.send(Client.job("verify", "t1", 5000));
-        var taken = next();
-        Thread.sleep(HELD_UP_MILLIS);
-        serve(taken, "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        delayRequestThreads();
+        TestClient client = connect();
+        Thread.sleep(STALL_TIMEOUT_MILLIS - 500);
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
+        var taken = awaitRequest();
+        Thread.sleep(THREAD_DELAY_MILLIS);
+        sendResult(taken, "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     @Test
-    public void aFirstRequestThatComesAsItsConnectionIsFoundUnusedIsNotClosed() throws Exception {
+    public void firstRequestDuringUnusedConnectionCheckIsNotClosed() throws Exception {
         AtomicBoolean asked = new AtomicBoolean();
         CountDownLatch decides = new CountDownLatch(1);
         CountDownLatch taken = new CountDownLatch(1);
@@ -82,163 +82,163 @@
             public boolean hasUnreadInput() {
                 if (!asked.getAndSet(true)) {
                     decides.countDown();
-                    hold(taken, HELD_UP_MILLIS);
+                    awaitLatch(taken, THREAD_DELAY_MILLIS);
                 }
                 return super.hasUnreadInput();
             }
         });
         onRequest = taken::countDown;
-        Client client = connect();
-        assertTrue(decides.await(STALLED_MILLIS + 1000, TimeUnit.MILLISECONDS));
-        client.send(Client.job("verify", "t1", 5000));
-        answeredOrLeftUnread(client);
+        TestClient client = connect();
+        assertTrue(decides.await(STALL_TIMEOUT_MILLIS + 1000, TimeUnit.MILLISECONDS));
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
+        assertAnsweredOrUnread(client);
     }
 
     /** A request that the node did not read may find its connection ended; one that it read has its answer. */
-    private void answeredOrLeftUnread(Client client) throws Exception {
-        var request = opened.poll(HELD_UP_MILLIS + 500, TimeUnit.MILLISECONDS);
+    private void assertAnsweredOrUnread(TestClient client) throws Exception {
+        var request = arrivedRequests.poll(THREAD_DELAY_MILLIS + 500, TimeUnit.MILLISECONDS);
         if (request != null) {
-            serve(request, "ok");
-            assertEquals(text(client.receive()), "200 ok");
+            sendResult(request, "ok");
+            assertEquals(statusAndBody(client.receive()), "200 ok");
         } else {
-            assertTrue(client.ended());
+            assertTrue(client.isClosedByServer());
         }
     }
 
     /** Holds each connection's reader from the moment at which it has read what comes after so many reads. */
-    private void listenHoldingAfterRead(int reads, CountDownLatch has, CountDownLatch go, int most) throws IOException {
+    private void listenBlockingAfterRead(int reads, CountDownLatch readDone, CountDownLatch release, int maxConnections) throws IOException {
         listen(
                 channel -> {
                     AtomicInteger left = new AtomicInteger(reads);
-                    return new Watched(channel) {
+                    return new ObservedConnection(channel) {
                         @Override
                         void afterRead(int n) {
                             if (left.decrementAndGet() == 0) {
-                                has.countDown();
-                                hold(go, 3000);
+                                readDone.countDown();
+                                awaitLatch(release, 3000);
                             }
                         }
                     };
                 },
-                most);
+                maxConnections);
     }
 
     @Test
-    public void aRequestInItsReadersHandIsAnsweredThoughTheNodeEndsIdleConnections() throws Exception {
+    public void requestBeingReadIsAnsweredDuringDrain() throws Exception {
         CountDownLatch has = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        listenHoldingAfterRead(2, has, go, 100);
-        Client client = connect();
-        assertEquals(client.call(READY).status(), 200);
-        client.send(Client.job("verify", "t1", 5000));
+        listenBlockingAfterRead(2, has, go, 100);
+        TestClient client = connect();
+        assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertTrue(has.await(2, TimeUnit.SECONDS));
-        front.drain();
+        server.drain();
         Thread.sleep(300); // several sweeps
         go.countDown();
-        serve(next(), "ok");
+        sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
-        assertEquals(text(answer), "200 ok");
+        assertEquals(statusAndBody(answer), "200 ok");
         assertEquals(answer.keepAlive(), false);
         assertNull(client.receive());
     }
 
     @Test
-    public void aFirstRequestInItsReadersHandIsAnsweredThoughRoomIsNeeded() throws Exception {
+    public void firstRequestBeingReadIsAnsweredAtConnectionLimit() throws Exception {
         CountDownLatch has = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        listenHoldingAfterRead(1, has, go, 1);
-        Client client = connect();
-        Thread.sleep(SETTLED_MILLIS);
-        client.send(Client.job("verify", "t1", 5000));
+        listenBlockingAfterRead(1, has, go, 1);
+        TestClient client = connect();
+        Thread.sleep(EVICTABLE_AFTER_MILLIS);
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertTrue(has.await(2, TimeUnit.SECONDS));
         connect(); // beyond the bound: somebody has to go
-        Thread.sleep(SETTLED_MILLIS);
+        Thread.sleep(EVICTABLE_AFTER_MILLIS);
         go.countDown();
-        serve(next(), "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        sendResult(awaitRequest(), "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     @Test
-    public void aNextRequestInItsReadersHandIsAnsweredThoughRoomIsNeeded() throws Exception {
+    public void laterRequestBeingReadIsAnsweredAtConnectionLimit() throws Exception {
         CountDownLatch has = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        listenHoldingAfterRead(2, has, go, 1);
-        Client client = connect();
-        assertEquals(client.call(READY).status(), 200);
-        Thread.sleep(SETTLED_MILLIS);
-        client.send(Client.job("verify", "t1", 5000));
+        listenBlockingAfterRead(2, has, go, 1);
+        TestClient client = connect();
+        assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
+        Thread.sleep(EVICTABLE_AFTER_MILLIS);
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertTrue(has.await(2, TimeUnit.SECONDS));
         connect();
-        Thread.sleep(SETTLED_MILLIS);
+        Thread.sleep(EVICTABLE_AFTER_MILLIS);
         go.countDown();
-        serve(next(), "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        sendResult(awaitRequest(), "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     @Test
-    public void aMessageThatDoesNotEndIsAnsweredNotCutOff() throws Exception {
+    public void incompleteRequestIsAnsweredBeforeClose() throws Exception {
         listen(Connection::new);
-        Client client = connect();
-        byte[] job = Client.job("verify", "t1", 5000);
+        TestClient client = connect();
+        byte[] job = TestClient.jobRequest("verify", "t1", 5000);
         client.send(Arrays.copyOf(job, 30));
         HttpResponse answer = client.receive();
         assertEquals(answer == null ? 0 : answer.status(), 503);
         client.send(Arrays.copyOfRange(job, 30, job.length));
         assertNull(client.receive());
-        assertEquals(opened.size(), 0);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     @Test
-    public void aMessageThatDoesNotEndIsAnsweredThoughRoomIsNeeded() throws Exception {
+    public void incompleteRequestIsAnsweredAtConnectionLimit() throws Exception {
         listen(Connection::new, 1);
-        Client client = connect();
-        client.send(Arrays.copyOf(Client.job("verify", "t1", 5000), 30));
-        Thread.sleep(SETTLED_MILLIS);
+        TestClient client = connect();
+        client.send(Arrays.copyOf(TestClient.jobRequest("verify", "t1", 5000), 30));
+        Thread.sleep(EVICTABLE_AFTER_MILLIS);
         connect();
         HttpResponse answer = client.receive();
         assertEquals(answer == null ? 0 : answer.status(), 503);
     }
 
     @Test
-    public void anAnswerBeforeTheEndArrivesWholeWhateverCrossesTheEnd() throws Exception {
+    public void responseBeforeCloseIsCompleteDespiteCrossingRequests() throws Exception {
         listen(Connection::new);
-        Client client = connect();
+        TestClient client = connect();
         String large = "x".repeat(60_000);
-        client.send(Client.job("verify", "t1", 5000));
-        serve(next(), large);
-        await(() -> front.unansweredRequests() == 0);
-        front.drain();
-        await(() -> front.isQuiescent());
+        client.send(TestClient.jobRequest("verify", "t1", 5000));
+        sendResult(awaitRequest(), large);
+        await(() -> server.unansweredRequests() == 0);
+        server.drain();
+        await(() -> server.isQuiescent());
         try {
-            client.send(Client.job("verify", "t2", 5000)).send(Client.job("verify", "t3", 5000));
+            client.send(TestClient.jobRequest("verify", "t2", 5000)).send(TestClient.jobRequest("verify", "t3", 5000));
         } catch (IOException ended) {
-            assertEquals(opened.size(), 0);
+            assertEquals(arrivedRequests.size(), 0);
         }
-        assertEquals(text(client.receive()), "200 " + large);
-        assertTrue(client.ended());
-        assertEquals(opened.size(), 0);
+        assertEquals(statusAndBody(client.receive()), "200 " + large);
+        assertTrue(client.isClosedByServer());
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     @Test
-    public void aRequestIsAnsweredThoughItsThreadMeetsAnErrorOfAnotherRequestsWrite() throws Exception {
+    public void errorInAnotherTaskDoesNotLoseTheRequest() throws Exception {
         listen(Connection::new);
         onRequest = () -> loop.defer(() -> {
             throw new StackOverflowError("of another request");
         });
-        Client client = connect().send(Client.job("verify", "t1", 5000));
-        var request = next();
+        TestClient client = connect().send(TestClient.jobRequest("verify", "t1", 5000));
+        var request = awaitRequest();
         onRequest = () -> {};
         Thread.sleep(100);
-        serve(request, "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        sendResult(request, "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     /** Starts as a thread does where the system grants none, until so many were refused. */
-    private static ConnectionThreads refusingThreads(AtomicInteger refusals) {
+    private static ConnectionThreads failingThreads(AtomicInteger failuresLeft) {
         return new ConnectionThreads(task -> new Thread(task) {
             @Override
             public synchronized void start() {
-                if (refusals.getAndDecrement() > 0) {
+                if (failuresLeft.getAndDecrement() > 0) {
                     throw new OutOfMemoryError("unable to create native thread");
                 }
                 setDaemon(true);
@@ -248,29 +248,29 @@
     }
 
     /** The second answer may wait for a client that does not read, as the first fills half of the send buffer. */
-    private Client clientOwedALongAnswerBehindAnother() throws Exception {
-        Client client = connect().send(Client.job("verify", "t1", 5000)).send(Client.job("verify", "t2", 5000));
-        serve(next(), LONG_ANSWER);
-        assertEquals(text(client.receive()), "200 " + LONG_ANSWER);
-        serve(next(), LONG_ANSWER);
+    private TestClient clientAwaitingSecondLargeResult() throws Exception {
+        TestClient client = connect().send(TestClient.jobRequest("verify", "t1", 5000)).send(TestClient.jobRequest("verify", "t2", 5000));
+        sendResult(awaitRequest(), LARGE_RESULT);
+        assertEquals(statusAndBody(client.receive()), "200 " + LARGE_RESULT);
+        sendResult(awaitRequest(), LARGE_RESULT);
         return client;
     }
 
     @Test
-    public void anAnswerIsNotLostWhereNoWriterThreadIsGrantedForAMoment() throws Exception {
-        writers = new WriterThreads(100, refusingThreads(new AtomicInteger(3)));
+    public void responseSurvivesTemporaryWriterThreadExhaustion() throws Exception {
+        writers = new WriterThreads(100, failingThreads(new AtomicInteger(3)));
         listen(Connection::new);
-        Client client = clientOwedALongAnswerBehindAnother();
-        assertEquals(text(client.receive()), "200 " + LONG_ANSWER);
-        await(() -> front.unansweredRequests() == 0);
+        TestClient client = clientAwaitingSecondLargeResult();
+        assertEquals(statusAndBody(client.receive()), "200 " + LARGE_RESULT);
+        await(() -> server.unansweredRequests() == 0);
     }
 
     @Test
-    public void aClientThatLeavesBeforeAWriterThreadIsGrantedIsOwedNothing() throws Exception {
-        writers = new WriterThreads(100, refusingThreads(new AtomicInteger(Integer.MAX_VALUE)));
+    public void disconnectWhileWaitingForWriterThreadReleasesTheRequest() throws Exception {
+        writers = new WriterThreads(100, failingThreads(new AtomicInteger(Integer.MAX_VALUE)));
         listen(Connection::new);
-        Client client = clientOwedALongAnswerBehindAnother();
+        TestClient client = clientAwaitingSecondLargeResult();
         client.close();
-        await(() -> front.unansweredRequests() == 0 && front.isQuiescent());
+        await(() -> server.unansweredRequests() == 0 && server.isQuiescent());
     }
 }
--- a/src/test/java/olivechute/FrontRig.java
+++ b/src/test/java/olivechute/DownstreamServerTestBase.java
@@ -29,53 +29,53 @@
  * A front alone on real sockets: the test takes its streams, answers them when it wants, and may hold its connections
  * at a gate.
  */
-abstract class FrontRig extends NodeRig {
-    private static final long SWEEP = 20_000;
+abstract class DownstreamServerTestBase extends NodeTestBase {
+    private static final long SWEEP_INTERVAL_US = 20_000;
 
     EventLoop loop;
     WriterThreads writers;
-    DownstreamServer front;
-    InetSocketAddress at;
-    BlockingQueue<ProxyEvent.RequestArrived> opened;
-    BlockingQueue<ProxyEvent.ClientDisconnected> gone;
+    DownstreamServer server;
+    InetSocketAddress serverAddress;
+    BlockingQueue<ProxyEvent.RequestArrived> arrivedRequests;
+    BlockingQueue<ProxyEvent.ClientDisconnected> disconnects;
     /** Run on the event loop with each request that arrives. */
     volatile Runnable onRequest;
 
     @BeforeMethod
-    public void forget() {
-        opened = new LinkedBlockingQueue<>();
-        gone = new LinkedBlockingQueue<>();
+    public void resetState() {
+        arrivedRequests = new LinkedBlockingQueue<>();
+        disconnects = new LinkedBlockingQueue<>();
         onRequest = () -> {};
         writers = new WriterThreads(100);
     }
 
-    void listen(Function<SocketChannel, Connection> links) throws IOException {
-        listen(links, 100);
+    void listen(Function<SocketChannel, Connection> connectionFactory) throws IOException {
+        listen(connectionFactory, 100);
     }
 
-    void listen(Function<SocketChannel, Connection> links, int most) throws IOException {
-        listen(links, Threads.connectionThreads(), most);
+    void listen(Function<SocketChannel, Connection> connectionFactory, int maxConnections) throws IOException {
+        listen(connectionFactory, Threads.connectionThreads(), maxConnections);
     }
 
-    void listen(Function<SocketChannel, Connection> links, ConnectionThreads threads, int most) throws IOException {
-        Path file = config(peer(r -> null), 1024);
+    void listen(Function<SocketChannel, Connection> connectionFactory, ConnectionThreads threads, int maxConnections) throws IOException {
+        Path file = writeConfig(startServer(r -> null), 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         loop = new EventLoop();
-        front = new DownstreamServer(loop, writers, threads, config.settings(), config.loadReportFields(), most);
-        loop.runPeriodically(SWEEP, front::sweep);
+        server = new DownstreamServer(loop, writers, threads, config.settings(), config.loadReportFields(), maxConnections);
+        loop.runPeriodically(SWEEP_INTERVAL_US, server::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
                 onRequest.run();
-                opened.add(e);
+                arrivedRequests.add(e);
             } else if (event instanceof ProxyEvent.ClientDisconnected e) {
-                gone.add(e);
+                disconnects.add(e);
             }
         });
-        at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Authenticator() {
+        serverAddress = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Authenticator() {
             @Override
             public Connection createTransport(SocketChannel accepted) {
-                return links.apply(accepted);
+                return connectionFactory.apply(accepted);
             }
 
             @Override
@@ -83,38 +83,38 @@
                 return PeerIdentity.UNRESTRICTED;
             }
         });
-        front.ready();
+        server.ready();
     }
 
-    Client connect() throws IOException {
-        Client client = new Client(at);
-        parties.add(client);
+    TestClient connect() throws IOException {
+        TestClient client = new TestClient(serverAddress);
+        resources.add(client);
         return client;
     }
 
-    ProxyEvent.RequestArrived next() throws InterruptedException {
-        ProxyEvent.RequestArrived e = opened.poll(3, TimeUnit.SECONDS);
+    ProxyEvent.RequestArrived awaitRequest() throws InterruptedException {
+        ProxyEvent.RequestArrived e = arrivedRequests.poll(3, TimeUnit.SECONDS);
         if (e == null) {
             throw new AssertionError("no stream came");
         }
         return e;
     }
 
-    void serve(ProxyEvent.RequestArrived stream, String result) {
-        loop.post(new ProxyEvent.Task(() -> stream.client().sendResult(result.getBytes(StandardCharsets.UTF_8))));
+    void sendResult(ProxyEvent.RequestArrived request, String result) {
+        loop.post(new ProxyEvent.Task(() -> request.client().sendResult(result.getBytes(StandardCharsets.UTF_8))));
     }
 
-    static void hold(CountDownLatch gate) {
+    static void awaitLatch(CountDownLatch latch) {
         try {
-            gate.await(5, TimeUnit.SECONDS);
+            latch.await(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** A link that does something before it reads, after it read, or before it writes. */
-    static class Watched extends Connection {
-        Watched(SocketChannel channel) {
+    static class ObservedConnection extends Connection {
+        ObservedConnection(SocketChannel channel) {
             super(channel);
         }
 
--- a/src/test/java/olivechute/NoDelayTest.java
+++ b/src/test/java/olivechute/NoDelayTest.java
@@ -31,16 +31,16 @@
 import org.testng.annotations.Test;
 
 /** What is written leaves at once: on no socket of the node's is there a first byte before TCP_NODELAY is set. */
-public class NoDelayTest extends FrontRig {
-    private final Queue<Boolean> atWrites = new ConcurrentLinkedQueue<>();
+public class NoDelayTest extends DownstreamServerTestBase {
+    private final Queue<Boolean> noDelayAtWrite = new ConcurrentLinkedQueue<>();
 
     /** Asks the system itself at each write. */
-    private Connection asking(SocketChannel channel) {
-        return new Watched(channel) {
+    private Connection recordingConnection(SocketChannel channel) {
+        return new ObservedConnection(channel) {
             @Override
             void beforeWrite() {
                 try {
-                    atWrites.add(socket().getTcpNoDelay());
+                    noDelayAtWrite.add(socket().getTcpNoDelay());
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -49,33 +49,33 @@
     }
 
     private void assertSetAtEachWrite() {
-        assertEquals(atWrites.peek(), Boolean.TRUE);
-        assertTrue(atWrites.stream().allMatch(set -> set));
-        atWrites.clear();
+        assertEquals(noDelayAtWrite.peek(), Boolean.TRUE);
+        assertTrue(noDelayAtWrite.stream().allMatch(set -> set));
+        noDelayAtWrite.clear();
     }
 
     @Test
-    public void onClientsConnections() throws Exception {
-        listen(this::asking);
+    public void downstreamConnections() throws Exception {
+        listen(this::recordingConnection);
         assertEquals(
                 connect()
-                        .call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                        .exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
                         .status(),
                 200);
         assertSetAtEachWrite();
     }
 
     @Test
-    public void onConnectionsToHosts() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
+    public void upstreamConnections() throws Exception {
+        TestServer host = startServer(r -> ACCEPTED);
         listen(Connection::new);
-        Path file = config(peer(r -> null), 1024);
+        Path file = writeConfig(startServer(r -> null), 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         ConnectionPools pools = new ConnectionPools(
                 loop,
                 new WriterThreads(10),
-                name -> asking(SocketChannel.open()),
+                name -> recordingConnection(SocketChannel.open()),
                 new LoadReportHeader(config.loadReportFields()),
                 1_500_000,
                 250_000,
@@ -86,7 +86,7 @@
                     1,
                     true,
                     List.of(new ResolvedEndpoint(
-                            new EndpointInfo("s1", "a", null, 0, EndpointState.ACTIVE, 1, 0), host.text()))));
+                            new EndpointInfo("s1", "a", null, 0, EndpointState.ACTIVE, 1, 0), host.hostAndPort()))));
             pools.send(new UpstreamRequest(
                     "t1",
                     0,
@@ -101,10 +101,10 @@
     }
 
     @Test
-    public void onTheConnectionToDiscovery() throws Exception {
-        Peer asked = peer(r -> null);
+    public void discoveryConnection() throws Exception {
+        TestServer asked = startServer(r -> null);
         listen(Connection::new);
-        Path file = config(asked, 1024);
+        Path file = writeConfig(asked, 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         EndpointListWatcher watch = new EndpointListWatcher(
--- a/src/test/java/olivechute/FiguresNodeTest.java
+++ b/src/test/java/olivechute/NodeMetricsTest.java
@@ -20,14 +20,14 @@
 import org.testng.annotations.Test;
 
 /** A whole node under a supervisor: what it reports is what its clients saw. */
-public class FiguresNodeTest extends NodeRig {
+public class NodeMetricsTest extends NodeTestBase {
     private static final int JOBS = 120;
     private static final long SEED = 11;
     private static final String[] CLASSES = {"verify", "sign", "pay"};
 
-    private void startUnder(ServerSocket supervisor, String... known) throws Exception {
-        discovery = peer(r -> list(1, false));
-        Path file = config(discovery, 1024, known);
+    private void startWithSupervisor(ServerSocket supervisor, String... known) throws Exception {
+        discovery = startServer(r -> endpointListResponse(1, false));
+        Path file = writeConfig(discovery, 1024, known);
         node = new Node(NodeConfig.load(Map.of(
                 "LB_CONFIG",
                 file.toString(),
@@ -39,29 +39,29 @@
     }
 
     @Test
-    public void itsFiguresAreItsClientsOwnCounts() throws Exception {
+    public void reportedMetricsMatchClientCounts() throws Exception {
         SplittableRandom random = new SplittableRandom(SEED);
-        Map<String, Integer> seen = new TreeMap<>();
-        Peer host = peer(r -> ACCEPTED);
+        Map<String, Integer> observed = new TreeMap<>();
+        TestServer host = startServer(r -> ACCEPTED);
         try (ServerSocket supervisor = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            startUnder(supervisor, entry("s1", host, "active", 0));
-            Client client = client();
+            startWithSupervisor(supervisor, endpointEntry("s1", host, "active", 0));
+            TestClient client = connectClient();
             for (int i = 0; i < JOBS; i++) {
                 String kind = CLASSES[random.nextInt(CLASSES.length)];
                 boolean fails = random.nextInt(4) == 0;
-                host.answer = works("s1", "\"state\":\"started\"", fails ? "\"state\":\"failed\"" : done("r"));
-                seen.merge(
+                host.handler = acceptAndReport("s1", "\"state\":\"started\"", fails ? "\"state\":\"failed\"" : doneEvent("r"));
+                observed.merge(
                         kind + " "
-                                + client.call(Client.job(kind, "t" + i, 5000)).status(),
+                                + client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(),
                         1,
                         Integer::sum);
             }
             // One whose client leaves, and one under a live id, which is no stream.
-            host.answer = r -> ACCEPTED;
+            host.handler = r -> ACCEPTED;
             int before = host.requests().size();
-            Client leaves = client().send(Client.job("verify", "left", 5000));
+            TestClient leaves = connectClient().send(TestClient.jobRequest("verify", "left", 5000));
             await(() -> host.requests().size() > before);
-            assertEquals(client().call(Client.job("verify", "left", 5000)).status(), 409);
+            assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "left", 5000)).status(), 409);
             leaves.close();
             await(() -> node.unansweredRequests() == 0);
             node.drain();
@@ -79,24 +79,24 @@
             }
             assertNotNull(last);
             assertEquals(last.getNode() + " " + last.getVersion(), "n0 v7");
-            Map<String, Integer> told = new TreeMap<>();
+            Map<String, Integer> reported = new TreeMap<>();
             long taken = 0;
             for (ClassFigures c : last.getClassesList()) {
                 taken += c.getTaken();
-                count(told, c.getName() + " 200", c.getServedInTime() + c.getServedLate());
-                count(told, c.getName() + " 503", c.getRefused());
-                count(told, c.getName() + " 502", c.getFailed());
-                count(told, "left", c.getGone());
+                count(reported, c.getName() + " 200", c.getServedInTime() + c.getServedLate());
+                count(reported, c.getName() + " 503", c.getRefused());
+                count(reported, c.getName() + " 502", c.getFailed());
+                count(reported, "left", c.getGone());
             }
-            seen.put("left", 1);
-            assertEquals(told, seen, "seed " + SEED);
-            assertTrue(seen.containsKey("pay 502") && seen.containsKey("sign 200"), "too plain: " + seen);
+            observed.put("left", 1);
+            assertEquals(reported, observed, "seed " + SEED);
+            assertTrue(observed.containsKey("pay 502") && observed.containsKey("sign 200"), "too plain: " + observed);
             assertEquals(taken, JOBS + 1);
             assertEquals(last.getRulesBroken(), 0);
             assertEquals(last.getDelayCount(), DelayBuckets.BUCKET_COUNT);
             assertTrue(last.getDelayList().stream().mapToLong(n -> n).sum() <= taken);
             assertTrue(last.getDelayList().stream().mapToLong(n -> n).sum()
-                    >= seen.get("verify 200") + seen.get("sign 200"));
+                    >= observed.get("verify 200") + observed.get("sign 200"));
         }
     }
 
--- a/src/test/java/olivechute/LifeTest.java
+++ b/src/test/java/olivechute/NodeProcessLifecycleTest.java
@@ -16,25 +16,25 @@
 import org.testng.annotations.Test;
 
 /** The end of a process that comes at any moment of its start, and what the system asks meanwhile. */
-public class LifeTest extends NodeRig {
-    private final AtomicReference<Thread> end = new AtomicReference<>();
+public class NodeProcessLifecycleTest extends NodeTestBase {
+    private final AtomicReference<Thread> shutdownHook = new AtomicReference<>();
 
     /** The end was arranged only once the node listened: a request taken before that was lost. */
     @Test
-    public void anEndThatComesBetweenListeningAndTheEndOfTheStartLosesNothing() throws Exception {
-        Peer host = peer(null);
-        host.answer = r -> works("s1", done("ok")).to(r);
+    public void shutdownDuringStartLosesNoRequest() throws Exception {
+        TestServer host = startServer(null);
+        host.handler = r -> acceptAndReport("s1", doneEvent("ok")).respond(r);
         CountDownLatch listens = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         NodeLifecycle life = new NodeLifecycle();
         AtomicInteger asked = new AtomicInteger();
         Threads.start("start", () -> {
             try {
-                life.start(end::set, () -> {
-                    assertNotNull(end.get()); // arranged before it listens
-                    start(entry("s1", host, "active", 0));
+                life.start(shutdownHook::set, () -> {
+                    assertNotNull(shutdownHook.get()); // arranged before it listens
+                    start(endpointEntry("s1", host, "active", 0));
                     listens.countDown();
-                    FrontRig.hold(go);
+                    DownstreamServerTestBase.awaitLatch(go);
                     return node;
                 });
             } catch (IOException e) {
@@ -43,53 +43,53 @@
         });
         life.whenStarted(n -> asked.incrementAndGet()); // SIGHUP: while it starts
         assertTrue(listens.await(5, TimeUnit.SECONDS));
-        Client client = client().send(Client.job("sign", "t1", 5000));
-        end.get().start(); // SIGTERM
+        TestClient client = connectClient().send(TestClient.jobRequest("sign", "t1", 5000));
+        shutdownHook.get().start(); // SIGTERM
         life.whenStarted(n -> asked.incrementAndGet()); // and SIGHUP once more
         assertFalse(hasEnded(100));
         go.countDown();
-        assertEquals(text(client.receive()), "200 ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
         assertFalse(hasEnded(500)); // it drains, as one that has long started does
         assertTrue(hasEnded(4000));
         assertEquals(asked.get(), 2);
     }
 
     @Test
-    public void aStartThatFailsHoldsUpNoEnd() throws Exception {
+    public void failedStartDoesNotDelayShutdown() throws Exception {
         NodeLifecycle life = new NodeLifecycle();
         assertThrows(
                 IOException.class,
-                () -> life.start(end::set, () -> {
+                () -> life.start(shutdownHook::set, () -> {
                     throw new IOException("in use");
                 }));
         life.whenStarted(n -> {
             throw new AssertionError("has not started");
         });
-        end.get().start();
+        shutdownHook.get().start();
         assertTrue(hasEnded(500));
     }
 
     @Test
-    public void aStartThatNeverEndsHoldsUpTheEndForABoundedTime() throws Exception {
+    public void hangingStartDelaysShutdownForABoundedTime() throws Exception {
         CountDownLatch starts = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         Threads.start(
                 "start",
                 () -> assertThrows(
                         IOException.class,
-                        () -> new NodeLifecycle().start(end::set, () -> {
+                        () -> new NodeLifecycle().start(shutdownHook::set, () -> {
                             starts.countDown();
-                            FrontRig.hold(go);
+                            DownstreamServerTestBase.awaitLatch(go);
                             throw new IOException("given up");
                         })));
         assertTrue(starts.await(2, TimeUnit.SECONDS));
-        end.get().start();
+        shutdownHook.get().start();
         assertTrue(hasEnded(3000));
         go.countDown();
     }
 
     private boolean hasEnded(long millis) throws InterruptedException {
-        end.get().join(millis);
-        return !end.get().isAlive();
+        shutdownHook.get().join(millis);
+        return !shutdownHook.get().isAlive();
     }
 }
--- /dev/null
+++ b/src/test/java/olivechute/NodeProcessTestBase.java
@@ -0,0 +1,96 @@
+package olivechute;
+
+import static org.testng.Assert.assertTrue;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.regex.Matcher;
+import olivechute.net.Threads;
+import olivechute.rig.TestProcess;
+import olivechute.rig.ProcessSpec;
+
+/** A node as a process of its own, between parties of the test's. */
+abstract class NodeProcessTestBase extends NodeTestBase {
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(20);
+    private static final long PAUSE_MILLIS = 20;
+
+    TestProcess program;
+    InetSocketAddress nodeAddress;
+    private int jobCount;
+
+    /** Starts one with this configuration and so many descriptors; returns once it listens. */
+    void startProcess(int fileDescriptorLimit, Path configuration) {
+        startProcess("ulimit -n " + fileDescriptorLimit, configuration);
+    }
+
+    /** The same once the shell has done something else first. */
+    void startProcess(String shellPrefix, Path configuration) {
+        program = TestProcess.start(ProcessSpec.command(
+                        "node",
+                        "/bin/sh",
+                        "-c",
+                        shellPrefix + "; exec \"$0\" \"$@\"",
+                        ProcessSpec.java(),
+                        "-Xmx96m",
+                        "-Dtinylog.level=info",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "olivechute.Main",
+                        "serve")
+                .withEnvironment("LB_CONFIG", configuration.toString()));
+        resources.add(program);
+        Matcher line = program.awaitLine("n0 listens on /127.0.0.1:([0-9]+)", START_TIMEOUT);
+        nodeAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(line.group(1)));
+    }
+
+    /** Has it read its configuration again. */
+    void sendHangupSignal() throws Exception {
+        new ProcessBuilder("/bin/kill", "-HUP", String.valueOf(program.pid()))
+                .start()
+                .waitFor();
+    }
+
+    TestClient connect() throws Exception {
+        TestClient client = new TestClient(nodeAddress);
+        resources.add(client);
+        return client;
+    }
+
+    /** The answer to a new job, on a connection of its own. */
+    String runJob() throws Exception {
+        try (TestClient client = new TestClient(nodeAddress)) {
+            return statusAndBody(client.exchange(TestClient.jobRequest("verify", "t" + jobCount++, 3000)));
+        }
+    }
+
+    /**
+     * Sends jobs until one gets an answer that begins so; refusals may come at once, so there is a pause between two.
+     */
+    void awaitAnswer(String expectedPrefix) throws Exception {
+        long end = System.nanoTime() + ANSWER_TIMEOUT.toNanos();
+        String answer = runJob();
+        while (!answer.startsWith(expectedPrefix) && System.nanoTime() < end) {
+            Thread.sleep(PAUSE_MILLIS);
+            answer = runJob();
+        }
+        assertTrue(answer.startsWith(expectedPrefix), answer);
+    }
+
+    /** A host that takes a job and tells the process of its end from a connection of its own. */
+    TestServer.ResponseHandler acceptAndReportToProcess(String endpoint, String result) {
+        return request -> {
+            String id = request.headers().get("X-Txn");
+            Threads.start("news", () -> {
+                try (TestClient client = new TestClient(nodeAddress)) {
+                    client.exchange(TestClient.statusEventRequest(id, endpoint, doneEvent(result)));
+                } catch (Exception e) {
+                    throw new IllegalStateException(e);
+                }
+            });
+            return ACCEPTED;
+        };
+    }
+}
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -33,9 +33,9 @@
 /** The rules on real sockets, one test each: a node between test-made clients, upstream hosts and discovery. */
 @SuppressWarnings({"ReferenceEquality", "ModifiedButNotUsed", "EmptyCatch"
 }) // identity is what is checked; collections hold connections open; a closed socket is expected
-public class NodeTest extends NodeRig {
+public class NodeTest extends NodeTestBase {
     /** Jobs are held for 4 s until a host has room. */
-    private static String longHeld(String text) {
+    private static String withLongLatencyObjective(String text) {
         return text.replaceFirst("(\"name\":\"verify\".*?\"goal_time\":)0.15", "$1" + 4);
     }
 
@@ -43,9 +43,9 @@
 
     @Test
     public void aJobIsPassedOnUnchangedAndItsResultIsTheAnswer() throws Exception {
-        Peer host = peer(works("s1", "\"state\":\"started\"", "\"state\":\"running\",\"share\":0.4", done("r\\u00e9")));
-        start(entry("s1", host, "active", 0));
-        assertEquals(text(client().call(Client.job("sign", "t1", 5000))), "200 r\u00e9");
+        TestServer host = startServer(acceptAndReport("s1", "\"state\":\"started\"", "\"state\":\"running\",\"share\":0.4", doneEvent("r\\u00e9")));
+        start(endpointEntry("s1", host, "active", 0));
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 r\u00e9");
         HttpRequest r = host.requests().get(0);
         assertEquals(r.method() + r.target() + new String(r.body(), UTF_8), "POST/sign?user=u1doc");
         assertEquals(r.headers().get("X-Txn") + r.headers().get("Idempotency-Key"), "t1key-t1");
@@ -55,27 +55,27 @@
     /** Callers see a request through even when the word of its end overtakes the 202, repeats, or is not for it. */
     @Test
     public void newsEarlyRepeatedUnknownOrFromAnotherHostChangeNoAnswer() throws Exception {
-        Peer host = peer(r -> {
+        TestServer host = startServer(r -> {
             String id = r.headers().get("X-Txn");
-            tell(id, "s2", done("wrong"));
-            tell("nobody", "s1", done("wrong"));
-            tell(id, "s1", done("right"), done("again"), "\"state\":\"lost\"");
+            sendStatusEvents(id, "s2", doneEvent("wrong"));
+            sendStatusEvents("nobody", "s1", doneEvent("wrong"));
+            sendStatusEvents(id, "s1", doneEvent("right"), doneEvent("again"), "\"state\":\"lost\"");
             return ACCEPTED;
         });
-        start(entry("s1", host, "active", 0));
-        Client client = client();
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
         for (int i = 0; i < 3; i++) {
-            assertEquals(text(client.call(Client.job("verify", "t" + i, 5000))), "200 right");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 right");
         }
         assertEquals(host.requests().size(), 3);
     }
 
     @Test
     public void aJobThatIsNeverDoneIsAnsweredBeforeItsClientLeavesAndGivenUp() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
-        start(entry("s1", host, "active", 0));
+        TestServer host = startServer(r -> ACCEPTED);
+        start(endpointEntry("s1", host, "active", 0));
         long before = System.nanoTime();
-        int status = client().call(Client.job("pay", "t1", 1000)).status();
+        int status = connectClient().exchange(TestClient.jobRequest("pay", "t1", 1000)).status();
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertEquals(status, 502);
         assertTrue(millis > 800 && millis < 1000 + 58, millis + " ms");
@@ -88,7 +88,7 @@
     public void aRefusalLeavesAtOnceAndSaysWhenRoomIsLikely() throws Exception {
         start();
         long before = System.nanoTime();
-        HttpResponse refused = client().call(Client.job("verify", "t1", 5000));
+        HttpResponse refused = connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000));
         assertEquals(refused.status(), 503);
         double advice = Double.parseDouble(refused.headers().get("Retry-After"));
         assertTrue(advice > 0 && advice <= 2, "advice " + advice);
@@ -98,27 +98,27 @@
     @Test
     public void aLiveIdIsNotTakenTwice() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer host = peer(r -> {
+        TestServer host = startServer(r -> {
             go.await(3, TimeUnit.SECONDS);
-            return works("s1", done("ok")).to(r);
+            return acceptAndReport("s1", doneEvent("ok")).respond(r);
         });
-        start(entry("s1", host, "active", 0));
-        Client first = client().send(Client.job("verify", "t1", 5000));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient first = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         awaitRequests(host, 1);
-        assertEquals(client().call(Client.job("verify", "t1", 5000)).status(), 409);
+        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 409);
         go.countDown();
-        assertEquals(text(first.receive()), "200 ok");
+        assertEquals(statusAndBody(first.receive()), "200 ok");
     }
 
     @Test
     public void aClientThatHangsUpFreesItsStreamAndHarmsNoOther() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
-        start(entry("s1", host, "active", 0));
-        client().send(Client.job("verify", "t1", 5000)).close();
+        TestServer host = startServer(r -> ACCEPTED);
+        start(endpointEntry("s1", host, "active", 0));
+        connectClient().send(TestClient.jobRequest("verify", "t1", 5000)).close();
         await(() -> node.unansweredRequests() == 0);
-        host.answer = works("s1", done("ok"));
-        tell("t1", "s1", done("late"));
-        assertEquals(text(client().call(Client.job("verify", "t2", 5000))), "200 ok");
+        host.handler = acceptAndReport("s1", doneEvent("ok"));
+        sendStatusEvents("t1", "s1", doneEvent("late"));
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t2", 5000))), "200 ok");
     }
 
     // ---- attempts -----------------------------------------------------------------------------------------
@@ -131,9 +131,9 @@
         return new Object[][] {
             // class, the reply of every host (null: hang up), its news, upstream requests, the answer's status
             {"verify", ACCEPTED, failed, 3, 503}, {"sign", ACCEPTED, lost, 3, 503}, {"pay", ACCEPTED, failed, 1, 502},
-            {"pay", ACCEPTED, lost, 1, 502}, {"pay", ACCEPTED, returned, 3, 503}, {"pay", TURNED_AWAY, null, 3, 503},
-            {"pay", ERROR, null, 1, 502}, {"verify", ERROR, null, 3, 503}, {"pay", Peer.HANG_UP, null, 1, 502},
-            {"sign", Peer.HANG_UP, null, 3, 503},
+            {"pay", ACCEPTED, lost, 1, 502}, {"pay", ACCEPTED, returned, 3, 503}, {"pay", REJECTED, null, 3, 503},
+            {"pay", ERROR, null, 1, 502}, {"verify", ERROR, null, 3, 503}, {"pay", TestServer.HANG_UP, null, 1, 502},
+            {"sign", TestServer.HANG_UP, null, 3, 503},
         };
     }
 
@@ -142,42 +142,42 @@
     public void aFailedUpstreamRequestIsRepeatedAsItsClassAllows(
             String kind, byte[] reply, String news, int requests, int status) throws Exception {
         List<String> known = new ArrayList<>();
-        List<Peer> hosts = new ArrayList<>();
+        List<TestServer> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             String name = "s" + i;
-            Peer host = peer(r -> news == null ? reply : works(name, news).to(r));
+            TestServer host = startServer(r -> news == null ? reply : acceptAndReport(name, news).respond(r));
             hosts.add(host);
-            known.add(entry(name, host, "active", 0));
+            known.add(endpointEntry(name, host, "active", 0));
         }
         start(known.toArray(new String[0]));
-        assertEquals(client().call(Client.job(kind, "t1", 2500)).status(), status);
+        assertEquals(connectClient().exchange(TestClient.jobRequest(kind, "t1", 2500)).status(), status);
         assertEquals(hosts.stream().mapToInt(h -> h.requests().size()).sum(), requests);
     }
 
     @Test
     public void aHostThatCannotBeReachedNeverRanTheJob() throws Exception {
-        Peer dead = peer(r -> null);
+        TestServer dead = startServer(r -> null);
         dead.close();
-        Peer host = peer(works("s2", done("ok")));
-        start(entry("s1", dead, "active", 0), entry("s2", host, "active", 0));
+        TestServer host = startServer(acceptAndReport("s2", doneEvent("ok")));
+        start(endpointEntry("s1", dead, "active", 0), endpointEntry("s2", host, "active", 0));
         for (int i = 0; i < 5; i++) {
-            assertEquals(text(client().call(Client.job("pay", "t" + i, 5000))), "200 ok");
+            assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("pay", "t" + i, 5000))), "200 ok");
         }
     }
 
     /** One silent connection held its job until the deadline, and made the decisions take its host for overrun. */
     @Test
     public void aJobThatIsNotAcceptedGoesToAnotherHost() throws Exception {
-        Peer silent = peer(r -> r.method().equals("DELETE") ? MessageWriter.response(204, null, true) : null);
-        Peer host = peer(worksOnceAsked("s2", silent));
-        start(entry("s1", silent, "active", 0), entry("s2", host, "active", 0));
+        TestServer silent = startServer(r -> r.method().equals("DELETE") ? MessageWriter.response(204, null, true) : null);
+        TestServer host = startServer(acceptAndReportAfterOther("s2", silent));
+        start(endpointEntry("s1", silent, "active", 0), endpointEntry("s2", host, "active", 0));
         long before = System.nanoTime();
-        List<Client> clients = new ArrayList<>();
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            clients.add(client().send(Client.job("sign", "t" + i, 5000)));
+            clients.add(connectClient().send(TestClient.jobRequest("sign", "t" + i, 5000)));
         }
-        for (Client c : clients) {
-            assertEquals(text(c.receive()), "200 ok");
+        for (TestClient c : clients) {
+            assertEquals(statusAndBody(c.receive()), "200 ok");
         }
         assertTrue(System.nanoTime() - before < 1_500_000_000L);
         assertTrue(silent.requests().size() >= 1);
@@ -189,21 +189,21 @@
      */
     @Test
     public void aJobWhoseHostCannotBeToldThatItIsGivenUpGoesToNoOther() throws Exception {
-        Peer cutOff = peer(r -> null);
-        Peer host = peer(worksOnceAsked("s2", cutOff));
-        start(entry("s1", cutOff, "active", 0), entry("s2", host, "active", 0));
-        List<Client> clients =
-                List.of(client().send(Client.job("sign", "t0", 5000)), client().send(Client.job("sign", "t1", 5000)));
+        TestServer cutOff = startServer(r -> null);
+        TestServer host = startServer(acceptAndReportAfterOther("s2", cutOff));
+        start(endpointEntry("s1", cutOff, "active", 0), endpointEntry("s2", host, "active", 0));
+        List<TestClient> clients =
+                List.of(connectClient().send(TestClient.jobRequest("sign", "t0", 5000)), connectClient().send(TestClient.jobRequest("sign", "t1", 5000)));
         List<HttpResponse> answers = new ArrayList<>();
-        for (Client c : clients) {
+        for (TestClient c : clients) {
             answers.add(c.receive());
         }
-        assertEquals(ids(cutOff).size(), 1);
-        HttpResponse given = answers.get(ids(cutOff).get(0).equals("t0") ? 0 : 1);
+        assertEquals(requestIds(cutOff).size(), 1);
+        HttpResponse given = answers.get(requestIds(cutOff).get(0).equals("t0") ? 0 : 1);
         assertEquals(given.status(), 503);
         assertTrue(Double.parseDouble(given.headers().get("Retry-After")) > 0);
-        assertEquals(text(answers.get(given == answers.get(0) ? 1 : 0)), "200 ok");
-        assertEquals(ids(host).size(), 1);
+        assertEquals(statusAndBody(answers.get(given == answers.get(0) ? 1 : 0)), "200 ok");
+        assertEquals(requestIds(host).size(), 1);
     }
 
     /**
@@ -213,20 +213,20 @@
     @Test
     public void aHostMayShakeHandsBeforeItTakesTheFirstJobOfAConnection() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
-        Peer host = peer(r -> {
+        TestServer host = startServer(r -> {
             if ("last".equals(r.headers().get("X-Txn"))) {
                 slow.countDown();
                 Thread.sleep(350); // more than such a host takes on a connection that is up, less than that and a dial
             }
-            Threads.start("news", () -> tell(r.headers().get("X-Txn"), "s1", done("ok")));
+            Threads.start("news", () -> sendStatusEvents(r.headers().get("X-Txn"), "s1", doneEvent("ok")));
             return MessageWriter.response(202, new byte[0], false); // so that each has a connection of its own
         });
-        start(entry("s1", host, "active", 0));
-        Client client = client();
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
         for (int i = 0; i < 20; i++) {
-            assertEquals(text(client.call(Client.job("verify", "t" + i, 5000))), "200 ok");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 ok");
         }
-        assertEquals(text(client.call(Client.job("verify", "last", 5000))), "200 ok");
+        assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("verify", "last", 5000))), "200 ok");
         assertEquals(slow.getCount(), 0);
         assertEquals(
                 host.requests().stream()
@@ -239,19 +239,19 @@
      * Takes a job at once and does it once the other has one too: an unheard host gets one at a time, so a second goes
      * there.
      */
-    private Peer.Answer worksOnceAsked(String from, Peer other) {
+    private TestServer.ResponseHandler acceptAndReportAfterOther(String from, TestServer other) {
         return request -> {
             Threads.start("news", () -> {
-                for (int i = 0; i < 500 && ids(other).isEmpty(); i++) {
+                for (int i = 0; i < 500 && requestIds(other).isEmpty(); i++) {
                     LockSupport.parkNanos(10_000_000);
                 }
-                tell(request.headers().get("X-Txn"), from, done("ok"));
+                sendStatusEvents(request.headers().get("X-Txn"), from, doneEvent("ok"));
             });
             return ACCEPTED;
         };
     }
 
-    private static List<String> ids(Peer host) {
+    private static List<String> requestIds(TestServer host) {
         return new ArrayList<>(host.requests().stream()
                 .filter(r -> r.method().equals("POST"))
                 .map(r -> r.headers().get("X-Txn"))
@@ -262,15 +262,15 @@
     /** wide: hosts took every job of one class and none of another, and were tried with both again and again. */
     @Test
     public void aClassThatAHostLeavesUnacceptedGoesElsewhere() throws Exception {
-        Peer deaf = peer(r -> r.method().equals("DELETE")
+        TestServer deaf = startServer(r -> r.method().equals("DELETE")
                 ? MessageWriter.response(204, null, true)
-                : r.path().equals("/sign") ? null : works("s1", done("deaf")).to(r));
-        Peer host = peer(works("s2", done("ok")));
-        start(entry("s1", deaf, "active", 0), entry("s2", host, "active", 0));
-        Client client = client();
+                : r.path().equals("/sign") ? null : acceptAndReport("s1", doneEvent("deaf")).respond(r));
+        TestServer host = startServer(acceptAndReport("s2", doneEvent("ok")));
+        start(endpointEntry("s1", deaf, "active", 0), endpointEntry("s2", host, "active", 0));
+        TestClient client = connectClient();
         for (int i = 0; i < 40; i++) {
             String kind = i % 2 == 0 ? "sign" : "verify";
-            assertEquals(client.call(Client.job(kind, "t" + i, 5000)).status(), 200, kind + " " + i);
+            assertEquals(client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(), 200, kind + " " + i);
         }
         long tried =
                 deaf.requests().stream().filter(r -> r.path().equals("/sign")).count();
@@ -281,14 +281,14 @@
     @Test
     public void keptConnectionsThatBreakCostTheirJobsNothing() throws Exception {
         AtomicInteger come = new AtomicInteger();
-        Peer host = peer(r -> come.incrementAndGet() % 3 == 2
-                ? Peer.HANG_UP
-                : works("s1", done("ok")).to(r));
-        start(entry("s1", host, "active", 0));
-        Client client = client();
+        TestServer host = startServer(r -> come.incrementAndGet() % 3 == 2
+                ? TestServer.HANG_UP
+                : acceptAndReport("s1", doneEvent("ok")).respond(r));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
         long before = System.nanoTime();
         for (int i = 0; i < 20; i++) {
-            assertEquals(text(client.call(Client.job("sign", "t" + i, 5000))), "200 ok");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t" + i, 5000))), "200 ok");
             Thread.sleep(
                     40); // a connection is left alone for a moment after an answer: let it be the kept one that breaks
         }
@@ -300,8 +300,8 @@
     /** What a node rehearses before it listens is all answered, and nothing of it is left. */
     @Test
     public void theRehearsalEndsAndLeavesNothing() throws Exception {
-        discovery = peer(r -> list(1, false));
-        Path file = config(discovery, 1024);
+        discovery = startServer(r -> endpointListResponse(1, false));
+        Path file = writeConfig(discovery, 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         assertEquals(Warmup.run(config, 60_000_000), 40);
@@ -315,60 +315,60 @@
     /** One answer may not drop the whole fleet: it is asked for once more. */
     @Test
     public void anEmptyListIsAskedForOnceMore() throws Exception {
-        Peer one = peer(works("s1", done("ok")));
-        Peer two = peer(works("s2", done("ok")));
+        TestServer one = startServer(acceptAndReport("s1", doneEvent("ok")));
+        TestServer two = startServer(acceptAndReport("s2", doneEvent("ok")));
         AtomicInteger whole = new AtomicInteger();
         CountDownLatch tell = new CountDownLatch(1);
-        discovery = peer(onceAnswered(r -> {
+        discovery = startServer(emptyUpdateThen(r -> {
             if (r.target().contains("since=1&")) {
                 tell.await(5, TimeUnit.SECONDS);
-                return list(2, true);
+                return endpointListResponse(2, true);
             }
             return r.target().contains("since")
                     ? null
                     : whole.incrementAndGet() == 1
-                            ? list(3, true, entry("s1", one, "active", 0), entry("s2", two, "active", 0))
-                            : list(3, true);
+                            ? endpointListResponse(3, true, endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0))
+                            : endpointListResponse(3, true);
         }));
-        start(entry("s1", one, "active", 0), entry("s2", two, "active", 0));
+        start(endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0));
         tell.countDown();
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=3&")));
         assertEquals(whole.get(), 1);
-        assertEquals(text(client().call(Client.job("verify", "t1", 5000))), "200 ok");
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
     }
 
     @Test
     public void nothingNewGoesToAHostThatDrainsOrIsGone() throws Exception {
-        Peer leaving = peer(works("s1", done("old")));
-        Peer staying = peer(works("s2", done("new")));
+        TestServer leaving = startServer(acceptAndReport("s1", doneEvent("old")));
+        TestServer staying = startServer(acceptAndReport("s2", doneEvent("new")));
         CountDownLatch tell = new CountDownLatch(1);
-        discovery = peer(onceAnswered(r -> {
+        discovery = startServer(emptyUpdateThen(r -> {
             tell.await(5, TimeUnit.SECONDS);
             return r.target().contains("since=1&")
-                    ? list(2, false, entry("s1", leaving, "leaving", 0), entry("s2", staying, "active", 0))
+                    ? endpointListResponse(2, false, endpointEntry("s1", leaving, "leaving", 0), endpointEntry("s2", staying, "active", 0))
                     : null;
         }));
-        start(entry("s1", leaving, "active", 0));
-        assertEquals(text(client().call(Client.job("verify", "t0", 5000))), "200 old");
+        start(endpointEntry("s1", leaving, "active", 0));
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t0", 5000))), "200 old");
         tell.countDown();
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2&")));
         for (int i = 1; i < 6; i++) {
-            assertEquals(text(client().call(Client.job("verify", "t" + i, 5000))), "200 new");
+            assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 new");
         }
         assertEquals(leaving.requests().size(), 1);
     }
 
     /** The settings' figure, as in the file, and the waits in milliseconds that it leaves. */
     @DataProvider
-    public Object[][] askEvery() {
+    public Object[][] pollIntervals() {
         return new Object[][] {{"10.0", 2000, 3000}, {"1.0", 400, 600}};
     }
 
     @Test(dataProvider = "askEvery")
     public void aWatchWaitsForNoLongerThanTheSettingsLetItGoUnasked(String askEvery, int least, int most)
             throws Exception {
-        discovery = peer(r -> list(1, false));
-        Path file = config(discovery, 1024);
+        discovery = startServer(r -> endpointListResponse(1, false));
+        Path file = writeConfig(discovery, 1024);
         Files.writeString(file, Files.readString(file).replace("\"ask_every\":10.0", "\"ask_every\":" + askEvery));
         node = new Node(NodeConfig.load(Map.of("LB_CONFIG", file.toString())));
         Files.delete(file);
@@ -381,25 +381,25 @@
 
     @Test
     public void theWatchGoesOnWithin200MillisAndComesBackAfterA503() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         List<byte[]> answers = List.of(
-                list(1, false),
-                list(1, false),
+                endpointListResponse(1, false),
+                endpointListResponse(1, false),
                 MessageWriter.response(503, new byte[0], true),
-                list(7, true, entry("s1", host, "active", 0)));
+                endpointListResponse(7, true, endpointEntry("s1", host, "active", 0)));
         List<Long> answered = new ArrayList<>();
-        discovery = peer(r -> {
+        discovery = startServer(r -> {
             int n = answered.size();
             answered.add(System.nanoTime() / 1_000_000);
             return n < answers.size() ? answers.get(n) : null;
         });
         start();
-        await(() -> discovery.seen.size() == 5);
-        assertTrue(discovery.seen.get(1).at() - answered.get(0) < 200);
-        assertTrue(discovery.seen.get(2).at() - answered.get(1) < 200);
+        await(() -> discovery.received.size() == 5);
+        assertTrue(discovery.received.get(1).receivedAtMs() - answered.get(0) < 200);
+        assertTrue(discovery.received.get(2).receivedAtMs() - answered.get(1) < 200);
         assertEquals(discovery.requests().get(0).target(), "/registry/instances"); // nothing known: all of it
         assertTrue(discovery.requests().get(4).target().contains("since=7&"));
-        assertEquals(text(client().call(Client.job("verify", "t1", 5000))), "200 ok");
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
     }
 
     /**
@@ -408,37 +408,37 @@
      */
     @Test
     public void aReloadMovesTheWatchAtOnceAndLeavesStreamsAlone() throws Exception {
-        Peer old = peer(r -> ACCEPTED);
-        Peer host = peer(works("s2", done("new")));
-        Peer next = peer(r -> r.target().contains("since=1&")
-                ? list(0, false)
+        TestServer old = startServer(r -> ACCEPTED);
+        TestServer host = startServer(acceptAndReport("s2", doneEvent("new")));
+        TestServer next = startServer(r -> r.target().contains("since=1&")
+                ? endpointListResponse(0, false)
                 : r.target().contains("since")
                         ? null
-                        : list(0, true, entry("s1", old, "leaving", 0), entry("s2", host, "active", 0)));
-        discovery = peer(onceAnswered(r -> null));
-        start(entry("s1", old, "active", 0));
+                        : endpointListResponse(0, true, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0)));
+        discovery = startServer(emptyUpdateThen(r -> null));
+        start(endpointEntry("s1", old, "active", 0));
         awaitRequests(discovery, 2);
-        Client busy = client().send(Client.job("verify", "t1", 5000));
+        TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         awaitRequests(old, 1);
-        Path file = config(next, 1024);
+        Path file = writeConfig(next, 1024);
         long before = System.nanoTime();
-        node.reload(NodeConfig.reload(Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", discovery.text())));
+        node.reload(NodeConfig.reload(Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", discovery.hostAndPort())));
         Files.delete(file);
-        await(() -> next.requests().size() == 3 && discovery.open.get() == 0);
+        await(() -> next.requests().size() == 3 && discovery.openConnections.get() == 0);
         assertTrue(System.nanoTime() - before < 500_000_000L);
-        assertEquals(text(client().call(Client.job("verify", "t2", 5000))), "200 new");
-        tell("t1", "s1", done("old"));
-        assertEquals(text(busy.receive()), "200 old");
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t2", 5000))), "200 new");
+        sendStatusEvents("t1", "s1", doneEvent("old"));
+        assertEquals(statusAndBody(busy.receive()), "200 old");
     }
 
     /** A cold host bears little: the node sends it no more than its part of the budget, whatever it reports. */
     @Test
     public void aColdHostIsNotPushedOver() throws Exception {
-        Peer cold = peer(works("s1", "\"state\":\"started\""));
-        start(entry("s1", cold, "active", System.currentTimeMillis()));
-        List<Client> clients = new ArrayList<>();
+        TestServer cold = startServer(acceptAndReport("s1", "\"state\":\"started\""));
+        start(endpointEntry("s1", cold, "active", System.currentTimeMillis()));
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            clients.add(client().send(Client.job("verify", "t" + i, 1500)));
+            clients.add(connectClient().send(TestClient.jobRequest("verify", "t" + i, 1500)));
         }
         Thread.sleep(900);
         assertTrue(cold.requests().size() <= 3, cold.requests().size() + " sent in the first second");
@@ -448,15 +448,15 @@
 
     @Test
     public void upstreamConnectionsAreReusedAndClosedBeforeTheHostWould() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
         for (int i = 0; i < 5; i++) {
-            assertEquals(client().call(Client.job("verify", "t" + i, 5000)).status(), 200);
+            assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000)).status(), 200);
             Thread.sleep(50); // the news may overtake the 202, which frees the connection
         }
-        assertEquals(host.connections.get(), 1);
+        assertEquals(host.connectionCount.get(), 1);
         long idleFrom = System.nanoTime();
-        await(() -> host.idleEnds.get() == 1);
+        await(() -> host.idleCloses.get() == 1);
         long idle = (System.nanoTime() - idleFrom) / 1_000_000;
         assertTrue(idle > 600 && idle < 1400, idle + " ms idle, the host closes at 1500: " + host);
     }
@@ -464,27 +464,27 @@
     /** A machine cut off in between answers neither the request nor the word that gives it up. */
     @Test
     public void connectionsToASilentHostAreGivenBack() throws Exception {
-        Peer host = peer(r -> {
+        TestServer host = startServer(r -> {
             if (r.method().equals("POST")) {
-                tell(r.headers().get("X-Txn"), "s1", "\"state\":\"started\"");
+                sendStatusEvents(r.headers().get("X-Txn"), "s1", "\"state\":\"started\"");
             }
             return null;
         });
-        start(entry("s1", host, "active", 0));
-        assertEquals(client().call(Client.job("pay", "t1", 500)).status(), 502);
+        start(endpointEntry("s1", host, "active", 0));
+        assertEquals(connectClient().exchange(TestClient.jobRequest("pay", "t1", 500)).status(), 502);
         awaitRequests(host, 2);
         Thread.sleep(2300);
-        assertEquals(host.open.get(), 0);
+        assertEquals(host.openConnections.get(), 0);
     }
 
     /** The node's own bound on streams: refused at once, with the module's advice. */
     @Test
     public void streamsOverTheBoundAreRefused() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
-        startWith(80, entry("s1", host, "active", 0)); // twelve downstream connections, six streams
-        List<Client> clients = new ArrayList<>();
+        TestServer host = startServer(r -> ACCEPTED);
+        startWith(80, endpointEntry("s1", host, "active", 0)); // twelve downstream connections, six streams
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
-            clients.add(client().send(Client.job("verify", "t" + i, 3000)));
+            clients.add(connectClient().send(TestClient.jobRequest("verify", "t" + i, 3000)));
             Thread.sleep(20);
         }
         long before = System.nanoTime();
@@ -492,20 +492,20 @@
         assertTrue(System.nanoTime() - before < 150_000_000L); // the module would hold it for longer
         assertEquals(refused.status(), 503);
         assertTrue(Double.parseDouble(refused.headers().get("Retry-After")) > 0);
-        tell("t0", "s1", done("ok")); // news still get through
-        assertEquals(text(clients.get(0).receive()), "200 ok");
+        sendStatusEvents("t0", "s1", doneEvent("ok")); // news still get through
+        assertEquals(statusAndBody(clients.get(0).receive()), "200 ok");
     }
 
     @Test
     public void aClientThatAsksFirstIsToldToGoOn() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        Client client = client();
-        HttpResponse goOn = client.call(
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
+        HttpResponse goOn = client.exchange(
                 ("POST /verify HTTP/1.1\r\nX-Txn: t1\r\nExpect: 100-continue\r\n" + "Content-Length: 3\r\n\r\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
         assertEquals(goOn.status(), 100);
-        assertEquals(text(client.call("doc".getBytes(StandardCharsets.ISO_8859_1))), "200 ok");
+        assertEquals(statusAndBody(client.exchange("doc".getBytes(StandardCharsets.ISO_8859_1))), "200 ok");
     }
 
     /**
@@ -515,25 +515,25 @@
     @Test
     public void aPipelinedRequestWaitsAndLeavesTheBodyBeforeItAlone() throws Exception {
         CountDownLatch sentBoth = new CountDownLatch(1);
-        List<Peer> hosts = new ArrayList<>();
+        List<TestServer> hosts = new ArrayList<>();
         Set<String> turnedAway = ConcurrentHashMap.newKeySet();
         for (int i = 0; i < 2; i++) {
             String name = "s" + i;
-            hosts.add(peer(r -> {
+            hosts.add(startServer(r -> {
                 sentBoth.await(3, TimeUnit.SECONDS);
                 String id = r.headers().get("X-Txn");
-                return turnedAway.add(id) ? TURNED_AWAY : works(name, done(id)).to(r);
+                return turnedAway.add(id) ? REJECTED : acceptAndReport(name, doneEvent(id)).respond(r);
             }));
         }
-        start(entry("s0", hosts.get(0), "active", 0), entry("s1", hosts.get(1), "active", 0));
-        Client client = client();
+        start(endpointEntry("s0", hosts.get(0), "active", 0), endpointEntry("s1", hosts.get(1), "active", 0));
+        TestClient client = connectClient();
         for (String id : List.of("t1", "t2", "t3")) {
             byte[] body = (id + "-document ").repeat(90).getBytes(StandardCharsets.ISO_8859_1);
             client.send(MessageWriter.request("POST", "/verify", "b", body, "X-Txn", id, "X-Remaining", "4500m"));
         }
         sentBoth.countDown();
         for (String id : List.of("t1", "t2", "t3")) {
-            assertEquals(text(client.receive()), "200 " + id);
+            assertEquals(statusAndBody(client.receive()), "200 " + id);
         }
         List<HttpRequest> all = new ArrayList<>(hosts.get(0).requests());
         all.addAll(hosts.get(1).requests());
@@ -558,47 +558,47 @@
         String[] hosts = new String[12];
         for (int i = 0; i < hosts.length; i++) {
             String name = "s" + i;
-            hosts[i] = entry(
+            hosts[i] = endpointEntry(
                     name,
-                    peer(r -> {
+                    startServer(r -> {
                         if (r.method().equals("DELETE")) {
                             return MessageWriter.response(204, null, true);
                         }
                         String id = r.headers().get("X-Txn");
                         if (!id.startsWith("big")) {
-                            return works(name, done("ok")).to(r);
+                            return acceptAndReport(name, doneEvent("ok")).respond(r);
                         }
                         Threads.start("big", () -> {
                             if (held.add(id) && id.endsWith("-0")) {
                                 smallServed.join();
                             }
-                            tell(id, name, done("x".repeat(60_000)));
+                            sendStatusEvents(id, name, doneEvent("x".repeat(60_000)));
                         });
                         return ACCEPTED;
                     }),
                     "active",
                     0);
         }
-        startWith(NodeTest::longHeld, 1024, hosts);
+        startWith(NodeTest::withLongLatencyObjective, 1024, hosts);
         // The decisions let a host have more as it serves: a cold one is soon full, and cold code serves too slowly.
         for (int i = 0; i < 300; i++) {
-            client().call(Client.job("verify", "warm" + i, 5000));
+            connectClient().exchange(TestClient.jobRequest("verify", "warm" + i, 5000));
         }
-        List<Client> deaf = new ArrayList<>();
+        List<TestClient> deaf = new ArrayList<>();
         for (int c = 0; c < 4; c++) {
-            Client client = client();
+            TestClient client = connectClient();
             client.socket.setReceiveBufferSize(4096);
             deaf.add(client);
             for (int i = 0; i < 40; i++) { // far more than the buffers between hold
-                client.send(Client.job("verify", "big-" + c + "-" + i, 5000));
+                client.send(TestClient.jobRequest("verify", "big-" + c + "-" + i, 5000));
             }
         }
         await(() -> held.size() == 4); // the fullest that it gets, and so each time
         long slowest = 0;
         for (int i = 0; i < 60; i++) {
             long before = System.nanoTime();
-            Client client = client();
-            assertEquals(text(client.call(Client.job("verify", "small" + i, 5000))), "200 ok");
+            TestClient client = connectClient();
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("verify", "small" + i, 5000))), "200 ok");
             client.close();
             slowest = Math.max(slowest, (System.nanoTime() - before) / 1_000_000);
             smallServed.complete(null);
@@ -619,9 +619,9 @@
         String[] hosts = new String[12];
         for (int i = 0; i < hosts.length; i++) {
             String name = "s" + i;
-            hosts[i] = entry(
+            hosts[i] = endpointEntry(
                     name,
-                    peer(r -> {
+                    startServer(r -> {
                         if (r.method().equals("DELETE")) {
                             told.add(r.target().substring("/jobs/".length()));
                             return MessageWriter.response(204, null, true);
@@ -632,17 +632,17 @@
                             return ACCEPTED;
                         }
                         bigs.incrementAndGet();
-                        return works(name, done("x".repeat(60_000))).to(r);
+                        return acceptAndReport(name, doneEvent("x".repeat(60_000))).respond(r);
                     }),
                     "active",
                     0);
         }
-        startWith(NodeTest::longHeld, 1024, hosts);
+        startWith(NodeTest::withLongLatencyObjective, 1024, hosts);
         for (int c = 0; c < 40; c++) { // given up three at a time, each after 0.5 s
-            Client deaf = client();
+            TestClient deaf = connectClient();
             deaf.socket.setReceiveBufferSize(4096);
             for (int i = 0; i < 8; i++) {
-                deaf.send(Client.job("verify", "big-" + c + "-" + i, 5000));
+                deaf.send(TestClient.jobRequest("verify", "big-" + c + "-" + i, 5000));
             }
         }
         for (int before = 0; before < 40 || before < bigs.get(); ) { // until their answers take no more
@@ -652,11 +652,11 @@
         for (int i = 0;
                 i < 10 && out.isEmpty();
                 i++) { // again only where a machine that stalls let none come to a host
-            List<Client> late = new ArrayList<>();
+            List<TestClient> late = new ArrayList<>();
             for (int j = 0; j < 6; j++) {
-                late.add(client().send(Client.job("verify", "late-" + i + "-" + j, 500)));
+                late.add(connectClient().send(TestClient.jobRequest("verify", "late-" + i + "-" + j, 500)));
             }
-            for (Client client : late) {
+            for (TestClient client : late) {
                 assertTrue(client.receive().status() >= 502); // 503, or 502 from a node that was itself late
             }
         }
@@ -670,36 +670,36 @@
     /** A process that came back does not answer on the connections of the one before. */
     @Test
     public void connectionsToTheProcessBeforeARestartAreNotReused() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         CountDownLatch restarted = new CountDownLatch(1);
-        discovery = peer(onceAnswered(r -> {
+        discovery = startServer(emptyUpdateThen(r -> {
             restarted.await(5, TimeUnit.SECONDS);
-            return r.target().contains("since=1&") ? list(2, false, entry("s1", host, "active", 1000)) : null;
+            return r.target().contains("since=1&") ? endpointListResponse(2, false, endpointEntry("s1", host, "active", 1000)) : null;
         }));
-        start(entry("s1", host, "active", 0));
-        assertEquals(client().call(Client.job("verify", "t1", 5000)).status(), 200);
+        start(endpointEntry("s1", host, "active", 0));
+        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 200);
         restarted.countDown();
-        await(() -> host.open.get() == 0);
-        assertEquals(client().call(Client.job("verify", "t2", 5000)).status(), 200);
-        assertEquals(host.connections.get(), 2);
+        await(() -> host.openConnections.get() == 0);
+        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t2", 5000)).status(), 200);
+        assertEquals(host.connectionCount.get(), 2);
     }
 
     /** At the bound, a connection between requests makes room for a new one. */
     @Test
     public void atTheDescriptorLimitIdleConnectionsAreShedFirst() throws Exception {
         startWith(80); // twelve for the downstream side
-        Set<Client> idle = new HashSet<>();
+        Set<TestClient> idle = new HashSet<>();
         for (int i = 0; i < 30; i++) {
-            Client c = client();
+            TestClient c = connectClient();
             assertEquals(
-                    c.call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+                    c.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
             idle.add(c);
         }
         int ended = 0;
-        for (Client c : idle) {
+        for (TestClient c : idle) {
             c.socket.setSoTimeout(50);
             try {
-                ended += c.ended() ? 1 : 0;
+                ended += c.isClosedByServer() ? 1 : 0;
             } catch (java.net.SocketTimeoutException open) {
 
             }
@@ -745,26 +745,26 @@
 
     @Test(dataProvider = "badInput")
     public void badInputIsRejectedAndNeverPassedUpstream(String bytes, int status) throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        Client bad = client();
-        assertEquals(bad.call(bytes.getBytes(StandardCharsets.ISO_8859_1)).status(), status);
-        assertTrue(bad.ended()); // it keeps no connection: by the hundred they would fill the bound
-        assertEquals(client().call(Client.job("verify", "t1", 5000)).status(), 200);
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient bad = connectClient();
+        assertEquals(bad.exchange(bytes.getBytes(StandardCharsets.ISO_8859_1)).status(), status);
+        assertTrue(bad.isClosedByServer()); // it keeps no connection: by the hundred they would fill the bound
+        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 200);
         assertEquals(host.requests().size(), 1);
     }
 
     /** A tenant that the settings do not name, or none, is no fault of the message: its job runs like any other. */
     @Test
     public void anUnknownTenantIsServed() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        Client client = client();
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
         String head = "POST /verify HTTP/1.1\r\nHost: x\r\nX-Txn: ";
-        assertEquals(text(client.call((head + "t1\r\nX-Org: nobody\r\n\r\n").getBytes(UTF_8))), "200 ok");
-        assertEquals(text(client.call((head + "t2\r\n\r\n").getBytes(UTF_8))), "200 ok");
+        assertEquals(statusAndBody(client.exchange((head + "t1\r\nX-Org: nobody\r\n\r\n").getBytes(UTF_8))), "200 ok");
+        assertEquals(statusAndBody(client.exchange((head + "t2\r\n\r\n").getBytes(UTF_8))), "200 ok");
         assertEquals(
-                text(client.call(
+                statusAndBody(client.exchange(
                         (head + "t3\r\nX-Org: acme\r\nX-Estimate: 99999999999999999999\r\n\r\n").getBytes(UTF_8))),
                 "200 ok");
     }
@@ -772,44 +772,44 @@
     /** Silence and half a request hold a thread each; one that waits for an answer or has had one may stay. */
     @Test
     public void silentAndHalfRequestsEndWithinThreeSeconds() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
-        start(entry("s1", host, "active", 0));
-        Client used = client();
+        TestServer host = startServer(r -> ACCEPTED);
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient used = connectClient();
         assertEquals(
-                used.call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
-        Client busy = client().send(Client.job("verify", "t1", 5000));
-        Client silent = client();
-        List<Client> halves = List.of(
-                client().send("POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8)),
-                client().send("POST /verify HTTP/1.1\r\nX-Txn: t2\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8)));
+                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+        TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
+        TestClient silent = connectClient();
+        List<TestClient> halves = List.of(
+                connectClient().send("POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8)),
+                connectClient().send("POST /verify HTTP/1.1\r\nX-Txn: t2\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8)));
         long before = System.nanoTime();
-        assertTrue(silent.ended());
-        for (Client half : halves) {
+        assertTrue(silent.isClosedByServer());
+        for (TestClient half : halves) {
             assertEquals(half.receive().status(), 503);
-            assertTrue(half.ended());
+            assertTrue(half.isClosedByServer());
         }
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertTrue(millis < 2800, millis + " ms");
         assertEquals(
-                used.call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
-        tell("t1", "s1", done("ok"));
-        assertEquals(text(busy.receive()), "200 ok");
+                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+        sendStatusEvents("t1", "s1", doneEvent("ok"));
+        assertEquals(statusAndBody(busy.receive()), "200 ok");
     }
 
     /** Who sends all of a body before it reads must still find the answer, not a reset in its place. */
     @Test
     public void aRejectedBodyIsReadOnSoThatItsAnswerArrives() throws Exception {
         start();
-        Client client = client().send("POST /verify HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n".getBytes(UTF_8));
-        assertEquals(client.call(new byte[8 << 20]).status(), 413);
+        TestClient client = connectClient().send("POST /verify HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n".getBytes(UTF_8));
+        assertEquals(client.exchange(new byte[8 << 20]).status(), 413);
     }
 
     /** The decisions take the longest wait they saw for the usual one: a client's own word must not stretch it. */
     @Test
     public void noClientWaitsLongerThanItsClassAllows() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        assertEquals(text(client().call(Client.job("verify", "t1", 99_000_000))), "200 ok");
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 99_000_000))), "200 ok");
         assertTrue(Long.parseLong(
                         host.requests().get(0).headers().get("X-Remaining").replace("u", ""))
                 <= 5_000_000);
@@ -818,26 +818,26 @@
     /** Late news of the first would be taken for news of the second. */
     @Test
     public void anIdThatWasSentUpstreamIsNotTakenAgainSoon() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        assertEquals(text(client().call(Client.job("verify", "t1", 5000))), "200 ok");
-        assertEquals(client().call(Client.job("verify", "t1", 5000)).status(), 409);
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
+        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 409);
         assertEquals(host.requests().size(), 1);
     }
 
     /** Hundreds that say nothing or stay for nothing: streams, news and new clients come through all the same. */
     @Test
     public void aCrowdOfUselessConnectionsKeepsNobodyOut() throws Exception {
-        Peer host = peer(r -> ACCEPTED);
-        startWith(80, entry("s1", host, "active", 0)); // twelve for the downstream side
+        TestServer host = startServer(r -> ACCEPTED);
+        startWith(80, endpointEntry("s1", host, "active", 0)); // twelve for the downstream side
         for (int i = 0; i < 3; i++) {
-            Client busy = client().send(Client.job("verify", "t" + i, 5000));
+            TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t" + i, 5000));
             await(() -> node.unansweredRequests() == 1);
             for (int n = 0; n < 40; n++) {
-                client().send(n % 2 == 0 ? new byte[0] : "POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8));
+                connectClient().send(n % 2 == 0 ? new byte[0] : "POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8));
             }
-            tell("t" + i, "s1", done("ok"));
-            assertEquals(text(busy.receive()), "200 ok");
+            sendStatusEvents("t" + i, "s1", doneEvent("ok"));
+            assertEquals(statusAndBody(busy.receive()), "200 ok");
         }
     }
 
@@ -846,10 +846,10 @@
     @Test
     public void aNodeThatEndsAnswersWhatItHasAndWhatStillComes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        Peer one = peer(null);
-        Peer two = peer(null);
-        for (Peer host : List.of(one, two)) {
-            host.answer = r -> {
+        TestServer one = startServer(null);
+        TestServer two = startServer(null);
+        for (TestServer host : List.of(one, two)) {
+            host.handler = r -> {
                 if (r.method().equals("DELETE")) {
                     return MessageWriter.response(204, null, true);
                 }
@@ -863,16 +863,16 @@
                     } catch (InterruptedException e) {
                         throw new IllegalStateException(e);
                     }
-                    tell(id, host == one ? "s1" : "s2", done("ok"));
+                    sendStatusEvents(id, host == one ? "s1" : "s2", doneEvent("ok"));
                 });
                 return ACCEPTED;
             };
         }
-        start(entry("s1", one, "active", 0), entry("s2", two, "active", 0));
-        Client idle = client();
+        start(endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0));
+        TestClient idle = connectClient();
         assertEquals(
-                idle.call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
-        Client busy = client().send(Client.job("verify", "t1", 5000));
+                idle.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+        TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         await(() -> one.requests().size() + two.requests().size() == 1);
         CountDownLatch drained = new CountDownLatch(1);
         Threads.start("drain", () -> {
@@ -886,7 +886,7 @@
         long before = System.nanoTime();
         await(() -> {
             try {
-                return client().call("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                return connectClient().exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
                                 .status()
                         == 503;
             } catch (Exception e) {
@@ -894,12 +894,12 @@
             }
         });
         // In a rolling restart this may be the only node up: kept connections serve on for a while.
-        assertEquals(text(idle.call(Client.job("verify", "t4", 5000))), "200 ok");
-        Client late = client().send(Client.job("pay", "t3", 5000));
-        assertTrue(idle.ended());
-        Client fresh = client();
+        assertEquals(statusAndBody(idle.exchange(TestClient.jobRequest("verify", "t4", 5000))), "200 ok");
+        TestClient late = connectClient().send(TestClient.jobRequest("pay", "t3", 5000));
+        assertTrue(idle.isClosedByServer());
+        TestClient fresh = connectClient();
         Thread.sleep(250); // connected, its first request still on its way
-        assertEquals(text(fresh.call(Client.job("verify", "t2", 5000))), "200 ok");
+        assertEquals(statusAndBody(fresh.exchange(TestClient.jobRequest("verify", "t2", 5000))), "200 ok");
         assertEquals(late.receive().status(), 502); // in time for the end, not for its client
         assertEquals(busy.receive().status(), 502); // what was taken before is answered by then too
         assertNull(busy.receive());
--- a/src/test/java/olivechute/LayersTest.java
+++ b/src/test/java/olivechute/PackageDependencyTest.java
@@ -13,16 +13,16 @@
 import org.testng.annotations.Test;
 
 /** Dependencies point downward only, and what decides knows no I/O, no clock and no chance of its own. */
-public class LayersTest {
+public class PackageDependencyTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("olivechute");
 
-    private static String in(String name) {
+    private static String packagePattern(String name) {
         return "olivechute." + name + "..";
     }
 
-    private static final List<String> ALL = List.of(
+    private static final List<String> ALL_PACKAGES = List.of(
             "loadbalancing",
             "proxy",
             "http",
@@ -55,18 +55,18 @@
             "loganalysis");
 
     /** What carries a change through a fleet, and what no node loads. */
-    private static final String[] SHARED = {in("error"), in("store"), in("rollout"), in("controller"), in("supervisor")
+    private static final String[] FLEET_PACKAGES = {packagePattern("error"), packagePattern("store"), packagePattern("rollout"), packagePattern("controller"), packagePattern("supervisor")
     };
 
     /** The store without its replicas, as their messages and those who run them are no part of what it decides. */
-    private static final String[] DECIDES = {
-        in("loadbalancing"),
-        in("endpointlist"),
-        in("health"),
-        in("identity"),
-        in("authorization"),
-        in("grpc"),
-        in("rollout"),
+    private static final String[] DETERMINISTIC_PACKAGES = {
+        packagePattern("loadbalancing"),
+        packagePattern("endpointlist"),
+        packagePattern("health"),
+        packagePattern("identity"),
+        packagePattern("authorization"),
+        packagePattern("grpc"),
+        packagePattern("rollout"),
         "olivechute.store"
     };
 
@@ -135,21 +135,21 @@
     }
 
     @Test(dataProvider = "layers")
-    public void aPackageKnowsThoseBelowItOnly(String name, List<String> below) {
-        List<String> others = new ArrayList<>(ALL);
-        others.removeAll(below);
+    public void packagesDependOnLowerLayersOnly(String name, List<String> allowed) {
+        List<String> others = new ArrayList<>(ALL_PACKAGES);
+        others.removeAll(allowed);
         others.remove(name);
         noClasses()
                 .that()
-                .resideInAPackage(in(name))
+                .resideInAPackage(packagePattern(name))
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(others.stream().map(LayersTest::in).toArray(String[]::new))
+                .resideInAnyPackage(others.stream().map(PackageDependencyTest::packagePattern).toArray(String[]::new))
                 .check(CLASSES);
     }
 
     @Test
-    public void noTwoPackagesKnowEachOther() {
+    public void packagesHaveNoCycles() {
         SlicesRuleDefinition.slices()
                 .matching("olivechute.(*)..")
                 .should()
@@ -158,10 +158,10 @@
     }
 
     @Test
-    public void whatDecidesDoesNoInputOrOutput() {
+    public void deterministicPackagesDoNoIo() {
         noClasses()
                 .that()
-                .resideInAnyPackage(DECIDES)
+                .resideInAnyPackage(DETERMINISTIC_PACKAGES)
                 .or()
                 .haveSimpleName("IdleConnections")
                 .or()
@@ -177,7 +177,7 @@
         // MemoryStore lets its callers wait, as the replicated one does.
         noClasses()
                 .that()
-                .resideInAnyPackage(DECIDES)
+                .resideInAnyPackage(DETERMINISTIC_PACKAGES)
                 .and()
                 .doNotHaveSimpleName("MemoryStore")
                 .should()
@@ -193,9 +193,9 @@
 
     /** What a node does not need it does not load: only the command line may name these. */
     @Test
-    public void nothingThatServesKnowsTheTools() {
+    public void servingCodeDoesNotDependOnTools() {
         String[] tools = Stream.concat(
-                        Stream.of(in("benchmark"), in("loganalysis"), in("testca"), in("simulator")), Stream.of(SHARED))
+                        Stream.of(packagePattern("benchmark"), packagePattern("loganalysis"), packagePattern("testca"), packagePattern("simulator")), Stream.of(FLEET_PACKAGES))
                 .toArray(String[]::new);
         String[] libraries = {
             "picocli..",
@@ -221,15 +221,15 @@
 
     /** Of what carries a change only the commands know the command line. */
     @Test
-    public void whatFleetsShareIsCalledByCommandsOnly() {
+    public void onlyCommandsOfFleetPackagesDependOnTheCommandLine() {
         noClasses()
                 .that()
-                .resideInAnyPackage(SHARED)
+                .resideInAnyPackage(FLEET_PACKAGES)
                 .and()
                 .haveNameNotMatching(".*Command(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("picocli..", in("benchmark"), in("loganalysis"), in("testca"), in("simulator"))
+                .resideInAnyPackage("picocli..", packagePattern("benchmark"), packagePattern("loganalysis"), packagePattern("testca"), packagePattern("simulator"))
                 .check(CLASSES);
     }
 
@@ -237,15 +237,15 @@
      * The way to the supervisor is the node's own business: nothing beneath it may load the messages' library for that.
      */
     @Test
-    public void onlyTheNodeReports() {
+    public void onlyTheNodeDependsOnMetricsReporting() {
         noClasses()
                 .that()
-                .resideOutsideOfPackages(in("metrics"), in("controller"), in("supervisor"), in("fleet"))
+                .resideOutsideOfPackages(packagePattern("metrics"), packagePattern("controller"), packagePattern("supervisor"), packagePattern("fleet"))
                 .and()
                 .haveNameNotMatching("olivechute\\.(node|cli)\\.[A-Za-z]+(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(in("metrics"), in("fleet"))
+                .resideInAnyPackage(packagePattern("metrics"), packagePattern("fleet"))
                 .check(CLASSES);
     }
 }
--- a/src/test/java/olivechute/StoredForms.java
+++ b/src/test/java/olivechute/RecordedEncodings.java
@@ -13,22 +13,22 @@
  * The bytes that an earlier build left on disks and in the store, from stored-forms.txt: a name and its bytes in
  * hexadecimal digits on each line. Every later build must read them, and write the same ones.
  */
-public final class StoredForms {
+public final class RecordedEncodings {
     private static final Map<String, byte[]> RECORDED = load();
 
-    private StoredForms() {}
+    private RecordedEncodings() {}
 
     private static Map<String, byte[]> load() {
-        Map<String, byte[]> forms = new LinkedHashMap<>();
-        try (InputStream in = StoredForms.class.getResourceAsStream("/stored-forms.txt")) {
+        Map<String, byte[]> encodings = new LinkedHashMap<>();
+        try (InputStream in = RecordedEncodings.class.getResourceAsStream("/stored-forms.txt")) {
             new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().forEach(line -> {
                 String[] parts = line.split(" ");
-                forms.put(parts[0], HexFormat.of().parseHex(parts.length > 1 ? parts[1] : ""));
+                encodings.put(parts[0], HexFormat.of().parseHex(parts.length > 1 ? parts[1] : ""));
             });
         } catch (IOException e) {
             throw new AssertionError(e);
         }
-        return forms;
+        return encodings;
     }
 
     /** The bytes that the earlier build wrote under this name. */
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -30,100 +30,100 @@
  * Identities on real sockets: who is let in, who is spoken with, and what becomes of that as identities run out or
  * change.
  */
-public class SecureNodeTest extends SecureNodeRig {
+public class SecureNodeTest extends SecureNodeTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
     private static final int HOSTS = 220;
     private static final int JOBS = 200;
-    private static final int WAVE = 2;
+    private static final int BATCH_SIZE = 2;
 
     // ---- who may be what ------------------------------------------------------------------------------------
 
     @Test
     public void aJobGoesThroughUnderIdentitiesOnBothSides() throws Exception {
-        Peer host = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        Client client = client("/client/acme");
+        TestServer host = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TestClient client = client("/client/acme");
         for (int i = 0; i < 3; i++) {
-            assertEquals(text(client.call(Client.job("sign", "t" + i, 5000))), "200 signed");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t" + i, 5000))), "200 signed");
         }
         assertEquals(host.requests().get(0).headers().get("Idempotency-Key"), "key-t0");
-        await(() -> host.seen.size() == 3);
-        assertTrue(host.connections.get() <= 3, host.connections.get() + " dialled");
+        await(() -> host.received.size() == 3);
+        assertTrue(host.connectionCount.get() <= 3, host.connectionCount.get() + " dialled");
     }
 
     @Test
     public void aClientOfAnotherTenantGets403AndNoHostHearsOfIt() throws Exception {
-        Peer host = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        assertEquals(client("/client/bolt").call(Client.job("sign", "t1", 5000)).status(), 403);
+        TestServer host = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        assertEquals(client("/client/bolt").exchange(TestClient.jobRequest("sign", "t1", 5000)).status(), 403);
         assertEquals(
-                client("/sign-worker/s1").call(Client.job("sign", "t2", 5000)).status(), 403);
+                client("/sign-worker/s1").exchange(TestClient.jobRequest("sign", "t2", 5000)).status(), 403);
         assertEquals(host.requests().size(), 0);
     }
 
     @Test
-    public void whoNoRuleIsAboutIsLetGoUnanswered() throws Exception {
-        startSecure(SETTINGS, entry("s1", worker("s1", "signed"), "active", 0));
-        assertEquals(tellAs(workload("/stranger"), "t1", "s1", done("x")), 0);
+    public void identityWithoutRuleIsDisconnected() throws Exception {
+        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0));
+        assertEquals(sendStatusEventAs(workloadContext("/stranger"), "t1", "s1", doneEvent("x")), 0);
     }
 
     /** Nothing of the job was written, so that even one that may not be repeated goes on to another host. */
     @Test
     public void aHostWithAnotherIdentityCouldNotBeConnectedTo() throws Exception {
-        Peer thief = host("s7", r -> ACCEPTED);
-        startSecure(SETTINGS, entry("s1", worker("s1", "signed"), "active", 0), entry("s2", thief, "active", 0));
-        Client client = client("/client/acme");
+        TestServer thief = secureServer("s7", r -> ACCEPTED);
+        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0), endpointEntry("s2", thief, "active", 0));
+        TestClient client = client("/client/acme");
         for (int i = 0; i < 3; i++) {
-            assertEquals(text(client.call(Client.job("pay", "t" + i, 5000))), "200 signed");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("pay", "t" + i, 5000))), "200 signed");
         }
         assertEquals(thief.requests().size(), 0);
-        assertTrue(thief.connections.get() > 0);
+        assertTrue(thief.connectionCount.get() > 0);
     }
 
     @Test
     public void callBacksCountOnlyFromTheIdentityOfTheHostThatHasTheJob() throws Exception {
-        TlsContext right = workload("/sign-worker/s1");
-        TlsContext wrong = workload("/sign-worker/s2");
+        TlsContext right = workloadContext("/sign-worker/s1");
+        TlsContext wrong = workloadContext("/sign-worker/s2");
         AtomicInteger refused = new AtomicInteger();
-        Peer host = host(right, r -> {
+        TestServer host = secureServer(right, r -> {
             if (refused.get() > 0) {
                 return null; // a word that gives the job up: this test takes long to accept it
             }
             String id = r.headers().get("X-Txn");
-            assertEquals(tellAs(wrong, id, "s1", done("forged")), 403);
-            assertEquals(tellAs(workload("/client/acme"), id, "s1", done("forged")), 403);
-            assertEquals(tellAs(wrong, id, "s2", done("forged")), 204); // its own name, yet not its job
+            assertEquals(sendStatusEventAs(wrong, id, "s1", doneEvent("forged")), 403);
+            assertEquals(sendStatusEventAs(workloadContext("/client/acme"), id, "s1", doneEvent("forged")), 403);
+            assertEquals(sendStatusEventAs(wrong, id, "s2", doneEvent("forged")), 204); // its own name, yet not its job
             refused.incrementAndGet();
-            assertEquals(tellAs(right, id, "s1", done("signed")), 204);
+            assertEquals(sendStatusEventAs(right, id, "s1", doneEvent("signed")), 204);
             return ACCEPTED;
         });
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        assertEquals(text(client("/client/acme").call(Client.job("sign", "t1", 5000))), "200 signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
         assertEquals(refused.get(), 1);
     }
 
     @Test
     public void otherRulesHoldFromAReloadOnForOpenConnectionsToo() throws Exception {
-        Peer host = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        Client client = client("/client/acme");
-        assertEquals(client.call(Client.job("sign", "t1", 5000)).status(), 200);
+        TestServer host = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TestClient client = client("/client/acme");
+        assertEquals(client.exchange(TestClient.jobRequest("sign", "t1", 5000)).status(), 200);
         java.nio.file.Files.writeString(
                 settings,
                 SETTINGS.replace("SOURCE", "source { folder = \"" + folder + "\", poll = 50ms }")
                         .replace("EXTRA", "")
                         .replace("tenants = [acme]", "tenants = [other]"));
-        java.nio.file.Path file = config(discovery, 1024);
+        java.nio.file.Path file = writeConfig(discovery, 1024);
         node.reload(olivechute.config.NodeConfig.reload(
                 Map.of("LB_CONFIG", file.toString(), "OLIVECHUTE_SETTINGS", settings.toString())));
         java.nio.file.Files.delete(file);
-        assertEquals(client.call(Client.job("sign", "t2", 5000)).status(), 403);
+        assertEquals(client.exchange(TestClient.jobRequest("sign", "t2", 5000)).status(), 403);
     }
 
     // ---- who never gets so far ------------------------------------------------------------------------------
 
     @DataProvider
-    public Object[][] beginnings() {
+    public Object[][] invalidHandshakes() {
         return new Object[][] {
             {"GET /health/ready HTTP/1.1\r\n\r\n"},
             {"\u0016\u0003\u0001"},
@@ -134,8 +134,8 @@
 
     /** Plain text, half a handshake, silence and rubbish: a close in time, with an alert at the most. */
     @Test(dataProvider = "beginnings")
-    public void whoSpeaksNoTlsGetsACloseInTime(String said) throws Exception {
-        startSecure(SETTINGS, entry("s1", worker("s1", "signed"), "active", 0));
+    public void nonTlsConnectionIsClosedInTime(String said) throws Exception {
+        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0));
         try (Socket socket = new Socket()) {
             socket.connect(node.address(), 1000);
             socket.setSoTimeout(4000);
@@ -154,10 +154,10 @@
 
     @Test
     public void forgersGetAnAlertFromEitherSideAndNoJob() throws Exception {
-        List<Peer> forgers = new ArrayList<>();
+        List<TestServer> forgers = new ArrayList<>();
         List<String> known = new ArrayList<>();
-        Peer honest = worker("s1", "signed");
-        known.add(entry("s1", honest, "active", 0));
+        TestServer honest = secureWorker("s1", "signed");
+        known.add(endpointEntry("s1", honest, "active", 0));
         ForgedIdentity[] kinds = {
             ForgedIdentity.SELF_SIGNED,
             ForgedIdentity.OTHER_ROOT_SAME_NAME,
@@ -167,21 +167,21 @@
         };
         for (ForgedIdentity kind :
                 List.of(ForgedIdentity.SELF_SIGNED, ForgedIdentity.TWO_URIS)) { // a third attempt finds the honest one
-            TlsContext forged = context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, start)));
-            Peer forger = host(forged, r -> ACCEPTED);
+            TlsContext forged = context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, startTime)));
+            TestServer forger = secureServer(forged, r -> ACCEPTED);
             forgers.add(forger);
-            known.add(entry("s2" + kind.ordinal(), forger, "active", 0));
+            known.add(endpointEntry("s2" + kind.ordinal(), forger, "active", 0));
         }
         startSecure(SETTINGS, known.toArray(new String[0]));
         for (ForgedIdentity kind : kinds) {
             assertEquals(
-                    tellAs(context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, start))), "t", "s1", done("x")),
+                    sendStatusEventAs(context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, startTime))), "t", "s1", doneEvent("x")),
                     0,
                     kind.name());
         }
-        Client client = client("/client/acme");
+        TestClient client = client("/client/acme");
         for (int i = 0; i < 12; i++) {
-            assertEquals(text(client.call(Client.job("sign", "t" + i, 5000))), "200 signed");
+            assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t" + i, 5000))), "200 signed");
         }
         assertEquals(forgers.stream().mapToInt(f -> f.requests().size()).sum(), 0);
     }
@@ -191,21 +191,21 @@
      * over.
      */
     @Test
-    public void aHostThatShakesNoHandsCouldNotBeConnectedTo() throws Exception {
-        Peer silent = peer(r -> null);
-        startSecure(SETTINGS, entry("s1", worker("s1", "signed"), "active", 0), entry("s2", silent, "active", 0));
-        assertEquals(text(client("/client/acme").call(Client.job("pay", "t1", 950))), "200 signed");
-        assertTrue(silent.connections.get() > 0);
+    public void missingHandshakeIsAConnectFailure() throws Exception {
+        TestServer silent = startServer(r -> null);
+        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0), endpointEntry("s2", silent, "active", 0));
+        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("pay", "t1", 950))), "200 signed");
+        assertTrue(silent.connectionCount.get() > 0);
     }
 
     @Test
     public void aHandshakeHasItsOwnTimeOut() throws Exception {
         startSecure(SETTINGS.replace("EXTRA", "tls { downstream_handshake = 200ms }"));
-        assertTrue(closedWithin(1_500) >= 150_000_000L);
+        assertTrue(awaitCloseNanos(1_500) >= 150_000_000L);
     }
 
     /** Nanoseconds until the node closes a connection that says nothing; fails after so many milliseconds. */
-    private long closedWithin(int millis) throws IOException {
+    private long awaitCloseNanos(int millis) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(node.address(), 1000);
             socket.setSoTimeout(millis);
@@ -223,32 +223,32 @@
     @Test
     public void aJobOutlivesItsClientsIdentityAndTheNextOneDoesNotEnter() throws Exception {
         TlsContext old = context(issue("/sign-worker/s1", Duration.ofSeconds(30)));
-        TlsContext renewed = workload("/sign-worker/s1");
-        Peer host = host(old, r -> ACCEPTED);
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        Client client = client(context(issue("/client/acme", Duration.ofSeconds(30))));
-        client.send(Client.job("sign", "t1", 5000));
-        await(() -> host.seen.size() == 1);
-        assertEquals(tellAs(old, "t1", "s1", "\"state\":\"started\""), 204);
-        Client kept = client(old);
+        TlsContext renewed = workloadContext("/sign-worker/s1");
+        TestServer host = secureServer(old, r -> ACCEPTED);
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TestClient client = client(context(issue("/client/acme", Duration.ofSeconds(30))));
+        client.send(TestClient.jobRequest("sign", "t1", 5000));
+        await(() -> host.received.size() == 1);
+        assertEquals(sendStatusEventAs(old, "t1", "s1", "\"state\":\"started\""), 204);
+        TestClient kept = client(old);
         assertEquals(
-                kept.call(Client.news("t1", "s1", "\"state\":\"running\",\"share\":0.2"))
+                kept.exchange(TestClient.statusEventRequest("t1", "s1", "\"state\":\"running\",\"share\":0.2"))
                         .status(),
                 204);
-        step = Duration.ofSeconds(31);
-        assertTrue(refusedOn(kept, Client.news("t1", "s1", done("by an old identity"))));
-        assertEquals(tellAs(old, "t1", "s1", done("by an old identity")), 0);
-        assertEquals(tellAs(renewed, "t1", "s1", done("signed")), 204);
-        assertEquals(text(client.receive()), "200 signed");
-        assertTrue(refusedOn(client, Client.job("sign", "t2", 5000)));
+        clockOffset = Duration.ofSeconds(31);
+        assertTrue(isRejectedOn(kept, TestClient.statusEventRequest("t1", "s1", doneEvent("by an old identity"))));
+        assertEquals(sendStatusEventAs(old, "t1", "s1", doneEvent("by an old identity")), 0);
+        assertEquals(sendStatusEventAs(renewed, "t1", "s1", doneEvent("signed")), 204);
+        assertEquals(statusAndBody(client.receive()), "200 signed");
+        assertTrue(isRejectedOn(client, TestClient.jobRequest("sign", "t2", 5000)));
         assertEquals(host.requests().size(), 1);
     }
 
     /** True if a connection takes no more: it ends, or says 403 and then ends. */
-    private static boolean refusedOn(Client client, byte[] message) throws Exception {
+    private static boolean isRejectedOn(TestClient client, byte[] message) throws Exception {
         try {
-            HttpResponse answer = client.call(message);
-            return answer == null || (answer.status() == 403 && client.ended());
+            HttpResponse answer = client.exchange(message);
+            return answer == null || (answer.status() == 403 && client.isClosedByServer());
         } catch (IOException ended) {
             return true;
         }
@@ -259,27 +259,27 @@
      */
     @Test
     public void withoutAnIdentityOfOurOwnNothingNewIsSpokenUntilItIsRenewed() throws Exception {
-        own.svid(issue("/node", Duration.ofSeconds(30)));
-        TlsContext worker = workload("/sign-worker/s1");
-        Peer host = host(worker, r -> ACCEPTED);
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        Client client = client("/client/acme").send(Client.job("sign", "t1", 5000));
-        await(() -> host.seen.size() == 1);
-        Client news = client(worker);
-        assertEquals(news.call(Client.news("t1", "s1", "\"state\":\"started\"")).status(), 204);
-        step = Duration.ofSeconds(31);
-        assertEquals(tellAs(worker, "t1", "s1", done("signed")), 0);
-        closedWithin(1_500); // at once: there is no handshake to wait for
-        own.svid(issue("/node", HOUR));
-        await(() -> told(worker, "t1", done("signed")));
-        assertEquals(text(client.receive()), "200 signed");
-        host.answer = signs(worker, "s1", done("again"));
-        assertEquals(text(client("/client/acme").call(Client.job("sign", "t2", 5000))), "200 again");
+        nodeTrustDirectory.svid(issue("/node", Duration.ofSeconds(30)));
+        TlsContext worker = workloadContext("/sign-worker/s1");
+        TestServer host = secureServer(worker, r -> ACCEPTED);
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TestClient client = client("/client/acme").send(TestClient.jobRequest("sign", "t1", 5000));
+        await(() -> host.received.size() == 1);
+        TestClient news = client(worker);
+        assertEquals(news.exchange(TestClient.statusEventRequest("t1", "s1", "\"state\":\"started\"")).status(), 204);
+        clockOffset = Duration.ofSeconds(31);
+        assertEquals(sendStatusEventAs(worker, "t1", "s1", doneEvent("signed")), 0);
+        awaitCloseNanos(1_500); // at once: there is no handshake to wait for
+        nodeTrustDirectory.svid(issue("/node", HOUR));
+        await(() -> isEventAccepted(worker, "t1", doneEvent("signed")));
+        assertEquals(statusAndBody(client.receive()), "200 signed");
+        host.handler = acceptAndReportAs(worker, "s1", doneEvent("again"));
+        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t2", 5000))), "200 again");
     }
 
-    private boolean told(TlsContext identity, String id, String rest) {
+    private boolean isEventAccepted(TlsContext identity, String id, String rest) {
         try {
-            return tellAs(identity, id, "s1", rest) == 204;
+            return sendStatusEventAs(identity, id, "s1", rest) == 204;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -288,41 +288,41 @@
     /** The clock steps forward and back: what it made invalid for a while is valid again, nothing is remembered. */
     @Test
     public void aClockThatStepsForwardAndBackLeavesNothingBehind() throws Exception {
-        Peer host = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        TlsContext acme = workload("/client/acme");
-        assertEquals(text(client(acme).call(Client.job("sign", "t1", 5000))), "200 signed");
-        step = Duration.ofDays(1);
-        assertEquals(tellAs(acme, "x", "s1", done("x")), 0);
-        step = Duration.ofDays(-1);
-        assertEquals(tellAs(acme, "x", "s1", done("x")), 0);
-        step = Duration.ZERO;
-        assertEquals(text(client(acme).call(Client.job("sign", "t2", 5000))), "200 signed");
+        TestServer host = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TlsContext acme = workloadContext("/client/acme");
+        assertEquals(statusAndBody(client(acme).exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
+        clockOffset = Duration.ofDays(1);
+        assertEquals(sendStatusEventAs(acme, "x", "s1", doneEvent("x")), 0);
+        clockOffset = Duration.ofDays(-1);
+        assertEquals(sendStatusEventAs(acme, "x", "s1", doneEvent("x")), 0);
+        clockOffset = Duration.ZERO;
+        assertEquals(statusAndBody(client(acme).exchange(TestClient.jobRequest("sign", "t2", 5000))), "200 signed");
     }
 
     @Test
     public void aHostThatComesBackAsSomebodyElseGetsNothing() throws Exception {
-        Peer first = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", first, "active", 0));
-        Client client = client("/client/acme");
-        assertEquals(text(client.call(Client.job("pay", "t1", 5000))), "200 signed");
-        Peer second = first.replacedBy(r -> ACCEPTED, tls(workload("/sign-worker/s9")));
-        parties.add(second);
+        TestServer first = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", first, "active", 0));
+        TestClient client = client("/client/acme");
+        assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("pay", "t1", 5000))), "200 signed");
+        TestServer second = first.replaceWith(r -> ACCEPTED, tlsWrapper(workloadContext("/sign-worker/s9")));
+        resources.add(second);
         // Where the first job took long its host counts as overloaded, and is sent nothing for a second.
-        for (int i = 2; i < 12 && second.connections.get() == 0; i++) {
-            assertEquals(client.call(Client.job("pay", "t" + i, 2500)).status(), 503);
+        for (int i = 2; i < 12 && second.connectionCount.get() == 0; i++) {
+            assertEquals(client.exchange(TestClient.jobRequest("pay", "t" + i, 2500)).status(), 503);
         }
         assertEquals(second.requests().size(), 0);
-        assertTrue(second.connections.get() > 0);
+        assertTrue(second.connectionCount.get() > 0);
     }
 
     /** What waits behind a request is read in TLS too, so that the client's leave is seen there at once. */
     @Test
     public void aClientThatLeavesBehindPipelinedRequestsIsSeenTo() throws Exception {
-        Peer host = host("s1", r -> r.method().equals("POST") ? ACCEPTED : MessageWriter.response(204, null, true));
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        Client client =
-                client("/client/acme").send(Client.job("sign", "t1", 5000)).send(Client.job("sign", "t2", 5000));
+        TestServer host = secureServer("s1", r -> r.method().equals("POST") ? ACCEPTED : MessageWriter.response(204, null, true));
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TestClient client =
+                client("/client/acme").send(TestClient.jobRequest("sign", "t1", 5000)).send(TestClient.jobRequest("sign", "t2", 5000));
         awaitRequests(host, 1);
         long from = System.nanoTime();
         client.close();
@@ -341,46 +341,46 @@
      * vouched for.
      */
     @Test
-    public void twoHundredJobsOutliveTheirAuthority() throws Exception {
+    public void jobsInFlightSurviveAuthorityRotation() throws Exception {
         CertificateAuthority first = root;
         CountDownLatch go = new CountDownLatch(1);
         AtomicInteger runs = new AtomicInteger();
         Set<String> started = ConcurrentHashMap.newKeySet();
         BlockingQueue<Integer> told = new LinkedBlockingQueue<>();
-        TlsContext[] worker = {workload("/sign-worker/pool")};
+        TlsContext[] worker = {workloadContext("/sign-worker/pool")};
         List<String> known = new ArrayList<>();
         for (int h = 0; h < HOSTS; h++) { // more than jobs: one that was not heard of yet gets one at a time
             String name = "s" + h;
-            known.add(entry(
+            known.add(endpointEntry(
                     name,
-                    host(worker[0], r -> {
+                    secureServer(worker[0], r -> {
                         runs.incrementAndGet();
                         String id = r.headers().get("X-Txn");
-                        olivechute.net.Threads.start("job", () -> tellOfJob(worker, name, id, started, go, told));
+                        olivechute.net.Threads.start("job", () -> reportJob(worker, name, id, started, go, told));
                         return ACCEPTED;
                     }),
                     "active",
                     0));
         }
-        deadline = 50;
+        deadlineSeconds = 50;
         startSecure(
                 SETTINGS.replace("EXTRA", "tls { downstream_handshake = 20s, handshakes_at_once = 16 }")
                         .replace("/{host}", "/pool"),
                 known.toArray(new String[0]));
-        TlsContext acme = workload("/client/acme");
-        List<Client> clients = new ArrayList<>();
+        TlsContext acme = workloadContext("/client/acme");
+        List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
-            clients.add(client(acme).send(Client.job("sign", "t" + i, 50_000)));
+            clients.add(client(acme).send(TestClient.jobRequest("sign", "t" + i, 50_000)));
             int sent = i + 1;
-            if (sent % WAVE == 0) { // each is three handshakes, one of which the time to accept a job is for
+            if (sent % BATCH_SIZE == 0) { // each is three handshakes, one of which the time to accept a job is for
                 await(() -> started.size() == sent);
             }
         }
         CertificateAuthority second = authority();
         trust(first, second);
         root = second;
-        own.svid(issue("/node", HOUR));
-        worker[0] = workload("/sign-worker/pool");
+        nodeTrustDirectory.svid(issue("/node", HOUR));
+        worker[0] = workloadContext("/sign-worker/pool");
         TrustBundles onlySecond = TrustBundles.EMPTY.with(second.bundle());
         TlsContext withoutFirst = context(issue("/client/acme", HOUR), () -> onlySecond);
         // The folder is read at any moment, and a node that has the new bundle may yet show its old certificate: nobody
@@ -394,13 +394,13 @@
             assertEquals(told.poll(20, TimeUnit.SECONDS), Integer.valueOf(204));
         }
         for (int i = 0; i < JOBS; i++) {
-            assertEquals(text(clients.get(i).receive()), "200 t" + i);
-            assertTrue(refusedOn(clients.get(i), Client.job("sign", "late" + i, 5000)));
+            assertEquals(statusAndBody(clients.get(i).receive()), "200 t" + i);
+            assertTrue(isRejectedOn(clients.get(i), TestClient.jobRequest("sign", "late" + i, 5000)));
         }
         assertEquals(runs.get(), JOBS);
     }
 
-    private void tellOfJob(
+    private void reportJob(
             TlsContext[] identity,
             String from,
             String id,
@@ -408,20 +408,20 @@
             CountDownLatch go,
             BlockingQueue<Integer> told) {
         String ends = "\"state\":\"done\",\"result\":\"" + id + "\",\"load\":{\"x0\":64,\"depth\":0}";
-        try (Client before = client(identity[0])) {
+        try (TestClient before = client(identity[0])) {
             assertEquals(
-                    before.call(Client.news(id, from, "\"state\":\"started\"")).status(), 204);
+                    before.exchange(TestClient.statusEventRequest(id, from, "\"state\":\"started\"")).status(), 204);
             started.add(id);
             go.await(50, TimeUnit.SECONDS);
-            told.add(tellAs(identity[0], id, from, ends));
+            told.add(sendStatusEventAs(identity[0], id, from, ends));
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
     private boolean accepts(TlsContext identity) {
-        try (Client client = client(identity)) {
-            return client.call(Client.job("nothing", "x", 100)) != null;
+        try (TestClient client = client(identity)) {
+            return client.exchange(TestClient.jobRequest("nothing", "x", 100)) != null;
         } catch (Exception refused) {
             return false;
         }
@@ -430,13 +430,13 @@
     /** What a helper writes badly, or not at all any more, ends nothing before its time. */
     @Test
     public void rubbishInTheFolderLeavesTheLastIdentityInForce() throws Exception {
-        Peer host = worker("s1", "signed");
-        startSecure(SETTINGS, entry("s1", host, "active", 0));
-        TlsContext acme = workload("/client/acme");
+        TestServer host = secureWorker("s1", "signed");
+        startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
+        TlsContext acme = workloadContext("/client/acme");
         java.nio.file.Files.writeString(folder.resolve("svid.pem"), "rubbish");
         java.nio.file.Files.delete(folder.resolve("bundle.pem"));
         Thread.sleep(150); // three looks of the source
-        assertEquals(text(client(acme).call(Client.job("sign", "t1", 5000))), "200 signed");
+        assertEquals(statusAndBody(client(acme).exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
         assertNull(node.tlsAddress());
     }
 }
--- a/src/test/java/olivechute/SecureNodeRig.java
+++ b/src/test/java/olivechute/SecureNodeTestBase.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.BeforeMethod;
 
 /** A node with identities, its documents in a folder, and parties that speak TLS by the platform's own sockets. */
-abstract class SecureNodeRig extends NodeRig {
+abstract class SecureNodeTestBase extends NodeTestBase {
     static final String DOMAIN = "dala.example";
     private static final Duration HOUR = Duration.ofHours(1);
     /** {@code FOLDER} is put in; tests add to it. */
@@ -47,27 +47,27 @@
         }
         """;
 
-    private static boolean warm; // a node of this process has shaken hands on both sides
+    private static boolean warmedUp; // a node of this process has shaken hands on both sides
 
-    Instant start;
-    volatile Duration step; // by which the node's clock for identities is off the system's
+    Instant startTime;
+    volatile Duration clockOffset; // by which the node's clock for identities is off the system's
     CertificateAuthority root;
     volatile TrustBundles bundles; // of all parties but the node
     Path folder;
-    TrustDirectory own;
+    TrustDirectory nodeTrustDirectory;
     Path settings;
-    int deadline; // s, of all classes
+    int deadlineSeconds; // s, of all classes
 
     @BeforeMethod
     public void setUpTrust() throws Exception {
-        step = Duration.ZERO;
-        deadline = 5;
-        start = Instant.now();
+        clockOffset = Duration.ZERO;
+        deadlineSeconds = 5;
+        startTime = Instant.now();
         root = authority();
         bundles = TrustBundles.EMPTY.with(root.bundle());
         folder = Files.createTempDirectory("svid");
-        own = new TrustDirectory(folder).svid(issue("/node", HOUR)).bundle(List.of(root.certificate()));
-        warm();
+        nodeTrustDirectory = new TrustDirectory(folder).svid(issue("/node", HOUR)).bundle(List.of(root.certificate()));
+        warmedUp();
     }
 
     /**
@@ -75,17 +75,17 @@
      * has to accept a job. That is the virtual machine's time and no test's subject: a node of its own spends it on
      * jobs that may fail, until one is done.
      */
-    private void warm() throws Exception {
-        if (warm) {
+    private void warmedUp() throws Exception {
+        if (warmedUp) {
             return;
         }
-        startSecure(SETTINGS, entry("s0", worker("s0", "warm"), "active", 0));
-        for (int i = 0; i < 10 && !warm; i++) {
-            warm = text(client("/client/acme").call(Client.job("sign", "warm" + i, 5000)))
+        startSecure(SETTINGS, endpointEntry("s0", secureWorker("s0", "warm"), "active", 0));
+        for (int i = 0; i < 10 && !warmedUp; i++) {
+            warmedUp = statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "warm" + i, 5000)))
                     .equals("200 warm");
         }
-        assertTrue(warm, "not one of ten jobs was done");
-        closeParties();
+        assertTrue(warmedUp, "not one of ten jobs was done");
+        closeResources();
         Files.delete(settings);
     }
 
@@ -100,19 +100,19 @@
     }
 
     Instant now() {
-        return Instant.now().plus(step);
+        return Instant.now().plus(clockOffset);
     }
 
     CertificateAuthority authority() {
-        return CertificateAuthority.root(DOMAIN, start.minus(HOUR), start.plus(HOUR.multipliedBy(4)));
+        return CertificateAuthority.root(DOMAIN, startTime.minus(HOUR), startTime.plus(HOUR.multipliedBy(4)));
     }
 
-    CertificateAuthority.Issued issue(String path, Duration life) throws Exception {
-        return issue(root, path, life);
+    CertificateAuthority.Issued issue(String path, Duration lifetime) throws Exception {
+        return issue(root, path, lifetime);
     }
 
-    CertificateAuthority.Issued issue(CertificateAuthority by, String path, Duration life) throws Exception {
-        return by.issue(SpiffeId.parse("spiffe://" + DOMAIN + path), start.minusSeconds(60), now().plus(life));
+    CertificateAuthority.Issued issue(CertificateAuthority authority, String path, Duration lifetime) throws Exception {
+        return authority.issue(SpiffeId.parse("spiffe://" + DOMAIN + path), startTime.minusSeconds(60), now().plus(lifetime));
     }
 
     TlsContext context(CertificateAuthority.Issued issued) {
@@ -125,7 +125,7 @@
     }
 
     /** A workload that holds for an hour. */
-    TlsContext workload(String path) throws Exception {
+    TlsContext workloadContext(String path) throws Exception {
         return context(issue(path, HOUR));
     }
 
@@ -133,18 +133,18 @@
         List<X509Certificate> all =
                 Stream.of(authorities).map(CertificateAuthority::certificate).toList();
         bundles = TrustBundles.EMPTY.with(new TrustBundle(DOMAIN, all, Map.of()));
-        own.bundle(all);
+        nodeTrustDirectory.bundle(all);
     }
 
     /** A host in TLS under this identity. */
-    Peer host(TlsContext identity, Peer.Answer answer) throws IOException {
-        Peer peer = new Peer(answer, tls(identity));
-        parties.add(peer);
+    TestServer secureServer(TlsContext identity, TestServer.ResponseHandler answer) throws IOException {
+        TestServer peer = new TestServer(answer, tlsWrapper(identity));
+        resources.add(peer);
         return peer;
     }
 
     /** TLS under this identity; who dials must show one. */
-    static Peer.Layer tls(TlsContext identity) {
+    static TestServer.SocketWrapper tlsWrapper(TlsContext identity) {
         return accepted -> {
             SSLSocket socket =
                     (SSLSocket) identity.sslContext().getSocketFactory().createSocket(accepted, (InputStream) null, true);
@@ -153,25 +153,25 @@
         };
     }
 
-    Peer host(String name, Peer.Answer answer) throws Exception {
-        return host(workload("/sign-worker/" + name), answer);
+    TestServer secureServer(String name, TestServer.ResponseHandler answer) throws Exception {
+        return secureServer(workloadContext("/sign-worker/" + name), answer);
     }
 
-    Client client(TlsContext identity) throws IOException {
-        Client client =
-                new Client(node.address(), identity.sslContext().getSocketFactory().createSocket());
-        parties.add(client);
+    TestClient client(TlsContext identity) throws IOException {
+        TestClient client =
+                new TestClient(node.address(), identity.sslContext().getSocketFactory().createSocket());
+        resources.add(client);
         return client;
     }
 
-    Client client(String path) throws Exception {
-        return client(workload(path));
+    TestClient client(String path) throws Exception {
+        return client(workloadContext(path));
     }
 
     /** Tells of a job as a host under this identity would; the status of each answer, 0 for an end without one. */
-    int tellAs(TlsContext identity, String id, String from, String rest) throws Exception {
-        try (Client client = client(identity)) {
-            var answer = client.call(Client.news(id, from, rest));
+    int sendStatusEventAs(TlsContext identity, String id, String endpoint, String event) throws Exception {
+        try (TestClient client = client(identity)) {
+            var answer = client.exchange(TestClient.statusEventRequest(id, endpoint, event));
             return answer == null ? 0 : answer.status();
         } catch (IOException ended) {
             return 0;
@@ -179,13 +179,13 @@
     }
 
     /** A host's answer: takes a job and tells of it under this identity. */
-    Peer.Answer signs(TlsContext identity, String from, String... news) {
+    TestServer.ResponseHandler acceptAndReportAs(TlsContext identity, String endpoint, String... events) {
         return request -> {
             String id = request.headers().get("X-Txn");
             olivechute.net.Threads.start("news", () -> {
-                try (Client client = client(identity)) {
-                    for (String rest : news) {
-                        client.call(Client.news(id, from, rest));
+                try (TestClient client = client(identity)) {
+                    for (String event : events) {
+                        client.exchange(TestClient.statusEventRequest(id, endpoint, event));
                     }
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
@@ -196,19 +196,19 @@
     }
 
     /** A host of this name that does every job. */
-    Peer worker(String name, String result) throws Exception {
-        TlsContext identity = workload("/sign-worker/" + name);
-        return host(identity, signs(identity, name, "\"state\":\"started\"", done(result)));
+    TestServer secureWorker(String name, String result) throws Exception {
+        TlsContext identity = workloadContext("/sign-worker/" + name);
+        return secureServer(identity, acceptAndReportAs(identity, name, "\"state\":\"started\"", doneEvent(result)));
     }
 
     /** Starts a node under these settings. */
-    void startSecure(String text, String... known) throws IOException {
-        discovery = peer(r -> list(1, false));
-        Path file = config(discovery, 1024, known);
-        Files.writeString(file, Files.readString(file).replace("\"deadline\":5", "\"deadline\":" + deadline));
+    void startSecure(String settingsTemplate, String... knownEndpoints) throws IOException {
+        discovery = startServer(r -> endpointListResponse(1, false));
+        Path file = writeConfig(discovery, 1024, knownEndpoints);
+        Files.writeString(file, Files.readString(file).replace("\"deadline\":5", "\"deadline\":" + deadlineSeconds));
         settings = Files.writeString(
                 Files.createTempFile("olivechute", ".conf"),
-                text.replace("SOURCE", "source { folder = \"" + folder + "\", poll = 50ms }")
+                settingsTemplate.replace("SOURCE", "source { folder = \"" + folder + "\", poll = 50ms }")
                         .replace("EXTRA", ""));
         node = new Node(
                 NodeConfig.load(Map.of("LB_CONFIG", file.toString(), "OLIVECHUTE_SETTINGS", settings.toString())),
--- a/src/test/java/olivechute/EndTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -30,71 +30,71 @@
  * How connections and the node end: what was taken is answered, what comes to the end is served or left to its client,
  * never sent on.
  */
-public class EndTest extends FrontRig {
-    private static final byte[] READY = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
+public class ShutdownTest extends DownstreamServerTestBase {
+    private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
 
     /** The bytes lie unread when the node looks for connections between requests to end: that one is none of them. */
     @Test
-    public void aRequestThatIsNotReadYetWhenTheNodeEndsConnectionsIsServed() throws Exception {
+    public void unreadRequestIsServedDuringDrain() throws Exception {
         CountDownLatch waits = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         AtomicReference<Connection> link = new AtomicReference<>();
         AtomicBoolean first = new AtomicBoolean(true);
         listen(channel -> {
-            Watched made = new Watched(channel) {
+            ObservedConnection made = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (!first.getAndSet(false)) {
                         waits.countDown();
-                        hold(go);
+                        awaitLatch(go);
                     }
                 }
             };
             link.set(made);
             return made;
         });
-        Client client = connect();
-        assertEquals(client.call(READY).status(), 200);
+        TestClient client = connect();
+        assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
         assertTrue(waits.await(2, TimeUnit.SECONDS));
-        client.send(Client.job("sign", "t1", 5000));
+        client.send(TestClient.jobRequest("sign", "t1", 5000));
         await(() -> link.get().hasUnreadInput());
-        front.drain();
+        server.drain();
         go.countDown();
-        serve(next(), "ok");
-        assertEquals(text(client.receive()), "200 ok");
+        sendResult(awaitRequest(), "ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
         assertNull(client.receive());
     }
 
     /** The reader has a request in hand as the node ends its connection; one more crosses the end. */
     @Test
-    public void aRequestReadBeforeTheNodeEndsItsConnectionIsServedAndWhatCrossesTheEndIsNotSentOn() throws Exception {
+    public void readRequestIsServedAndCrossingRequestIsNotForwarded() throws Exception {
         CountDownLatch read = new CountDownLatch(2);
         CountDownLatch go = new CountDownLatch(1);
-        listen(channel -> new Watched(channel) {
+        listen(channel -> new ObservedConnection(channel) {
             @Override
             void afterRead(int n) {
                 read.countDown();
                 if (read.getCount() == 0) {
-                    hold(go);
+                    awaitLatch(go);
                 }
             }
         });
-        Client client = connect();
-        assertEquals(client.call(READY).status(), 200);
-        client.send(Client.job("sign", "t1", 5000));
+        TestClient client = connect();
+        assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
+        client.send(TestClient.jobRequest("sign", "t1", 5000));
         assertTrue(read.await(2, TimeUnit.SECONDS));
-        front.drain();
+        server.drain();
         Thread.sleep(300); // several sweeps
-        client.send(Client.job("sign", "t2", 5000));
+        client.send(TestClient.jobRequest("sign", "t2", 5000));
         go.countDown();
-        serve(next(), "ok");
+        sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
-        assertEquals(text(answer), "200 ok");
+        assertEquals(statusAndBody(answer), "200 ok");
         assertFalse(answer.keepAlive());
-        assertTrue(client.ended());
-        await(() -> front.isQuiescentSince(loop.now()));
-        assertEquals(opened.size(), 0);
-        assertEquals(front.unansweredRequests(), 0);
+        assertTrue(client.isClosedByServer());
+        await(() -> server.isQuiescentSince(loop.now()));
+        assertEquals(arrivedRequests.size(), 0);
+        assertEquals(server.unansweredRequests(), 0);
     }
 
     /**
@@ -102,43 +102,43 @@
      * client has not read it yet.
      */
     @Test
-    public void aRestingConnectionEndsBehindItsAnswerAndReadsNothingThatCrossesTheEnd() throws Exception {
+    public void idleConnectionClosesWithoutReadingCrossingRequests() throws Exception {
         AtomicInteger bytesRead = new AtomicInteger();
-        listen(channel -> new Watched(channel) {
+        listen(channel -> new ObservedConnection(channel) {
             @Override
             void afterRead(int n) {
                 bytesRead.addAndGet(Math.max(0, n));
             }
         });
-        Client client = connect();
-        byte[] job = Client.job("sign", "t0", 5000);
+        TestClient client = connect();
+        byte[] job = TestClient.jobRequest("sign", "t0", 5000);
         client.send(job);
-        serve(next(), "ok");
-        await(() -> front.unansweredRequests() == 0);
-        front.drain();
-        await(front::isQuiescent);
+        sendResult(awaitRequest(), "ok");
+        await(() -> server.unansweredRequests() == 0);
+        server.drain();
+        await(server::isQuiescent);
         try {
-            client.send(Client.job("sign", "t1", 5000)).send(Client.job("sign", "t2", 5000));
+            client.send(TestClient.jobRequest("sign", "t1", 5000)).send(TestClient.jobRequest("sign", "t2", 5000));
         } catch (SocketException ended) {
-            assertEquals(opened.size(), 0);
+            assertEquals(arrivedRequests.size(), 0);
         }
-        assertEquals(text(client.receive()), "200 ok");
-        assertTrue(client.ended());
+        assertEquals(statusAndBody(client.receive()), "200 ok");
+        assertTrue(client.isClosedByServer());
         assertEquals(bytesRead.get(), job.length);
-        assertEquals(opened.size(), 0);
+        assertEquals(arrivedRequests.size(), 0);
     }
 
     /** Half a request has come when nothing else is owed: the node is not at rest, and answers it once it is whole. */
     @Test
-    public void aNodeThatEndsWaitsForTheRestOfARequestAndForTheNewsOfIt() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
+    public void drainWaitsForPartialRequestAndItsStatusEvents() throws Exception {
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
         CountDownLatch drained = new CountDownLatch(1);
         long from = System.nanoTime();
         Threads.start("drain", () -> drain(drained));
-        Client client = client();
-        assertNotNull(client.call(READY));
-        byte[] job = Client.job("sign", "t1", 5000);
+        TestClient client = connectClient();
+        assertNotNull(client.exchange(READINESS_REQUEST));
+        byte[] job = TestClient.jobRequest("sign", "t1", 5000);
         // Before the node ends what rests, 2.2 s after it was told to, and yet so late that this half is not given up,
         // after 2 s, before then.
         Thread.sleep(Math.max(0, 1500 - (System.nanoTime() - from) / 1_000_000));
@@ -146,21 +146,21 @@
         // Longer than the node waits once nobody sends here any more: it ended with this half taken and lost.
         assertFalse(drained.await(Math.max(0, 2800 - (System.nanoTime() - from) / 1_000_000), TimeUnit.MILLISECONDS));
         client.send(Arrays.copyOfRange(job, 30, job.length));
-        assertEquals(text(client.receive()), "200 ok");
+        assertEquals(statusAndBody(client.receive()), "200 ok");
         assertTrue(drained.await(1500, TimeUnit.MILLISECONDS));
     }
 
     /** An answer that is not out holds up the end, and so does its arrival; after that the node lets nobody in. */
     @Test
-    public void afterItsEndANodeLetsNobodyIn() throws Exception {
-        Peer host = peer(works("s1", done("ok")));
-        start(entry("s1", host, "active", 0));
-        Client client = client();
-        assertEquals(text(client.call(Client.job("sign", "t1", 5000))), "200 ok");
+    public void drainedNodeRefusesConnections() throws Exception {
+        TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
+        start(endpointEntry("s1", host, "active", 0));
+        TestClient client = connectClient();
+        assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 ok");
         client.close();
         CountDownLatch drained = new CountDownLatch(1);
         drain(drained);
-        try (Client late = new Client(node.address())) {
+        try (TestClient late = new TestClient(node.address())) {
             throw new AssertionError("let in");
         } catch (ConnectException refused) {
             assertEquals(drained.getCount(), 0);
@@ -183,7 +183,7 @@
      * good.
      */
     @Test
-    public void aDoorThatBreaksIsNoEndOfListeningAndKeepsNoDescriptor() throws Exception {
+    public void connectionFactoryFailureKeepsListeningAndLeaksNoDescriptor() throws Exception {
         AtomicBoolean broken = new AtomicBoolean(true);
         listen(channel -> {
             if (broken.getAndSet(false)) {
@@ -191,12 +191,12 @@
             }
             return new Connection(channel);
         });
-        assertTrue(connect().ended());
-        assertEquals(connect().call(READY).status(), 200);
+        assertTrue(connect().isClosedByServer());
+        assertEquals(connect().exchange(READINESS_REQUEST).status(), 200);
     }
 
     @Test
-    public void acceptingGoesOnAfterAnErrorAndAFaultThatPassesCostsNoRestingClientItsConnection() throws Exception {
+    public void acceptContinuesAfterTransientFailuresWithoutEvictions() throws Exception {
         AtomicInteger left = new AtomicInteger(1);
         listen(channel -> {
             int n = left.getAndDecrement();
@@ -208,17 +208,17 @@
             }
             return new Connection(channel);
         });
-        Client resting = connect();
-        assertEquals(resting.call(READY).status(), 200);
+        TestClient resting = connect();
+        assertEquals(resting.exchange(READINESS_REQUEST).status(), 200);
         Thread.sleep(150); // its answer has arrived: it may go where room is needed
-        assertTrue(connect().ended());
-        assertTrue(connect().ended());
-        assertEquals(connect().call(READY).status(), 200);
-        assertEquals(resting.call(READY).status(), 200);
+        assertTrue(connect().isClosedByServer());
+        assertTrue(connect().isClosedByServer());
+        assertEquals(connect().exchange(READINESS_REQUEST).status(), 200);
+        assertEquals(resting.exchange(READINESS_REQUEST).status(), 200);
     }
 
     @Test
-    public void anAddressThatIsTakenForAMomentIsListenedOnAfterwards() throws Exception {
+    public void listenRetriesWhileAddressIsInUse() throws Exception {
         listen(Connection::new);
         ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress taken = (InetSocketAddress) other.getLocalSocketAddress();
@@ -229,6 +229,6 @@
                 throw new IllegalStateException(e);
             }
         });
-        assertEquals(front.listen(taken, PeerIdentity.Authenticator.PLAINTEXT), taken);
+        assertEquals(server.listen(taken, PeerIdentity.Authenticator.PLAINTEXT), taken);
     }
 }
--- /dev/null
+++ b/src/test/java/olivechute/StaleEndpointListProcessTest.java
@@ -0,0 +1,79 @@
+package olivechute;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.util.concurrent.atomic.AtomicBoolean;
+import olivechute.http.MessageWriter;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/**
+ * The incident of 2026-12-02 with a real process: it is killed and started anew, and its discovery is moved by SIGHUP,
+ * while discovery can be reached and tells it nothing. Servers drain meanwhile.
+ */
+public class StaleEndpointListProcessTest extends NodeProcessTestBase {
+    private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
+    private static final byte[] NO_RESPONSE = null;
+
+    /** What discovery says while it tells nothing. */
+    @DataProvider
+    public Object[][] unhelpfulResponses() {
+        return new Object[][] {{UNAVAILABLE_RESPONSE}, {NO_RESPONSE}};
+    }
+
+    /** Nothing reaches a server that may have begun to drain. */
+    private void assertReceivesNoRequests(TestServer server) throws Exception {
+        int before = server.requests().size();
+        for (int i = 0; i < 3; i++) {
+            assertTrue(runJob().startsWith("503 "));
+        }
+        assertEquals(server.requests().size(), before);
+    }
+
+    @Test(dataProvider = "nothings")
+    public void drainingServersGetNothingWhileDiscoveryIsUnavailable(byte[] nothing) throws Exception {
+        TestServer first = startServer(null);
+        TestServer second = startServer(null);
+        TestServer third = startServer(null);
+        first.handler = acceptAndReportToProcess("s1", "first");
+        second.handler = acceptAndReportToProcess("s2", "second");
+        third.handler = acceptAndReportToProcess("s3", "third");
+        AtomicBoolean tells = new AtomicBoolean(true);
+        discovery = startServer(r -> tells.get() ? endpointListResponse(1, false) : nothing);
+        Path file = writeConfig(discovery, 1024, endpointEntry("s1", first, "active", 0));
+        startProcess(1024, file);
+        assertEquals(runJob(), "200 first");
+
+        // Killed and started anew with the list that it had at first: by now the only server on it drains.
+        tells.set(false);
+        program.kill();
+        startProcess(1024, file);
+        assertReceivesNoRequests(first);
+        byte[] drained = endpointListResponse(2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
+        byte[] none = endpointListResponse(2, false);
+        discovery.handler = r -> r.target().contains("since=1&") ? drained : none;
+        awaitAnswer("200 second");
+        assertEquals(first.requests().size(), 1);
+
+        // Moved to an address that tells nothing either; the server that is left begins to drain.
+        TestServer moved = startServer(r -> nothing);
+        Path replaced = writeConfig(moved, 1024);
+        Files.move(replaced, file, StandardCopyOption.REPLACE_EXISTING);
+        sendHangupSignal();
+        awaitAnswer("503 ");
+        assertReceivesNoRequests(second);
+        byte[] drainedToo = endpointListResponse(3, false, endpointEntry("s2", second, "leaving", 0), endpointEntry("s3", third, "active", 0));
+        byte[] noneYet = endpointListResponse(3, false);
+        moved.handler = r -> r.target().contains("since=2&") ? drainedToo : noneYet;
+        awaitAnswer("200 third");
+        int sent = second.requests().size();
+        assertEquals(runJob(), "200 third");
+        assertEquals(second.requests().size(), sent);
+        assertEquals(first.requests().size(), 1);
+        Files.delete(file);
+    }
+}
--- a/src/test/java/olivechute/StaleListTest.java
+++ b/src/test/java/olivechute/StaleEndpointListTest.java
@@ -13,20 +13,20 @@
  * A node whose list may be out of date, before a discovery that can be reached: whatever became of the calls, a server
  * that began to drain since then gets nothing. The order is forced by what discovery answers, and when.
  */
-public class StaleListTest extends NodeRig {
-    private static final int PATIENCE_MILLIS = 20_000;
-    private static final byte[] REFUSED = MessageWriter.response(503, new byte[0], true);
+public class StaleEndpointListTest extends NodeTestBase {
+    private static final int AWAIT_TIMEOUT_MILLIS = 20_000;
+    private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
 
     private static void awaitLong(BooleanSupplier holds) throws InterruptedException {
-        long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000L;
+        long end = System.nanoTime() + AWAIT_TIMEOUT_MILLIS * 1_000_000L;
         while (!holds.getAsBoolean() && System.nanoTime() < end) {
             Thread.sleep(10);
         }
         assertTrue(holds.getAsBoolean());
     }
 
-    private String job(String id) throws Exception {
-        return text(client().call(Client.job("verify", id, 3000)));
+    private String runJob(String id) throws Exception {
+        return statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", id, 3000)));
     }
 
     /**
@@ -34,28 +34,28 @@
      * answered yet.
      */
     @Test
-    public void aNewNodeSendsNothingBeforeDiscoveryHasAnswered() throws Exception {
-        Peer draining = peer(works("s1", done("draining")));
-        Peer serving = peer(works("s2", done("serving")));
+    public void newNodeSendsNothingBeforeDiscoveryAnswers() throws Exception {
+        TestServer draining = startServer(acceptAndReport("s1", doneEvent("draining")));
+        TestServer serving = startServer(acceptAndReport("s2", doneEvent("serving")));
         CountDownLatch answers = new CountDownLatch(1);
-        byte[] news = list(2, false, entry("s1", draining, "leaving", 0), entry("s2", serving, "active", 0));
-        discovery = peer(r -> {
+        byte[] news = endpointListResponse(2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
+        discovery = startServer(r -> {
             answers.await();
             return r.target().contains("since=1&") || !r.target().contains("since=") ? news : null;
         });
         CompletableFuture<Void> starting = CompletableFuture.runAsync(() -> {
             try {
-                start(entry("s1", draining, "active", 0));
+                start(endpointEntry("s1", draining, "active", 0));
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
         awaitLong(() -> node != null || starting.isDone());
-        assertTrue(job("t1").startsWith("503 "), "nothing is known of the servers yet");
+        assertTrue(runJob("t1").startsWith("503 "), "nothing is known of the servers yet");
         assertEquals(draining.requests().size(), 0);
         answers.countDown();
         awaitLong(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2&")));
-        assertEquals(job("t2"), "200 serving");
+        assertEquals(runJob("t2"), "200 serving");
         assertEquals(draining.requests().size(), 0);
     }
 
@@ -64,36 +64,36 @@
      * age here.
      */
     @Test
-    public void aNodeThatCannotRenewItsListSendsNothingOnceItMayBeOutOfDate() throws Exception {
-        Peer draining = peer(works("s1", done("draining")));
-        Peer serving = peer(works("s2", done("serving")));
-        byte[] nothing = list(1, false);
-        byte[] news = list(2, false, entry("s1", draining, "leaving", 0), entry("s2", serving, "active", 0));
+    public void nodeWithExpiredListSendsNothing() throws Exception {
+        TestServer draining = startServer(acceptAndReport("s1", doneEvent("draining")));
+        TestServer serving = startServer(acceptAndReport("s2", doneEvent("serving")));
+        byte[] nothing = endpointListResponse(1, false);
+        byte[] news = endpointListResponse(2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
         boolean[] back = {false};
-        discovery = peer(r -> discovery.requests().size() == 1
+        discovery = startServer(r -> discovery.requests().size() == 1
                 ? nothing
-                : !back[0] ? REFUSED : r.target().contains("since=1&") ? news : null);
+                : !back[0] ? UNAVAILABLE_RESPONSE : r.target().contains("since=1&") ? news : null);
         startWith(
                 text -> text.replace("\"ask_every\":10.0", "\"ask_every\":1.0"),
                 1024,
-                entry("s1", draining, "active", 0));
-        assertEquals(job("t0"), "200 draining");
+                endpointEntry("s1", draining, "active", 0));
+        assertEquals(runJob("t0"), "200 draining");
         int[] jobs = {0};
         awaitLong(() -> {
             try {
-                return job("u" + jobs[0]++).startsWith("503 ");
+                return runJob("u" + jobs[0]++).startsWith("503 ");
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
         int sent = draining.requests().size();
         for (int i = 0; i < 3; i++) {
-            assertTrue(job("v" + i).startsWith("503 "));
+            assertTrue(runJob("v" + i).startsWith("503 "));
         }
         assertEquals(draining.requests().size(), sent);
         back[0] = true;
         awaitLong(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2&")));
-        assertEquals(job("w"), "200 serving");
+        assertEquals(runJob("w"), "200 serving");
         assertEquals(draining.requests().size(), sent);
     }
 }
--- a/src/test/java/olivechute/Client.java
+++ b/src/test/java/olivechute/TestClient.java
@@ -10,26 +10,26 @@
 import olivechute.http.ResponseParser;
 
 /** One downstream connection as a test drives it. */
-final class Client implements AutoCloseable {
+final class TestClient implements AutoCloseable {
     final Socket socket;
     private final ResponseParser parser = new ResponseParser();
 
-    Client(InetSocketAddress node) throws IOException {
-        this(node, new Socket());
+    TestClient(InetSocketAddress address) throws IOException {
+        this(address, new Socket());
     }
 
     /** On a socket that is not connected yet and may speak TLS. */
-    Client(InetSocketAddress node, Socket socket) throws IOException {
+    TestClient(InetSocketAddress address, Socket socket) throws IOException {
         this.socket = socket;
-        socket.connect(node, 1000);
+        socket.connect(address, 1000);
         socket.setSoTimeout(8000);
         socket.setTcpNoDelay(true);
     }
 
-    static byte[] job(String kind, String id, int remainingMillis) {
+    static byte[] jobRequest(String requestClass, String id, int remainingMillis) {
         return MessageWriter.request(
                 "POST",
-                "/" + kind + "?user=u1",
+                "/" + requestClass + "?user=u1",
                 "backend.local",
                 "doc".getBytes(StandardCharsets.UTF_8),
                 "X-Txn",
@@ -39,18 +39,18 @@
                 "X-Remaining",
                 remainingMillis + "m",
                 "Idempotency-Key",
-                kind.equals("sign") ? "key-" + id : null);
+                requestClass.equals("sign") ? "key-" + id : null);
     }
 
-    static byte[] news(String id, String from, String rest) {
+    static byte[] statusEventRequest(String id, String endpoint, String fields) {
         return MessageWriter.request(
                 "POST",
                 "/_jobs/news",
                 "node",
-                ("{\"id\":\"" + id + "\",\"from\":\"" + from + "\"," + rest + "}").getBytes(StandardCharsets.UTF_8));
+                ("{\"id\":\"" + id + "\",\"from\":\"" + endpoint + "\"," + fields + "}").getBytes(StandardCharsets.UTF_8));
     }
 
-    Client send(byte[] bytes) throws IOException {
+    TestClient send(byte[] bytes) throws IOException {
         socket.getOutputStream().write(bytes);
         return this;
     }
@@ -67,12 +67,12 @@
         return parser.take();
     }
 
-    HttpResponse call(byte[] bytes) throws IOException, HttpException {
-        return send(bytes).receive();
+    HttpResponse exchange(byte[] request) throws IOException, HttpException {
+        return send(request).receive();
     }
 
     /** True once the node has closed this connection. */
-    boolean ended() throws IOException {
+    boolean isClosedByServer() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
         } catch (java.net.SocketException reset) {
--- a/src/test/java/olivechute/Peer.java
+++ b/src/test/java/olivechute/TestServer.java
@@ -17,44 +17,44 @@
 import olivechute.net.Threads;
 
 /** A party on a loopback socket that answers each request as a test says; null says nothing, NO_BYTES hangs up. */
-final class Peer implements AutoCloseable {
+final class TestServer implements AutoCloseable {
     static final byte[] HANG_UP = new byte[0];
 
-    interface Answer {
-        byte[] to(HttpRequest request) throws Exception;
+    interface ResponseHandler {
+        byte[] respond(HttpRequest request) throws Exception;
     }
 
     /** What is spoken over an accepted connection: TLS, or nothing beside HTTP. */
-    interface Layer {
-        Socket over(Socket accepted) throws IOException;
+    interface SocketWrapper {
+        Socket wrap(Socket accepted) throws IOException;
     }
 
     /** A request and when it had come, in milliseconds. */
-    record Seen(HttpRequest request, long at) {}
+    record ReceivedRequest(HttpRequest request, long receivedAtMs) {}
 
     private static final int BACKLOG = 50;
-    private static final Set<Integer> PORTS = ConcurrentHashMap.newKeySet();
-    private static final InetAddress LOOPBACK_OF_PROCESS =
-            loopbackOf(ProcessHandle.current().pid());
-
-    final List<Seen> seen = new CopyOnWriteArrayList<>();
-    final AtomicInteger connections = new AtomicInteger();
-    final AtomicInteger open = new AtomicInteger();
-    final AtomicInteger idleEnds = new AtomicInteger(); // connections that the node closed between requests
-    volatile Answer answer;
+    private static final Set<Integer> USED_PORTS = ConcurrentHashMap.newKeySet();
+    private static final InetAddress PROCESS_LOOPBACK =
+            loopbackAddressFor(ProcessHandle.current().pid());
+
+    final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
+    final AtomicInteger connectionCount = new AtomicInteger();
+    final AtomicInteger openConnections = new AtomicInteger();
+    final AtomicInteger idleCloses = new AtomicInteger(); // connections that the node closed between requests
+    volatile ResponseHandler handler;
     private final ServerSocket server;
-    private final Layer layer;
+    private final SocketWrapper socketWrapper;
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private final Thread acceptor;
-    private Peer successor; // guarded by this
+    private TestServer successor; // guarded by this
 
-    Peer(Answer answer) throws IOException {
+    TestServer(ResponseHandler answer) throws IOException {
         this(answer, accepted -> accepted);
     }
 
-    Peer(Answer answer, Layer layer) throws IOException {
-        this.answer = answer;
-        this.layer = layer;
+    TestServer(ResponseHandler answer, SocketWrapper layer) throws IOException {
+        this.handler = answer;
+        this.socketWrapper = layer;
         server = listen();
         acceptor = Threads.start("peer", this::accept);
     }
@@ -65,8 +65,8 @@
      */
     private static ServerSocket listen() throws IOException {
         for (; ; ) {
-            ServerSocket server = new ServerSocket(0, BACKLOG, LOOPBACK_OF_PROCESS);
-            if (PORTS.add(server.getLocalPort())) {
+            ServerSocket server = new ServerSocket(0, BACKLOG, PROCESS_LOOPBACK);
+            if (USED_PORTS.add(server.getLocalPort())) {
                 return server;
             }
             server.close();
@@ -74,7 +74,7 @@
     }
 
     /** One of 127.64.0.0/10 for each process id, of which Linux has at most 2^22. */
-    static InetAddress loopbackOf(long processId) {
+    static InetAddress loopbackAddressFor(long processId) {
         byte[] address = {
             127, (byte) (64 | ((processId >> 16) & 0x3f)), (byte) (processId >> 8), (byte) processId,
         };
@@ -85,9 +85,9 @@
         }
     }
 
-    private Peer(Answer answer, Layer layer, Peer predecessor) {
-        this.answer = answer;
-        this.layer = layer;
+    private TestServer(ResponseHandler answer, SocketWrapper layer, TestServer predecessor) {
+        this.handler = answer;
+        this.socketWrapper = layer;
         server = predecessor.server;
         acceptor = predecessor.acceptor;
     }
@@ -95,27 +95,27 @@
     private void accept() {
         try {
             for (; ; ) {
-                take(server.accept());
+                handleAccepted(server.accept());
             }
         } catch (IOException closed) {
             return;
         }
     }
 
-    private void take(Socket accepted) throws IOException {
-        Peer next;
+    private void handleAccepted(Socket accepted) throws IOException {
+        TestServer next;
         synchronized (this) {
             next = successor;
             if (next == null) {
-                connections.incrementAndGet();
+                connectionCount.incrementAndGet();
                 accepted.setTcpNoDelay(true);
-                Socket socket = layer.over(accepted);
+                Socket socket = socketWrapper.wrap(accepted);
                 sockets.add(socket);
                 Threads.start("peer-connection", () -> serve(socket));
             }
         }
         if (next != null) {
-            next.take(accepted);
+            next.handleAccepted(accepted);
         }
     }
 
@@ -125,8 +125,8 @@
      * and anybody's then. Returns once those who dialled the first have found its connections at their end and closed
      * them too.
      */
-    Peer replacedBy(Answer answer, Layer layer) throws IOException, InterruptedException {
-        Peer next = new Peer(answer, layer, this);
+    TestServer replaceWith(ResponseHandler answer, SocketWrapper layer) throws IOException, InterruptedException {
+        TestServer next = new TestServer(answer, layer, this);
         synchronized (this) {
             successor = next;
         }
@@ -135,18 +135,18 @@
                 socket.shutdownOutput();
             }
         }
-        for (int i = 0; i < 300 && open.get() > 0; i++) {
+        for (int i = 0; i < 300 && openConnections.get() > 0; i++) {
             Thread.sleep(10);
         }
-        if (open.get() > 0) {
-            throw new IllegalStateException(open + " connections not closed from the other side");
+        if (openConnections.get() > 0) {
+            throw new IllegalStateException(openConnections + " connections not closed from the other side");
         }
         closeConnections();
         return next;
     }
 
     private void serve(Socket socket) {
-        open.incrementAndGet();
+        openConnections.incrementAndGet();
         RequestParser parser = new RequestParser();
         byte[] buffer = new byte[4096];
         try (socket) {
@@ -157,8 +157,8 @@
                     at += parser.feed(buffer, at, n - at);
                     if (parser.isComplete()) {
                         HttpRequest request = parser.take();
-                        seen.add(new Seen(request, System.nanoTime() / 1_000_000));
-                        byte[] reply = answer.to(request);
+                        received.add(new ReceivedRequest(request, System.nanoTime() / 1_000_000));
+                        byte[] reply = handler.respond(request);
                         if (reply == HANG_UP) {
                             return;
                         }
@@ -168,48 +168,48 @@
                     }
                 }
             }
-            idleEnds.incrementAndGet();
+            idleCloses.incrementAndGet();
         } catch (IOException | HttpException e) {
             return;
         } catch (Exception e) {
             throw new IllegalStateException(e);
         } finally {
-            open.decrementAndGet();
+            openConnections.decrementAndGet();
         }
     }
 
     /** Says this on the connection that came as the one of this number, unasked. */
-    void say(int connection, byte[] bytes) throws IOException {
-        sockets.get(connection).getOutputStream().write(bytes);
+    void sendUnsolicited(int connectionIndex, byte[] bytes) throws IOException {
+        sockets.get(connectionIndex).getOutputStream().write(bytes);
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    String text() {
+    String hostAndPort() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
     /** The requests in order of arrival. */
     List<HttpRequest> requests() {
-        return seen.stream().map(Seen::request).toList();
+        return received.stream().map(ReceivedRequest::request).toList();
     }
 
     @Override
     public String toString() {
-        StringBuilder text = new StringBuilder(text())
+        StringBuilder text = new StringBuilder(hostAndPort())
                 .append(", ")
-                .append(connections)
+                .append(connectionCount)
                 .append(" connections, ")
-                .append(open)
+                .append(openConnections)
                 .append(" open, ")
-                .append(idleEnds)
+                .append(idleCloses)
                 .append(" closed by the node; now ")
                 .append(System.nanoTime() / 1_000_000);
-        for (Seen s : seen) {
+        for (ReceivedRequest s : received) {
             text.append("; at ")
-                    .append(s.at())
+                    .append(s.receivedAtMs())
                     .append(' ')
                     .append(s.request().method())
                     .append(' ')
--- a/src/test/java/olivechute/PeerTest.java
+++ b/src/test/java/olivechute/TestServerTest.java
@@ -9,36 +9,36 @@
 import org.testng.annotations.Test;
 
 /** The tests' own host. */
-public class PeerTest {
-    private static final long MOST_PROCESSES = 1L << 22;
+public class TestServerTest {
+    private static final long MAX_PROCESS_IDS = 1L << 22;
 
     /**
      * The system gives a closed one's port again after some thousand others at the latest; a node of an earlier test
      * may still dial it.
      */
     @Test
-    public void noPortIsHadTwice() throws Exception {
+    public void portsAreNeverReused() throws Exception {
         Set<String> addresses = new HashSet<>();
         for (int i = 0; i < 1500; i++) {
-            try (Peer peer = new Peer(r -> null)) {
-                assertTrue(addresses.add(peer.text()), "the one of number " + i);
+            try (TestServer peer = new TestServer(r -> null)) {
+                assertTrue(addresses.add(peer.hostAndPort()), "the one of number " + i);
             }
         }
     }
 
     /** The nodes of another run of the tests, beside this one, dial that run's hosts. */
     @Test
-    public void noAddressIsHadByTwoProcesses() throws Exception {
+    public void eachProcessHasItsOwnAddress() throws Exception {
         Set<InetAddress> addresses = new HashSet<>();
-        for (long processId : new long[] {1, 255, 256, 65_535, 65_536, 65_537, MOST_PROCESSES - 1}) {
-            InetAddress address = Peer.loopbackOf(processId);
+        for (long processId : new long[] {1, 255, 256, 65_535, 65_536, 65_537, MAX_PROCESS_IDS - 1}) {
+            InetAddress address = TestServer.loopbackAddressFor(processId);
             assertTrue(address.isLoopbackAddress());
             assertTrue(addresses.add(address), "process " + processId);
         }
-        try (Peer peer = new Peer(r -> null)) {
+        try (TestServer peer = new TestServer(r -> null)) {
             assertEquals(
                     peer.address().getAddress(),
-                    Peer.loopbackOf(ProcessHandle.current().pid()));
+                    TestServer.loopbackAddressFor(ProcessHandle.current().pid()));
         }
     }
 }
--- a/src/test/java/olivechute/FewThreadsTest.java
+++ b/src/test/java/olivechute/ThreadLimitTest.java
@@ -15,20 +15,20 @@
  * A system that lets the process have few threads, as a container's limit does, while idle clients hold one each. The
  * virtual machine needs a thread for each signal, and drops the signal where there is none; so some have to be left.
  */
-public class FewThreadsTest extends FrontRig {
-    private static final int ALLOWED = 150;
+public class ThreadLimitTest extends DownstreamServerTestBase {
+    private static final int MAX_THREADS = 150;
     private static final int IDLE_CLIENTS = 400;
     /** More than the threads, so that the bound on connections does not come into it. */
-    private static final int MOST = 1000;
+    private static final int MAX_CONNECTIONS = 1000;
     /** For signals, the end of the process and writes. */
-    private static final int LEFT = 8;
+    private static final int RESERVED_THREADS = 8;
 
-    private static final byte[] ASK = MessageWriter.request("GET", "/health/ready", "node", null);
+    private static final byte[] READINESS_REQUEST = MessageWriter.request("GET", "/health/ready", "node", null);
 
     /** Threads of the connections that run. */
     private final AtomicInteger running = new AtomicInteger();
 
-    private final AtomicInteger refused = new AtomicInteger();
+    private final AtomicInteger failedStarts = new AtomicInteger();
 
     /** Starts as a thread of a process does that may have no more: with an error. */
     private final class LimitedThread extends Thread {
@@ -49,9 +49,9 @@
 
         @Override
         public synchronized void start() {
-            if (running.incrementAndGet() > ALLOWED) {
+            if (running.incrementAndGet() > MAX_THREADS) {
                 running.decrementAndGet();
-                refused.incrementAndGet();
+                failedStarts.incrementAndGet();
                 throw new OutOfMemoryError("unable to create native thread");
             }
             super.start();
@@ -59,14 +59,14 @@
     }
 
     /** So many threads could be started, as for signals: looked at until it is so. */
-    private void awaitRoomFor(int threads) throws Exception {
-        await(() -> running.get() + threads <= ALLOWED);
+    private void awaitFreeThreads(int threads) throws Exception {
+        await(() -> running.get() + threads <= MAX_THREADS);
     }
 
     /** A client that asks once and stays; false if its connection was closed unserved. */
-    private boolean askAndStay() throws Exception {
+    private boolean requestAndStayConnected() throws Exception {
         try {
-            HttpResponse answer = connect().call(ASK);
+            HttpResponse answer = connect().exchange(READINESS_REQUEST);
             return answer != null && answer.status() == 200;
         } catch (IOException reset) {
             return false;
@@ -74,20 +74,20 @@
     }
 
     @Test
-    public void threadsAreLeftForSignalsWhileIdleClientsCome() throws Exception {
-        listen(Connection::new, new ConnectionThreads(LimitedThread::new), MOST);
-        while (refused.get() == 0) {
-            askAndStay();
+    public void idleClientsLeaveThreadsForSignals() throws Exception {
+        listen(Connection::new, new ConnectionThreads(LimitedThread::new), MAX_CONNECTIONS);
+        while (failedStarts.get() == 0) {
+            requestAndStayConnected();
         }
-        awaitRoomFor(LEFT);
+        awaitFreeThreads(RESERVED_THREADS);
 
-        int before = refused.get();
+        int before = failedStarts.get();
         for (int i = 0; i < IDLE_CLIENTS; i++) {
-            assertTrue(askAndStay(), "client " + i);
-            awaitRoomFor(1);
+            assertTrue(requestAndStayConnected(), "client " + i);
+            awaitFreeThreads(1);
         }
-        assertEquals(refused.get(), before, "refused once more");
-        awaitRoomFor(LEFT);
-        assertTrue(running.get() > ALLOWED / 2, "gave up too many: " + running.get());
+        assertEquals(failedStarts.get(), before, "refused once more");
+        awaitFreeThreads(RESERVED_THREADS);
+        assertTrue(running.get() > MAX_THREADS / 2, "gave up too many: " + running.get());
     }
 }
