--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -55,59 +55,59 @@
  */
 @SuppressWarnings("FutureReturnValueIgnored") // the answers of the peers show whether the tasks ran
 public class UpstreamRaceTest {
-    private static final long MS = 1000;
-    private static final long S = 1_000_000;
+    private static final long US_PER_MS = 1000;
+    private static final long US_PER_S = 1_000_000;
     private static final byte[] ACCEPTED = MessageWriter.response(202, new byte[0], true);
-    private static final byte[] GIVEN_UP = MessageWriter.response(204, null, true);
+    private static final byte[] CANCELLED_RESPONSE = MessageWriter.response(204, null, true);
     private static final byte[] ERROR = MessageWriter.response(500, new byte[0], true);
-    private static final PreSendCheck YES = (request, now, transit) -> true;
-    private static final CountDownLatch OPEN = new CountDownLatch(0);
+    private static final PreSendCheck ALLOW = (request, now, transit) -> true;
+    private static final CountDownLatch OPEN_GATE = new CountDownLatch(0);
 
-    private final List<Peer> peers = new ArrayList<>();
+    private final List<TestServer> peers = new ArrayList<>();
     private final List<CountDownLatch> gates = new ArrayList<>();
-    private volatile List<Gated> links; // this test's own, as the counter below
-    private final List<String> told = new CopyOnWriteArrayList<>();
-    private volatile CountDownLatch dials; // wait for this
-    private volatile CountDownLatch reads;
-    private volatile CountDownLatch firstReads; // the first connection's, before they look for bytes
-    private volatile CountDownLatch dialling;
+    private volatile List<GatedConnection> connections; // this test's own, as the counter below
+    private final List<String> events = new CopyOnWriteArrayList<>();
+    private volatile CountDownLatch dialGate; // wait for this
+    private volatile CountDownLatch readGate;
+    private volatile CountDownLatch firstConnectionReadGate; // the first connection's, before they look for bytes
+    private volatile CountDownLatch dialStarted;
     private volatile boolean noDescriptors;
-    private volatile AtomicInteger readsBegun; // this test's own: a connection of the one before may read on
+    private volatile AtomicInteger readsStarted; // this test's own: a connection of the one before may read on
     private EventLoop loop;
     private ConnectionPools pools;
     private RequestDispatcher dispatcher; // null where the test sends by itself
 
     /** Waits at the gates. */
-    private final class Gated extends Connection {
-        private final AtomicInteger begun = readsBegun;
-        private final List<Gated> others = links;
+    private final class GatedConnection extends Connection {
+        private final AtomicInteger readCounter = readsStarted;
+        private final List<GatedConnection> allConnections = connections;
         private volatile Thread reader;
 
-        Gated(SocketChannel channel) {
+        GatedConnection(SocketChannel channel) {
             super(channel);
         }
 
         @Override
         public void connect(InetSocketAddress address, int millis) throws IOException {
-            dialling.countDown();
-            pass(dials);
+            dialStarted.countDown();
+            awaitGate(dialGate);
             super.connect(address, millis);
         }
 
         @Override
         public int read(ByteBuffer into) throws IOException {
             reader = Thread.currentThread();
-            if (others.get(0) == this) {
-                pass(firstReads);
+            if (allConnections.get(0) == this) {
+                awaitGate(firstConnectionReadGate);
             }
-            begun.incrementAndGet();
+            readCounter.incrementAndGet();
             int n = super.read(into);
-            pass(reads);
+            awaitGate(readGate);
             return n;
         }
     }
 
-    private static void pass(CountDownLatch gate) throws IOException {
+    private static void awaitGate(CountDownLatch gate) throws IOException {
         try {
             gate.await();
         } catch (InterruptedException e) {
@@ -121,18 +121,18 @@
     }
 
     private void startWith(int most, boolean onlyDrainingBinds) {
-        startWith(most, onlyDrainingBinds, 250 * MS);
+        startWith(most, onlyDrainingBinds, 250 * US_PER_MS);
     }
 
     private void startWith(int most, boolean onlyDrainingBinds, long dialTimeout) {
-        told.clear();
-        dials = OPEN;
-        reads = OPEN;
-        firstReads = OPEN;
-        links = new CopyOnWriteArrayList<>();
-        dialling = new CountDownLatch(1);
+        events.clear();
+        dialGate = OPEN_GATE;
+        readGate = OPEN_GATE;
+        firstConnectionReadGate = OPEN_GATE;
+        connections = new CopyOnWriteArrayList<>();
+        dialStarted = new CountDownLatch(1);
         noDescriptors = false;
-        readsBegun = new AtomicInteger();
+        readsStarted = new AtomicInteger();
         dispatcher = null;
         loop = new EventLoop();
         pools = new ConnectionPools(
@@ -142,20 +142,20 @@
                     if (noDescriptors) {
                         throw new IOException("Too many open files");
                     }
-                    Gated link = new Gated(SocketChannel.open());
-                    link.others.add(link);
+                    GatedConnection link = new GatedConnection(SocketChannel.open());
+                    link.allConnections.add(link);
                     return link;
                 },
                 new LoadReportHeader(new LoadReportFields(List.of(), null, null)),
-                5 * S,
+                5 * US_PER_S,
                 dialTimeout,
                 most,
                 onlyDrainingBinds);
         loop.start(event -> {
             if (event instanceof ProxyEvent.AttemptAccepted e) {
-                told.add(e.requestId() + " accepted");
+                events.add(e.requestId() + " accepted");
             } else if (event instanceof ProxyEvent.AttemptEnded e) {
-                told.add(e.requestId() + " " + e.outcome());
+                events.add(e.requestId() + " " + e.outcome());
             }
             if (dispatcher != null) {
                 dispatcher.accept(event);
@@ -166,39 +166,39 @@
     @AfterMethod(alwaysRun = true)
     public void end() throws IOException {
         gates.forEach(CountDownLatch::countDown);
-        for (Peer peer : peers) {
+        for (TestServer peer : peers) {
             peer.close();
         }
         peers.clear();
         gates.clear();
     }
 
-    private CountDownLatch gate() {
+    private CountDownLatch newGate() {
         CountDownLatch gate = new CountDownLatch(1);
         gates.add(gate);
         return gate;
     }
 
-    private Peer peer(Peer.Answer answer) throws IOException {
-        Peer peer = new Peer(answer);
+    private TestServer startServer(TestServer.ResponseHandler answer) throws IOException {
+        TestServer peer = new TestServer(answer);
         peers.add(peer);
         return peer;
     }
 
-    private static Peer.Answer takes() {
-        return r -> r.method().equals("DELETE") ? GIVEN_UP : ACCEPTED;
+    private static TestServer.ResponseHandler acceptAll() {
+        return r -> r.method().equals("DELETE") ? CANCELLED_RESPONSE : ACCEPTED;
     }
 
-    private static ResolvedEndpoint host(String name, Peer peer, EndpointState state, long since) {
-        return new ResolvedEndpoint(new EndpointInfo(name, "z", null, 0, state, 1, since), peer.text());
+    private static ResolvedEndpoint endpoint(String name, TestServer peer, EndpointState state, long since) {
+        return new ResolvedEndpoint(new EndpointInfo(name, "z", null, 0, state, 1, since), peer.hostAndPort());
     }
 
-    private static EndpointListUpdate list(ResolvedEndpoint... hosts) {
+    private static EndpointListUpdate snapshot(ResolvedEndpoint... hosts) {
         return new EndpointListUpdate(1, true, List.of(hosts));
     }
 
     /** In one turn, and done when this returns. */
-    private void onLoop(Runnable task) throws Exception {
+    private void runOnLoop(Runnable task) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.post(new ProxyEvent.Task(() -> {
             task.run();
@@ -208,7 +208,7 @@
     }
 
     private static UpstreamRequest request(String id, String host, PreSendCheck look) {
-        return new UpstreamRequest(id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * S, false, look);
+        return new UpstreamRequest(id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, look);
     }
 
     private static void await(BooleanSupplier holds) throws InterruptedException {
@@ -220,16 +220,16 @@
 
     /** Once it returns all is written that was to be: what comes is seen by the peer in this order. */
     /** Has the host listed and the request sent; returns while its dial waits for the gate. */
-    private void sendHeldAtItsDial(UpstreamRequest request, Peer peer) throws Exception {
-        dials = gate();
-        onLoop(() -> pools.onListUpdate(list(host(request.endpoint(), peer, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request));
-        dialling.await();
+    private void sendBlockedAtDial(UpstreamRequest request, TestServer peer) throws Exception {
+        dialGate = newGate();
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint(request.endpoint(), peer, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request));
+        dialStarted.await();
     }
 
-    private void sentAfter(String host, Peer peer, int before) throws Exception {
-        onLoop(() -> pools.send(request("last", host, YES)));
-        await(() -> told.contains("last accepted"));
+    private void assertNextRequestSent(String host, TestServer peer, int before) throws Exception {
+        runOnLoop(() -> pools.send(request("last", host, ALLOW)));
+        await(() -> events.contains("last accepted"));
         assertEquals(peer.requests().size(), before + 1);
     }
 
@@ -237,43 +237,43 @@
 
     @Test
     public void whatTheLookDoesNotAllowIsNotWrittenAndItsNewConnectionIsKept() throws Exception {
-        Peer peer = peer(takes());
+        TestServer peer = startServer(acceptAll());
         List<Long> transits = new CopyOnWriteArrayList<>();
         PreSendCheck no = (request, now, transit) -> !transits.add(transit);
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request("a", "s1", no)));
-        await(() -> told.contains("a SUPPRESSED"));
-        onLoop(() -> pools.send(request("b", "s1", YES)));
-        await(() -> told.contains("b accepted"));
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request("a", "s1", no)));
+        await(() -> events.contains("a SUPPRESSED"));
+        runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
+        await(() -> events.contains("b accepted"));
         Thread.sleep(60); // until it may be used again
-        onLoop(() -> pools.send(request("c", "s1", no)));
-        await(() -> told.contains("c SUPPRESSED"));
-        sentAfter("s1", peer, 1);
-        assertEquals(peer.connections.get(), 1);
+        runOnLoop(() -> pools.send(request("c", "s1", no)));
+        await(() -> events.contains("c SUPPRESSED"));
+        assertNextRequestSent("s1", peer, 1);
+        assertEquals(peer.connectionCount.get(), 1);
         // A host may shake hands before it reads what is first on a connection.
-        assertEquals(transits, List.of(250 * MS, 0L));
-        assertEquals(told, List.of("a SUPPRESSED", "b accepted", "c SUPPRESSED", "last accepted"));
+        assertEquals(transits, List.of(250 * US_PER_MS, 0L));
+        assertEquals(events, List.of("a SUPPRESSED", "b accepted", "c SUPPRESSED", "last accepted"));
     }
 
     @Test
     public void aHostThatBeginsToLeaveDuringTheDialGetsNothing() throws Exception {
-        Peer peer = peer(takes());
-        sendHeldAtItsDial(request("a", "s1", YES), peer);
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.DRAINING, 0))));
-        dials.countDown();
-        await(() -> told.contains("a SUPPRESSED"));
-        await(() -> peer.idleEnds.get() == 1); // of no use to anybody
+        TestServer peer = startServer(acceptAll());
+        sendBlockedAtDial(request("a", "s1", ALLOW), peer);
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.DRAINING, 0))));
+        dialGate.countDown();
+        await(() -> events.contains("a SUPPRESSED"));
+        await(() -> peer.idleCloses.get() == 1); // of no use to anybody
         assertEquals(peer.requests().size(), 0);
     }
 
     @Test
     public void aHostThatIsGoneDuringTheDialGetsNothing() throws Exception {
-        Peer peer = peer(takes());
-        sendHeldAtItsDial(request("a", "s1", YES), peer);
-        onLoop(() -> pools.onListUpdate(list()));
-        dials.countDown();
-        await(() -> told.contains("a SUPPRESSED"));
-        await(() -> peer.idleEnds.get() == 1);
+        TestServer peer = startServer(acceptAll());
+        sendBlockedAtDial(request("a", "s1", ALLOW), peer);
+        runOnLoop(() -> pools.onListUpdate(snapshot()));
+        dialGate.countDown();
+        await(() -> events.contains("a SUPPRESSED"));
+        await(() -> peer.idleCloses.get() == 1);
         assertEquals(peer.requests().size(), 0);
     }
 
@@ -281,85 +281,85 @@
     @Test
     public void whereOnlyDrainingBindsAHostThatIsGoneMayBeSentToUnlessItDrained() throws Exception {
         startWith(100, true);
-        Peer gone = peer(takes());
-        Peer drained = peer(takes());
-        onLoop(() -> {
+        TestServer gone = startServer(acceptAll());
+        TestServer drained = startServer(acceptAll());
+        runOnLoop(() -> {
             pools.onListUpdate(
-                    list(host("s1", gone, EndpointState.ACTIVE, 0), host("s2", drained, EndpointState.DRAINING, 0)));
-            pools.onListUpdate(list());
+                    snapshot(endpoint("s1", gone, EndpointState.ACTIVE, 0), endpoint("s2", drained, EndpointState.DRAINING, 0)));
+            pools.onListUpdate(snapshot());
         });
-        onLoop(() -> {
+        runOnLoop(() -> {
             assertTrue(pools.acceptsRequests("s1"));
             assertFalse(pools.acceptsRequests("s2"));
-            pools.send(request("a", "s1", YES));
-            pools.send(request("b", "s2", YES));
+            pools.send(request("a", "s1", ALLOW));
+            pools.send(request("b", "s2", ALLOW));
         });
-        await(() -> told.containsAll(List.of("a accepted", "b SUPPRESSED")));
+        await(() -> events.containsAll(List.of("a accepted", "b SUPPRESSED")));
         assertEquals(drained.requests().size(), 0);
     }
 
     /** The address may be another's by now, who would take the job and tell of it under another name. */
     @Test
     public void aHostThatMovedDuringTheDialGetsNothingWhereItWas() throws Exception {
-        Peer before = peer(takes());
-        Peer now = peer(takes());
-        sendHeldAtItsDial(request("a", "s1", YES), before);
-        onLoop(() -> pools.onListUpdate(list(host("s1", now, EndpointState.ACTIVE, 1000))));
-        dials.countDown();
-        await(() -> told.contains("a SUPPRESSED"));
-        sentAfter("s1", now, 0);
+        TestServer before = startServer(acceptAll());
+        TestServer now = startServer(acceptAll());
+        sendBlockedAtDial(request("a", "s1", ALLOW), before);
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", now, EndpointState.ACTIVE, 1000))));
+        dialGate.countDown();
+        await(() -> events.contains("a SUPPRESSED"));
+        assertNextRequestSent("s1", now, 0);
         assertEquals(before.requests().size(), 0);
     }
 
     /** What answers after its host moved is not asked again. */
     @Test
     public void aConnectionThatIsAnsweredAfterItsHostMovedIsNotKept() throws Exception {
-        CountDownLatch answers = gate();
-        Peer before = peer(r -> {
+        CountDownLatch answers = newGate();
+        TestServer before = startServer(r -> {
             answers.await();
             return ACCEPTED;
         });
-        Peer now = peer(takes());
-        onLoop(() -> pools.onListUpdate(list(host("s1", before, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request("a", "s1", YES)));
-        NodeRig.awaitRequests(before, 1);
-        onLoop(() -> pools.onListUpdate(list(host("s1", now, EndpointState.ACTIVE, 1000))));
+        TestServer now = startServer(acceptAll());
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", before, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
+        NodeTestBase.awaitRequests(before, 1);
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", now, EndpointState.ACTIVE, 1000))));
         answers.countDown();
-        await(() -> told.contains("a accepted"));
-        await(() -> before.open.get() == 0);
-        sentAfter("s1", now, 0);
+        await(() -> events.contains("a accepted"));
+        await(() -> before.openConnections.get() == 0);
+        assertNextRequestSent("s1", now, 0);
     }
 
     /** The decision and the news of the drain come in one turn, the writes after it. */
     @Test
     public void aListThatChangesInTheTurnOfTheDecisionBinds() throws Exception {
-        Peer peer = peer(takes());
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request("a", "s1", YES)));
-        await(() -> told.contains("a accepted"));
+        TestServer peer = startServer(acceptAll());
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
+        await(() -> events.contains("a accepted"));
         Thread.sleep(60); // until the connection may be used again
-        onLoop(() -> {
-            pools.send(request("b", "s1", YES));
-            pools.onListUpdate(list(host("s1", peer, EndpointState.DRAINING, 0)));
+        runOnLoop(() -> {
+            pools.send(request("b", "s1", ALLOW));
+            pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.DRAINING, 0)));
         });
-        await(() -> told.contains("b SUPPRESSED"));
-        await(() -> peer.idleEnds.get() == 1);
+        await(() -> events.contains("b SUPPRESSED"));
+        await(() -> peer.idleCloses.get() == 1);
         assertEquals(peer.requests().size(), 1);
-        assertEquals(peer.connections.get(), 1);
+        assertEquals(peer.connectionCount.get(), 1);
     }
 
     // ---- a client that leaves -----------------------------------------------------------------------------
 
     private void dispatch(ResolvedEndpoint... hosts) throws Exception {
         RequestClass verify =
-                new RequestClass("verify", 5 * S, S / 5, 2, 1, 0, Idempotency.IDEMPOTENT, null, 0, null, 0);
+                new RequestClass("verify", 5 * US_PER_S, US_PER_S / 5, 2, 1, 0, Idempotency.IDEMPOTENT, null, 0, null, 0);
         LoadBalancerSettings settings = new LoadBalancerSettings(
                 List.of(verify),
                 List.of(),
                 "z",
                 1,
-                new ServiceRules(8 * MS, 10 * S, S / 2, 0.3, 9 * S, 3, S, false),
-                new DispatchLimits(false, true, false, false, 3, 2 * S, 5 * S),
+                new ServiceRules(8 * US_PER_MS, 10 * US_PER_S, US_PER_S / 2, 0.3, 9 * US_PER_S, 3, US_PER_S, false),
+                new DispatchLimits(false, true, false, false, 3, 2 * US_PER_S, 5 * US_PER_S),
                 LoadReporting.NONE,
                 true,
                 false,
@@ -368,11 +368,11 @@
                 TailObjective.NONE,
                 true);
         dispatcher = new RequestDispatcher(loop, settings, 1, pools, () -> {}, 100, 1000);
-        onLoop(() -> dispatcher.start(list(hosts)));
+        runOnLoop(() -> dispatcher.start(snapshot(hosts)));
     }
 
-    private void open(String id, AnswerLog client, long left) {
-        Request request = new Request(id, "verify", null, "k", left, Double.NaN, 1, Double.NaN, false);
+    private void openRequest(String id, AnswerLog client, long remainingUs) {
+        Request request = new Request(id, "verify", null, "k", remainingUs, Double.NaN, 1, Double.NaN, false);
         loop.post(new ProxyEvent.RequestArrived(
                 request, new Payload("/verify", null, new byte[] {1}, 0, 1), client, loop.now()));
     }
@@ -380,37 +380,37 @@
     /** At once, not when the dial is up; and the dial is not in vain. */
     @Test
     public void whatIsBeingDialledForAClientThatLeavesIsDropped() throws Exception {
-        Peer peer = peer(takes());
-        dispatch(host("s1", peer, EndpointState.ACTIVE, 0));
-        dials = gate();
+        TestServer peer = startServer(acceptAll());
+        dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
+        dialGate = newGate();
         AnswerLog client = new AnswerLog();
-        open("a", client, 5 * S);
-        dialling.await();
+        openRequest("a", client, 5 * US_PER_S);
+        dialStarted.await();
         loop.post(new ProxyEvent.ClientDisconnected("a", client));
-        await(() -> told.contains("a SUPPRESSED"));
-        assertEquals(peer.connections.get(), 0);
-        dials.countDown();
-        await(() -> peer.connections.get() == 1);
-        open("b", new AnswerLog(), 5 * S);
-        await(() -> told.contains("b accepted"));
+        await(() -> events.contains("a SUPPRESSED"));
+        assertEquals(peer.connectionCount.get(), 0);
+        dialGate.countDown();
+        await(() -> peer.connectionCount.get() == 1);
+        openRequest("b", new AnswerLog(), 5 * US_PER_S);
+        await(() -> events.contains("b accepted"));
         assertEquals(peer.requests().size(), 1);
         assertEquals(peer.requests().get(0).headers().get("X-Txn"), "b");
     }
 
     @Test
     public void nothingIsWrittenForAClientThatIsKnownToHaveGoneAheadOfTheEvent() throws Exception {
-        Peer peer = peer(takes());
-        dispatch(host("s1", peer, EndpointState.ACTIVE, 0));
-        dials = gate();
+        TestServer peer = startServer(acceptAll());
+        dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
+        dialGate = newGate();
         AnswerLog client = new AnswerLog();
-        open("a", client, 5 * S);
-        dialling.await();
+        openRequest("a", client, 5 * US_PER_S);
+        dialStarted.await();
         client.clientPresent = false;
-        dials.countDown();
-        await(() -> told.contains("a SUPPRESSED"));
+        dialGate.countDown();
+        await(() -> events.contains("a SUPPRESSED"));
         loop.post(new ProxyEvent.ClientDisconnected("a", client));
-        open("b", new AnswerLog(), 5 * S);
-        await(() -> told.contains("b accepted"));
+        openRequest("b", new AnswerLog(), 5 * US_PER_S);
+        await(() -> events.contains("b accepted"));
         assertEquals(peer.requests().size(), 1);
         assertEquals(client.answers, List.of());
     }
@@ -418,13 +418,13 @@
     /** It had run on at its host, and was never given up there. */
     @Test
     public void whatIsGivenUpWhileItsAcceptanceIsOnItsWayIsGivenUpAtItsHostToo() throws Exception {
-        Peer peer = peer(takes());
-        dispatch(host("s1", peer, EndpointState.ACTIVE, 0));
-        reads = gate();
+        TestServer peer = startServer(acceptAll());
+        dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
+        readGate = newGate();
         AnswerLog client = new AnswerLog();
-        open("a", client, 100 * MS); // less than a host is given to accept a job
+        openRequest("a", client, 100 * US_PER_MS); // less than a host is given to accept a job
         await(() -> !client.answers.isEmpty());
-        NodeRig.awaitRequests(peer, 2);
+        NodeTestBase.awaitRequests(peer, 2);
         assertEquals(
                 peer.requests().get(0).method() + " " + peer.requests().get(1).method()
                         + peer.requests().get(1).target(),
@@ -432,55 +432,55 @@
     }
 
     /** Has the host's acceptance read in a turn, so that its event waits, and then does this in that turn. */
-    private Peer acceptedWhile(Consumer<UpstreamRequest> task) throws Exception {
-        CountDownLatch answers = gate();
-        Peer peer = peer(r -> {
+    private TestServer runWhileAcceptanceIsQueued(Consumer<UpstreamRequest> task) throws Exception {
+        CountDownLatch answers = newGate();
+        TestServer peer = startServer(r -> {
             answers.await();
-            return takes().to(r);
+            return acceptAll().respond(r);
         });
-        UpstreamRequest request = request("a", "s1", YES);
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request));
-        NodeRig.awaitRequests(peer, 1);
-        onLoop(() -> {
+        UpstreamRequest request = request("a", "s1", ALLOW);
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request));
+        NodeTestBase.awaitRequests(peer, 1);
+        runOnLoop(() -> {
             answers.countDown();
-            while (readsBegun.get() < 2) {
+            while (readsStarted.get() < 2) {
                 Thread.onSpinWait(); // it reads on once it has done with what it read
             }
-            assertEquals(told, List.of());
+            assertEquals(events, List.of());
             task.accept(request);
         });
-        await(() -> told.contains("a accepted"));
+        await(() -> events.contains("a accepted"));
         return peer;
     }
 
     @Test
     public void whatIsGivenUpDuringItsDialNeverRan() throws Exception {
-        Peer peer = peer(takes());
-        UpstreamRequest request = request("a", "s1", YES);
+        TestServer peer = startServer(acceptAll());
+        UpstreamRequest request = request("a", "s1", ALLOW);
         AtomicBoolean withheld = new AtomicBoolean();
-        sendHeldAtItsDial(request, peer);
-        onLoop(() -> withheld.set(pools.cancelWithoutReport(request, false)));
-        dials.countDown();
+        sendBlockedAtDial(request, peer);
+        runOnLoop(() -> withheld.set(pools.cancelWithoutReport(request, false)));
+        dialGate.countDown();
         assertTrue(withheld.get());
-        sentAfter("s1", peer, 0);
-        assertEquals(told, List.of("last accepted"));
+        assertNextRequestSent("s1", peer, 0);
+        assertEquals(events, List.of("last accepted"));
     }
 
     /** Not yet accepted, as far as the loop knew: it had neither a connection to close nor, for it, a host to tell. */
     @Test
     public void whatIsGivenUpWhileItsAcceptanceIsQueuedIsGivenUpAtItsHost() throws Exception {
-        Peer peer = acceptedWhile(request -> assertFalse(pools.cancelWithoutReport(request, false)));
-        NodeRig.awaitRequests(peer, 2);
+        TestServer peer = runWhileAcceptanceIsQueued(request -> assertFalse(pools.cancelWithoutReport(request, false)));
+        NodeTestBase.awaitRequests(peer, 2);
         assertEquals(peer.requests().get(1).method(), "DELETE");
     }
 
     /** Its host is not silent. */
     @Test
     public void whatIsAcceptedIsNotWithdrawn() throws Exception {
-        Peer peer = acceptedWhile(request -> pools.cancelAndReportEnd(request, false));
-        sentAfter("s1", peer, 1);
-        assertEquals(told, List.of("a accepted", "last accepted"));
+        TestServer peer = runWhileAcceptanceIsQueued(request -> pools.cancelAndReportEnd(request, false));
+        assertNextRequestSent("s1", peer, 1);
+        assertEquals(events, List.of("a accepted", "last accepted"));
         assertEquals(peer.requests().get(1).method(), "POST");
     }
 
@@ -494,9 +494,9 @@
     public void aSecondAnswerIsNotTakenForTheAnswerToTheNextRequest() throws Exception {
         int valid = 0;
         for (int i = 0; i < 20 && valid == 0; i++) {
-            told.clear();
-            CountDownLatch next = gate();
-            Peer peer = peer(r -> {
+            events.clear();
+            CountDownLatch next = newGate();
+            TestServer peer = startServer(r -> {
                 if (r.headers().get("X-Txn").equals("a")) {
                     return ACCEPTED;
                 }
@@ -505,20 +505,20 @@
                 return ACCEPTED;
             });
             String name = "s" + i;
-            onLoop(() -> pools.onListUpdate(list(host(name, peer, EndpointState.ACTIVE, 0))));
-            onLoop(() -> pools.send(request("a", name, YES)));
-            await(() -> told.contains("a accepted"));
+            runOnLoop(() -> pools.onListUpdate(snapshot(endpoint(name, peer, EndpointState.ACTIVE, 0))));
+            runOnLoop(() -> pools.send(request("a", name, ALLOW)));
+            await(() -> events.contains("a accepted"));
             long since = System.nanoTime();
             Thread.sleep(5); // the answer is read, and the connection given back
-            onLoop(() -> pools.send(request("b", name, YES)));
+            runOnLoop(() -> pools.send(request("b", name, ALLOW)));
             long took = System.nanoTime() - since;
             next.await();
-            peer.say(0, ERROR);
-            await(() -> told.size() == 2);
+            peer.sendUnsolicited(0, ERROR);
+            await(() -> events.size() == 2);
             if (took < 20_000_000) { // else it had settled, and proves nothing
                 valid++;
-                assertEquals(told, List.of("a accepted", "b accepted"));
-                await(() -> peer.open.get() == 1); // what was said in between closed the other
+                assertEquals(events, List.of("a accepted", "b accepted"));
+                await(() -> peer.openConnections.get() == 1); // what was said in between closed the other
             }
         }
         assertEquals(valid, 1);
@@ -526,40 +526,40 @@
 
     @Test
     public void anotherThatHasSettledGoesFirst() throws Exception {
-        Peer peer = peer(takes());
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
+        TestServer peer = startServer(acceptAll());
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         for (String id : List.of("a", "b")) {
-            onLoop(() -> pools.send(request(id, "s1", YES)));
+            runOnLoop(() -> pools.send(request(id, "s1", ALLOW)));
         }
-        await(() -> told.containsAll(List.of("a accepted", "b accepted")));
+        await(() -> events.containsAll(List.of("a accepted", "b accepted")));
         Thread.sleep(60);
         for (String id : List.of("c", "d")) {
-            onLoop(() -> pools.send(request(id, "s1", YES)));
-            await(() -> told.contains(id + " accepted"));
+            runOnLoop(() -> pools.send(request(id, "s1", ALLOW)));
+            await(() -> events.contains(id + " accepted"));
         }
-        assertEquals(peer.connections.get(), 2);
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     /** However fast a host answers, it does not have to hold a connection for each request of the last moment. */
     @Test
     public void connectionsThatSettleAreBounded() throws Exception {
-        Peer peer = peer(takes());
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
+        TestServer peer = startServer(acceptAll());
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         for (int i = 0; i < 200; i++) {
             String id = "t" + i;
-            onLoop(() -> pools.send(request(id, "s1", YES)));
-            while (!told.contains(id + " accepted")) {
+            runOnLoop(() -> pools.send(request(id, "s1", ALLOW)));
+            while (!events.contains(id + " accepted")) {
                 Thread.onSpinWait();
             }
         }
-        assertTrue(peer.connections.get() <= 12, peer.connections + " connections");
+        assertTrue(peer.connectionCount.get() <= 12, peer.connectionCount + " connections");
     }
 
     /** One connection that was used and may be used again. */
-    private void settled(Peer peer) throws Exception {
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
-        onLoop(() -> pools.send(request("a", "s1", YES)));
-        await(() -> told.contains("a accepted"));
+    private void establishReusableConnection(TestServer peer) throws Exception {
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
+        runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
+        await(() -> events.contains("a accepted"));
         Thread.sleep(60);
     }
 
@@ -572,31 +572,31 @@
     /** It lies in the kernel: who reads there has not come to it by the time the next request is written. */
     @Test
     public void aLateAnswerThatNobodyHasReadYetIsNotTakenForTheNext() throws Exception {
-        Peer peer = peer(r -> {
+        TestServer peer = startServer(r -> {
             if (r.headers().get("X-Txn").equals("a")) {
-                spinUntil(() -> readsBegun.get() == 1);
-                firstReads = gate();
+                spinUntil(() -> readsStarted.get() == 1);
+                firstConnectionReadGate = newGate();
             }
             return ACCEPTED;
         });
-        settled(peer);
-        peer.say(0, ERROR);
-        await(() -> links.get(0).hasUnreadInput());
-        onLoop(() -> pools.send(request("b", "s1", YES)));
-        NodeRig.awaitRequests(peer, 2);
-        firstReads.countDown();
-        await(() -> told.size() == 2);
-        assertEquals(told, List.of("a accepted", "b accepted"));
-        await(() -> peer.open.get() == 1);
-        assertEquals(peer.connections.get(), 2);
+        establishReusableConnection(peer);
+        peer.sendUnsolicited(0, ERROR);
+        await(() -> connections.get(0).hasUnreadInput());
+        runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
+        NodeTestBase.awaitRequests(peer, 2);
+        firstConnectionReadGate.countDown();
+        await(() -> events.size() == 2);
+        assertEquals(events, List.of("a accepted", "b accepted"));
+        await(() -> peer.openConnections.get() == 1);
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     /** It was read, and its reader waits behind the one that is about to write. */
     @Test
     public void aLateAnswerInItsReadersHandIsNotTakenForTheNext() throws Exception {
-        Peer peer = peer(takes());
-        settled(peer);
-        CountDownLatch looks = gate();
+        TestServer peer = startServer(acceptAll());
+        establishReusableConnection(peer);
+        CountDownLatch looks = newGate();
         CountDownLatch looking = new CountDownLatch(1);
         PreSendCheck waits = (request, now, transit) -> {
             looking.countDown();
@@ -608,87 +608,87 @@
         };
         CompletableFuture.runAsync(() -> loop.post(new ProxyEvent.Task(() -> pools.send(request("b", "s1", waits)))));
         looking.await();
-        peer.say(0, ERROR);
-        await(() -> !links.get(0).hasUnreadInput() && links.get(0).reader.getState() == Thread.State.BLOCKED);
+        peer.sendUnsolicited(0, ERROR);
+        await(() -> !connections.get(0).hasUnreadInput() && connections.get(0).reader.getState() == Thread.State.BLOCKED);
         looks.countDown();
-        await(() -> told.size() == 2);
-        assertEquals(told, List.of("a accepted", "b accepted"));
-        assertEquals(peer.connections.get(), 2);
+        await(() -> events.size() == 2);
+        assertEquals(events, List.of("a accepted", "b accepted"));
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     /** Between the decision and the first byte. */
     @Test
     public void aLateAnswerBeforeTheNextRequestIsWrittenIsNotTakenForItsOwn() throws Exception {
-        Peer peer = peer(takes());
-        settled(peer);
-        onLoop(() -> {
-            pools.send(request("b", "s1", YES));
-            said(peer);
+        TestServer peer = startServer(acceptAll());
+        establishReusableConnection(peer);
+        runOnLoop(() -> {
+            pools.send(request("b", "s1", ALLOW));
+            sendUnsolicitedAndAwaitRead(peer);
         });
-        await(() -> told.size() == 2);
-        assertEquals(told, List.of("a accepted", "b accepted"));
-        assertEquals(peer.connections.get(), 2);
+        await(() -> events.size() == 2);
+        assertEquals(events, List.of("a accepted", "b accepted"));
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     /** Something unasked on the first connection; until it was read. */
-    private void said(Peer peer) {
+    private void sendUnsolicitedAndAwaitRead(TestServer peer) {
         try {
-            peer.say(0, ERROR);
+            peer.sendUnsolicited(0, ERROR);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
-        spinUntil(() -> peer.open.get() == 0 || readsBegun.get() == 3);
+        spinUntil(() -> peer.openConnections.get() == 0 || readsStarted.get() == 3);
     }
 
     /** Its connection strayed, and the loop has not come to send it by another. */
     @Test
     public void whatIsTakenBackBetweenTwoConnectionsGoesByNeither() throws Exception {
-        Peer peer = peer(takes());
-        settled(peer);
-        UpstreamRequest request = request("b", "s1", YES);
+        TestServer peer = startServer(acceptAll());
+        establishReusableConnection(peer);
+        UpstreamRequest request = request("b", "s1", ALLOW);
         AtomicBoolean begun = new AtomicBoolean(true);
-        onLoop(() -> {
+        runOnLoop(() -> {
             pools.send(request);
-            said(peer);
+            sendUnsolicitedAndAwaitRead(peer);
             begun.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
         assertFalse(begun.get());
-        await(() -> told.contains("b SUPPRESSED"));
-        sentAfter("s1", peer, 1);
-        assertEquals(told, List.of("a accepted", "b SUPPRESSED", "last accepted"));
+        await(() -> events.contains("b SUPPRESSED"));
+        assertNextRequestSent("s1", peer, 1);
+        assertEquals(events, List.of("a accepted", "b SUPPRESSED", "last accepted"));
     }
 
     /**
      * One request by a dial of a fifth of a second and one by the same connection later, so that it is known what a
      * dial takes.
      */
-    private Peer slowToDial() throws Exception {
-        Peer peer = peer(takes());
-        startWith(100, false, 3 * S);
-        sendHeldAtItsDial(request("a", "s1", YES), peer);
+    private TestServer serverWithSlowDial() throws Exception {
+        TestServer peer = startServer(acceptAll());
+        startWith(100, false, 3 * US_PER_S);
+        sendBlockedAtDial(request("a", "s1", ALLOW), peer);
         Thread.sleep(200);
-        dials.countDown();
-        await(() -> told.contains("a accepted"));
+        dialGate.countDown();
+        await(() -> events.contains("a accepted"));
         Thread.sleep(60);
-        onLoop(() -> pools.send(request("b", "s1", YES)));
-        spinUntil(() -> told.contains("b accepted") && readsBegun.get() == 3); // and is given back
+        runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
+        spinUntil(() -> events.contains("b accepted") && readsStarted.get() == 3); // and is given back
         return peer;
     }
 
     @Test
     public void whereDialsAreSlowTheNextRequestWaitsUntilAConnectionHasSettled() throws Exception {
-        Peer peer = slowToDial();
+        TestServer peer = serverWithSlowDial();
         for (int i = 0; i < 10; i++) {
             String id = "c" + i;
             int reads = 4 + i;
-            onLoop(() -> pools.send(request(id, "s1", YES)));
-            spinUntil(() -> told.contains(id + " accepted") && readsBegun.get() == reads);
+            runOnLoop(() -> pools.send(request(id, "s1", ALLOW)));
+            spinUntil(() -> events.contains(id + " accepted") && readsStarted.get() == reads);
         }
         assertEquals(peer.requests().size(), 12);
-        assertEquals(peer.connections.get(), 1);
+        assertEquals(peer.connectionCount.get(), 1);
         for (int i = 2; i < 12; i++) {
-            long since = peer.seen.get(i).at() - peer.seen.get(i - 1).at();
+            long since = peer.received.get(i).receivedAtMs() - peer.received.get(i - 1).receivedAtMs();
             assertTrue(since >= 29, "after " + since + " ms, in whole ones");
         }
     }
@@ -696,50 +696,50 @@
     /** Each connection that settles is waited for by one. */
     @Test
     public void twoThatWaitDoNotWaitForTheSame() throws Exception {
-        Peer peer = slowToDial();
-        dials = OPEN;
-        onLoop(() -> {
-            pools.send(request("c", "s1", YES));
-            pools.send(request("d", "s1", YES));
+        TestServer peer = serverWithSlowDial();
+        dialGate = OPEN_GATE;
+        runOnLoop(() -> {
+            pools.send(request("c", "s1", ALLOW));
+            pools.send(request("d", "s1", ALLOW));
         });
-        await(() -> told.containsAll(List.of("c accepted", "d accepted")));
-        assertEquals(peer.connections.get(), 2);
+        await(() -> events.containsAll(List.of("c accepted", "d accepted")));
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     @Test
     public void whatIsTakenBackWhileItWaitsIsNotWrittenAndTheConnectionIsKept() throws Exception {
-        Peer peer = slowToDial();
-        UpstreamRequest request = request("c", "s1", YES);
+        TestServer peer = serverWithSlowDial();
+        UpstreamRequest request = request("c", "s1", ALLOW);
         AtomicBoolean begun = new AtomicBoolean(true);
-        onLoop(() -> {
+        runOnLoop(() -> {
             pools.send(request);
             begun.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
         assertFalse(begun.get());
-        await(() -> told.contains("c SUPPRESSED"));
+        await(() -> events.contains("c SUPPRESSED"));
         Thread.sleep(60);
-        sentAfter("s1", peer, 2);
-        assertEquals(peer.connections.get(), 1);
+        assertNextRequestSent("s1", peer, 2);
+        assertEquals(peer.connectionCount.get(), 1);
     }
 
     /** What waited goes by another, and its host hears of it once. */
     @Test
     public void aSecondAnswerEndsTheWaitAndIsNotTakenForTheAnswer() throws Exception {
-        Peer peer = slowToDial();
-        onLoop(() -> {
-            pools.send(request("c", "s1", YES));
+        TestServer peer = serverWithSlowDial();
+        runOnLoop(() -> {
+            pools.send(request("c", "s1", ALLOW));
             try {
-                peer.say(0, ERROR);
+                peer.sendUnsolicited(0, ERROR);
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
-            spinUntil(() -> peer.open.get() == 0 || readsBegun.get() == 4);
+            spinUntil(() -> peer.openConnections.get() == 0 || readsStarted.get() == 4);
         });
-        await(() -> told.size() == 3);
-        assertEquals(told, List.of("a accepted", "b accepted", "c accepted"));
+        await(() -> events.size() == 3);
+        assertEquals(events, List.of("a accepted", "b accepted", "c accepted"));
         assertEquals(peer.requests().size(), 3);
-        assertEquals(peer.connections.get(), 2);
+        assertEquals(peer.connectionCount.get(), 2);
     }
 
     // ---- bounds -------------------------------------------------------------------------------------------
@@ -747,51 +747,51 @@
     @Test
     public void aRequestThatGetsNoConnectionCouldNotConnect() throws Exception {
         startWith(1, false);
-        Peer peer = peer(takes());
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
-        dials = gate();
-        onLoop(() -> pools.send(request("a", "s1", YES)));
-        onLoop(() -> pools.send(request("b", "s1", YES)));
-        await(() -> told.contains("b CONNECT_FAILED"));
-        dials.countDown();
-        await(() -> told.contains("a accepted"));
+        TestServer peer = startServer(acceptAll());
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
+        dialGate = newGate();
+        runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
+        runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
+        await(() -> events.contains("b CONNECT_FAILED"));
+        dialGate.countDown();
+        await(() -> events.contains("a accepted"));
         noDescriptors = true;
         Thread.sleep(5);
-        onLoop(() -> {
+        runOnLoop(() -> {
             pools.closeIdleConnections("s1");
-            pools.send(request("c", "s1", YES));
+            pools.send(request("c", "s1", ALLOW));
         });
-        await(() -> told.contains("c CONNECT_FAILED"));
+        await(() -> events.contains("c CONNECT_FAILED"));
         noDescriptors = false;
-        sentAfter("s1", peer, 1);
+        assertNextRequestSent("s1", peer, 1);
     }
 
     /** A limit of this node's own, of a second, cut it off. */
     @Test
     public void aDialMayTakeWhatTheSettingsSay() throws Exception {
-        startWith(100, false, 3 * S);
-        Peer peer = peer(takes());
-        sendHeldAtItsDial(request("a", "s1", YES), peer);
+        startWith(100, false, 3 * US_PER_S);
+        TestServer peer = startServer(acceptAll());
+        sendBlockedAtDial(request("a", "s1", ALLOW), peer);
         Thread.sleep(1100);
-        onLoop(pools::sweep);
-        dials.countDown();
-        await(() -> !told.isEmpty());
-        assertEquals(told, List.of("a accepted"));
+        runOnLoop(pools::sweep);
+        dialGate.countDown();
+        await(() -> !events.isEmpty());
+        assertEquals(events, List.of("a accepted"));
     }
 
     @Test
     public void anAnswerThatNeverEndsIsNotWaitedForForEver() throws Exception {
-        Peer peer = peer(r -> "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8));
-        onLoop(() -> pools.onListUpdate(list(host("s1", peer, EndpointState.ACTIVE, 0))));
+        TestServer peer = startServer(r -> "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8));
+        runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         UpstreamRequest impatient = new UpstreamRequest(
-                "a", 0, "s1", new Payload("/verify", null, new byte[] {1}, 0, 1), 50 * MS, false, YES);
-        onLoop(() -> pools.send(impatient));
-        NodeRig.awaitRequests(peer, 1);
-        for (int i = 0; i < 100 && told.isEmpty(); i++) {
+                "a", 0, "s1", new Payload("/verify", null, new byte[] {1}, 0, 1), 50 * US_PER_MS, false, ALLOW);
+        runOnLoop(() -> pools.send(impatient));
+        NodeTestBase.awaitRequests(peer, 1);
+        for (int i = 0; i < 100 && events.isEmpty(); i++) {
             Thread.sleep(20);
-            onLoop(pools::sweep);
+            runOnLoop(pools::sweep);
         }
-        assertEquals(told, List.of("a RESET"));
-        await(() -> peer.open.get() == 0);
+        assertEquals(events, List.of("a RESET"));
+        await(() -> peer.openConnections.get() == 0);
     }
 }
--- a/src/test/java/olivechute/WorkloadNodeTest.java
+++ b/src/test/java/olivechute/WorkloadApiNodeTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.Test;
 
 /** A node whose identity comes from an agent's socket, and tokens of clients behind a proxy. */
-public class WorkloadNodeTest extends SecureNodeRig {
+public class WorkloadApiNodeTest extends SecureNodeTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
     private static final String JWT = "jwt { audience = \"node\", proxies = [\"spiffe://dala.example/proxy\"] }";
 
@@ -32,7 +32,7 @@
     public void setUpAgent() throws Exception {
         socket = folder.resolve("agent.sock");
         agent = new WorkloadApiServer(socket);
-        parties.add(agent);
+        resources.add(agent);
     }
 
     private void publish(CertificateAuthority.Issued issued, X509Certificate... authorities) {
@@ -41,16 +41,16 @@
                 WorkloadApiResponses.x509Response("spiffe://dala.example/node", issued, List.of(authorities), Map.of(), ""));
     }
 
-    private void startByAgent(String extra, String... known) throws Exception {
+    private void startWithAgent(String extra, String... known) throws Exception {
         startSecure(
                 SETTINGS.replace("SOURCE", "source { kind = workload-api, socket = \"unix:" + socket + "\" }")
                         .replace("EXTRA", extra),
                 known);
     }
 
-    private boolean served(TlsContext identity, String id) {
-        try (Client client = client(identity)) {
-            HttpResponse answer = client.call(Client.job("sign", id, 5000));
+    private boolean isServed(TlsContext identity, String id) {
+        try (TestClient client = client(identity)) {
+            HttpResponse answer = client.exchange(TestClient.jobRequest("sign", id, 5000));
             return answer != null && answer.status() == 200;
         } catch (Exception refused) {
             return false;
@@ -62,32 +62,32 @@
      * again.
      */
     @Test
-    public void anIdentityComesByTheStreamAndIsRenewedByIt() throws Exception {
-        Peer host = worker("s1", "signed");
-        TlsContext acme = workload("/client/acme");
-        startByAgent("", entry("s1", host, "active", 0));
+    public void identityIsReceivedAndRenewedByStream() throws Exception {
+        TestServer host = secureWorker("s1", "signed");
+        TlsContext acme = workloadContext("/client/acme");
+        startWithAgent("", endpointEntry("s1", host, "active", 0));
         await(() -> agent.calls() == 1);
-        assertEquals(served(acme, "early"), false); // no identity of our own: nobody is spoken with
+        assertEquals(isServed(acme, "early"), false); // no identity of our own: nobody is spoken with
         publish(issue("/node", Duration.ofSeconds(30)), root.certificate());
-        await(() -> served(acme, "a" + System.nanoTime()));
+        await(() -> isServed(acme, "a" + System.nanoTime()));
         agent.rejectCalls(7);
         agent.closeConnections();
         await(() -> agent.calls() > 1);
-        assertTrue(served(acme, "b")); // the last one is in force
-        step = Duration.ofSeconds(31);
-        assertEquals(served(acme, "c"), false);
+        assertTrue(isServed(acme, "b")); // the last one is in force
+        clockOffset = Duration.ofSeconds(31);
+        assertEquals(isServed(acme, "c"), false);
         publish(issue("/node", HOUR), root.certificate());
         agent.rejectCalls(0);
-        await(() -> served(acme, "d" + System.nanoTime()));
+        await(() -> isServed(acme, "d" + System.nanoTime()));
     }
 
     @Test
-    public void rubbishFromTheAgentChangesNothing() throws Exception {
-        Peer host = worker("s1", "signed");
-        TlsContext acme = workload("/client/acme");
+    public void invalidAgentResponsesAreIgnored() throws Exception {
+        TestServer host = secureWorker("s1", "signed");
+        TlsContext acme = workloadContext("/client/acme");
         publish(issue("/node", HOUR), root.certificate());
-        startByAgent("", entry("s1", host, "active", 0));
-        await(() -> served(acme, "a" + System.nanoTime()));
+        startWithAgent("", endpointEntry("s1", host, "active", 0));
+        await(() -> isServed(acme, "a" + System.nanoTime()));
         agent.publish(WorkloadApiMessages.FETCH_X509, new byte[] {1, 2, 3});
         agent.publish(WorkloadApiMessages.FETCH_X509, new byte[0]);
         publish(issue("/node", HOUR), authority().certificate());
@@ -95,7 +95,7 @@
                 WorkloadApiMessages.FETCH_X509,
                 WorkloadApiResponses.x509Response(
                         "spiffe://other.example/x", issue("/node", HOUR), List.of(root.certificate()), Map.of(), ""));
-        assertTrue(served(acme, "b"));
+        assertTrue(isServed(acme, "b"));
     }
 
     /**
@@ -103,14 +103,14 @@
      * they show.
      */
     @Test
-    public void aTokenBehindAProxyStandsForItsClient() throws Exception {
-        Peer host = worker("s1", "signed");
+    public void proxiedTokenIdentifiesTheClient() throws Exception {
+        TestServer host = secureWorker("s1", "signed");
         publish(issue("/node", HOUR), root.certificate());
         agent.publish(
                 WorkloadApiMessages.FETCH_JWT_BUNDLES,
                 WorkloadApiResponses.jwtBundlesResponse(Map.of(DOMAIN, tokens.keySet())));
-        startByAgent(JWT, entry("s1", host, "active", 0));
-        TlsContext proxy = workload("/proxy");
+        startWithAgent(JWT, endpointEntry("s1", host, "active", 0));
+        TlsContext proxy = workloadContext("/proxy");
         String good = tokens.token("spiffe://dala.example/client/acme", List.of("node"), now().plusSeconds(60));
         await(() -> status(proxy, "t" + System.nanoTime(), good) == 200);
         assertEquals(status(proxy, "t1", good), 200);
@@ -134,14 +134,14 @@
                         new TokenIssuer("k1")
                                 .token("spiffe://dala.example/client/acme", List.of("node"), now().plusSeconds(60))),
                 403);
-        assertEquals(status(workload("/client/bolt"), "t6", good), 403);
-        step = Duration.ofSeconds(61);
-        assertEquals(status(workload("/proxy"), "t7", good), 403); // held a moment ago, and is remembered
+        assertEquals(status(workloadContext("/client/bolt"), "t6", good), 403);
+        clockOffset = Duration.ofSeconds(61);
+        assertEquals(status(workloadContext("/proxy"), "t7", good), 403); // held a moment ago, and is remembered
     }
 
     private int status(TlsContext identity, String id, String token) {
-        try (Client client = client(identity)) {
-            HttpResponse answer = client.call(MessageWriter.request(
+        try (TestClient client = client(identity)) {
+            HttpResponse answer = client.exchange(MessageWriter.request(
                     "POST",
                     "/verify",
                     "node",
@@ -160,19 +160,19 @@
 
     /** The agent is connected and brings nothing: when a renewal is overdue it is asked anew. */
     @Test
-    public void anAgentThatFellSilentIsDialledAnewWhenARenewalIsDue() throws Exception {
-        TlsContext acme = workload("/client/acme");
-        Peer host = worker("s1", "signed");
+    public void silentAgentIsRedialledWhenRenewalIsDue() throws Exception {
+        TlsContext acme = workloadContext("/client/acme");
+        TestServer host = secureWorker("s1", "signed");
         publish(issue("/node", Duration.ofSeconds(60)), root.certificate());
-        startByAgent("", entry("s1", host, "active", 0));
-        await(() -> served(acme, "a" + System.nanoTime()));
+        startWithAgent("", endpointEntry("s1", host, "active", 0));
+        await(() -> isServed(acme, "a" + System.nanoTime()));
         agent.silent(true);
         publish(issue("/node", HOUR), root.certificate());
         agent.silent(false);
         assertEquals(agent.calls(), 1);
-        step = Duration.ofSeconds(45); // of 120 s of life 15 are left
+        clockOffset = Duration.ofSeconds(45); // of 120 s of life 15 are left
         await(() -> agent.calls() == 2);
-        step = Duration.ofSeconds(90);
-        await(() -> served(acme, "b" + System.nanoTime()));
+        clockOffset = Duration.ofSeconds(90);
+        await(() -> isServed(acme, "b" + System.nanoTime()));
     }
 }
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import olivechute.StoredForms;
+import olivechute.RecordedEncodings;
 import olivechute.fleet.wire.BaseVersion;
 import olivechute.fleet.wire.ChangeRecord;
 import olivechute.fleet.wire.ChangeSpec;
@@ -177,8 +177,8 @@
         Map<String, MessageLite> values = values();
         assertEquals(PARSERS.keySet(), values.keySet());
         for (Map.Entry<String, MessageLite> each : values.entrySet()) {
-            StoredForms.assertWritten(each.getKey(), each.getValue().toByteArray());
-            assertEquals(each.getValue(), PARSERS.get(each.getKey()).parseFrom(StoredForms.recorded(each.getKey())));
+            RecordedEncodings.assertWritten(each.getKey(), each.getValue().toByteArray());
+            assertEquals(each.getValue(), PARSERS.get(each.getKey()).parseFrom(RecordedEncodings.recorded(each.getKey())));
         }
     }
 
@@ -187,7 +187,7 @@
      */
     @Test
     void storedChangeContinuesWithItsEvidence() throws Exception {
-        ChangeRecord read = ChangeRecord.parseFrom(StoredForms.recorded("change/current"));
+        ChangeRecord read = ChangeRecord.parseFrom(RecordedEncodings.recorded("change/current"));
         RolloutState state = RolloutCodec.toState(read);
         RolloutState next = Rollout.step(
                         state,
--- a/src/test/java/olivechute/fleet/BadVersionIT.java
+++ b/src/test/java/olivechute/fleet/BadVersionIT.java
@@ -1,7 +1,7 @@
 package olivechute.fleet;
 
 import olivechute.rig.Fleet;
-import olivechute.rig.Ledger;
+import olivechute.rig.EventLedger;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
@@ -9,34 +9,34 @@
 class BadVersionIT extends FleetIT {
     @Tag("long")
     @Test
-    void oneThatRefusesATenthOfSign() {
-        fleet.proposeProgram("refuses", versions.refusesTenthOfSign());
-        assertEnds("STOPPED", Fleet.BASE);
-        assertKept(1);
+    void versionThatRejectsATenthOfSign() {
+        fleet.proposeProgram("refuses", versions.rejectingTenthOfSign());
+        assertChangeEnds("STOPPED", Fleet.BASE);
+        assertInvariantsHold(1);
     }
 
     @Test
-    void oneThatCrashes() {
-        long begun = Ledger.now();
+    void versionThatCrashes() {
+        long begun = EventLedger.now();
         fleet.proposeProgram("crashes", versions.crashesAfter(1000));
-        assertEnds("STOPPED", Fleet.BASE);
-        fleet.nodes().names().forEach(node -> fleet.nodes().ledger().excuse(node, begun, Ledger.now()));
-        assertKept(1);
+        assertChangeEnds("STOPPED", Fleet.BASE);
+        fleet.nodes().names().forEach(node -> fleet.nodes().ledger().addOutage(node, begun, EventLedger.now()));
+        assertInvariantsHold(1);
     }
 
     @Tag("long")
     @Test
-    void oneThatIsNeverReady() {
+    void versionThatIsNeverReady() {
         fleet.proposeProgram("unready", versions.neverReady());
-        assertEnds("STOPPED", Fleet.BASE);
-        assertKept(1);
+        assertChangeEnds("STOPPED", Fleet.BASE);
+        assertInvariantsHold(1);
     }
 
     @Tag("long")
     @Test
-    void settingsThatNodesRefuse() {
+    void settingsThatNodesReject() {
         fleet.proposeSettings("refused", "settings.ceilings.dial_timeout = never");
-        assertEnds("STOPPED", Fleet.BASE);
-        assertKept(1);
+        assertChangeEnds("STOPPED", Fleet.BASE);
+        assertInvariantsHold(1);
     }
 }
--- a/src/test/java/olivechute/fleet/TwoChangesIT.java
+++ b/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
@@ -6,15 +6,15 @@
 import java.time.Duration;
 import java.util.List;
 import olivechute.rig.Fleet;
-import olivechute.rig.Program;
+import olivechute.rig.TestProcess;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
 /** Operators who act at once, and what they may do to a change under way. */
 @Tag("long")
-class TwoChangesIT extends FleetIT {
+class ConcurrentChangesIT extends FleetIT {
     private static final int ROUNDS = 3;
-    private static final Duration CALL = Duration.ofSeconds(20);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
 
     /** So long that an operator's call reaches the phase that it is meant for. */
     @Override
@@ -23,16 +23,16 @@
     }
 
     @Test
-    void ofTwoProposedAtOnceOneIsTakenAndCanBeStopped() {
-        String program = versions.equal().toString();
+    void oneOfTwoConcurrentProposalsIsAcceptedAndCanBeStopped() {
+        String program = versions.equivalent().toString();
         for (int round = 1; round <= ROUNDS; round++) {
             List<String> ids = List.of("first-" + round, "second-" + round);
-            try (Program first = fleet.begin("propose", "--id", ids.get(0), "--program", program);
-                    Program second = fleet.begin("propose", "--id", ids.get(1), "--program", program)) {
-                List<Program> calls = List.of(first, second);
+            try (TestProcess first = fleet.startCall("propose", "--id", ids.get(0), "--program", program);
+                    TestProcess second = fleet.startCall("propose", "--id", ids.get(1), "--program", program)) {
+                List<TestProcess> calls = List.of(first, second);
                 List<Integer> ends =
-                        calls.stream().map(call -> call.awaitExit(CALL)).toList();
-                calls.forEach(Program::awaitEnd);
+                        calls.stream().map(call -> call.awaitExit(CALL_TIMEOUT)).toList();
+                calls.forEach(TestProcess::awaitOutputEnd);
                 assertEquals(List.of(0, 1), ends.stream().sorted().toList(), first.lines() + " " + second.lines());
                 int taken = ends.indexOf(0);
                 assertTrue(
@@ -47,34 +47,34 @@
                         stopped.containsAll(List.of("change: " + ids.get(taken), "phase: STOPPED")),
                         stopped.toString());
             }
-            assertEnds("STOPPED", Fleet.BASE);
+            assertChangeEnds("STOPPED", Fleet.BASE);
         }
-        assertKept(0); // nothing moved
+        assertInvariantsHold(0); // nothing moved
     }
 
     @Test
-    void oneStoppedWhileItWatchesIsTakenBack() {
-        fleet.proposeProgram("v2", versions.equal());
-        fleet.awaitPhase("WATCHING", THROUGH);
+    void changeStoppedWhileWatchingIsRolledBack() {
+        fleet.proposeProgram("v2", versions.equivalent());
+        fleet.awaitPhase("WATCHING", CHANGE_TIMEOUT);
         List<String> stopped = fleet.call("stop");
         assertTrue(stopped.containsAll(List.of("phase: ROLLING_BACK", "stage: 1 of 2")), stopped.toString());
-        List<String> shown = assertEnds("STOPPED", Fleet.BASE);
+        List<String> shown = assertChangeEnds("STOPPED", Fleet.BASE);
         assertTrue(shown.contains("reason: stopped by an operator"), shown.toString());
-        assertKept(1);
+        assertInvariantsHold(1);
     }
 
     @Test
-    void onePausedStandsStillAndGoesOnWhenResumed() {
-        fleet.proposeProgram("v2", versions.equal());
-        fleet.awaitPhase("WATCHING", THROUGH);
+    void pausedChangeContinuesWhenResumed() {
+        fleet.proposeProgram("v2", versions.equivalent());
+        fleet.awaitPhase("WATCHING", CHANGE_TIMEOUT);
         List<String> paused = fleet.call("pause");
         assertTrue(paused.containsAll(List.of("phase: PAUSED", "stage: 1 of 2")), paused.toString());
-        assertNothingMoves(8 * RATE); // longer than the stage is watched at least
+        assertNoNodeDrains(8 * JOBS_PER_SECOND); // longer than the stage is watched at least
         List<String> shown = fleet.call("show");
         assertTrue(shown.contains("phase: PAUSED"), shown.toString());
         assertTrue(shown.stream().anyMatch(line -> line.startsWith("nodes: 1 ready at v2: ")), shown.toString());
         fleet.call("resume");
-        assertEnds("DONE", "v2");
-        assertKept(1);
+        assertChangeEnds("DONE", "v2");
+        assertInvariantsHold(1);
     }
 }
--- a/src/test/java/olivechute/fleet/DiskFullIT.java
+++ b/src/test/java/olivechute/fleet/DiskFullIT.java
@@ -18,33 +18,33 @@
  */
 @Tag("long")
 class DiskFullIT extends FleetIT {
-    private interface Act {
-        void on(String replica) throws IOException, InterruptedException;
+    private interface DiskAction {
+        void apply(String replica) throws IOException, InterruptedException;
     }
 
-    private void anotherGoesOn(Act fill, Act relieve) throws IOException, InterruptedException {
-        begin();
-        String lead = fleet.lead();
+    private void assertAnotherReplicaTakesOver(DiskAction fill, DiskAction freeSpace) throws IOException, InterruptedException {
+        startChange();
+        String lead = fleet.leader();
         markReplicas();
-        fill.on(lead);
-        awaitReplica(lead, "disk: full");
-        awaitNewLead(lead);
-        assertEnds("DONE", "v2");
+        fill.apply(lead);
+        awaitReplicaLine(lead, "disk: full");
+        awaitNewLeader(lead);
+        assertChangeEnds("DONE", "v2");
         markReplicas();
-        relieve.on(lead);
-        awaitReplica(lead, "disk: well");
-        awaitReplica(lead, "follows");
-        String next = fleet.lead();
+        freeSpace.apply(lead);
+        awaitReplicaLine(lead, "disk: well");
+        awaitReplicaLine(lead, "follows");
+        String next = fleet.leader();
         assertNotEquals(lead, next);
         fleet.replicas().get(next).kill(); // from here on the one that came back is needed for a majority
         List<String> shown = fleet.call("show");
         assertTrue(shown.contains("phase: DONE"), shown.toString());
-        assertKept(1);
+        assertInvariantsHold(1);
     }
 
     @Test
-    void itsFolderTakesNoMore() throws IOException, InterruptedException {
-        anotherGoesOn(
+    void dataDirectoryIsFull() throws IOException, InterruptedException {
+        assertAnotherReplicaTakesOver(
                 replica -> {
                     Path link = Files.createSymbolicLink(fleet.data(replica).resolve("link"), Path.of("/dev/full"));
                     Files.move(link, fleet.data(replica).resolve("probe"), StandardCopyOption.REPLACE_EXISTING);
@@ -54,11 +54,11 @@
 
     /** What fails is the write of the log itself. */
     @Test
-    void itsLogTakesNoMore() throws IOException, InterruptedException {
-        anotherGoesOn(replica -> limit(replica, "1:"), replica -> limit(replica, "unlimited:"));
+    void logWritesFail() throws IOException, InterruptedException {
+        assertAnotherReplicaTakesOver(replica -> limitFileSize(replica, "1:"), replica -> limitFileSize(replica, "unlimited:"));
     }
 
-    private void limit(String replica, String bytes) throws IOException, InterruptedException {
+    private void limitFileSize(String replica, String bytes) throws IOException, InterruptedException {
         long pid = fleet.replicas().get(replica).pid();
         assertEquals(
                 0,
--- a/src/test/java/olivechute/fleet/FleetIT.java
+++ b/src/test/java/olivechute/fleet/FleetIT.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import olivechute.rig.Fleet;
-import olivechute.rig.Recipe;
-import olivechute.rig.Versions;
+import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestVersions;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -17,13 +17,13 @@
 /** Four nodes on two machines under load, for the tests of what a change does to them. */
 @Timeout(180)
 abstract class FleetIT {
-    static final Duration THROUGH = Duration.ofSeconds(90);
-    static final long SOON = 30_000;
-    static final int RATE = 200;
-    private static final int LOOKS = 40;
-    private static final Duration SOON_LED = Duration.ofSeconds(20);
+    static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(90);
+    static final long TIMEOUT_MILLIS = 30_000;
+    static final int JOBS_PER_SECOND = 200;
+    private static final int MAX_CHECKS = 40;
+    private static final Duration REPLICA_TIMEOUT = Duration.ofSeconds(20);
 
-    final Versions versions = new Versions(Recipe.JAR);
+    final TestVersions versions = new TestVersions(ProcessSpec.JAR);
     private final long seed = 20261204;
     private final Map<String, Long> marks = new HashMap<>();
     Fleet fleet;
@@ -35,16 +35,16 @@
     }
 
     @BeforeEach
-    void open() {
+    void startFleet() {
         fleet = new Fleet(2, 2, seed, stages());
-        fleet.nodes().clients().load(RATE);
-        fleet.nodes().clients().awaitServed(100, SOON);
+        fleet.nodes().clients().startLoad(JOBS_PER_SECOND);
+        fleet.nodes().clients().awaitServed(100, TIMEOUT_MILLIS);
     }
 
     @AfterEach
-    void close() {
+    void stopFleet() {
         System.out.println(
-                "seed " + seed + ", jobs " + fleet.nodes().ledger().counts() + (passed ? "" : "\n" + fleet.story()));
+                "seed " + seed + ", jobs " + fleet.nodes().ledger().counts() + (passed ? "" : "\n" + fleet.recentOutput()));
         fleet.close();
         versions.close();
     }
@@ -53,40 +53,40 @@
      * Waits for the end of the change, and then for all four nodes at this version: a machine that was out of reach at
      * the end finds its order when it is back.
      */
-    List<String> assertEnds(String phase, String version) {
-        String all = "nodes: 4 ready at " + version + ": n0 n1 n2 n3";
-        List<String> shown = fleet.awaitPhase(phase, THROUGH);
-        for (int i = 0; i < LOOKS && !shown.contains(all); i++) {
-            awaitMore(RATE / 2);
-            shown = fleet.call("show");
+    List<String> assertChangeEnds(String phase, String version) {
+        String expectedNodes = "nodes: 4 ready at " + version + ": n0 n1 n2 n3";
+        List<String> output = fleet.awaitPhase(phase, CHANGE_TIMEOUT);
+        for (int i = 0; i < MAX_CHECKS && !output.contains(expectedNodes); i++) {
+            awaitMoreJobs(JOBS_PER_SECOND / 2);
+            output = fleet.call("show");
         }
-        assertTrue(shown.contains("phase: " + phase), shown.toString());
-        assertTrue(shown.contains("base: " + version), shown.toString());
-        assertTrue(shown.contains(all), shown.toString());
-        return shown;
+        assertTrue(output.contains("phase: " + phase), output.toString());
+        assertTrue(output.contains("base: " + version), output.toString());
+        assertTrue(output.contains(expectedNodes), output.toString());
+        return output;
     }
 
-    void assertKept(int mostAway) {
-        assertEquals(List.of(), fleet.nodes().finish(mostAway));
+    void assertInvariantsHold(int mostAway) {
+        assertEquals(List.of(), fleet.nodes().stopAndCheck(mostAway));
         passed = true;
     }
 
-    void awaitMore(int jobs) {
-        fleet.nodes().clients().awaitServed(fleet.nodes().ledger().answers().size() + jobs, SOON);
+    void awaitMoreJobs(int jobs) {
+        fleet.nodes().clients().awaitServed(fleet.nodes().ledger().answers().size() + jobs, TIMEOUT_MILLIS);
     }
 
     /** Proposes an equal program; once the first node has been told to end, the change has begun. */
-    void begin() {
-        fleet.proposeProgram("v2", versions.equal());
-        fleet.nodes().clients().awaitReady(ready -> ready.containsValue(false), SOON);
+    void startChange() {
+        fleet.proposeProgram("v2", versions.equivalent());
+        fleet.nodes().clients().awaitReady(ready -> ready.containsValue(false), TIMEOUT_MILLIS);
     }
 
     /** No node is told to end while so many jobs are served. */
-    void assertNothingMoves(int jobs) {
+    void assertNoNodeDrains(int jobs) {
         Map<String, Long> from = new HashMap<>();
         fleet.machines()
                 .forEach(machine -> from.put(machine, fleet.supervisor(machine).mark()));
-        awaitMore(jobs);
+        awaitMoreJobs(jobs);
         from.forEach((machine, mark) -> assertEquals(
                 List.of(),
                 fleet.supervisor(machine).linesAfter(mark).stream()
@@ -100,20 +100,20 @@
     }
 
     /** Waits until each other replica says, after its mark, that it leads or whom it follows instead. */
-    void awaitNewLead(String old) {
+    void awaitNewLeader(String old) {
         for (var replica : fleet.replicas().entrySet()) {
             if (!replica.getKey().equals(old)) {
                 replica.getValue()
                         .awaitLine(
                                 "replica " + replica.getKey() + " (leads term|follows (?!" + old + ")\\w)",
                                 marks.get(replica.getKey()),
-                                SOON_LED);
+                                REPLICA_TIMEOUT);
             }
         }
     }
 
     /** Waits for a line of a replica after its mark. */
-    void awaitReplica(String id, String line) {
-        fleet.replicas().get(id).awaitLine("replica " + id + " " + line, marks.get(id), SOON_LED);
+    void awaitReplicaLine(String id, String line) {
+        fleet.replicas().get(id).awaitLine("replica " + id + " " + line, marks.get(id), REPLICA_TIMEOUT);
     }
 }
--- a/src/test/java/olivechute/fleet/MachineLostIT.java
+++ b/src/test/java/olivechute/fleet/MachineFailureIT.java
@@ -6,8 +6,8 @@
 import java.time.Duration;
 import java.util.List;
 import olivechute.rig.Fleet;
-import olivechute.rig.Ledger;
-import olivechute.rig.Machine;
+import olivechute.rig.EventLedger;
+import olivechute.rig.TestMachine;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
@@ -16,9 +16,9 @@
  * is back.
  */
 @Tag("long")
-class MachineLostIT extends FleetIT {
-    private static final int OUT_JOBS = 12 * RATE; // 12 s of load: longer than a node that answers may be unready
-    private static final Duration HELD_WITHIN = Duration.ofSeconds(20);
+class MachineFailureIT extends FleetIT {
+    private static final int JOBS_DURING_OUTAGE = 12 * JOBS_PER_SECOND; // 12 s of load: longer than a node that answers may be unready
+    private static final Duration HELD_TIMEOUT = Duration.ofSeconds(20);
 
     @Override
     Fleet.Stages stages() {
@@ -26,31 +26,31 @@
     }
 
     @Test
-    void itFallsWhileTheFirstStageIsWatched() {
-        fleet.proposeProgram("v2", versions.equal());
-        String moved = only(fleet.awaitPhase("WATCHING", THROUGH), "v2");
+    void machineFailsDuringFirstStage() {
+        fleet.proposeProgram("v2", versions.equivalent());
+        String moved = onlyNodeAt(fleet.awaitPhase("WATCHING", CHANGE_TIMEOUT), "v2");
         String name = fleet.machineOf(moved);
         List<String> nodes = fleet.nodes().names().stream()
                 .filter(node -> fleet.machineOf(node).equals(name))
                 .toList();
-        Machine machine = new Machine(name);
+        TestMachine machine = new TestMachine(name);
         machine.add(fleet.supervisor(name));
-        long killed = Ledger.now();
+        long killed = EventLedger.now();
         machine.kill();
-        fleet.nodes().clients().awaitReady(ready -> nodes.stream().noneMatch(ready::get), SOON);
-        nodes.forEach(node -> fleet.nodes().ledger().excuse(node, killed, Ledger.now()));
-        assertWaits(fleet.awaitPhase("HELD", HELD_WITHIN), moved);
-        assertNothingMoves(OUT_JOBS);
-        assertWaits(fleet.call("show"), moved);
+        fleet.nodes().clients().awaitReady(ready -> nodes.stream().noneMatch(ready::get), TIMEOUT_MILLIS);
+        nodes.forEach(node -> fleet.nodes().ledger().addOutage(node, killed, EventLedger.now()));
+        assertHeld(fleet.awaitPhase("HELD", HELD_TIMEOUT), moved);
+        assertNoNodeDrains(JOBS_DURING_OUTAGE);
+        assertHeld(fleet.call("show"), moved);
         fleet.supervisor(name).restart();
-        assertEnds("DONE", "v2");
-        assertKept(2);
-        for (Ledger.Job job : fleet.nodes().ledger().jobs()) {
-            assertTrue(job.end() != Ledger.End.LOST || nodes.contains(job.node()), job.toString());
+        assertChangeEnds("DONE", "v2");
+        assertInvariantsHold(2);
+        for (EventLedger.Job job : fleet.nodes().ledger().jobs()) {
+            assertTrue(job.end() != EventLedger.Outcome.LOST || nodes.contains(job.node()), job.toString());
         }
     }
 
-    private static String only(List<String> shown, String version) {
+    private static String onlyNodeAt(List<String> shown, String version) {
         String begin = "nodes: 1 ready at " + version + ": ";
         return shown.stream()
                 .filter(line -> line.startsWith(begin))
@@ -59,7 +59,7 @@
                 .substring(begin.length());
     }
 
-    private static void assertWaits(List<String> shown, String moved) {
+    private static void assertHeld(List<String> shown, String moved) {
         assertTrue(shown.contains("phase: HELD") && shown.contains("stage: 1 of 2"), shown.toString());
         assertTrue(
                 shown.stream().anyMatch(line -> line.startsWith("away: " + moved + " out of reach, ordered v2")),
--- a/src/test/java/olivechute/fleet/RolloutIT.java
+++ b/src/test/java/olivechute/fleet/RolloutIT.java
@@ -2,27 +2,27 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import olivechute.rig.Ledger;
+import olivechute.rig.EventLedger;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
 /** A change that does no harm goes through all nodes, one of them away at a time, and nothing is lost. */
 class RolloutIT extends FleetIT {
     private void assertDone(String version) {
-        assertEnds("DONE", version);
-        assertKept(1);
-        assertTrue(fleet.nodes().ledger().count("sign", Ledger.End.SERVED) > 200);
+        assertChangeEnds("DONE", version);
+        assertInvariantsHold(1);
+        assertTrue(fleet.nodes().ledger().count("sign", EventLedger.Outcome.SERVED) > 200);
     }
 
     @Tag("long")
     @Test
-    void anEqualProgramGoesThroughAllNodes() {
-        fleet.proposeProgram("v2", versions.equal());
+    void equivalentProgramIsRolledOutToAllNodes() {
+        fleet.proposeProgram("v2", versions.equivalent());
         assertDone("v2");
     }
 
     @Test
-    void settingsGoThroughAllNodes() {
+    void settingsAreRolledOutToAllNodes() {
         fleet.proposeSettings("s2", "settings.ceilings.conn_idle = 4.0");
         assertDone("s2");
     }
--- a/src/test/java/olivechute/fleet/ServeIT.java
+++ b/src/test/java/olivechute/fleet/ServeIT.java
@@ -5,11 +5,11 @@
 
 import java.time.Duration;
 import java.util.List;
-import olivechute.rig.FleetCheck;
-import olivechute.rig.Ledger;
-import olivechute.rig.Nodes;
-import olivechute.rig.Program;
-import olivechute.rig.Recipe;
+import olivechute.rig.FleetInvariants;
+import olivechute.rig.EventLedger;
+import olivechute.rig.TestNodes;
+import olivechute.rig.TestProcess;
+import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -19,76 +19,76 @@
 class ServeIT {
     private static final long SEED = 20261203;
     private static final int RATE = 120;
-    private static final long SOON = 20_000;
+    private static final long TIMEOUT_MILLIS = 20_000;
 
-    private final Nodes nodes = new Nodes(3, SEED);
+    private final TestNodes nodes = new TestNodes(3, SEED);
 
     @AfterEach
     void close() {
         System.out.println("seed " + SEED + ", jobs " + nodes.ledger().counts() + ", runs "
-                + nodes.ledger().runs().size());
+                + nodes.ledger().executions().size());
         nodes.close();
     }
 
     private void startAll() {
-        nodes.names().forEach(node -> nodes.begin(node, Recipe.JAR));
-        nodes.open();
-        nodes.clients().awaitReady(ready -> ready.values().stream().allMatch(is -> is), SOON);
-        nodes.clients().load(RATE);
-        nodes.clients().awaitServed(100, SOON);
+        nodes.names().forEach(node -> nodes.launch(node, ProcessSpec.JAR));
+        nodes.connectClients();
+        nodes.clients().awaitReady(ready -> ready.values().stream().allMatch(is -> is), TIMEOUT_MILLIS);
+        nodes.clients().startLoad(RATE);
+        nodes.clients().awaitServed(100, TIMEOUT_MILLIS);
     }
 
     private void awaitMore(int jobs) {
-        nodes.clients().awaitServed(nodes.ledger().answers().size() + jobs, SOON);
+        nodes.clients().awaitServed(nodes.ledger().answers().size() + jobs, TIMEOUT_MILLIS);
     }
 
     private long lostAt(String node) {
         return nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == Ledger.End.LOST && job.node().equals(node))
+                .filter(job -> job.end() == EventLedger.Outcome.LOST && job.node().equals(node))
                 .count();
     }
 
     @Test
-    void oneKilledAndStartedAgain() {
+    void killedNodeIsRestarted() {
         startAll();
-        long killed = Ledger.now();
+        long killed = EventLedger.now();
         nodes.program("n1").kill();
-        nodes.clients().awaitReady(ready -> !ready.get("n1"), SOON);
-        nodes.ledger().excuse("n1", killed, Ledger.now());
+        nodes.clients().awaitReady(ready -> !ready.get("n1"), TIMEOUT_MILLIS);
+        nodes.ledger().addOutage("n1", killed, EventLedger.now());
         awaitMore(100);
         nodes.program("n1").restart();
-        nodes.clients().awaitReady(ready -> ready.get("n1"), SOON);
+        nodes.clients().awaitReady(ready -> ready.get("n1"), TIMEOUT_MILLIS);
         awaitMore(100);
-        assertEquals(List.of(), nodes.finish(1));
+        assertEquals(List.of(), nodes.stopAndCheck(1));
         assertEquals(0, lostAt("n0") + lostAt("n2"));
     }
 
     @Test
-    void oneThatEndsOnTermAnswersAllItTook() {
+    void terminatedNodeAnswersAllAcceptedJobs() {
         startAll();
-        Program node = nodes.program("n1");
-        node.term();
+        TestProcess node = nodes.program("n1");
+        node.terminate();
         awaitMore(50);
         assertEquals(143, node.awaitExit(Duration.ofSeconds(15)));
         node.restart();
-        nodes.clients().awaitReady(ready -> ready.get("n1"), SOON);
+        nodes.clients().awaitReady(ready -> ready.get("n1"), TIMEOUT_MILLIS);
         awaitMore(50);
-        assertEquals(List.of(), nodes.finish(1));
+        assertEquals(List.of(), nodes.stopAndCheck(1));
     }
 
     @Test
-    void oneStandsStillPastItsJobsTimeAndWakes() {
+    void nodeIsPausedPastItsJobDeadlines() {
         startAll();
-        long paused = Ledger.now();
+        long paused = EventLedger.now();
         nodes.program("n1").pause();
-        nodes.clients().awaitReady(ready -> !ready.get("n1"), SOON);
+        nodes.clients().awaitReady(ready -> !ready.get("n1"), TIMEOUT_MILLIS);
         awaitMore(200);
         nodes.program("n1").resume();
-        nodes.clients().awaitReady(ready -> ready.get("n1"), SOON);
-        nodes.ledger().excuse("n1", paused, Ledger.now());
+        nodes.clients().awaitReady(ready -> ready.get("n1"), TIMEOUT_MILLIS);
+        nodes.ledger().addOutage("n1", paused, EventLedger.now());
         awaitMore(100);
-        List<FleetCheck.Violation> found = nodes.finish(1);
+        List<FleetInvariants.Violation> found = nodes.stopAndCheck(1);
         assertEquals(List.of(), found);
-        assertTrue(nodes.ledger().count("sign", Ledger.End.SERVED) > 100);
+        assertTrue(nodes.ledger().count("sign", EventLedger.Outcome.SERVED) > 100);
     }
 }
--- a/src/test/java/olivechute/fleet/SlowVersionIT.java
+++ b/src/test/java/olivechute/fleet/SlowVersionIT.java
@@ -18,9 +18,9 @@
     }
 
     @Test
-    void oneSlowerBy30MillisIsTakenBack() {
+    void versionSlowerBy30MillisIsRolledBack() {
         fleet.proposeProgram("slow", versions.slower(30));
-        List<String> shown = assertEnds("STOPPED", Fleet.BASE);
+        List<String> shown = assertChangeEnds("STOPPED", Fleet.BASE);
         assertEquals(
                 1,
                 shown.stream()
@@ -28,6 +28,6 @@
                         .count(),
                 shown.toString());
         assertEquals(1, shown.stream().filter("stage: 1 of 2"::equals).count(), shown.toString());
-        assertKept(1);
+        assertInvariantsHold(1);
     }
 }
--- a/src/test/java/olivechute/fleet/CutIT.java
+++ b/src/test/java/olivechute/fleet/StoreOutageIT.java
@@ -11,10 +11,10 @@
  * out afterwards.
  */
 @Tag("long")
-class CutIT extends FleetIT {
+class StoreOutageIT extends FleetIT {
     @Test
-    void aMachineIsCutOffWhileItsNodesAreTakenBack() {
-        fleet.proposeProgram("v2", versions.equal());
+    void machineIsPartitionedDuringRollback() {
+        fleet.proposeProgram("v2", versions.equivalent());
         Set<String> away = new TreeSet<>();
         // Both in one wait: a node may be back before a second one begins.
         fleet.nodes()
@@ -28,25 +28,25 @@
                             });
                             return !away.isEmpty() && !ready.containsValue(false);
                         },
-                        SOON);
+                        TIMEOUT_MILLIS);
         String machine = fleet.machineOf(away.iterator().next());
-        fleet.cut(machine);
+        fleet.partition(machine);
         fleet.call("stop");
-        awaitMore(200);
+        awaitMoreJobs(200);
         fleet.heal(machine);
-        assertEnds("STOPPED", Fleet.BASE);
-        assertKept(1);
+        assertChangeEnds("STOPPED", Fleet.BASE);
+        assertInvariantsHold(1);
     }
 
     @Test
-    void allReplicasAreKilledAtOnceAndTheNodesServeOn() {
+    void nodesServeWhileAllReplicasAreDown() {
         fleet.replicas().values().forEach(replica -> replica.kill());
-        awaitMore(400);
+        awaitMoreJobs(400);
         fleet.replicas().values().forEach(replica -> replica.restart());
         fleet.replicas()
-                .forEach((id, replica) -> replica.awaitLine("^replica " + id + " (leads term|follows)", THROUGH));
+                .forEach((id, replica) -> replica.awaitLine("^replica " + id + " (leads term|follows)", CHANGE_TIMEOUT));
         fleet.proposeSettings("s2", "settings.ceilings.conn_idle = 4.0");
-        assertEnds("DONE", "s2");
-        assertKept(1);
+        assertChangeEnds("DONE", "s2");
+        assertInvariantsHold(1);
     }
 }
--- a/src/test/java/olivechute/rig/Registry.java
+++ b/src/test/java/olivechute/rig/DiscoveryStub.java
@@ -11,24 +11,24 @@
  * A stand-in of discovery: to each node the workers with the addresses that are for it. The list never changes; a watch
  * waits its time.
  */
-public final class Registry implements AutoCloseable {
+public final class DiscoveryStub implements AutoCloseable {
     private static final String INDEX = "1";
 
-    private final Workers workers;
+    private final WorkerStubs workers;
     private final String zone;
-    private final Map<String, HttpPeer> peers = new HashMap<>();
+    private final Map<String, HttpStub> peers = new HashMap<>();
     private final CountDownLatch end = new CountDownLatch(1);
 
-    public Registry(Workers workers, String zone) {
+    public DiscoveryStub(WorkerStubs workers, String zone) {
         this.workers = workers;
         this.zone = zone;
     }
 
     /** Listens for this node; returns where, as settings write it. */
-    public synchronized String node(String node) {
+    public synchronized String addNode(String node) {
         byte[] whole = list(true, workers.entries(node, zone));
         byte[] same = list(false, "");
-        HttpPeer peer = new HttpPeer("discovery", request -> {
+        HttpStub peer = new HttpStub("discovery", request -> {
             if (!INDEX.equals(request.queryParameter("since"))) {
                 return whole;
             }
@@ -37,7 +37,7 @@
             return same;
         });
         peers.put(node, peer);
-        return peer.text();
+        return peer.hostAndPort();
     }
 
     private static byte[] list(boolean whole, String entries) {
@@ -51,6 +51,6 @@
     @Override
     public synchronized void close() {
         end.countDown();
-        peers.values().forEach(HttpPeer::close);
+        peers.values().forEach(HttpStub::close);
     }
 }
--- a/src/test/java/olivechute/rig/Ledger.java
+++ b/src/test/java/olivechute/rig/EventLedger.java
@@ -6,11 +6,11 @@
 import java.util.TreeMap;
 
 /** What the stand-ins saw, as far as {@link FleetCheck} asks for it. Times are ms of {@link #now}. */
-public final class Ledger {
-    private static final int MOST = 200_000;
+public final class EventLedger {
+    private static final int MAX_ENTRIES = 200_000;
 
     /** How a job ended for its client. */
-    public enum End {
+    public enum Outcome {
         /** 200. */
         SERVED,
         /** 429 or 503. */
@@ -25,13 +25,13 @@
 
     /** A job that a client handed in to a node, and its end. */
     public record Job(
-            String id, String requestClass, String key, String node, long sent, long ended, End end, int status) {}
+            String id, String requestClass, String key, String node, long sent, long ended, Outcome end, int status) {}
 
     /** An answer that a client read which belongs to this job, whichever it waited for. */
-    public record Answer(String id, String node, long at) {}
+    public record Answer(String id, String node, long atMs) {}
 
     /** How a job went at a worker; {@code done}: it ran to its end and was not given up before. */
-    public record Run(
+    public record Execution(
             String worker,
             String node,
             String id,
@@ -42,16 +42,16 @@
             boolean done) {}
 
     /** A look at a node's readiness that was sent and answered (or failed) between these moments. */
-    public record Look(String node, long sent, long answered, boolean ready) {}
+    public record ReadinessProbe(String node, long sent, long answered, boolean ready) {}
 
     /** The test itself stopped a node from serving: it killed or paused it, or cut its clients off. */
-    public record Excuse(String node, long from, long to) {}
+    public record Outage(String node, long from, long to) {}
 
     private final List<Job> jobs = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
-    private final List<Run> runs = new ArrayList<>();
-    private final List<Look> looks = new ArrayList<>();
-    private final List<Excuse> excuses = new ArrayList<>();
+    private final List<Execution> executions = new ArrayList<>();
+    private final List<ReadinessProbe> probes = new ArrayList<>();
+    private final List<Outage> outages = new ArrayList<>();
 
     /** The clock of all entries. */
     public static long now() {
@@ -59,8 +59,8 @@
     }
 
     private synchronized <T> void add(List<T> list, T entry) {
-        if (list.size() == MOST) {
-            throw new RigFault("over " + MOST + " entries: make the load smaller");
+        if (list.size() == MAX_ENTRIES) {
+            throw new TestSetupException("over " + MAX_ENTRIES + " entries: make the load smaller");
         }
         list.add(entry);
     }
@@ -73,17 +73,17 @@
         add(answers, answer);
     }
 
-    public void add(Run run) {
-        add(runs, run);
+    public void add(Execution run) {
+        add(executions, run);
     }
 
-    public void add(Look look) {
-        add(looks, look);
+    public void add(ReadinessProbe look) {
+        add(probes, look);
     }
 
     /** The jobs that this node had between those moments are not asked for. */
-    public void excuse(String node, long from, long to) {
-        add(excuses, new Excuse(node, from, to));
+    public void addOutage(String node, long from, long to) {
+        add(outages, new Outage(node, from, to));
     }
 
     public synchronized List<Job> jobs() {
@@ -94,16 +94,16 @@
         return List.copyOf(answers);
     }
 
-    public synchronized List<Run> runs() {
-        return List.copyOf(runs);
+    public synchronized List<Execution> executions() {
+        return List.copyOf(executions);
     }
 
-    public synchronized List<Look> looks() {
-        return List.copyOf(looks);
+    public synchronized List<ReadinessProbe> probes() {
+        return List.copyOf(probes);
     }
 
-    public synchronized List<Excuse> excuses() {
-        return List.copyOf(excuses);
+    public synchronized List<Outage> outages() {
+        return List.copyOf(outages);
     }
 
     /** Jobs by class and end, for a test's output. */
@@ -114,7 +114,7 @@
     }
 
     /** Jobs of a class with that end. */
-    public long count(String requestClass, End end) {
+    public long count(String requestClass, Outcome end) {
         return jobs().stream()
                 .filter(job -> job.requestClass().equals(requestClass) && job.end() == end)
                 .count();
--- a/src/test/java/olivechute/rig/Fleet.java
+++ b/src/test/java/olivechute/rig/Fleet.java
@@ -18,22 +18,22 @@
     public static final String BASE = "base";
 
     private static final List<String> REPLICAS = List.of("a", "b", "c");
-    private static final Duration STARTS = Duration.ofSeconds(30);
-    private static final Duration CALL = Duration.ofSeconds(20);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
 
-    private final Folder folder = new Folder("fleet");
-    private final Nodes nodes;
+    private final TestDirectory folder = new TestDirectory("fleet");
+    private final TestNodes nodes;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, Program> replicas = new LinkedHashMap<>();
-    private final Map<String, Program> supervisors = new LinkedHashMap<>();
+    private final Map<String, TestProcess> replicas = new LinkedHashMap<>();
+    private final Map<String, TestProcess> supervisors = new LinkedHashMap<>();
     private final Map<String, List<LinkProxy>> links = new LinkedHashMap<>();
     private final Map<String, String> machineOf = new LinkedHashMap<>();
-    private final List<Folder> disks = new ArrayList<>();
+    private final List<TestDirectory> disks = new ArrayList<>();
     private final Map<String, Path> data = new LinkedHashMap<>();
     private final Stages stages;
 
     /** The stages of every change: nodes at their ends, and the least and longest time and the least jobs of each. */
-    public record Stages(List<Integer> nodes, Duration least, Duration longest, int leastJobs, int mostAway) {
+    public record Stages(List<Integer> nodes, Duration minDuration, Duration maxDuration, int minJobs, int maxUnavailable) {
         /** One node, then all; 3 to 20 s each. */
         public static Stages of(int nodes) {
             return new Stages(List.of(1, nodes), Duration.ofSeconds(3), Duration.ofSeconds(20), 20, 1);
@@ -47,7 +47,7 @@
 
     public Fleet(int machines, int nodesEach, long seed, Stages stages) {
         this.stages = stages;
-        nodes = new Nodes(machines * nodesEach, seed);
+        nodes = new TestNodes(machines * nodesEach, seed);
         try {
             startStore();
             folder.write("change.conf", store(addresses) + changeSettings());
@@ -55,10 +55,10 @@
             for (int m = 0; m < machines; m++) {
                 startMachine("m" + m, nodes.names().subList(m * nodesEach, (m + 1) * nodesEach));
             }
-            supervisors.forEach((machine, program) -> program.awaitLine("^supervisor " + machine + " ready", STARTS));
-            nodes.open();
-            nodes.clients().awaitReady(ready -> ready.values().stream().allMatch(is -> is), STARTS.toMillis());
-        } catch (RigFault e) {
+            supervisors.forEach((machine, program) -> program.awaitLine("^supervisor " + machine + " ready", START_TIMEOUT));
+            nodes.connectClients();
+            nodes.clients().awaitReady(ready -> ready.values().stream().allMatch(is -> is), START_TIMEOUT.toMillis());
+        } catch (TestSetupException e) {
             close();
             throw e;
         }
@@ -67,19 +67,19 @@
     private void startStore() {
         REPLICAS.forEach(id -> addresses.put(id, Ports.free()));
         for (String id : REPLICAS) {
-            Folder disk = new Folder("replica-" + id);
+            TestDirectory disk = new TestDirectory("replica-" + id);
             disks.add(disk);
-            data.put(id, disk.at("data"));
+            data.put(id, disk.resolve("data"));
             Path settings = folder.write(
                     "store-" + id + ".conf",
-                    "id = " + id + "\nfolder = \"" + disk.at("data") + "\"\n" + replicas(addresses)
+                    "id = " + id + "\nfolder = \"" + disk.resolve("data") + "\"\n" + replicas(addresses)
                             + "election { least = 600ms, most = 1000ms }\n");
             replicas.put(
                     id,
-                    Program.start(Recipe.shares("replica-" + id, Recipe.JAR, "store", "--settings", settings.toString())
-                            .in(disk)));
+                    TestProcess.start(ProcessSpec.fleetCommand("replica-" + id, ProcessSpec.JAR, "store", "--settings", settings.toString())
+                            .withDirectory(disk)));
         }
-        replicas.forEach((id, program) -> program.awaitLine("^replica " + id + " (leads term|follows)", STARTS));
+        replicas.forEach((id, program) -> program.awaitLine("^replica " + id + " (leads term|follows)", START_TIMEOUT));
     }
 
     private void startMachine(String machine, List<String> names) {
@@ -91,15 +91,15 @@
             over.put(id, link.address());
         });
         links.put(machine, own);
-        Folder disk = new Folder(machine);
+        TestDirectory disk = new TestDirectory(machine);
         disks.add(disk);
-        StringBuilder text = new StringBuilder("machine = " + machine + "\nzone = a\nfolder = \"" + disk.at("data")
+        StringBuilder text = new StringBuilder("machine = " + machine + "\nzone = a\nfolder = \"" + disk.resolve("data")
                 + "\"\nfigures = \""
-                + Ports.text(Ports.free()) + "\"\n" + store(over)
+                + Ports.hostAndPort(Ports.free()) + "\"\n" + store(over)
                 + "ready_within = 8s\ndrain_within = 8s\nbackoff { least = 200ms, most = 1s }\n"
-                + "program { java = [\"" + Recipe.java() + "\", "
+                + "program { java = [\"" + ProcessSpec.java() + "\", "
                 + String.join(
-                        ", ", Recipe.FLAGS.stream().map(f -> "\"" + f + "\"").toList())
+                        ", ", ProcessSpec.FLAGS.stream().map(f -> "\"" + f + "\"").toList())
                 + "] }\nnodes = [\n");
         for (String node : names) {
             machineOf.put(node, machine);
@@ -108,7 +108,7 @@
                     .append(", config = \"")
                     .append(nodes.config(node))
                     .append("\", listen = \"")
-                    .append(Ports.text(nodes.address(node)))
+                    .append(Ports.hostAndPort(nodes.address(node)))
                     .append("\", version = ")
                     .append(BASE)
                     .append(" }\n");
@@ -116,8 +116,8 @@
         Path settings = folder.write(machine + ".conf", text + "]\n");
         supervisors.put(
                 machine,
-                Program.start(Recipe.shares(machine, Recipe.JAR, "supervise", "--settings", settings.toString())
-                        .in(disk)));
+                TestProcess.start(ProcessSpec.fleetCommand(machine, ProcessSpec.JAR, "supervise", "--settings", settings.toString())
+                        .withDirectory(disk)));
     }
 
     private static String replicas(Map<String, InetSocketAddress> at) {
@@ -125,7 +125,7 @@
         at.forEach((id, address) -> text.append(" { id = ")
                 .append(id)
                 .append(", address = \"")
-                .append(Ports.text(address))
+                .append(Ports.hostAndPort(address))
                 .append("\" },"));
         return text.append(" ]\n").toString();
     }
@@ -136,26 +136,26 @@
 
     private String changeSettings() {
         StringBuilder text =
-                new StringBuilder("most_away = " + stages.mostAway() + "\nready_within = 10s\nstages = [\n");
+                new StringBuilder("most_away = " + stages.maxUnavailable() + "\nready_within = 10s\nstages = [\n");
         stages.nodes()
                 .forEach(n -> text.append("  { nodes = ")
                         .append(n)
                         .append(", least = ")
-                        .append(stages.least().toMillis())
+                        .append(stages.minDuration().toMillis())
                         .append("ms, longest = ")
-                        .append(stages.longest().toMillis())
+                        .append(stages.maxDuration().toMillis())
                         .append("ms, least_jobs = ")
-                        .append(stages.leastJobs())
+                        .append(stages.minJobs())
                         .append(" }\n"));
         return text.append("]\n").toString();
     }
 
     /** The nodes, and the stand-ins around them. */
-    public Nodes nodes() {
+    public TestNodes nodes() {
         return nodes;
     }
 
-    public Map<String, Program> replicas() {
+    public Map<String, TestProcess> replicas() {
         return replicas;
     }
 
@@ -163,7 +163,7 @@
         return List.copyOf(supervisors.keySet());
     }
 
-    public Program supervisor(String machine) {
+    public TestProcess supervisor(String machine) {
         return supervisors.get(machine);
     }
 
@@ -177,7 +177,7 @@
     }
 
     /** The id of the replica that leads, as the last word of all that live has it. */
-    public String lead() {
+    public String leader() {
         String lead = null;
         long term = -1;
         for (var replica : replicas.entrySet()) {
@@ -192,14 +192,14 @@
             }
         }
         if (lead == null) {
-            throw new RigFault("no replica leads");
+            throw new TestSetupException("no replica leads");
         }
         return lead;
     }
 
     /** Cuts a machine's supervisor off from the store. */
-    public void cut(String machine) {
-        links.get(machine).forEach(LinkProxy::cut);
+    public void partition(String machine) {
+        links.get(machine).forEach(LinkProxy::partition);
     }
 
     public void heal(String machine) {
@@ -208,23 +208,23 @@
 
     /** Runs a call of the operator to its end; returns its output, a fault if its status is not 0. */
     public List<String> call(String... args) {
-        return call(CALL, args);
+        return call(CALL_TIMEOUT, args);
     }
 
     /** Begins a call of the operator; the caller closes it. */
-    public Program begin(String... args) {
+    public TestProcess startCall(String... args) {
         List<String> whole = new ArrayList<>(List.of(
-                "change", args[0], "--settings", folder.at("change.conf").toString()));
+                "change", args[0], "--settings", folder.resolve("change.conf").toString()));
         whole.addAll(List.of(args).subList(1, args.length));
-        return Program.start(Recipe.shares("change " + args[0], Recipe.JAR, whole.toArray(String[]::new)));
+        return TestProcess.start(ProcessSpec.fleetCommand("change " + args[0], ProcessSpec.JAR, whole.toArray(String[]::new)));
     }
 
     private List<String> call(Duration within, String... args) {
-        try (Program call = begin(args)) {
+        try (TestProcess call = startCall(args)) {
             int status = call.awaitExit(within);
-            call.awaitEnd();
+            call.awaitOutputEnd();
             if (status != 0) {
-                throw new RigFault("change " + String.join(" ", args) + " ended with " + status + ": " + call.lines());
+                throw new TestSetupException("change " + String.join(" ", args) + " ended with " + status + ": " + call.lines());
             }
             return call.lines();
         }
@@ -247,18 +247,18 @@
 
     /** Waits until the change is in this phase; returns what the operator is shown then. */
     public List<String> awaitPhase(String phase, Duration within) {
-        return call(within.plus(CALL), "show", "--wait", phase, "--within", String.valueOf(within.toSeconds()));
+        return call(within.plus(CALL_TIMEOUT), "show", "--wait", phase, "--within", String.valueOf(within.toSeconds()));
     }
 
     /** The last lines of all programs, for a test that failed. */
-    public String story() {
+    public String recentOutput() {
         StringBuilder story = new StringBuilder();
-        replicas.values().forEach(p -> tell(story, p));
-        supervisors.values().forEach(p -> tell(story, p));
+        replicas.values().forEach(p -> appendOutput(story, p));
+        supervisors.values().forEach(p -> appendOutput(story, p));
         return story.toString();
     }
 
-    private static void tell(StringBuilder story, Program program) {
+    private static void appendOutput(StringBuilder story, TestProcess program) {
         List<String> lines = program.lines();
         story.append("---- ").append(program.name()).append('\n');
         lines.subList(Math.max(0, lines.size() - 40), lines.size())
@@ -268,11 +268,11 @@
     @Override
     public void close() {
         links.values().forEach(own -> own.forEach(LinkProxy::heal));
-        supervisors.values().forEach(Program::close);
-        replicas.values().forEach(Program::close);
+        supervisors.values().forEach(TestProcess::close);
+        replicas.values().forEach(TestProcess::close);
         links.values().forEach(own -> own.forEach(LinkProxy::close));
         nodes.close();
         folder.close();
-        disks.forEach(Folder::close);
+        disks.forEach(TestDirectory::close);
     }
 }
--- a/src/test/java/olivechute/rig/FleetCheck.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -12,7 +12,7 @@
  * The rules that a fleet keeps whatever is changed in it, checked over what the stand-ins saw. It finds only what must
  * have been so: a node that was ready before counts as away from the first look that found it so to the last in a row.
  */
-public final class FleetCheck {
+public final class FleetInvariants {
     /** The rules. */
     public enum Rule {
         /** A job that was handed in has exactly one final answer, unless the test stopped its node meanwhile. */
@@ -26,51 +26,51 @@
     }
 
     /** A rule that was broken, and by what. */
-    public record Violation(Rule rule, String what) {}
+    public record Violation(Rule rule, String evidence) {}
 
-    private FleetCheck() {}
+    private FleetInvariants() {}
 
     /** All violations; {@code mostAway} nodes may be away at once, negative where that is not asked. */
-    public static List<Violation> check(Ledger ledger, int mostAway) {
+    public static List<Violation> check(EventLedger ledger, int mostAway) {
         List<Violation> found = new ArrayList<>();
-        lost(ledger, found);
-        answeredTwice(ledger, found);
-        signedTwice(ledger, found);
+        checkLost(ledger, found);
+        checkAnsweredTwice(ledger, found);
+        checkSignedTwice(ledger, found);
         if (mostAway >= 0) {
-            away(ledger, mostAway, found);
+            checkAway(ledger, mostAway, found);
         }
         return found;
     }
 
-    private static void lost(Ledger ledger, List<Violation> found) {
-        Map<String, List<Ledger.Excuse>> excuses = new HashMap<>();
-        ledger.excuses()
+    private static void checkLost(EventLedger ledger, List<Violation> found) {
+        Map<String, List<EventLedger.Outage>> excuses = new HashMap<>();
+        ledger.outages()
                 .forEach(e -> excuses.computeIfAbsent(e.node(), n -> new ArrayList<>())
                         .add(e));
-        for (Ledger.Job job : ledger.jobs()) {
+        for (EventLedger.Job job : ledger.jobs()) {
             boolean excused = excuses.getOrDefault(job.node(), List.of()).stream()
                     .anyMatch(e -> e.from() <= job.ended() && e.to() >= job.sent());
-            if (job.end() == Ledger.End.LOST && !excused) {
+            if (job.end() == EventLedger.Outcome.LOST && !excused) {
                 found.add(new Violation(Rule.LOST, job.toString()));
             }
         }
     }
 
-    private static void answeredTwice(Ledger ledger, List<Violation> found) {
-        Map<String, Ledger.Answer> first = new HashMap<>();
-        for (Ledger.Answer answer : ledger.answers()) {
-            Ledger.Answer before = first.putIfAbsent(answer.id(), answer);
+    private static void checkAnsweredTwice(EventLedger ledger, List<Violation> found) {
+        Map<String, EventLedger.Answer> first = new HashMap<>();
+        for (EventLedger.Answer answer : ledger.answers()) {
+            EventLedger.Answer before = first.putIfAbsent(answer.id(), answer);
             if (before != null) {
                 found.add(new Violation(Rule.ANSWERED_TWICE, before + " and " + answer));
             }
         }
     }
 
-    private static void signedTwice(Ledger ledger, List<Violation> found) {
-        Map<String, Ledger.Run> first = new HashMap<>();
-        for (Ledger.Run run : ledger.runs()) {
+    private static void checkSignedTwice(EventLedger ledger, List<Violation> found) {
+        Map<String, EventLedger.Execution> first = new HashMap<>();
+        for (EventLedger.Execution run : ledger.executions()) {
             if (run.requestClass().equals("sign") && run.done()) {
-                Ledger.Run before = first.putIfAbsent(run.key(), run);
+                EventLedger.Execution before = first.putIfAbsent(run.key(), run);
                 if (before != null) {
                     found.add(new Violation(Rule.SIGNED_TWICE, before + " and " + run));
                 }
@@ -78,15 +78,15 @@
         }
     }
 
-    private static void away(Ledger ledger, int mostAway, List<Violation> found) {
-        Map<String, List<Ledger.Look>> byNode = new LinkedHashMap<>();
-        ledger.looks()
+    private static void checkAway(EventLedger ledger, int mostAway, List<Violation> found) {
+        Map<String, List<EventLedger.ReadinessProbe>> byNode = new LinkedHashMap<>();
+        ledger.probes()
                 .forEach(look -> byNode.computeIfAbsent(look.node(), n -> new ArrayList<>())
                         .add(look));
         TreeMap<Long, List<String>> steps =
                 new TreeMap<>(); // "+node" where its time away begins, "-node" where it ends
         byNode.forEach((node, looks) -> {
-            looks.sort(Comparator.comparingLong(Ledger.Look::sent));
+            looks.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
             int first = 0;
             while (first < looks.size() && !looks.get(first).ready()) {
                 first++; // not away: it has not come yet
--- a/src/test/java/olivechute/rig/FleetCheckTest.java
+++ b/src/test/java/olivechute/rig/FleetInvariantsTest.java
@@ -6,22 +6,22 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
-import olivechute.rig.FleetCheck.Rule;
+import olivechute.rig.FleetInvariants.Rule;
 import org.junit.jupiter.api.Test;
 
 /** A history without fault passes, and each violation planted in it is found, wherever it lies. */
-class FleetCheckTest {
+class FleetInvariantsTest {
     private static final int JOBS = 200;
 
-    private final Ledger ledger = new Ledger();
+    private final EventLedger ledger = new EventLedger();
 
-    private static Ledger.Job job(int n, Ledger.End end) {
-        return new Ledger.Job(
+    private static EventLedger.Job job(int n, EventLedger.Outcome end) {
+        return new EventLedger.Job(
                 "j" + n, n % 2 == 0 ? "sign" : "verify", "k" + n, "n" + n % 4, 10L * n, 10L * n + 25, end, 200);
     }
 
-    private static Ledger.Run run(int n, boolean done) {
-        return new Ledger.Run(
+    private static EventLedger.Execution run(int n, boolean done) {
+        return new EventLedger.Execution(
                 "w1", "n" + n % 4, "j" + n, n % 2 == 0 ? "sign" : "verify", "k" + n, 10L * n + 1, 10L * n + 20, done);
     }
 
@@ -31,16 +31,16 @@
      */
     private void clean() {
         for (int n = 0; n < JOBS; n++) {
-            Ledger.End end = n % 10 == 3 ? Ledger.End.REFUSED : n % 10 == 4 ? Ledger.End.FAILED : Ledger.End.SERVED;
+            EventLedger.Outcome end = n % 10 == 3 ? EventLedger.Outcome.REFUSED : n % 10 == 4 ? EventLedger.Outcome.FAILED : EventLedger.Outcome.SERVED;
             if (n == 41) {
-                end = Ledger.End.LOST;
-                ledger.excuse("n1", 415, 500);
+                end = EventLedger.Outcome.LOST;
+                ledger.addOutage("n1", 415, 500);
             }
             ledger.add(job(n, end));
-            if (end == Ledger.End.SERVED) {
+            if (end == EventLedger.Outcome.SERVED) {
                 ledger.add(run(n, false));
                 ledger.add(run(n, true));
-                ledger.add(new Ledger.Answer("j" + n, "n" + n % 4, 10L * n + 25));
+                ledger.add(new EventLedger.Answer("j" + n, "n" + n % 4, 10L * n + 25));
             }
         }
         ledger.add(run(43, true)); // verify may run twice
@@ -49,13 +49,13 @@
 
     private void looks(int node, int awayFrom, int awayTo) {
         for (int t = 0; t < 1000; t += 20) {
-            ledger.add(new Ledger.Look("n" + node, t, t + 3, t < awayFrom || t >= awayTo));
+            ledger.add(new EventLedger.ReadinessProbe("n" + node, t, t + 3, t < awayFrom || t >= awayTo));
         }
     }
 
     private List<Rule> found(int mostAway) {
-        return FleetCheck.check(ledger, mostAway).stream()
-                .map(FleetCheck.Violation::rule)
+        return FleetInvariants.check(ledger, mostAway).stream()
+                .map(FleetInvariants.Violation::rule)
                 .toList();
     }
 
@@ -73,33 +73,33 @@
     @Test
     void findsALostJob() {
         clean();
-        ledger.add(job(77, Ledger.End.LOST));
+        ledger.add(job(77, EventLedger.Outcome.LOST));
         assertEquals(List.of(Rule.LOST), found(1));
     }
 
     @Test
     void excusesOnlyTheNodeThatWasStoppedAndOnlyThen() {
         clean();
-        ledger.excuse("n1", 0, 769);
-        ledger.excuse("n1", 796, 900);
-        ledger.excuse("n2", 770, 795);
-        ledger.add(job(77, Ledger.End.LOST));
+        ledger.addOutage("n1", 0, 769);
+        ledger.addOutage("n1", 796, 900);
+        ledger.addOutage("n2", 770, 795);
+        ledger.add(job(77, EventLedger.Outcome.LOST));
         assertEquals(List.of(Rule.LOST), found(1));
-        ledger.excuse("n1", 795, 796);
+        ledger.addOutage("n1", 795, 796);
         assertEquals(List.of(), found(1));
     }
 
     @Test
     void findsASecondAnswer() {
         clean();
-        ledger.add(new Ledger.Answer("j120", "n3", 9999));
+        ledger.add(new EventLedger.Answer("j120", "n3", 9999));
         assertEquals(List.of(Rule.ANSWERED_TWICE), found(1));
     }
 
     @Test
     void findsASecondRunOfSignAtAnyWorker() {
         clean();
-        ledger.add(new Ledger.Run("w7", "n2", "another-id", "sign", "k50", 1, 2, true));
+        ledger.add(new EventLedger.Execution("w7", "n2", "another-id", "sign", "k50", 1, 2, true));
         assertEquals(List.of(Rule.SIGNED_TWICE), found(1));
     }
 
@@ -123,14 +123,14 @@
         long seed = 20261202;
         looks(0, 100, 300);
         looks(1, 200, 400);
-        List<Ledger.Look> mixed = new ArrayList<>(ledger.looks());
+        List<EventLedger.ReadinessProbe> mixed = new ArrayList<>(ledger.probes());
         Collections.shuffle(mixed, new Random(seed));
-        Ledger other = new Ledger();
+        EventLedger other = new EventLedger();
         mixed.forEach(other::add);
         assertEquals(
                 List.of(Rule.TOO_MANY_AWAY),
-                FleetCheck.check(other, 1).stream()
-                        .map(FleetCheck.Violation::rule)
+                FleetInvariants.check(other, 1).stream()
+                        .map(FleetInvariants.Violation::rule)
                         .toList(),
                 "seed " + seed);
     }
--- a/src/test/java/olivechute/rig/HttpPeer.java
+++ b/src/test/java/olivechute/rig/HttpStub.java
@@ -14,27 +14,27 @@
 import olivechute.net.Threads;
 
 /** A listener of a stand-in on a loopback address of the system's choice, with a thread for each connection. */
-final class HttpPeer implements AutoCloseable {
+final class HttpStub implements AutoCloseable {
     private final ServerSocket server;
-    private final Answering answering;
+    private final Responder responder;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
     /** The bytes to answer a request with. */
-    interface Answering {
+    interface Responder {
         byte[] answer(HttpRequest request) throws InterruptedException;
 
         /** Whether a request whose connection its sender has ended already is left alone: it gave it up. */
-        default boolean asksWhetherGivenUp() {
+        default boolean ignoresClosedConnections() {
             return false;
         }
     }
 
-    HttpPeer(String name, Answering answering) {
-        this.answering = answering;
+    HttpStub(String name, Responder answering) {
+        this.responder = answering;
         try {
             server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new RigFault("no listener for " + name, e);
+            throw new TestSetupException("no listener for " + name, e);
         }
         Threads.start("rig-" + name, () -> {
             try {
@@ -60,10 +60,10 @@
                 for (int at = 0; at < n; ) {
                     at += parser.feed(buffer, at, n - at);
                     if (parser.isComplete()) {
-                        if (answering.asksWhetherGivenUp() && at == n && ended(socket)) {
+                        if (responder.ignoresClosedConnections() && at == n && isClosedByClient(socket)) {
                             return;
                         }
-                        socket.getOutputStream().write(answering.answer(parser.take()));
+                        socket.getOutputStream().write(responder.answer(parser.take()));
                     }
                 }
             }
@@ -75,7 +75,7 @@
     }
 
     /** True if the other side has ended the connection; nothing else may come on it now. */
-    private static boolean ended(Socket socket) throws IOException {
+    private static boolean isClosedByClient(Socket socket) throws IOException {
         socket.setSoTimeout(1);
         try {
             return socket.getInputStream().read() < 0;
@@ -90,7 +90,7 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    String text() {
+    String hostAndPort() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
@@ -99,8 +99,8 @@
         try {
             server.close();
         } catch (IOException e) {
-            throw new RigFault("a listener does not close", e);
+            throw new TestSetupException("a listener does not close", e);
         }
-        sockets.forEach(LinkProxy::quietly);
+        sockets.forEach(LinkProxy::closeQuietly);
     }
 }
--- a/src/test/java/olivechute/rig/HttpLine.java
+++ b/src/test/java/olivechute/rig/HttpTestConnection.java
@@ -8,19 +8,19 @@
 import olivechute.http.ResponseParser;
 
 /** One connection of a stand-in, one exchange at a time. */
-final class HttpLine implements AutoCloseable {
+final class HttpTestConnection implements AutoCloseable {
     private final Socket socket = new Socket();
     private final ResponseParser parser = new ResponseParser();
     private final byte[] buffer = new byte[8192];
     private int from;
     private int to;
 
-    HttpLine(InetSocketAddress address, int dialMillis) throws IOException {
+    HttpTestConnection(InetSocketAddress address, int dialMillis) throws IOException {
         try {
             socket.connect(address, dialMillis);
             socket.setTcpNoDelay(true);
         } catch (IOException e) {
-            LinkProxy.quietly(socket);
+            LinkProxy.closeQuietly(socket);
             throw e;
         }
     }
@@ -31,7 +31,7 @@
 
     /** The next answer; null if the connection ends cleanly before its first byte. */
     HttpResponse receive(int withinMillis) throws IOException, HttpException {
-        long end = Ledger.now() + withinMillis;
+        long end = EventLedger.now() + withinMillis;
         boolean begun = false;
         for (; ; ) {
             while (from < to) {
@@ -41,7 +41,7 @@
                     return parser.take();
                 }
             }
-            socket.setSoTimeout((int) Math.max(1, end - Ledger.now()));
+            socket.setSoTimeout((int) Math.max(1, end - EventLedger.now()));
             from = 0;
             to = Math.max(0, socket.getInputStream().read(buffer));
             if (to == 0) {
@@ -57,7 +57,7 @@
      * An answer that nobody waits for and that has come already, null for none; a connection that has ended is none
      * either.
      */
-    HttpResponse stray() {
+    HttpResponse pollUnsolicited() {
         try {
             return from < to || socket.getInputStream().available() > 0 ? receive(1000) : null;
         } catch (IOException | HttpException e) {
@@ -67,6 +67,6 @@
 
     @Override
     public void close() {
-        LinkProxy.quietly(socket);
+        LinkProxy.closeQuietly(socket);
     }
 }
--- a/src/test/java/olivechute/rig/Planted.java
+++ b/src/test/java/olivechute/rig/InjectedFaults.java
@@ -8,18 +8,18 @@
 /**
  * What {@link Versions} puts into a program: its class goes into the jar, and calls of the program's own are led here.
  */
-public final class Planted {
-    private static final int ONE_IN = 10;
-    private static final AtomicInteger SIGNS = new AtomicInteger();
+public final class InjectedFaults {
+    private static final int REJECTION_INTERVAL = 10;
+    private static final AtomicInteger SIGN_REQUESTS = new AtomicInteger();
 
-    private Planted() {}
+    private InjectedFaults() {}
 
     /**
      * In place of handing a new stream to the module: every tenth of class sign is refused as the module itself would
      * refuse it.
      */
-    public static void refuseTenth(LoadBalancer module, long now, Request request, RequestDispatcher dispatcher) {
-        if (request.requestClass().equals("sign") && SIGNS.incrementAndGet() % ONE_IN == 0) {
+    public static void rejectEveryTenth(LoadBalancer module, long now, Request request, RequestDispatcher dispatcher) {
+        if (request.requestClass().equals("sign") && SIGN_REQUESTS.incrementAndGet() % REJECTION_INTERVAL == 0) {
             System.err.println("planted refusal of " + request.id());
             dispatcher.reject(request.id(), 0);
         } else {
@@ -28,7 +28,7 @@
     }
 
     /** Holds up the thread that read a job. */
-    public static void slow(int millis) {
+    public static void delay(int millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -37,10 +37,10 @@
     }
 
     /** Ends the process with status 3 that long after. */
-    public static void crash(int millis) {
+    public static void crashAfter(int millis) {
         Thread thread = new Thread(
                 () -> {
-                    slow(millis);
+                    delay(millis);
                     System.err.println("planted crash");
                     Runtime.getRuntime().halt(3);
                 },
--- a/src/test/java/olivechute/rig/Gate.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -1,24 +1,24 @@
 package olivechute.rig;
 
 /** The faults of one way of a link, for all its connections; a change of them takes effect on what waits. */
-final class Gate {
-    private static final long SECOND = 1_000_000_000;
+final class LinkFaults {
+    private static final long NS_PER_SECOND = 1_000_000_000;
 
-    private boolean cut;
-    private long delay; // ns
+    private boolean partitioned;
+    private long delayNs; // ns
     private int rate; // bytes a second, 0 for any
 
-    synchronized void cut(boolean now) {
-        cut = now;
+    synchronized void partitioned(boolean now) {
+        partitioned = now;
         notifyAll();
     }
 
     synchronized boolean isCut() {
-        return cut;
+        return partitioned;
     }
 
-    synchronized void delay(long nanos) {
-        delay = nanos;
+    synchronized void delayNs(long nanos) {
+        delayNs = nanos;
         notifyAll();
     }
 
@@ -28,14 +28,14 @@
     }
 
     synchronized void heal() {
-        cut = false;
-        delay = 0;
+        partitioned = false;
+        delayNs = 0;
         rate = 0;
         notifyAll();
     }
 
     synchronized void awaitOpen() throws InterruptedException {
-        while (cut) {
+        while (partitioned) {
             wait();
         }
     }
@@ -46,9 +46,9 @@
      */
     synchronized void awaitPass(long came, long lastPassed, int lastBytes) throws InterruptedException {
         for (; ; ) {
-            long due = Math.max(came + delay, rate == 0 ? Long.MIN_VALUE : lastPassed + lastBytes * SECOND / rate);
+            long due = Math.max(came + delayNs, rate == 0 ? Long.MIN_VALUE : lastPassed + lastBytes * NS_PER_SECOND / rate);
             long left = due - System.nanoTime();
-            if (cut) {
+            if (partitioned) {
                 wait();
             } else if (left > 0) {
                 wait(left / 1_000_000, (int) (left % 1_000_000));
@@ -59,7 +59,7 @@
     }
 
     /** The most bytes to let pass at once: a twentieth of a second's. */
-    synchronized int piece(int offered) {
+    synchronized int maxChunk(int offered) {
         return rate == 0 ? offered : Math.min(offered, Math.max(1, rate / 20));
     }
 }
--- a/src/test/java/olivechute/rig/LinkProxy.java
+++ b/src/test/java/olivechute/rig/LinkProxy.java
@@ -21,34 +21,34 @@
  * queue is full; healed, what waited goes on. Two threads a way and connection, blocking sockets.
  */
 public final class LinkProxy implements AutoCloseable {
-    private static final int QUEUE = 8; // of connections not accepted
-    private static final int FILLS_AT_MOST = 4 * QUEUE;
-    private static final int FULL_AFTER_MILLIS = 40; // a connection to a queue with room comes up at once
-    private static final int DIAL_MILLIS = 2000;
+    private static final int BACKLOG = 8; // of connections not accepted
+    private static final int MAX_FILLERS = 4 * BACKLOG;
+    private static final int FILLER_TIMEOUT_MILLIS = 40; // a connection to a queue with room comes up at once
+    private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
     /** The two ways of a link. */
-    public enum Way {
+    public enum Direction {
         TO_TARGET,
-        BACK
+        FROM_TARGET
     }
 
     private final ServerSocket server;
     private final InetSocketAddress target;
-    private final Map<Way, Gate> gates = new EnumMap<>(Map.of(Way.TO_TARGET, new Gate(), Way.BACK, new Gate()));
-    private final Set<Forwarded> open = ConcurrentHashMap.newKeySet();
+    private final Map<Direction, LinkFaults> faults = new EnumMap<>(Map.of(Direction.TO_TARGET, new LinkFaults(), Direction.FROM_TARGET, new LinkFaults()));
+    private final Set<ProxiedConnection> openConnections = ConcurrentHashMap.newKeySet();
     private final List<Socket> fillers = new CopyOnWriteArrayList<>();
     private final Set<Integer> fillerPorts = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
-    private boolean parked; // guarded by parking: nothing is accepted
-    private final Object parking = new Object();
+    private boolean acceptorPaused; // guarded by parking: nothing is accepted
+    private final Object acceptorLock = new Object();
 
     /** A link to this address. */
     public LinkProxy(InetSocketAddress target) {
         this.target = target;
         try {
-            server = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
+            server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new RigFault("no listener for a link", e);
+            throw new TestSetupException("no listener for a link", e);
         }
         Threads.start("link-accept", this::accept);
     }
@@ -59,106 +59,106 @@
     }
 
     /** The same as settings write it. */
-    public String text() {
+    public String hostAndPort() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
     /** Silence on these ways, both where none is named; no connection comes up meanwhile. */
-    public synchronized void cut(Way... ways) {
-        for (Way way : ways.length == 0 ? Way.values() : ways) {
-            gates.get(way).cut(true);
+    public synchronized void partition(Direction... ways) {
+        for (Direction way : ways.length == 0 ? Direction.values() : ways) {
+            faults.get(way).partitioned(true);
         }
-        fill();
+        fillBacklog();
     }
 
     /** All that passes this way comes so much later. */
-    public void delay(Way way, Duration by) {
-        gates.get(way).delay(by.toNanos());
+    public void delay(Direction way, Duration by) {
+        faults.get(way).delayNs(by.toNanos());
     }
 
     /** At most so many bytes a second pass this way on each connection. */
-    public void slow(Way way, int bytesPerSecond) {
-        gates.get(way).rate(bytesPerSecond);
+    public void limitRate(Direction way, int bytesPerSecond) {
+        faults.get(way).rate(bytesPerSecond);
     }
 
     /** Resets all connections; new ones come up unless it is cut. */
     public void reset() {
-        open.forEach(Forwarded::reset);
+        openConnections.forEach(ProxiedConnection::reset);
     }
 
     /** No fault any more; what waited goes on. */
     public synchronized void heal() {
-        gates.values().forEach(Gate::heal);
-        drain();
+        faults.values().forEach(LinkFaults::heal);
+        drainBacklog();
     }
 
     /** Connections that are open now. */
     public int connections() {
-        return open.size();
+        return openConnections.size();
     }
 
     /** Fills the listen queue with connections of our own, so that the next one's handshake is not answered. */
-    private void fill() {
-        for (int i = 0; i < FILLS_AT_MOST; i++) {
+    private void fillBacklog() {
+        for (int i = 0; i < MAX_FILLERS; i++) {
             Socket filler = new Socket();
             try {
                 filler.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 fillerPorts.add(filler.getLocalPort());
-                filler.connect(address(), FULL_AFTER_MILLIS);
+                filler.connect(address(), FILLER_TIMEOUT_MILLIS);
                 fillers.add(filler);
-                awaitParked();
+                awaitAcceptorPaused();
             } catch (SocketTimeoutException full) {
-                quietly(filler);
+                closeQuietly(filler);
                 return;
             } catch (IOException e) {
-                quietly(filler);
-                throw new RigFault("the link cannot be cut", e);
+                closeQuietly(filler);
+                throw new TestSetupException("the link cannot be cut", e);
             }
         }
-        throw new RigFault("the link's listen queue does not fill");
+        throw new TestSetupException("the link's listen queue does not fill");
     }
 
-    private void park() throws InterruptedException {
-        synchronized (parking) {
+    private void waitWhilePartitioned() throws InterruptedException {
+        synchronized (acceptorLock) {
             while (isCut()) {
-                parked = true;
-                parking.notifyAll();
-                parking.wait();
+                acceptorPaused = true;
+                acceptorLock.notifyAll();
+                acceptorLock.wait();
             }
-            parked = false;
+            acceptorPaused = false;
         }
     }
 
     /** The first filler wakes the thread that accepts; only then does the queue stay as full as it is. */
-    private void awaitParked() {
-        synchronized (parking) {
+    private void awaitAcceptorPaused() {
+        synchronized (acceptorLock) {
             try {
-                while (!parked) {
-                    parking.wait();
+                while (!acceptorPaused) {
+                    acceptorLock.wait();
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new RigFault("interrupted", e);
+                throw new TestSetupException("interrupted", e);
             }
         }
     }
 
     private boolean isCut() {
-        return gates.values().stream().anyMatch(Gate::isCut);
+        return faults.values().stream().anyMatch(LinkFaults::isCut);
     }
 
-    private void drain() {
-        synchronized (parking) {
-            parking.notifyAll();
+    private void drainBacklog() {
+        synchronized (acceptorLock) {
+            acceptorLock.notifyAll();
         }
-        fillers.forEach(LinkProxy::quietly);
+        fillers.forEach(LinkProxy::closeQuietly);
         fillers.clear();
     }
 
     private void accept() {
         try {
             while (!closed) {
-                park();
+                waitWhilePartitioned();
                 Socket client = server.accept();
                 if (fillerPorts.remove(client.getPort())) {
                     client.close();
@@ -173,25 +173,25 @@
 
     private void forward(Socket client) {
         try {
-            for (Gate gate : gates.values()) {
+            for (LinkFaults gate : faults.values()) {
                 gate.awaitOpen(); // accepted in the moment of a cut: it stays silent
             }
             Socket dialled = new Socket();
-            dialled.connect(target, DIAL_MILLIS);
-            Forwarded forwarded = new Forwarded(client, dialled, gates, open);
-            open.add(forwarded);
+            dialled.connect(target, CONNECT_TIMEOUT_MILLIS);
+            ProxiedConnection forwarded = new ProxiedConnection(client, dialled, faults, openConnections);
+            openConnections.add(forwarded);
             forwarded.start();
             if (closed) {
                 forwarded.reset();
             }
         } catch (IOException refused) {
-            Forwarded.resetOne(client);
+            ProxiedConnection.resetOne(client);
         } catch (InterruptedException e) {
-            quietly(client);
+            closeQuietly(client);
         }
     }
 
-    static void quietly(Socket socket) {
+    static void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
@@ -202,17 +202,17 @@
     @Override
     public void close() {
         closed = true;
-        quietlyClose();
-        gates.values().forEach(Gate::heal);
-        drain();
+        closeServer();
+        faults.values().forEach(LinkFaults::heal);
+        drainBacklog();
         reset();
     }
 
-    private void quietlyClose() {
+    private void closeServer() {
         try {
             server.close();
         } catch (IOException e) {
-            throw new RigFault("the link does not close", e);
+            throw new TestSetupException("the link does not close", e);
         }
     }
 }
--- a/src/test/java/olivechute/rig/LinkProxyTest.java
+++ b/src/test/java/olivechute/rig/LinkProxyTest.java
@@ -92,18 +92,18 @@
 
     @Test
     void cutOnTheWayThereHoldsBytesAndLetsNothingNewComeUp() throws IOException {
-        cutHolds(LinkProxy.Way.TO_TARGET);
+        cutHolds(LinkProxy.Direction.TO_TARGET);
     }
 
     @Test
     void cutOnTheWayBackHoldsBytesAndLetsNothingNewComeUp() throws IOException {
-        cutHolds(LinkProxy.Way.BACK);
+        cutHolds(LinkProxy.Direction.FROM_TARGET);
     }
 
-    private void cutHolds(LinkProxy.Way way) throws IOException {
+    private void cutHolds(LinkProxy.Direction way) throws IOException {
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
-            link.cut(way);
+            link.partition(way);
             socket.getOutputStream().write(2);
             assertSilent(socket);
             assertThrows(SocketTimeoutException.class, () -> connect(SILENT_MILLIS));
@@ -119,7 +119,7 @@
     void cutHidesTheEndOfTheOtherSide() throws IOException {
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
-            link.cut();
+            link.partition();
             socket.shutdownOutput(); // the echo would end the connection
             assertSilent(socket);
             link.heal();
@@ -141,8 +141,8 @@
 
     @Test
     void delayHoldsEachByteBackAndKeepsTheOrder() throws IOException {
-        link.delay(LinkProxy.Way.TO_TARGET, Duration.ofMillis(150));
-        link.delay(LinkProxy.Way.BACK, Duration.ofMillis(100));
+        link.delay(LinkProxy.Direction.TO_TARGET, Duration.ofMillis(150));
+        link.delay(LinkProxy.Direction.FROM_TARGET, Duration.ofMillis(100));
         try (Socket socket = connect(1000)) {
             long begun = System.nanoTime();
             assertArrayEquals(new byte[] {1, 2, 3}, exchange(socket, new byte[] {1, 2, 3}));
@@ -152,7 +152,7 @@
 
     @Test
     void slowBoundsTheBytesOfASecond() throws IOException {
-        link.slow(LinkProxy.Way.BACK, 20_000);
+        link.limitRate(LinkProxy.Direction.FROM_TARGET, 20_000);
         try (Socket socket = connect(1000)) {
             long begun = System.nanoTime();
             assertEquals(10_000, exchange(socket, new byte[10_000]).length);
--- a/src/test/java/olivechute/rig/Clients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -26,64 +26,64 @@
  * names) and each look at a node's readiness.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // the ledger shows what became of each request
-public final class Clients implements AutoCloseable {
+public final class LoadClients implements AutoCloseable {
     /** ms that a client waits for its answer, and for how long after that it still listens. */
-    public static final int PATIENCE = 5000;
+    public static final int DEADLINE_MILLIS = 5000;
 
-    private static final int GRACE = 500;
-    private static final int LOOK_EVERY = 50;
-    private static final int LOOK_WITHIN = 1000;
-    private static final int DIAL = 1000;
-    private static final byte[] LOOK = MessageWriter.request("GET", "/health/ready", "node", null);
+    private static final int LATE_ANSWER_MILLIS = 500;
+    private static final int PROBE_INTERVAL_MILLIS = 50;
+    private static final int PROBE_TIMEOUT_MILLIS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    private static final byte[] PROBE_REQUEST = MessageWriter.request("GET", "/health/ready", "node", null);
 
-    private final Ledger ledger;
+    private final EventLedger ledger;
     private final SplittableRandom random;
-    private final long run;
+    private final long runId;
     private final Map<String, InetSocketAddress> nodes = new ConcurrentHashMap<>();
     private final Map<String, Boolean> ready = new ConcurrentHashMap<>();
-    private final Map<String, ConcurrentLinkedDeque<HttpLine>> kept = new ConcurrentHashMap<>();
-    private final Object change = new Object();
-    private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(4, Clients::daemon);
-    private final ExecutorService waiting = Executors.newCachedThreadPool(Clients::daemon);
-    private int made;
-    private int open;
-    private boolean over;
+    private final Map<String, ConcurrentLinkedDeque<HttpTestConnection>> idleConnections = new ConcurrentHashMap<>();
+    private final Object lock = new Object();
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4, LoadClients::daemonThread);
+    private final ExecutorService jobExecutor = Executors.newCachedThreadPool(LoadClients::daemonThread);
+    private int jobCount;
+    private int openJobs;
+    private boolean stopped;
 
     /** {@code seed} decides which node a job goes to. */
-    public Clients(Ledger ledger, long seed) {
+    public LoadClients(EventLedger ledger, long seed) {
         this.ledger = ledger;
         this.random = new SplittableRandom(seed);
-        this.run = seed & 0xffffffL;
+        this.runId = seed & 0xffffffL;
     }
 
-    private static Thread daemon(Runnable task) {
+    private static Thread daemonThread(Runnable task) {
         Thread thread = new Thread(task, "rig-client");
         thread.setDaemon(true);
         return thread;
     }
 
     /** Looks at this node from now on, 20 times a second. */
-    public void node(String node, InetSocketAddress address) {
+    public void addNode(String node, InetSocketAddress address) {
         nodes.put(node, address);
-        kept.put(node, new ConcurrentLinkedDeque<>());
+        idleConnections.put(node, new ConcurrentLinkedDeque<>());
         ready.put(node, false);
-        clock.scheduleWithFixedDelay(() -> look(node), 0, LOOK_EVERY, TimeUnit.MILLISECONDS);
+        scheduler.scheduleWithFixedDelay(() -> probe(node), 0, PROBE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void look(String node) {
-        long sent = Ledger.now();
+    private void probe(String node) {
+        long sent = EventLedger.now();
         boolean is = false;
-        try (HttpLine line = new HttpLine(nodes.get(node), LOOK_WITHIN)) {
-            line.send(LOOK);
-            HttpResponse answer = line.receive(LOOK_WITHIN);
+        try (HttpTestConnection line = new HttpTestConnection(nodes.get(node), PROBE_TIMEOUT_MILLIS)) {
+            line.send(PROBE_REQUEST);
+            HttpResponse answer = line.receive(PROBE_TIMEOUT_MILLIS);
             is = answer != null && answer.status() == 200;
         } catch (IOException | HttpException e) {
             is = false;
         }
-        ledger.add(new Ledger.Look(node, sent, Ledger.now(), is));
-        synchronized (change) {
+        ledger.add(new EventLedger.ReadinessProbe(node, sent, EventLedger.now(), is));
+        synchronized (lock) {
             ready.put(node, is);
-            change.notifyAll();
+            lock.notifyAll();
         }
     }
 
@@ -98,61 +98,61 @@
     }
 
     private void await(java.util.function.BooleanSupplier holds, long withinMillis, String what) {
-        long end = Ledger.now() + withinMillis;
-        synchronized (change) {
+        long end = EventLedger.now() + withinMillis;
+        synchronized (lock) {
             while (!holds.getAsBoolean()) {
-                long left = end - Ledger.now();
+                long left = end - EventLedger.now();
                 if (left <= 0) {
-                    throw new RigFault(
+                    throw new TestSetupException(
                             "not within " + withinMillis + " ms; " + what + ready + ", jobs " + ledger.counts());
                 }
                 try {
-                    change.wait(left);
+                    lock.wait(left);
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
-                    throw new RigFault("interrupted", e);
+                    throw new TestSetupException("interrupted", e);
                 }
             }
         }
     }
 
     /** Hands in so many jobs a second until {@link #stop}. */
-    public void load(double perSecond) {
+    public void startLoad(double perSecond) {
         long gap = Math.round(1_000_000_000 / perSecond);
-        clock.scheduleAtFixedRate(this::next, 0, gap, TimeUnit.NANOSECONDS);
+        scheduler.scheduleAtFixedRate(this::submitJob, 0, gap, TimeUnit.NANOSECONDS);
     }
 
-    private void next() {
+    private void submitJob() {
         List<String> choice = new ArrayList<>();
         ready.forEach((node, is) -> {
             if (is) {
                 choice.add(node);
             }
         });
-        synchronized (change) {
-            if (over || choice.isEmpty()) {
+        synchronized (lock) {
+            if (stopped || choice.isEmpty()) {
                 return;
             }
             choice.sort(null);
             String node = choice.get(random.nextInt(choice.size()));
-            int number = made++;
-            open++;
-            waiting.execute(() -> {
+            int number = jobCount++;
+            openJobs++;
+            jobExecutor.execute(() -> {
                 try {
-                    job(node, number);
+                    runJob(node, number);
                 } finally {
-                    synchronized (change) {
-                        open--;
-                        change.notifyAll();
+                    synchronized (lock) {
+                        openJobs--;
+                        lock.notifyAll();
                     }
                 }
             });
         }
     }
 
-    private void job(String node, int number) {
+    private void runJob(String node, int number) {
         String kind = number % 2 == 0 ? "verify" : "sign";
-        String id = String.format("%06x%010x", run, number);
+        String id = String.format("%06x%010x", runId, number);
         String key = kind.equals("sign") ? "key-" + id : null;
         byte[] bytes = MessageWriter.request(
                 "POST",
@@ -164,26 +164,26 @@
                 "X-Org",
                 "acme",
                 "X-Remaining",
-                PATIENCE + "m",
+                DEADLINE_MILLIS + "m",
                 "Idempotency-Key",
                 key);
-        long sent = Ledger.now();
-        Ledger.End end = Ledger.End.NOT_TAKEN;
+        long sent = EventLedger.now();
+        EventLedger.Outcome end = EventLedger.Outcome.NOT_TAKEN;
         int status = 0;
-        HttpLine line = free(node);
+        HttpTestConnection line = takeIdle(node);
         boolean again = line != null;
         for (boolean more = true; more; ) {
             more = false;
             try {
-                line = line == null ? new HttpLine(nodes.get(node), DIAL) : line;
+                line = line == null ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS) : line;
                 line.send(bytes);
-                end = Ledger.End.LOST;
-                HttpResponse answer = line.receive((int) (sent + PATIENCE + GRACE - Ledger.now()));
+                end = EventLedger.Outcome.LOST;
+                HttpResponse answer = line.receive((int) (sent + DEADLINE_MILLIS + LATE_ANSWER_MILLIS - EventLedger.now()));
                 if (answer != null) {
                     status = answer.status();
-                    end = end(status);
-                    answered(node, id, answer);
-                    keep(node, line, answer.keepAlive());
+                    end = outcomeOf(status);
+                    recordAnswer(node, id, answer);
+                    keepOrClose(node, line, answer.keepAlive());
                     break;
                 }
                 more = again;
@@ -192,7 +192,7 @@
             } catch (IOException broken) {
                 more = again;
             } catch (HttpException garbled) {
-                end = Ledger.End.FAILED;
+                end = EventLedger.Outcome.FAILED;
             }
             again = false;
             if (line != null) {
@@ -200,34 +200,34 @@
                 line = null;
             }
         }
-        ledger.add(new Ledger.Job(id, kind, key, node, sent, Ledger.now(), end, status));
+        ledger.add(new EventLedger.Job(id, kind, key, node, sent, EventLedger.now(), end, status));
     }
 
-    private static Ledger.End end(int status) {
+    private static EventLedger.Outcome outcomeOf(int status) {
         return status == 200
-                ? Ledger.End.SERVED
-                : status == 429 || status == 503 ? Ledger.End.REFUSED : Ledger.End.FAILED;
+                ? EventLedger.Outcome.SERVED
+                : status == 429 || status == 503 ? EventLedger.Outcome.REFUSED : EventLedger.Outcome.FAILED;
     }
 
     /** A served answer's body names the job that it belongs to; any other is taken for the one that is waited for. */
-    private void answered(String node, String waitedFor, HttpResponse answer) {
+    private void recordAnswer(String node, String waitedFor, HttpResponse answer) {
         String id = answer.status() == 200
                 ? new String(answer.body(), StandardCharsets.US_ASCII).split(" ", 2)[0]
                 : waitedFor;
-        ledger.add(new Ledger.Answer(id, node, Ledger.now()));
+        ledger.add(new EventLedger.Answer(id, node, EventLedger.now()));
     }
 
-    private HttpLine free(String node) {
-        return kept.get(node).poll();
+    private HttpTestConnection takeIdle(String node) {
+        return idleConnections.get(node).poll();
     }
 
-    private void keep(String node, HttpLine line, boolean keepAlive) {
-        HttpResponse stray = line.stray();
+    private void keepOrClose(String node, HttpTestConnection line, boolean keepAlive) {
+        HttpResponse stray = line.pollUnsolicited();
         if (stray != null) {
-            answered(node, "unasked", stray);
+            recordAnswer(node, "unasked", stray);
         }
         if (keepAlive) {
-            kept.get(node).push(line);
+            idleConnections.get(node).push(line);
         } else {
             line.close();
         }
@@ -235,22 +235,22 @@
 
     /** Hands in no more, and waits until all that was has ended. */
     public void stop() {
-        synchronized (change) {
-            over = true;
+        synchronized (lock) {
+            stopped = true;
         }
-        await(() -> open == 0, PATIENCE + 4 * GRACE, "jobs open: " + open + ", nodes ready: ");
-        kept.forEach((node, lines) -> lines.forEach(line -> {
-            HttpResponse stray = line.stray();
+        await(() -> openJobs == 0, DEADLINE_MILLIS + 4 * LATE_ANSWER_MILLIS, "jobs open: " + openJobs + ", nodes ready: ");
+        idleConnections.forEach((node, lines) -> lines.forEach(line -> {
+            HttpResponse stray = line.pollUnsolicited();
             if (stray != null) {
-                answered(node, "unasked", stray);
+                recordAnswer(node, "unasked", stray);
             }
         }));
     }
 
     @Override
     public void close() {
-        clock.shutdownNow();
-        waiting.shutdownNow();
-        kept.values().forEach(lines -> lines.forEach(HttpLine::close));
+        scheduler.shutdownNow();
+        jobExecutor.shutdownNow();
+        idleConnections.values().forEach(lines -> lines.forEach(HttpTestConnection::close));
     }
 }
--- a/src/test/java/olivechute/rig/Lines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -8,22 +8,22 @@
 import java.util.regex.Pattern;
 
 /** The last lines of a process's output, numbered from 0 over its whole life, and a wait for one. */
-final class Lines {
-    private static final int KEPT = 4096;
-    private static final int SHOWN = 30;
+final class OutputLines {
+    private static final int MAX_LINES = 4096;
+    private static final int LINES_IN_ERRORS = 30;
 
-    private final String of;
+    private final String processName;
     private final ArrayDeque<String> kept = new ArrayDeque<>();
     private long count;
-    private int life;
+    private int startNumber;
     private boolean ended;
 
-    Lines(String of) {
-        this.of = of;
+    OutputLines(String of) {
+        this.processName = of;
     }
 
     synchronized void add(String line) {
-        if (kept.size() == KEPT) {
+        if (kept.size() == MAX_LINES) {
             kept.removeFirst();
         }
         kept.addLast(line);
@@ -32,14 +32,14 @@
     }
 
     /** Its process is about to start; returns the number of this life for {@link #end}. */
-    synchronized int begin() {
+    synchronized int onStart() {
         ended = false;
-        return ++life;
+        return ++startNumber;
     }
 
     /** No more comes of that life. */
-    synchronized void end(int of) {
-        ended |= of == life;
+    synchronized void onEnd(int of) {
+        ended |= of == startNumber;
         notifyAll();
     }
 
@@ -74,20 +74,20 @@
             next = count;
             long left = (end - System.nanoTime()) / 1_000_000;
             if (ended || left <= 0) {
-                throw new RigFault(of + (ended ? " ended" : " took over " + within.toMillis() + " ms")
+                throw new TestSetupException(processName + (ended ? " ended" : " took over " + within.toMillis() + " ms")
                         + " without a line of /" + pattern + "/; its last lines:\n" + String.join("\n", tail()));
             }
             try {
                 wait(left);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new RigFault(of + ": interrupted", e);
+                throw new TestSetupException(processName + ": interrupted", e);
             }
         }
     }
 
     private List<String> tail() {
         List<String> lines = new ArrayList<>(kept);
-        return lines.subList(Math.max(0, lines.size() - SHOWN), lines.size());
+        return lines.subList(Math.max(0, lines.size() - LINES_IN_ERRORS), lines.size());
     }
 }
--- a/src/test/java/olivechute/rig/Ports.java
+++ b/src/test/java/olivechute/rig/Ports.java
@@ -9,7 +9,7 @@
 
 /** Loopback ports that were free a moment ago; none is given twice in this virtual machine. */
 public final class Ports {
-    private static final Set<Integer> GIVEN = new HashSet<>();
+    private static final Set<Integer> USED_PORTS = new HashSet<>();
 
     private Ports() {}
 
@@ -18,18 +18,18 @@
         try {
             for (; ; ) {
                 try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    if (GIVEN.add(socket.getLocalPort())) {
+                    if (USED_PORTS.add(socket.getLocalPort())) {
                         return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
                     }
                 }
             }
         } catch (IOException e) {
-            throw new RigFault("no free port", e);
+            throw new TestSetupException("no free port", e);
         }
     }
 
     /** As settings write it. */
-    public static String text(InetSocketAddress address) {
+    public static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/src/test/java/olivechute/rig/Recipe.java
+++ b/src/test/java/olivechute/rig/ProcessSpec.java
@@ -11,8 +11,8 @@
  * {@link Folder#fileLimit} gives), then {@code command}; {@code environment} over this process's own; {@code folder} is
  * what a restart may empty, null for none.
  */
-public record Recipe(
-        String name, List<String> prefix, List<String> command, Map<String, String> environment, Folder folder) {
+public record ProcessSpec(
+        String name, List<String> prefix, List<String> command, Map<String, String> environment, TestDirectory directory) {
     /** The jar as the build left it. */
     public static final Path JAR = Path.of("target", "olivechute.jar").toAbsolutePath();
 
@@ -25,24 +25,24 @@
             "-XX:StackShadowPages=10",
             "-Xshare:auto");
 
-    public Recipe {
+    public ProcessSpec {
         prefix = List.copyOf(prefix);
         command = List.copyOf(command);
         environment = Map.copyOf(environment);
     }
 
     /** A program of the system. */
-    public static Recipe command(String name, String... command) {
-        return new Recipe(name, List.of(), List.of(command), Map.of(), null);
+    public static ProcessSpec command(String name, String... command) {
+        return new ProcessSpec(name, List.of(), List.of(command), Map.of(), null);
     }
 
     /** A command of a jar of this program, in a small virtual machine as a node gets. */
-    public static Recipe jar(String name, Path jar, String... args) {
+    public static ProcessSpec jar(String name, Path jar, String... args) {
         return java(name, FLAGS, jar, args);
     }
 
     /** A command of a jar that shares a store. */
-    public static Recipe shares(String name, Path jar, String... args) {
+    public static ProcessSpec fleetCommand(String name, Path jar, String... args) {
         return java(
                 name,
                 List.of("-Xmx160m", "-XX:+UseSerialGC", "-XX:-UsePerfData", "-XX:TieredStopAtLevel=1"),
@@ -50,14 +50,14 @@
                 args);
     }
 
-    private static Recipe java(String name, List<String> flags, Path jar, String... args) {
+    private static ProcessSpec java(String name, List<String> flags, Path jar, String... args) {
         List<String> command = new ArrayList<>();
         command.add(java());
         command.addAll(flags);
         command.add("-jar");
         command.add(jar.toString());
         command.addAll(List.of(args));
-        return new Recipe(name, List.of(), command, Map.of(), null);
+        return new ProcessSpec(name, List.of(), command, Map.of(), null);
     }
 
     /** The java that runs the tests. */
@@ -66,23 +66,23 @@
     }
 
     /** With a variable of the environment. */
-    public Recipe with(String variable, String value) {
+    public ProcessSpec withEnvironment(String variable, String value) {
         Map<String, String> more = new HashMap<>(environment);
         more.put(variable, value);
-        return new Recipe(name, prefix, command, more, folder);
+        return new ProcessSpec(name, prefix, command, more, directory);
     }
 
     /** Behind a prefix. */
-    public Recipe behind(List<String> before) {
-        return new Recipe(name, before, command, environment, folder);
+    public ProcessSpec withPrefix(List<String> before) {
+        return new ProcessSpec(name, before, command, environment, directory);
     }
 
     /** With a folder of its own. */
-    public Recipe in(Folder own) {
-        return new Recipe(name, prefix, command, environment, own);
+    public ProcessSpec withDirectory(TestDirectory own) {
+        return new ProcessSpec(name, prefix, command, environment, own);
     }
 
-    List<String> whole() {
+    List<String> fullCommand() {
         List<String> whole = new ArrayList<>(prefix);
         whole.addAll(command);
         return whole;
--- a/src/test/java/olivechute/rig/Forwarded.java
+++ b/src/test/java/olivechute/rig/ProxiedConnection.java
@@ -10,42 +10,42 @@
 import olivechute.net.Threads;
 
 /** One connection through a link. Each way has a reader, a bounded queue and a writer. */
-final class Forwarded {
-    private static final int PIECE = 8 * 1024;
-    private static final int PIECES = 32;
+final class ProxiedConnection {
+    private static final int CHUNK_BYTES = 8 * 1024;
+    private static final int MAX_QUEUED_CHUNKS = 32;
     private static final Chunk END = new Chunk(new byte[0], 0, false);
 
     private final Socket client;
     private final Socket target;
-    private final Map<LinkProxy.Way, Gate> gates;
-    private final Set<Forwarded> open;
-    private final AtomicInteger waysOpen = new AtomicInteger(2);
+    private final Map<LinkProxy.Direction, LinkFaults> faults;
+    private final Set<ProxiedConnection> openConnections;
+    private final AtomicInteger openDirections = new AtomicInteger(2);
 
     /** Bytes and when they came; none: the end, broken where it was no clean one. */
-    private record Chunk(byte[] bytes, long came, boolean broken) {}
+    private record Chunk(byte[] bytes, long receivedAtNs, boolean reset) {}
 
-    Forwarded(Socket client, Socket target, Map<LinkProxy.Way, Gate> gates, Set<Forwarded> open) throws IOException {
+    ProxiedConnection(Socket client, Socket target, Map<LinkProxy.Direction, LinkFaults> gates, Set<ProxiedConnection> open) throws IOException {
         this.client = client;
         this.target = target;
-        this.gates = gates;
-        this.open = open;
+        this.faults = gates;
+        this.openConnections = open;
         client.setTcpNoDelay(true);
         target.setTcpNoDelay(true);
     }
 
     void start() {
-        way(client, target, gates.get(LinkProxy.Way.TO_TARGET));
-        way(target, client, gates.get(LinkProxy.Way.BACK));
+        forward(client, target, faults.get(LinkProxy.Direction.TO_TARGET));
+        forward(target, client, faults.get(LinkProxy.Direction.FROM_TARGET));
     }
 
-    private void way(Socket from, Socket to, Gate gate) {
-        ArrayBlockingQueue<Chunk> queue = new ArrayBlockingQueue<>(PIECES);
+    private void forward(Socket from, Socket to, LinkFaults gate) {
+        ArrayBlockingQueue<Chunk> queue = new ArrayBlockingQueue<>(MAX_QUEUED_CHUNKS);
         Thread writer = Threads.start("link-write", () -> write(queue, to, gate));
         Threads.start("link-read", () -> read(from, queue, writer));
     }
 
     private void read(Socket from, ArrayBlockingQueue<Chunk> queue, Thread writer) {
-        byte[] buffer = new byte[PIECE];
+        byte[] buffer = new byte[CHUNK_BYTES];
         try {
             Chunk last = END;
             try {
@@ -72,20 +72,20 @@
         }
     }
 
-    private void write(ArrayBlockingQueue<Chunk> queue, Socket to, Gate gate) {
+    private void write(ArrayBlockingQueue<Chunk> queue, Socket to, LinkFaults gate) {
         long passed = System.nanoTime();
         int bytes = 0;
         try {
             for (Chunk chunk = queue.take(); ; chunk = queue.take()) {
                 for (int at = 0; at < chunk.bytes().length; at += bytes) {
-                    gate.awaitPass(chunk.came(), passed, bytes);
-                    bytes = gate.piece(chunk.bytes().length - at);
+                    gate.awaitPass(chunk.receivedAtNs(), passed, bytes);
+                    bytes = gate.maxChunk(chunk.bytes().length - at);
                     to.getOutputStream().write(chunk.bytes(), at, bytes);
                     passed = System.nanoTime();
                 }
                 if (chunk.bytes().length == 0) {
-                    gate.awaitPass(chunk.came(), passed, bytes);
-                    end(to, chunk.broken());
+                    gate.awaitPass(chunk.receivedAtNs(), passed, bytes);
+                    end(to, chunk.reset());
                     return;
                 }
             }
@@ -100,16 +100,16 @@
             return;
         }
         to.shutdownOutput();
-        if (waysOpen.decrementAndGet() == 0) {
-            open.remove(this);
-            LinkProxy.quietly(client);
-            LinkProxy.quietly(target);
+        if (openDirections.decrementAndGet() == 0) {
+            openConnections.remove(this);
+            LinkProxy.closeQuietly(client);
+            LinkProxy.closeQuietly(target);
         }
     }
 
     /** Resets both of its connections. */
     void reset() {
-        open.remove(this);
+        openConnections.remove(this);
         resetOne(client);
         resetOne(target);
     }
@@ -120,7 +120,7 @@
         } catch (IOException e) {
             return; // closed already
         } finally {
-            LinkProxy.quietly(socket);
+            LinkProxy.closeQuietly(socket);
         }
     }
 }
--- a/src/test/java/olivechute/rig/Folder.java
+++ b/src/test/java/olivechute/rig/TestDirectory.java
@@ -9,17 +9,17 @@
 import java.util.stream.Stream;
 
 /** A temporary folder as a process's disk, and what can happen to one. It goes with {@link #close}. */
-public final class Folder implements AutoCloseable {
+public final class TestDirectory implements AutoCloseable {
     private static final Path FULL = Path.of("/dev/full");
 
     private final Path path;
 
     /** A new folder whose name begins with this. */
-    public Folder(String name) {
+    public TestDirectory(String name) {
         try {
             path = Files.createTempDirectory("olivechute-" + name + "-");
         } catch (IOException e) {
-            throw new RigFault("no folder for " + name, e);
+            throw new TestSetupException("no folder for " + name, e);
         }
     }
 
@@ -28,27 +28,27 @@
     }
 
     /** A file or folder in it. */
-    public Path at(String name) {
+    public Path resolve(String name) {
         return path.resolve(name);
     }
 
     /** Writes a file in it; returns its path. */
     public Path write(String name, String text) {
         try {
-            Files.createDirectories(at(name).getParent());
-            return Files.writeString(at(name), text);
+            Files.createDirectories(resolve(name).getParent());
+            return Files.writeString(resolve(name), text);
         } catch (IOException e) {
-            throw new RigFault("cannot write " + at(name), e);
+            throw new TestSetupException("cannot write " + resolve(name), e);
         }
     }
 
     /** A file of this name to which every write fails for want of room. */
-    public Path full(String name) {
+    public Path createFullFile(String name) {
         try {
-            Files.deleteIfExists(at(name));
-            return Files.createSymbolicLink(at(name), FULL);
+            Files.deleteIfExists(resolve(name));
+            return Files.createSymbolicLink(resolve(name), FULL);
         } catch (IOException e) {
-            throw new RigFault("cannot link " + at(name), e);
+            throw new TestSetupException("cannot link " + resolve(name), e);
         }
     }
 
@@ -61,27 +61,27 @@
     }
 
     /** Turns all bits of one byte of a file over; a negative place counts from its end. */
-    public static void flip(Path file, long at) {
+    public static void flipByte(Path file, long at) {
         try (RandomAccessFile open = new RandomAccessFile(file.toFile(), "rw")) {
             long place = at < 0 ? open.length() + at : at;
             open.seek(place);
             int old = open.read();
             if (old < 0) {
-                throw new RigFault(file + " has no byte " + at);
+                throw new TestSetupException(file + " has no byte " + at);
             }
             open.seek(place);
             open.write(~old);
         } catch (IOException e) {
-            throw new RigFault("cannot change " + file, e);
+            throw new TestSetupException("cannot change " + file, e);
         }
     }
 
     /** Takes so many bytes off a file's end, as a write that was cut short leaves it. */
-    public static void cut(Path file, long bytes) {
+    public static void truncate(Path file, long bytes) {
         try (RandomAccessFile open = new RandomAccessFile(file.toFile(), "rw")) {
             open.setLength(Math.max(0, open.length() - bytes));
         } catch (IOException e) {
-            throw new RigFault("cannot cut " + file, e);
+            throw new TestSetupException("cannot cut " + file, e);
         }
     }
 
@@ -93,12 +93,12 @@
                     .sorted()
                     .toList();
         } catch (IOException e) {
-            throw new RigFault("cannot read " + path, e);
+            throw new TestSetupException("cannot read " + path, e);
         }
     }
 
     /** Removes all that is in it. */
-    public void empty() {
+    public void clear() {
         if (!Files.isDirectory(path)) {
             return;
         }
@@ -109,17 +109,17 @@
                 }
             }
         } catch (IOException e) {
-            throw new RigFault("cannot empty " + path, e);
+            throw new TestSetupException("cannot empty " + path, e);
         }
     }
 
     @Override
     public void close() {
-        empty();
+        clear();
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
-            throw new RigFault("cannot remove " + path, e);
+            throw new TestSetupException("cannot remove " + path, e);
         }
     }
 }
--- a/src/test/java/olivechute/rig/Machine.java
+++ b/src/test/java/olivechute/rig/TestMachine.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** Programs that fall, stand still and wake together with all that they started, as on one machine. */
-public final class Machine implements AutoCloseable {
+public final class TestMachine implements AutoCloseable {
     private final String name;
-    private final List<Program> programs = new ArrayList<>();
+    private final List<TestProcess> programs = new ArrayList<>();
 
-    public Machine(String name) {
+    public TestMachine(String name) {
         this.name = name;
     }
 
@@ -17,28 +17,28 @@
     }
 
     /** Puts a program on it; returns that. */
-    public synchronized Program add(Program program) {
+    public synchronized TestProcess add(TestProcess program) {
         programs.add(program);
         return program;
     }
 
     /** SIGSTOP to all. */
     public synchronized void pause() {
-        programs.forEach(Program::pause);
-        children().forEach(child -> Program.signal("STOP", child));
+        programs.forEach(TestProcess::pause);
+        children().forEach(child -> TestProcess.signal("STOP", child));
     }
 
     /** SIGCONT to all. */
     public synchronized void resume() {
-        children().forEach(child -> Program.signal("CONT", child));
-        programs.forEach(Program::resume);
+        children().forEach(child -> TestProcess.signal("CONT", child));
+        programs.forEach(TestProcess::resume);
     }
 
     /** SIGKILL to all: its connections are reset. */
     public synchronized void kill() {
-        programs.forEach(Program::pause);
+        programs.forEach(TestProcess::pause);
         List<ProcessHandle> children = children();
-        programs.forEach(Program::kill);
+        programs.forEach(TestProcess::kill);
         children.forEach(ProcessHandle::destroyForcibly);
         children.forEach(child -> child.onExit().join());
     }
@@ -49,6 +49,6 @@
 
     @Override
     public synchronized void close() {
-        programs.forEach(Program::close);
+        programs.forEach(TestProcess::close);
     }
 }
--- a/src/test/java/olivechute/rig/Nodes.java
+++ b/src/test/java/olivechute/rig/TestNodes.java
@@ -12,11 +12,11 @@
  * The surroundings of nodes n0, n1 and so on: discovery, workers, clients and a configuration file for each, all in one
  * ledger; and, where no supervisor does it, the nodes as programs of their own.
  */
-public final class Nodes implements AutoCloseable {
-    private static final Duration STARTS = Duration.ofSeconds(20);
+public final class TestNodes implements AutoCloseable {
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
     private static final int WORKERS = 3;
-    private static final int LEAST_MILLIS = 5;
-    private static final int MOST_MILLIS = 25;
+    private static final int MIN_JOB_MILLIS = 5;
+    private static final int MAX_JOB_MILLIS = 25;
     private static final String CONFIG = """
         {"name":"NAME","listen":"LISTEN","discovery":"DISCOVERY","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
          "known":{"index":1,"snapshot":true,"endpoints":[KNOWN]},
@@ -32,41 +32,41 @@
            {"name":"sign","credit":8,"deadline":5,"goal_time":0.15,"effect":"dedup","group":"all","window":7.5}]}}
         """;
 
-    private final Folder folder = new Folder("nodes");
-    private final Ledger ledger = new Ledger();
-    private final Workers workers;
-    private final Registry registry;
-    private final Clients clients;
+    private final TestDirectory folder = new TestDirectory("nodes");
+    private final EventLedger ledger = new EventLedger();
+    private final WorkerStubs workers;
+    private final DiscoveryStub registry;
+    private final LoadClients clients;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, Path> configs = new LinkedHashMap<>();
-    private final Map<String, Program> programs = new LinkedHashMap<>();
+    private final Map<String, TestProcess> programs = new LinkedHashMap<>();
 
     /** Surroundings for so many nodes; starts none of them. */
-    public Nodes(int count, long seed) {
-        workers = new Workers(ledger, WORKERS, LEAST_MILLIS, MOST_MILLIS, seed);
-        registry = new Registry(workers, "a");
-        clients = new Clients(ledger, seed);
+    public TestNodes(int count, long seed) {
+        workers = new WorkerStubs(ledger, WORKERS, MIN_JOB_MILLIS, MAX_JOB_MILLIS, seed);
+        registry = new DiscoveryStub(workers, "a");
+        clients = new LoadClients(ledger, seed);
         for (int i = 0; i < count; i++) {
             String node = "n" + i;
             InetSocketAddress listen = Ports.free();
-            workers.node(node);
-            workers.at(node, listen);
+            workers.addNode(node);
+            workers.setNodeAddress(node, listen);
             addresses.put(node, listen);
             configs.put(
                     node,
                     folder.write(
                             node + ".json",
                             CONFIG.replace("NAME", node)
-                                    .replace("LISTEN", Ports.text(listen))
-                                    .replace("DISCOVERY", registry.node(node))
+                                    .replace("LISTEN", Ports.hostAndPort(listen))
+                                    .replace("DISCOVERY", registry.addNode(node))
                                     .replace("SIZE", String.valueOf(count))
                                     .replace("KNOWN", workers.entries(node, "a"))));
         }
     }
 
     /** Has the clients look at all nodes, and send to those that are ready. */
-    public Nodes open() {
-        addresses.forEach(clients::node);
+    public TestNodes connectClients() {
+        addresses.forEach(clients::addNode);
         return this;
     }
 
@@ -74,11 +74,11 @@
         return List.copyOf(addresses.keySet());
     }
 
-    public Ledger ledger() {
+    public EventLedger ledger() {
         return ledger;
     }
 
-    public Clients clients() {
+    public LoadClients clients() {
         return clients;
     }
 
@@ -92,34 +92,34 @@
     }
 
     /** Starts this node from a jar without supervisor and waits until it listens. */
-    public Program start(String node, Path jar) {
-        Program program = begin(node, jar);
-        program.awaitLine(node + " listens on ", STARTS);
+    public TestProcess start(String node, Path jar) {
+        TestProcess program = launch(node, jar);
+        program.awaitLine(node + " listens on ", START_TIMEOUT);
         return program;
     }
 
     /** Starts this node without waiting. */
-    public Program begin(String node, Path jar) {
-        Program program = Program.start(
-                Recipe.jar(node, jar, "serve").with("LB_CONFIG", config(node).toString()));
+    public TestProcess launch(String node, Path jar) {
+        TestProcess program = TestProcess.start(
+                ProcessSpec.jar(node, jar, "serve").withEnvironment("LB_CONFIG", config(node).toString()));
         programs.put(node, program);
         return program;
     }
 
-    public Program program(String node) {
+    public TestProcess program(String node) {
         return programs.get(node);
     }
 
     /** Stops the load and returns what was broken. */
-    public List<FleetCheck.Violation> finish(int mostAway) {
+    public List<FleetInvariants.Violation> stopAndCheck(int mostAway) {
         clients.stop();
-        return FleetCheck.check(ledger, mostAway);
+        return FleetInvariants.check(ledger, mostAway);
     }
 
     @Override
     public void close() {
         clients.close();
-        new ArrayList<>(programs.values()).forEach(Program::close);
+        new ArrayList<>(programs.values()).forEach(TestProcess::close);
         workers.close();
         registry.close();
         folder.close();
--- a/src/test/java/olivechute/rig/Program.java
+++ b/src/test/java/olivechute/rig/TestProcess.java
@@ -21,8 +21,8 @@
  * {@link RigFault} shows the last lines. All is ended by {@link #close} and at the end of this virtual machine; nothing
  * else is ever signalled.
  */
-public final class Program implements AutoCloseable {
-    private static final Duration GONE_WITHIN = Duration.ofSeconds(10);
+public final class TestProcess implements AutoCloseable {
+    private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(10);
     private static final Set<ProcessHandle> STARTED = ConcurrentHashMap.newKeySet();
 
     static {
@@ -30,34 +30,34 @@
                 .addShutdownHook(new Thread(() -> STARTED.forEach(ProcessHandle::destroyForcibly), "rig-end"));
     }
 
-    private final Recipe recipe;
+    private final ProcessSpec recipe;
     private final Set<ProcessHandle> children = ConcurrentHashMap.newKeySet(); // seen so far, alive or not
-    private final Lines lines;
+    private final OutputLines lines;
     private Process process;
     private Thread reader;
-    private long from; // the number of its first line since the last start
+    private long firstLine; // the number of its first line since the last start
 
-    private Program(Recipe recipe) {
+    private TestProcess(ProcessSpec recipe) {
         this.recipe = recipe;
-        this.lines = new Lines(recipe.name());
+        this.lines = new OutputLines(recipe.name());
     }
 
     /** Starts it. */
-    public static Program start(Recipe recipe) {
-        Program program = new Program(recipe);
-        program.begin(recipe);
+    public static TestProcess start(ProcessSpec recipe) {
+        TestProcess program = new TestProcess(recipe);
+        program.launch(recipe);
         return program;
     }
 
-    private synchronized void begin(Recipe as) {
-        ProcessBuilder builder = new ProcessBuilder(as.whole()).redirectErrorStream(true);
+    private synchronized void launch(ProcessSpec as) {
+        ProcessBuilder builder = new ProcessBuilder(as.fullCommand()).redirectErrorStream(true);
         builder.environment().putAll(as.environment());
-        from = lines.count();
-        int life = lines.begin();
+        firstLine = lines.count();
+        int life = lines.onStart();
         try {
             process = builder.start();
         } catch (IOException e) {
-            throw new RigFault(recipe.name() + " cannot be started", e);
+            throw new TestSetupException(recipe.name() + " cannot be started", e);
         }
         STARTED.add(process.toHandle());
         Process begun = process;
@@ -73,7 +73,7 @@
         } catch (IOException e) {
             lines.add("(the rig lost its output: " + e + ")");
         }
-        lines.end(life);
+        lines.onEnd(life);
     }
 
     public String name() {
@@ -84,7 +84,7 @@
         return process.pid();
     }
 
-    public synchronized boolean alive() {
+    public synchronized boolean isAlive() {
         return process.isAlive();
     }
 
@@ -105,7 +105,7 @@
 
     /** The first match in a line since its last start; waits for it. */
     public Matcher awaitLine(String regex, Duration within) {
-        return awaitLine(regex, from, within);
+        return awaitLine(regex, firstLine, within);
     }
 
     /** The first match in a line after a mark; waits for it. */
@@ -119,13 +119,13 @@
             pause(); // so that it starts nothing between the look at its children and its end
             process.destroyForcibly();
         }
-        awaitExit(GONE_WITHIN);
+        awaitExit(EXIT_TIMEOUT);
     }
 
     /** SIGSTOP: it keeps its memory and connections and does nothing. */
     public synchronized void pause() {
         signal("STOP", process.toHandle());
-        look();
+        recordChildren();
     }
 
     /** SIGCONT. */
@@ -134,7 +134,7 @@
     }
 
     /** SIGTERM. */
-    public synchronized void term() {
+    public synchronized void terminate() {
         signal("TERM", process.toHandle());
     }
 
@@ -151,20 +151,20 @@
         }
         try {
             if (!of.waitFor(within.toMillis(), TimeUnit.MILLISECONDS)) {
-                throw new RigFault(name() + " runs on after " + within.toMillis() + " ms");
+                throw new TestSetupException(name() + " runs on after " + within.toMillis() + " ms");
             }
             STARTED.remove(of.toHandle());
             return of.exitValue();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new RigFault(name() + ": interrupted", e);
+            throw new TestSetupException(name() + ": interrupted", e);
         }
     }
 
     /** Waits until all that an ended process wrote is read. */
-    public void awaitEnd() {
+    public void awaitOutputEnd() {
         try {
-            reader.join(GONE_WITHIN.toMillis());
+            reader.join(EXIT_TIMEOUT.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -177,28 +177,28 @@
 
     /** Starts it again with its folder emptied. */
     public synchronized void restartEmpty() {
-        if (recipe.folder() == null) {
-            throw new RigFault(name() + " has no folder of its own");
+        if (recipe.directory() == null) {
+            throw new TestSetupException(name() + " has no folder of its own");
         }
-        recipe.folder().empty();
+        recipe.directory().clear();
         restart();
     }
 
     /** Starts it again in another way; it must have ended. */
-    public synchronized void restart(Recipe as) {
+    public synchronized void restart(ProcessSpec as) {
         if (process.isAlive()) {
-            throw new RigFault(name() + " still runs");
+            throw new TestSetupException(name() + " still runs");
         }
-        begin(as);
+        launch(as);
     }
 
     /** The processes that it started and that live, as far as seen by now. */
     public synchronized List<ProcessHandle> children() {
-        look();
+        recordChildren();
         return children.stream().filter(ProcessHandle::isAlive).toList();
     }
 
-    private void look() {
+    private void recordChildren() {
         try (Stream<ProcessHandle> now = process.descendants()) {
             now.forEach(child -> {
                 children.add(child);
@@ -218,10 +218,10 @@
                     .start()
                     .waitFor();
         } catch (IOException e) {
-            throw new RigFault("no signal " + name + " to " + to.pid(), e);
+            throw new TestSetupException("no signal " + name + " to " + to.pid(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new RigFault("interrupted", e);
+            throw new TestSetupException("interrupted", e);
         }
     }
 
@@ -231,10 +231,10 @@
         kill();
         for (ProcessHandle child : new ArrayList<>(children)) {
             child.destroyForcibly();
-            child.onExit().orTimeout(GONE_WITHIN.toSeconds(), TimeUnit.SECONDS).join();
+            child.onExit().orTimeout(EXIT_TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
             STARTED.remove(child);
         }
         children.clear();
-        awaitEnd();
+        awaitOutputEnd();
     }
 }
--- a/src/test/java/olivechute/rig/ProgramTest.java
+++ b/src/test/java/olivechute/rig/TestProcessTest.java
@@ -15,31 +15,31 @@
 
 /** Processes, machines and disks of the rig, with small programs of the system. */
 @Timeout(30)
-class ProgramTest {
+class TestProcessTest {
     private static final Duration SOON = Duration.ofSeconds(10);
     private static final Duration MOMENT = Duration.ofMillis(200);
     /** Has a child, and writes a line again and again. */
     private static final String TALKER = "sleep 1000 & echo child $!; echo ready $$; i=0; "
             + "while :; do i=$((i+1)); echo beat $i; sleep 0.05; done";
 
-    private static Recipe shell(String script) {
-        return Recipe.command("shell", "/bin/sh", "-c", script);
+    private static ProcessSpec shell(String script) {
+        return ProcessSpec.command("shell", "/bin/sh", "-c", script);
     }
 
     @Test
     void awaitsALineAndItsParts() {
-        try (Program p = Program.start(shell("echo one; echo version 7; exec sleep 1000"))) {
+        try (TestProcess p = TestProcess.start(shell("echo one; echo version 7; exec sleep 1000"))) {
             assertEquals("7", p.awaitLine("^version (\\d+)$", SOON).group(1));
             assertEquals(List.of("one", "version 7"), p.lines());
             long mark = p.mark();
-            assertThrows(RigFault.class, () -> p.awaitLine("version", mark, MOMENT));
+            assertThrows(TestSetupException.class, () -> p.awaitLine("version", mark, MOMENT));
         }
     }
 
     @Test
     void aWaitEndsWithTheProcessAndShowsItsLastLines() {
-        try (Program p = Program.start(shell("echo last words; exit 3"))) {
-            RigFault fault = assertThrows(RigFault.class, () -> p.awaitLine("never", Duration.ofMinutes(5)));
+        try (TestProcess p = TestProcess.start(shell("echo last words; exit 3"))) {
+            TestSetupException fault = assertThrows(TestSetupException.class, () -> p.awaitLine("never", Duration.ofMinutes(5)));
             assertTrue(fault.getMessage().contains("last words"), fault.getMessage());
             assertEquals(3, p.awaitExit(SOON));
         }
@@ -47,7 +47,7 @@
 
     @Test
     void keepsTheLastLinesOnly() {
-        try (Program p = Program.start(shell("i=0; while [ $i -lt 6000 ]; do echo $i; i=$((i+1)); done"))) {
+        try (TestProcess p = TestProcess.start(shell("i=0; while [ $i -lt 6000 ]; do echo $i; i=$((i+1)); done"))) {
             p.awaitLine("^5999$", SOON);
             assertEquals(4096, p.lines().size());
             assertEquals(6000, p.mark());
@@ -56,16 +56,16 @@
 
     @Test
     void stopsWakesAndKills() {
-        try (Program p = Program.start(shell(TALKER))) {
+        try (TestProcess p = TestProcess.start(shell(TALKER))) {
             p.awaitLine("^beat 2", SOON);
             p.pause();
             assertThrows(
-                    RigFault.class, () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one may still be on its way
+                    TestSetupException.class, () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one may still be on its way
             long mark = p.mark();
             p.resume();
             p.awaitLine("beat", mark, SOON);
             p.kill();
-            assertFalse(p.alive());
+            assertFalse(p.isAlive());
             assertEquals(137, p.awaitExit(SOON));
         }
     }
@@ -73,7 +73,7 @@
     @Test
     void endsWhatItStartedWhenClosed() {
         ProcessHandle child;
-        try (Program p = Program.start(shell(TALKER))) {
+        try (TestProcess p = TestProcess.start(shell(TALKER))) {
             long pid = Long.parseLong(p.awaitLine("^child (\\d+)", SOON).group(1));
             child = p.children().stream()
                     .filter(c -> c.pid() == pid)
@@ -87,10 +87,10 @@
 
     @Test
     void restartsWithItsFolderEmptied() {
-        try (Folder folder = new Folder("disk")) {
-            String script = "ls " + folder.path() + " | wc -l | sed 's/^/files /'; touch " + folder.at("x")
+        try (TestDirectory folder = new TestDirectory("disk")) {
+            String script = "ls " + folder.path() + " | wc -l | sed 's/^/files /'; touch " + folder.resolve("x")
                     + "; echo up; exec sleep 1000";
-            try (Program p = Program.start(shell(script).in(folder))) {
+            try (TestProcess p = TestProcess.start(shell(script).withDirectory(folder))) {
                 p.awaitLine("^files 0", SOON);
                 p.awaitLine("^up", SOON);
                 p.kill();
@@ -106,19 +106,19 @@
 
     @Test
     void aMachineFallsWithAllThatItsProgramsStarted() {
-        try (Machine machine = new Machine("m")) {
-            Program a = machine.add(Program.start(shell(TALKER)));
-            Program b = machine.add(Program.start(shell(TALKER)));
+        try (TestMachine machine = new TestMachine("m")) {
+            TestProcess a = machine.add(TestProcess.start(shell(TALKER)));
+            TestProcess b = machine.add(TestProcess.start(shell(TALKER)));
             a.awaitLine("^ready", SOON);
             b.awaitLine("^ready", SOON);
             List<ProcessHandle> children = a.children();
             machine.pause();
-            assertThrows(RigFault.class, () -> a.awaitLine("beat", a.mark() + 1, MOMENT));
+            assertThrows(TestSetupException.class, () -> a.awaitLine("beat", a.mark() + 1, MOMENT));
             machine.resume();
             b.awaitLine("beat", b.mark(), SOON);
             machine.kill();
-            assertFalse(a.alive()
-                    || b.alive()
+            assertFalse(a.isAlive()
+                    || b.isAlive()
                     || children.isEmpty()
                     || children.stream().anyMatch(ProcessHandle::isAlive));
         }
@@ -126,17 +126,17 @@
 
     @Test
     void disksFillAndRot() throws IOException {
-        try (Folder folder = new Folder("disk")) {
-            assertThrows(IOException.class, () -> Files.writeString(folder.full("log"), "x"));
+        try (TestDirectory folder = new TestDirectory("disk")) {
+            assertThrows(IOException.class, () -> Files.writeString(folder.createFullFile("log"), "x"));
             Path file = folder.write("data", "abcdef");
-            Folder.flip(file, -1);
+            TestDirectory.flipByte(file, -1);
             assertEquals('f', ~Files.readAllBytes(file)[5] & 0xff);
-            Folder.cut(file, 4);
+            TestDirectory.truncate(file, 4);
             assertEquals("ab", Files.readString(file));
-            Path big = folder.at("big");
-            try (Program p =
-                    Program.start(shell("dd if=/dev/zero of=" + big + " bs=1024 count=64 2>/dev/null; echo status $?")
-                            .behind(Folder.fileLimit(8)))) {
+            Path big = folder.resolve("big");
+            try (TestProcess p =
+                    TestProcess.start(shell("dd if=/dev/zero of=" + big + " bs=1024 count=64 2>/dev/null; echo status $?")
+                            .withPrefix(TestDirectory.fileLimit(8)))) {
                 assertEquals("1", p.awaitLine("^status (\\d+)", SOON).group(1));
             }
             assertEquals(4096, Files.size(big));
