--- a/src/test/java/olivechute/rig/Versions.java
+++ b/src/test/java/olivechute/rig/TestVersions.java
@@ -25,29 +25,29 @@
  * one, a fault. A patch that finds nothing to change is a {@link RigFault}: a version without its fault would let a
  * test pass for nothing.
  */
-public final class Versions implements AutoCloseable {
-    private static final String PLANTED = "olivechute/rig/Planted";
+public final class TestVersions implements AutoCloseable {
+    private static final String INJECTED_FAULTS = "olivechute/rig/Planted";
     private static final String DISPATCHER = "olivechute/proxy/RequestDispatcher";
-    private static final String FRONT = "olivechute/downstream/DownstreamServer";
+    private static final String DOWNSTREAM_SERVER = "olivechute/downstream/DownstreamServer";
     private static final String NODE = "olivechute/node/Node";
-    private static final String MARK = "META-INF/version-mark";
+    private static final String MARKER_ENTRY = "META-INF/version-mark";
 
-    private final Folder folder = new Folder("versions");
+    private final TestDirectory folder = new TestDirectory("versions");
     private final Path jar;
 
     /** Makes versions of this jar. */
-    public Versions(Path jar) {
+    public TestVersions(Path jar) {
         this.jar = jar;
     }
 
     /** Does the same as the jar. */
-    public Path equal() {
-        return make("equal", Map.of());
+    public Path equivalent() {
+        return buildJar("equal", Map.of());
     }
 
     /** Refuses every tenth stream of class sign, as its own decisions would. */
-    public Path refusesTenthOfSign() {
-        return make(
+    public Path rejectingTenthOfSign() {
+        return buildJar(
                 "refuses",
                 Map.of(
                         DISPATCHER,
@@ -55,13 +55,13 @@
                                 code,
                                 "openRequest",
                                 (method, call) -> {
-                                    if (!call.is("olivechute/loadbalancing/LoadBalancer", "onRequest")) {
-                                        return call.asIs(method);
+                                    if (!call.targets("olivechute/loadbalancing/LoadBalancer", "onRequest")) {
+                                        return call.writeUnchanged(method);
                                     }
                                     method.visitVarInsn(Opcodes.ALOAD, 0);
                                     method.visitMethodInsn(
                                             Opcodes.INVOKESTATIC,
-                                            PLANTED,
+                                            INJECTED_FAULTS,
                                             "refuseTenth",
                                             "(Lolivechute/loadbalancing/LoadBalancer;JLolivechute/loadbalancing/Request;L"
                                                     + DISPATCHER + ";)V",
@@ -73,19 +73,19 @@
 
     /** Hands each stream on so much later than it took it. */
     public Path slower(int millis) {
-        return make(
+        return buildJar(
                 "slower",
                 Map.of(
-                        FRONT,
+                        DOWNSTREAM_SERVER,
                         code -> patch(
                                 code,
                                 "open",
                                 (method, call) -> {
-                                    call.asIs(method);
-                                    if (!call.is(FRONT, "requestArrived")) {
+                                    call.writeUnchanged(method);
+                                    if (!call.targets(DOWNSTREAM_SERVER, "requestArrived")) {
                                         return false;
                                     }
-                                    call(method, "slow", millis);
+                                    writeFaultCall(method, "slow", millis);
                                     return true;
                                 },
                                 null)));
@@ -93,13 +93,13 @@
 
     /** Ends by itself with status 3 so long after it got ready. */
     public Path crashesAfter(int millis) {
-        return make(
-                "crashes", Map.of(FRONT, code -> patch(code, "ready", null, method -> call(method, "crash", millis))));
+        return buildJar(
+                "crashes", Map.of(DOWNSTREAM_SERVER, code -> patch(code, "ready", null, method -> writeFaultCall(method, "crash", millis))));
     }
 
     /** Listens and serves, but never says that it is ready. */
     public Path neverReady() {
-        return make(
+        return buildJar(
                 "unready",
                 Map.of(
                         NODE,
@@ -107,8 +107,8 @@
                                 code,
                                 "<init>",
                                 (method, call) -> {
-                                    if (!call.is(FRONT, "ready")) {
-                                        return call.asIs(method);
+                                    if (!call.targets(DOWNSTREAM_SERVER, "ready")) {
+                                        return call.writeUnchanged(method);
                                     }
                                     method.visitInsn(Opcodes.POP);
                                     return true;
@@ -118,7 +118,7 @@
 
     /** A file of this name beside the versions. */
     Path path(String name) {
-        return folder.at(name);
+        return folder.resolve(name);
     }
 
     /** SHA-256 of a file, in hexadecimal digits. */
@@ -126,17 +126,17 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(file)));
         } catch (IOException | NoSuchAlgorithmException e) {
-            throw new RigFault("no digest of " + file, e);
+            throw new TestSetupException("no digest of " + file, e);
         }
     }
 
     /** A call in the program's code. */
-    private record Call(int opcode, String owner, String name, String descriptor, boolean ofInterface) {
-        boolean is(String type, String method) {
+    private record MethodCall(int opcode, String owner, String name, String descriptor, boolean ofInterface) {
+        boolean targets(String type, String method) {
             return owner.equals(type) && name.equals(method);
         }
 
-        boolean asIs(MethodVisitor method) {
+        boolean writeUnchanged(MethodVisitor method) {
             method.visitMethodInsn(opcode, owner, name, descriptor, ofInterface);
             return false;
         }
@@ -144,20 +144,20 @@
 
     /** Writes a call, changed or as it is; true if it changed something. */
     private interface CallPatch {
-        boolean write(MethodVisitor method, Call call);
+        boolean write(MethodVisitor method, MethodCall call);
     }
 
-    private interface Begin {
+    private interface MethodEntryPatch {
         void write(MethodVisitor method);
     }
 
-    private static void call(MethodVisitor method, String name, int millis) {
+    private static void writeFaultCall(MethodVisitor method, String name, int millis) {
         method.visitLdcInsn(millis);
-        method.visitMethodInsn(Opcodes.INVOKESTATIC, PLANTED, name, "(I)V", false);
+        method.visitMethodInsn(Opcodes.INVOKESTATIC, INJECTED_FAULTS, name, "(I)V", false);
     }
 
     /** The class with calls in a method changed, or something done at the method's begin. */
-    private static byte[] patch(byte[] code, String in, CallPatch calls, Begin begin) {
+    private static byte[] patch(byte[] code, String in, CallPatch calls, MethodEntryPatch begin) {
         int[] changed = {0};
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_MAXS);
         new ClassReader(code)
@@ -186,9 +186,9 @@
                                                     String method,
                                                     String of,
                                                     boolean ofInterface) {
-                                                Call call = new Call(opcode, owner, method, of, ofInterface);
+                                                MethodCall call = new MethodCall(opcode, owner, method, of, ofInterface);
                                                 if (calls == null) {
-                                                    call.asIs(mv);
+                                                    call.writeUnchanged(mv);
                                                 } else if (calls.write(mv, call)) {
                                                     changed[0]++;
                                                 }
@@ -198,13 +198,13 @@
                         },
                         0);
         if (changed[0] != 1) {
-            throw new RigFault("the patch of " + in + " changed " + changed[0] + " places, it should change one");
+            throw new TestSetupException("the patch of " + in + " changed " + changed[0] + " places, it should change one");
         }
         return writer.toByteArray();
     }
 
-    private Path make(String name, Map<String, UnaryOperator<byte[]>> patches) {
-        Path made = folder.at(name + ".jar");
+    private Path buildJar(String name, Map<String, UnaryOperator<byte[]>> patches) {
+        Path made = folder.resolve(name + ".jar");
         try (ZipFile from = new ZipFile(jar.toFile());
                 ZipOutputStream to = new ZipOutputStream(Files.newOutputStream(made))) {
             to.setLevel(Deflater.BEST_SPEED);
@@ -220,15 +220,15 @@
                 put(to, entry.getName(), patch == null ? bytes : patch.apply(bytes));
             }
             if (patched != patches.size()) {
-                throw new RigFault(jar + " lacks a class of " + patches.keySet());
+                throw new TestSetupException(jar + " lacks a class of " + patches.keySet());
             }
-            put(to, MARK, (name + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            try (InputStream in = Planted.class.getResourceAsStream("Planted.class")) {
-                put(to, PLANTED + ".class", in.readAllBytes());
+            put(to, MARKER_ENTRY, (name + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            try (InputStream in = InjectedFaults.class.getResourceAsStream("Planted.class")) {
+                put(to, INJECTED_FAULTS + ".class", in.readAllBytes());
             }
             return made;
         } catch (IOException e) {
-            throw new RigFault("version " + name + " cannot be made of " + jar, e);
+            throw new TestSetupException("version " + name + " cannot be made of " + jar, e);
         }
     }
 
--- a/src/test/java/olivechute/rig/VersionsIT.java
+++ b/src/test/java/olivechute/rig/TestVersionsIT.java
@@ -19,16 +19,16 @@
 
 /** Each version alone, as a node with clients: it has its fault and no other. */
 @Timeout(40)
-class VersionsIT {
+class TestVersionsIT {
     private static final long SEED = 20261202;
     private static final int RATE = 100;
     /** Ids of the jobs that a node makes up to warm up. */
-    private static final String REHEARSED = "0000000000000000";
+    private static final String WARMUP_ID_PREFIX = "0000000000000000";
 
-    private static final long SOON = 15_000;
+    private static final long TIMEOUT_MILLIS = 15_000;
 
-    private final Versions versions = new Versions(Recipe.JAR);
-    private final Nodes nodes = new Nodes(1, SEED);
+    private final TestVersions versions = new TestVersions(ProcessSpec.JAR);
+    private final TestNodes nodes = new TestNodes(1, SEED);
 
     @AfterEach
     void close() {
@@ -39,17 +39,17 @@
 
     private void serve(Path jar, int jobs) {
         nodes.start("n0", jar);
-        nodes.open();
-        nodes.clients().awaitReady(ready -> ready.get("n0"), SOON);
-        nodes.clients().load(RATE);
-        nodes.clients().awaitServed(jobs, SOON);
-        assertEquals(List.of(), nodes.finish(0));
+        nodes.connectClients();
+        nodes.clients().awaitReady(ready -> ready.get("n0"), TIMEOUT_MILLIS);
+        nodes.clients().startLoad(RATE);
+        nodes.clients().awaitServed(jobs, TIMEOUT_MILLIS);
+        assertEquals(List.of(), nodes.stopAndCheck(0));
     }
 
     @Test
     void theEqualOneServesUnderAnotherDigest() {
-        Path equal = versions.equal();
-        assertNotEquals(Versions.digest(Recipe.JAR), Versions.digest(equal));
+        Path equal = versions.equivalent();
+        assertNotEquals(TestVersions.digest(ProcessSpec.JAR), TestVersions.digest(equal));
         serve(equal, 100);
         assertEquals(nodes.ledger().jobs().size(), served("verify") + served("sign") + refused());
         assertTrue(served("verify") + served("sign") > 0
@@ -59,31 +59,31 @@
     /** Where processor time is short a node refuses some of its own accord; those that are planted say so. */
     @Test
     void oneRefusesEveryTenthOfSign() {
-        serve(versions.refusesTenthOfSign(), 200);
+        serve(versions.rejectingTenthOfSign(), 200);
         long signs = nodes.ledger().jobs().stream()
                 .filter(job -> job.requestClass().equals("sign"))
                 .count();
         List<String> planted = nodes.program("n0").lines().stream()
                 .filter(line -> line.startsWith("planted refusal of "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1))
-                .filter(id -> !id.startsWith(REHEARSED))
+                .filter(id -> !id.startsWith(WARMUP_ID_PREFIX))
                 .toList();
         assertTrue(Math.abs(planted.size() - signs / 10.0) <= 1, planted + " of " + signs);
         List<String> refused = nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == Ledger.End.REFUSED)
-                .map(Ledger.Job::id)
+                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
+                .map(EventLedger.Job::id)
                 .toList();
         assertTrue(refused.containsAll(planted), refused + " without some of " + planted);
     }
 
     private long refused() {
         return nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == Ledger.End.REFUSED)
+                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
                 .count();
     }
 
     private long served(String requestClass) {
-        return nodes.ledger().count(requestClass, Ledger.End.SERVED);
+        return nodes.ledger().count(requestClass, EventLedger.Outcome.SERVED);
     }
 
     @Test
@@ -94,7 +94,7 @@
 
     @Test
     void oneEndsByItselfOnceItIsReady() {
-        Program node = nodes.start("n0", versions.crashesAfter(1000));
+        TestProcess node = nodes.start("n0", versions.crashesAfter(1000));
         assertEquals(3, node.awaitExit(Duration.ofSeconds(10)));
         assertTrue(node.lines().contains("planted crash"));
     }
@@ -102,9 +102,9 @@
     @Test
     void oneServesButIsNeverReady() throws IOException, HttpException {
         nodes.start("n0", versions.neverReady());
-        nodes.open();
-        assertThrows(RigFault.class, () -> nodes.clients().awaitReady(ready -> ready.get("n0"), 500));
-        try (HttpLine line = new HttpLine(nodes.address("n0"), 1000)) {
+        nodes.connectClients();
+        assertThrows(TestSetupException.class, () -> nodes.clients().awaitReady(ready -> ready.get("n0"), 500));
+        try (HttpTestConnection line = new HttpTestConnection(nodes.address("n0"), 1000)) {
             line.send(MessageWriter.request("GET", "/health/ready", "node", null));
             assertEquals(503, line.receive(2000).status());
             line.send(MessageWriter.request(
@@ -125,7 +125,7 @@
 
     @Test
     void aPatchThatFindsNothingIsNoVersion() {
-        assertThrows(RigFault.class, () -> new Versions(versions.path("missing.jar")).equal());
+        assertThrows(TestSetupException.class, () -> new TestVersions(versions.path("missing.jar")).equivalent());
         assertEquals(Map.of(), nodes.ledger().counts());
     }
 }
--- a/src/test/java/olivechute/rig/Workers.java
+++ b/src/test/java/olivechute/rig/WorkerStubs.java
@@ -26,33 +26,33 @@
  * job whose key is done gets its result again and does not run.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // the ledger shows what became of each job
-public final class Workers implements AutoCloseable {
-    private static final int TELLS = 10;
-    private static final int TELL_MILLIS = 2000;
-    private static final int TELL_AGAIN_MILLIS = 100;
-    private static final int KEPT_LINES = 8;
+public final class WorkerStubs implements AutoCloseable {
+    private static final int MAX_REPORT_ATTEMPTS = 10;
+    private static final int REPORT_TIMEOUT_MILLIS = 2000;
+    private static final int REPORT_RETRY_MILLIS = 100;
+    private static final int MAX_IDLE_CONNECTIONS = 8;
     private static final byte[] ACCEPTED = MessageWriter.response(202, new byte[0], true);
-    private static final byte[] GIVEN_UP = MessageWriter.response(204, null, true);
+    private static final byte[] CANCELLED = MessageWriter.response(204, null, true);
 
-    private final Ledger ledger;
+    private final EventLedger ledger;
     private final int count;
-    private final Map<String, List<HttpPeer>> peers = new HashMap<>(); // by node
+    private final Map<String, List<HttpStub>> peers = new HashMap<>(); // by node
     private final Map<String, InetSocketAddress> nodes = new ConcurrentHashMap<>();
-    private final Map<String, ConcurrentLinkedDeque<HttpLine>> lines = new ConcurrentHashMap<>();
-    private final Map<String, Running> running = new ConcurrentHashMap<>(); // by worker and id
+    private final Map<String, ConcurrentLinkedDeque<HttpTestConnection>> idleConnections = new ConcurrentHashMap<>();
+    private final Map<String, RunningJob> running = new ConcurrentHashMap<>(); // by worker and id
     private final Set<String> doneKeys = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(1, Workers::daemon);
-    private final ExecutorService telling = Executors.newCachedThreadPool(Workers::daemon);
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(1, WorkerStubs::daemon);
+    private final ExecutorService reportExecutor = Executors.newCachedThreadPool(WorkerStubs::daemon);
     private final SplittableRandom random;
-    private final int least;
-    private final int most;
+    private final int minMillis;
+    private final int maxMillis;
 
     /** So many workers whose jobs take from {@code least} to {@code most} ms. */
-    public Workers(Ledger ledger, int count, int least, int most, long seed) {
+    public WorkerStubs(EventLedger ledger, int count, int least, int most, long seed) {
         this.ledger = ledger;
         this.count = count;
-        this.least = least;
-        this.most = most;
+        this.minMillis = least;
+        this.maxMillis = most;
         this.random = new SplittableRandom(seed);
     }
 
@@ -62,17 +62,17 @@
         return thread;
     }
 
-    private static final class Running {
+    private static final class RunningJob {
         final String worker;
         final String node;
         final HttpRequest request;
         final String id;
         final String key;
-        final long started = Ledger.now();
+        final long started = EventLedger.now();
         boolean repeated;
         boolean over;
 
-        Running(String worker, String node, HttpRequest request) {
+        RunningJob(String worker, String node, HttpRequest request) {
             this.worker = worker;
             this.node = node;
             this.request = request;
@@ -89,28 +89,28 @@
     }
 
     /** Listens for this node; {@link #at} says where news go. */
-    public synchronized void node(String node) {
-        List<HttpPeer> own = new ArrayList<>();
+    public synchronized void addNode(String node) {
+        List<HttpStub> own = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String worker = "w" + i;
-            own.add(new HttpPeer(worker, new HttpPeer.Answering() {
+            own.add(new HttpStub(worker, new HttpStub.Responder() {
                 @Override
                 public byte[] answer(HttpRequest request) {
-                    return take(worker, node, request);
+                    return handleRequest(worker, node, request);
                 }
 
                 @Override
-                public boolean asksWhetherGivenUp() {
+                public boolean ignoresClosedConnections() {
                     return true;
                 }
             }));
         }
         peers.put(node, own);
-        lines.put(node, new ConcurrentLinkedDeque<>());
+        idleConnections.put(node, new ConcurrentLinkedDeque<>());
     }
 
     /** Where a node listens, or a link to it. */
-    public void at(String node, InetSocketAddress address) {
+    public void setNodeAddress(String node, InetSocketAddress address) {
         nodes.put(node, address);
     }
 
@@ -122,7 +122,7 @@
                     .append("{\"name\":\"w")
                     .append(i)
                     .append("\",\"address\":\"")
-                    .append(peers.get(node).get(i).text())
+                    .append(peers.get(node).get(i).hostAndPort())
                     .append("\",\"zone\":\"")
                     .append(zone)
                     .append("\",\"type\":\"k\",\"group\":0,\"status\":\"active\",\"weight\":1.0,\"since_ms\":0}");
@@ -130,61 +130,61 @@
         return entries.toString();
     }
 
-    private byte[] take(String worker, String node, HttpRequest request) {
+    private byte[] handleRequest(String worker, String node, HttpRequest request) {
         if (request.method().equals("DELETE")) {
             String job = worker + " " + request.path().substring("/jobs/".length());
-            Running given = running.remove(job);
+            RunningJob given = running.remove(job);
             if (given != null && given.end()) {
-                log(given, false);
+                recordExecution(given, false);
             }
-            return GIVEN_UP;
+            return CANCELLED;
         }
-        Running job = new Running(worker, node, request);
+        RunningJob job = new RunningJob(worker, node, request);
         running.put(worker + " " + job.id, job);
         if (doneKeys.contains(String.valueOf(job.key))) {
             job.repeated = true;
-            telling.execute(() -> done(job));
+            reportExecutor.execute(() -> finishJob(job));
             return ACCEPTED;
         }
         int takes;
         synchronized (this) {
-            takes = random.nextInt(least, most + 1);
+            takes = random.nextInt(minMillis, maxMillis + 1);
         }
-        telling.execute(() -> tell(job, "\"started\""));
-        clock.schedule(() -> telling.execute(() -> done(job)), takes, TimeUnit.MILLISECONDS);
+        reportExecutor.execute(() -> reportState(job, "\"started\""));
+        scheduler.schedule(() -> reportExecutor.execute(() -> finishJob(job)), takes, TimeUnit.MILLISECONDS);
         return ACCEPTED;
     }
 
-    private void done(Running job) {
+    private void finishJob(RunningJob job) {
         running.remove(job.worker + " " + job.id, job);
         if (job.end()) {
             if (!job.repeated) {
-                log(job, true);
+                recordExecution(job, true);
             }
             if (job.key != null) {
                 doneKeys.add(job.key);
             }
-            tell(
+            reportState(
                     job,
                     "\"done\",\"result\":\"" + job.id + " " + new String(job.request.body(), StandardCharsets.US_ASCII)
                             + "\",\"load\":{\"x0\":64}");
         }
     }
 
-    private void log(Running job, boolean done) {
-        ledger.add(new Ledger.Run(
+    private void recordExecution(RunningJob job, boolean done) {
+        ledger.add(new EventLedger.Execution(
                 job.worker,
                 job.node,
                 job.id,
                 job.request.path().substring(1),
                 job.key,
                 job.started,
-                Ledger.now(),
+                EventLedger.now(),
                 done));
     }
 
     /** Tells it until there is an answer. */
-    private void tell(Running job, String state) {
+    private void reportState(RunningJob job, String state) {
         byte[] news = MessageWriter.request(
                 "POST",
                 "/_jobs/news",
@@ -193,17 +193,17 @@
                         .getBytes(StandardCharsets.US_ASCII),
                 "Content-Type",
                 "application/json");
-        tell(job.node, news, 1);
+        reportState(job.node, news, 1);
     }
 
-    private void tell(String node, byte[] news, int tries) {
-        ConcurrentLinkedDeque<HttpLine> kept = lines.get(node);
-        HttpLine line = kept.poll();
+    private void reportState(String node, byte[] news, int tries) {
+        ConcurrentLinkedDeque<HttpTestConnection> kept = idleConnections.get(node);
+        HttpTestConnection line = kept.poll();
         try {
-            line = line == null ? new HttpLine(nodes.get(node), TELL_MILLIS) : line;
+            line = line == null ? new HttpTestConnection(nodes.get(node), REPORT_TIMEOUT_MILLIS) : line;
             line.send(news);
-            if (line.receive(TELL_MILLIS) != null) {
-                if (kept.size() < KEPT_LINES) {
+            if (line.receive(REPORT_TIMEOUT_MILLIS) != null) {
+                if (kept.size() < MAX_IDLE_CONNECTIONS) {
                     kept.push(line);
                     return;
                 }
@@ -216,19 +216,19 @@
         if (line != null) {
             line.close();
         }
-        if (tries < TELLS && !clock.isShutdown()) {
-            clock.schedule(
-                    () -> telling.execute(() -> tell(node, news, tries + 1)),
-                    tries == 1 ? 0 : TELL_AGAIN_MILLIS,
+        if (tries < MAX_REPORT_ATTEMPTS && !scheduler.isShutdown()) {
+            scheduler.schedule(
+                    () -> reportExecutor.execute(() -> reportState(node, news, tries + 1)),
+                    tries == 1 ? 0 : REPORT_RETRY_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public synchronized void close() {
-        clock.shutdownNow();
-        telling.shutdown();
-        peers.values().forEach(own -> own.forEach(HttpPeer::close));
-        lines.values().forEach(kept -> kept.forEach(HttpLine::close));
+        scheduler.shutdownNow();
+        reportExecutor.shutdown();
+        peers.values().forEach(own -> own.forEach(HttpStub::close));
+        idleConnections.values().forEach(kept -> kept.forEach(HttpTestConnection::close));
     }
 }
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -3,57 +3,57 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
-import olivechute.rig.Folder;
-import olivechute.rig.Nodes;
-import olivechute.rig.Program;
-import olivechute.rig.Recipe;
+import olivechute.rig.TestDirectory;
+import olivechute.rig.TestNodes;
+import olivechute.rig.TestProcess;
+import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.Test;
 
 /** A node whose configuration cannot be read for a moment (EIO). */
 class FailingFileIT {
-    private static final int ALWAYS = 1_000_000;
-    private static final long MOMENT_MILLIS = 700;
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final int ALWAYS_PER_MILLION = 1_000_000;
+    private static final long FAULT_MILLIS = 700;
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-    private interface Case {
-        void play(Program node, FaultShim shim, Path config) throws Exception;
+    private interface Scenario {
+        void play(TestProcess node, FaultShim shim, Path config) throws Exception;
     }
 
-    private static void play(boolean failsAtStart, Case test) throws Exception {
-        try (Folder folder = new Folder("failing-file");
-                Nodes nodes = new Nodes(1, 1)) {
+    private static void play(boolean failsAtStart, Scenario test) throws Exception {
+        try (TestDirectory folder = new TestDirectory("failing-file");
+                TestNodes nodes = new TestNodes(1, 1)) {
             FaultShim shim = new FaultShim(folder, "n0", 1);
-            shim.rate(FaultShim.Fault.FILE_FAILS, failsAtStart ? ALWAYS : 0);
-            Recipe recipe = Recipe.jar("n0", Recipe.JAR, "serve")
-                    .with("LB_CONFIG", nodes.config("n0").toString());
-            try (Program node = Program.start(shim.in(recipe))) {
+            shim.rate(FaultShim.Fault.FILE_READ_FAILS, failsAtStart ? ALWAYS_PER_MILLION : 0);
+            ProcessSpec recipe = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
+                    .withEnvironment("LB_CONFIG", nodes.config("n0").toString());
+            try (TestProcess node = TestProcess.start(shim.preloadedInto(recipe))) {
                 test.play(node, shim, nodes.config("n0"));
             }
         }
     }
 
     @Test
-    void aConfigurationThatCannotBeReadForAMomentIsNoRefusalToStart() throws Exception {
+    void startRetriesAnUnreadableConfiguration() throws Exception {
         play(true, (node, shim, config) -> {
-            Thread.sleep(MOMENT_MILLIS);
-            shim.calm();
-            node.awaitLine("n0 listens on ", WITHIN);
+            Thread.sleep(FAULT_MILLIS);
+            shim.clearFaults();
+            node.awaitLine("n0 listens on ", TIMEOUT);
         });
     }
 
     @Test
-    void aConfigurationThatCannotBeReadAsTheSignalComesIsReadLater() throws Exception {
+    void reloadRetriesAnUnreadableConfiguration() throws Exception {
         play(false, (node, shim, config) -> {
-            node.awaitLine("n0 listens on ", WITHIN);
-            shim.rate(FaultShim.Fault.FILE_FAILS, ALWAYS);
+            node.awaitLine("n0 listens on ", TIMEOUT);
+            shim.rate(FaultShim.Fault.FILE_READ_FAILS, ALWAYS_PER_MILLION);
             Files.writeString(
                     config,
                     Files.readString(config)
                             .replaceFirst("\"discovery\":\"[0-9.:]+\"", "\"discovery\":\"127.0.0.1:9\""));
             node.signal("HUP");
-            Thread.sleep(MOMENT_MILLIS);
-            shim.calm();
-            node.awaitLine("discovery moves to .*127.0.0.1:9", WITHIN);
+            Thread.sleep(FAULT_MILLIS);
+            shim.clearFaults();
+            node.awaitLine("discovery moves to .*127.0.0.1:9", TIMEOUT);
         });
     }
 }
--- a/src/test/java/olivechute/soak/FaultShim.java
+++ b/src/test/java/olivechute/soak/FaultShim.java
@@ -13,9 +13,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import olivechute.rig.Folder;
-import olivechute.rig.Recipe;
-import olivechute.rig.RigFault;
+import olivechute.rig.TestDirectory;
+import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestSetupException;
 
 /** The library of {@code src/test/c/faultshim.c}, loaded into one node: its rates, its clock and what it recorded. */
 final class FaultShim {
@@ -35,12 +35,12 @@
         SHORT_WRITE,
         POLL_INTERRUPTED,
         CONNECTION_BREAKS,
-        HELD_UP,
-        FILE_FAILS
+        DELAYED_IO,
+        FILE_READ_FAILS
     }
 
     /** What the library recorded of an accepted connection; {@code port} is the client's. */
-    record Entry(long atUs, String what, int port, int bytes) {}
+    record Entry(long atUs, String event, int port, int bytes) {}
 
     private static boolean compiled;
 
@@ -49,7 +49,7 @@
     private final long seed;
     private final MappedByteBuffer mapped;
 
-    FaultShim(Folder folder, String name, long seed) {
+    FaultShim(TestDirectory folder, String name, long seed) {
         compile();
         this.seed = seed;
         this.control = folder.write(name + ".control", "\0".repeat(CONTROL_BYTES));
@@ -58,7 +58,7 @@
             mapped = file.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
             mapped.order(ByteOrder.nativeOrder());
         } catch (IOException e) {
-            throw new RigFault("no control file for " + name, e);
+            throw new TestSetupException("no control file for " + name, e);
         }
     }
 
@@ -73,23 +73,23 @@
                     .inheritIO()
                     .start();
             if (!compiler.waitFor(COMPILE_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-                throw new RigFault("cc does not compile " + SOURCE);
+                throw new TestSetupException("cc does not compile " + SOURCE);
             }
         } catch (IOException e) {
-            throw new RigFault("no C compiler (cc): the soak needs one", e);
+            throw new TestSetupException("no C compiler (cc): the soak needs one", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new RigFault("interrupted", e);
+            throw new TestSetupException("interrupted", e);
         }
         compiled = true;
     }
 
     /** The same process with the library in it. */
-    Recipe in(Recipe recipe) {
-        return recipe.with("LD_PRELOAD", LIBRARY.toString())
-                .with("FAULTSHIM_CONTROL", control.toString())
-                .with("FAULTSHIM_LOG", log.toString())
-                .with("FAULTSHIM_SEED", String.valueOf(seed));
+    ProcessSpec preloadedInto(ProcessSpec recipe) {
+        return recipe.withEnvironment("LD_PRELOAD", LIBRARY.toString())
+                .withEnvironment("FAULTSHIM_CONTROL", control.toString())
+                .withEnvironment("FAULTSHIM_LOG", log.toString())
+                .withEnvironment("FAULTSHIM_SEED", String.valueOf(seed));
     }
 
     /** From now on so many calls of a million fail in this way. */
@@ -98,7 +98,7 @@
     }
 
     /** No faults from now on; the clock stays where it is. */
-    void calm() {
+    void clearFaults() {
         for (Fault fault : Fault.values()) {
             rate(fault, 0);
         }
@@ -129,7 +129,7 @@
                         Long.parseLong(parts[0]), parts[1], Integer.parseInt(parts[2]), Integer.parseInt(parts[3])));
             }
         } catch (IOException e) {
-            throw new RigFault("no log of the shim", e);
+            throw new TestSetupException("no log of the shim", e);
         }
         return entries;
     }
--- a/src/test/java/olivechute/soak/History.java
+++ b/src/test/java/olivechute/soak/History.java
@@ -111,13 +111,13 @@
             String node, long startedUs, long termUs, long killFromUs, long killedUs, boolean planned, long readyUs) {}
 
     /** A client that stopped in the middle of a request, and when it had an answer or the end. */
-    record Stopped(String node, long stoppedUs, long endedUs, boolean nodeLived) {}
+    record StalledClient(String node, long stoppedUs, long endedUs, boolean nodeLived) {}
 
     private final List<ClientRequest> requests = new ArrayList<>();
     private final List<Attempt> attempts = new ArrayList<>();
     private final List<Notice> notices = new ArrayList<>();
     private final List<Incarnation> incarnations = new ArrayList<>();
-    private final List<Stopped> stopped = new ArrayList<>();
+    private final List<StalledClient> stalledClients = new ArrayList<>();
 
     static long nowUs() {
         return System.nanoTime() / 1000;
@@ -139,8 +139,8 @@
         incarnations.add(incarnation);
     }
 
-    synchronized void add(Stopped client) {
-        stopped.add(client);
+    synchronized void add(StalledClient client) {
+        stalledClients.add(client);
     }
 
     synchronized List<ClientRequest> requests() {
@@ -159,7 +159,7 @@
         return List.copyOf(incarnations);
     }
 
-    synchronized List<Stopped> stopped() {
-        return List.copyOf(stopped);
+    synchronized List<StalledClient> stalledClients() {
+        return List.copyOf(stalledClients);
     }
 }
--- a/src/test/java/olivechute/soak/InterruptedReadIT.java
+++ b/src/test/java/olivechute/soak/InterruptedReadIT.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import olivechute.http.MessageWriter;
 import olivechute.http.ResponseParser;
-import olivechute.rig.Folder;
-import olivechute.rig.Nodes;
-import olivechute.rig.Program;
-import olivechute.rig.Recipe;
+import olivechute.rig.TestDirectory;
+import olivechute.rig.TestNodes;
+import olivechute.rig.TestProcess;
+import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.Test;
 
 /** A node whose reads are interrupted by signals. */
@@ -24,13 +24,13 @@
     private static final int TIMEOUT_MILLIS = 8000;
 
     @Test
-    void anInterruptedReadBehindARequestIsNotTakenForTheClientsEnd() throws Exception {
-        try (Folder folder = new Folder("interrupted");
-                Nodes nodes = new Nodes(1, 1)) {
+    void interruptedReadIsNotTakenForDisconnect() throws Exception {
+        try (TestDirectory folder = new TestDirectory("interrupted");
+                TestNodes nodes = new TestNodes(1, 1)) {
             FaultShim shim = new FaultShim(folder, "n0", 1);
-            Recipe recipe = Recipe.jar("n0", Recipe.JAR, "serve")
-                    .with("LB_CONFIG", nodes.config("n0").toString());
-            try (Program node = Program.start(shim.in(recipe))) {
+            ProcessSpec recipe = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
+                    .withEnvironment("LB_CONFIG", nodes.config("n0").toString());
+            try (TestProcess node = TestProcess.start(shim.preloadedInto(recipe))) {
                 node.awaitLine("n0 listens on ", Duration.ofSeconds(20));
                 shim.rate(FaultShim.Fault.READ_INTERRUPTED, PER_MILLION);
                 List<Integer> statuses = new ArrayList<>();
--- a/src/test/java/olivechute/soak/Rules.java
+++ b/src/test/java/olivechute/soak/Rules.java
@@ -9,17 +9,17 @@
 
 /** The rules, held against what was seen in one run. Every time limit is 50 ms longer on sockets. */
 final class Rules {
-    private static final long SOCKETS_US = 50_000;
-    private static final long LATE_US = 500_000;
-    private static final long CLIENT_GONE_US = 100_000;
+    private static final long SOCKET_TOLERANCE_US = 50_000;
+    private static final long MAX_LATENESS_US = 500_000;
+    private static final long DISCONNECT_DETECTION_US = 100_000;
     private static final long DEADLINE_SLACK_US = 150_000;
-    private static final long STOPPED_US = 3_000_000;
-    private static final long READY_US = 10_000_000;
+    private static final long STALLED_CLIENT_TIMEOUT_US = 3_000_000;
+    private static final long READY_TIMEOUT_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 500_000;
     /** Requests of clients that were sent so shortly before a kill without warning are nobody's fault. */
-    private static final long KILL_US = 50_000;
+    private static final long KILL_TOLERANCE_US = 50_000;
     /** What was recorded of a connection so long before a request is of that connection still, not of another. */
-    private static final long RECORDED_US = 5_000_000;
+    private static final long RECORD_WINDOW_US = 5_000_000;
 
     private final History history;
     private final Map<String, FaultShim> shims;
@@ -40,17 +40,17 @@
 
     static List<Violation> check(History history, Map<String, FaultShim> shims) {
         Rules rules = new Rules(history, shims);
-        history.requests().forEach(rules::oneFinalAnswer);
-        history.requests().forEach(rules::nothingForClientsThatLeft);
-        history.requests().forEach(rules::deadlinesArePassedOn);
-        rules.attempts.values().forEach(rules::oneAttemptAtATime);
-        history.attempts().forEach(rules::nothingToDrainingServers);
-        history.stopped().forEach(rules::stoppedClientsAreLetGo);
-        history.incarnations().forEach(rules::readyInTime);
+        history.requests().forEach(rules::checkFinalAnswer);
+        history.requests().forEach(rules::checkDisconnectedClient);
+        history.requests().forEach(rules::checkDeadlinePropagation);
+        rules.attempts.values().forEach(rules::checkAttemptsDoNotOverlap);
+        history.attempts().forEach(rules::checkDrainingServers);
+        history.stalledClients().forEach(rules::checkStalledClient);
+        history.incarnations().forEach(rules::checkReadyInTime);
         return rules.found;
     }
 
-    private void broken(String rule, Object what, String id) {
+    private void addViolation(String rule, Object what, String id) {
         StringBuilder trace = new StringBuilder(what.toString());
         attempts.getOrDefault(id, List.of()).forEach(a -> trace.append("\n    ").append(a));
         if (what instanceof History.ClientRequest request) {
@@ -61,18 +61,18 @@
         found.add(new Violation(rule, trace.toString()));
     }
 
-    private void oneFinalAnswer(History.ClientRequest request) {
+    private void checkFinalAnswer(History.ClientRequest request) {
         switch (request.ending()) {
             case ANSWERED -> {
                 if (request.status() == 200 && !request.answer().equals(request.id())) {
-                    broken("served with something that no server made for it", request, request.id());
+                    addViolation("served with something that no server made for it", request, request.id());
                 }
-                if (request.endedUs() > request.sentUs() + request.patienceUs() + LATE_US + SOCKETS_US) {
-                    broken("lost: answered too late", request, request.id());
+                if (request.endedUs() > request.sentUs() + request.patienceUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
+                    addViolation("lost: answered too late", request, request.id());
                 }
             }
-            case SILENT -> broken("lost: no answer", request, request.id());
-            case CUT -> cut(request);
+            case SILENT -> addViolation("lost: no answer", request, request.id());
+            case CUT -> checkConnectionEnd(request);
             default -> {
                 return;
             }
@@ -80,36 +80,36 @@
     }
 
     /** A connection may end between requests over one that was not read, and where it was broken for the node too. */
-    private void cut(History.ClientRequest request) {
-        if (wasBroken(request) || killedWithoutWarning(request)) {
+    private void checkConnectionEnd(History.ClientRequest request) {
+        if (connectionFaultInjected(request) || killedWithoutWarning(request)) {
             return;
         }
         if (!attempts.getOrDefault(request.id(), List.of()).isEmpty()) {
-            broken("lost: the connection ended under a request that was sent on", request, request.id());
+            addViolation("lost: the connection ended under a request that was sent on", request, request.id());
         } else if (endedAfterRead(request)) {
-            broken("lost: the connection ended under a request that was read", request, request.id());
+            addViolation("lost: the connection ended under a request that was read", request, request.id());
         } else if (killedInDrain(request) && !endedBefore(request)) {
-            broken("lost: unanswered as SIGKILL came", request, request.id());
+            addViolation("lost: unanswered as SIGKILL came", request, request.id());
         }
     }
 
-    private boolean wasBroken(History.ClientRequest request) {
-        return recorded(request, e -> e.what().equals("BROKE"));
+    private boolean connectionFaultInjected(History.ClientRequest request) {
+        return recorded(request, e -> e.event().equals("BROKE"));
     }
 
     private boolean endedAfterRead(History.ClientRequest request) {
-        return recorded(request, e -> e.what().equals("END") && e.bytes() > 0);
+        return recorded(request, e -> e.event().equals("END") && e.bytes() > 0);
     }
 
     /** The node ended the connection between requests before this one was written. */
     private boolean endedBefore(History.ClientRequest request) {
-        return recorded(request, e -> e.what().equals("END") && e.bytes() == 0 && e.atUs() <= request.sentUs());
+        return recorded(request, e -> e.event().equals("END") && e.bytes() == 0 && e.atUs() <= request.sentUs());
     }
 
     private boolean recorded(History.ClientRequest request, Predicate<FaultShim.Entry> what) {
         return shims.get(request.node()).entries().stream()
                 .filter(e -> e.port() == request.port())
-                .filter(e -> e.atUs() >= request.sentUs() - RECORDED_US && e.atUs() <= request.endedUs())
+                .filter(e -> e.atUs() >= request.sentUs() - RECORD_WINDOW_US && e.atUs() <= request.endedUs())
                 .anyMatch(what);
     }
 
@@ -118,7 +118,7 @@
                 .anyMatch(i -> i.node().equals(request.node())
                         && !i.planned()
                         && request.sentUs() <= i.killedUs()
-                        && request.endedUs() >= i.killFromUs() - KILL_US);
+                        && request.endedUs() >= i.killFromUs() - KILL_TOLERANCE_US);
     }
 
     private boolean killedInDrain(History.ClientRequest request) {
@@ -129,22 +129,22 @@
                         && request.endedUs() >= i.killFromUs());
     }
 
-    private void nothingForClientsThatLeft(History.ClientRequest request) {
+    private void checkDisconnectedClient(History.ClientRequest request) {
         if (request.ending() != History.Ending.LEFT) {
             return;
         }
         for (History.Attempt attempt : attempts.getOrDefault(request.id(), List.of())) {
-            if (attempt.beganUs > request.endedUs() + CLIENT_GONE_US + SOCKETS_US) {
-                broken("lost: an attempt began after its client had left", request, request.id());
+            if (attempt.beganUs > request.endedUs() + DISCONNECT_DETECTION_US + SOCKET_TOLERANCE_US) {
+                addViolation("lost: an attempt began after its client had left", request, request.id());
             }
         }
     }
 
-    private void deadlinesArePassedOn(History.ClientRequest request) {
+    private void checkDeadlinePropagation(History.ClientRequest request) {
         for (History.Attempt attempt : attempts.getOrDefault(request.id(), List.of())) {
             long left = request.sentUs() + request.patienceUs() - attempt.beganUs;
-            if (attempt.remainingUs > left + DEADLINE_SLACK_US + SOCKETS_US) {
-                broken(
+            if (attempt.remainingUs > left + DEADLINE_SLACK_US + SOCKET_TOLERANCE_US) {
+                addViolation(
                         "a server is told " + attempt.remainingUs + " us where " + left + " are left",
                         request,
                         request.id());
@@ -152,36 +152,36 @@
         }
     }
 
-    private void oneAttemptAtATime(List<History.Attempt> all) {
+    private void checkAttemptsDoNotOverlap(List<History.Attempt> all) {
         for (int i = 1; i < all.size(); i++) {
             History.Attempt before = all.get(i - 1);
             History.Attempt next = all.get(i);
-            if (before.endedUs() > next.completeUs + SOCKETS_US) {
-                broken("duplicate: two attempts are out", next, next.id);
+            if (before.endedUs() > next.completeUs + SOCKET_TOLERANCE_US) {
+                addViolation("duplicate: two attempts are out", next, next.id);
             } else if (next.requestClass.equals("pay") && before.end() != History.AttemptEnd.RETURNED) {
-                broken("duplicate: an unsafe request is sent again that may have run", next, next.id);
+                addViolation("duplicate: an unsafe request is sent again that may have run", next, next.id);
             }
         }
     }
 
-    private void nothingToDrainingServers(History.Attempt attempt) {
+    private void checkDrainingServers(History.Attempt attempt) {
         History.Notice last = null;
         for (History.Notice notice : history.notices()) {
             boolean heard = notice.node().equals(attempt.node)
                     && notice.server().equals(attempt.server)
                     && notice.atUs() <= attempt.beganUs
-                    && notice.atUs() >= startOf(attempt.node, attempt.beganUs);
+                    && notice.atUs() >= incarnationStartUs(attempt.node, attempt.beganUs);
             if (heard && (last == null || notice.atUs() >= last.atUs())) {
                 last = notice;
             }
         }
-        if (last != null && !last.takes() && attempt.beganUs > last.atUs() + DRAIN_GRACE_US + SOCKETS_US) {
-            broken("drain: sent to a draining server, " + last, attempt, attempt.id);
+        if (last != null && !last.takes() && attempt.beganUs > last.atUs() + DRAIN_GRACE_US + SOCKET_TOLERANCE_US) {
+            addViolation("drain: sent to a draining server, " + last, attempt, attempt.id);
         }
     }
 
     /** When the process began that sent this. */
-    private long startOf(String node, long atUs) {
+    private long incarnationStartUs(String node, long atUs) {
         return history.incarnations().stream()
                 .filter(i -> i.node().equals(node) && i.startedUs() <= atUs)
                 .mapToLong(History.Incarnation::startedUs)
@@ -189,15 +189,15 @@
                 .orElse(0);
     }
 
-    private void stoppedClientsAreLetGo(History.Stopped client) {
-        if (client.nodeLived() && client.endedUs() - client.stoppedUs() > STOPPED_US + SOCKETS_US) {
-            broken("a client that stopped in the middle is not let go", client, "");
+    private void checkStalledClient(History.StalledClient client) {
+        if (client.nodeLived() && client.endedUs() - client.stoppedUs() > STALLED_CLIENT_TIMEOUT_US + SOCKET_TOLERANCE_US) {
+            addViolation("a client that stopped in the middle is not let go", client, "");
         }
     }
 
-    private void readyInTime(History.Incarnation incarnation) {
-        if (incarnation.readyUs() - incarnation.startedUs() > READY_US) {
-            broken("not ready within 10 s", incarnation, "");
+    private void checkReadyInTime(History.Incarnation incarnation) {
+        if (incarnation.readyUs() - incarnation.startedUs() > READY_TIMEOUT_US) {
+            addViolation("not ready within 10 s", incarnation, "");
         }
     }
 }
--- a/src/test/java/olivechute/soak/Clients.java
+++ b/src/test/java/olivechute/soak/SoakClients.java
@@ -22,36 +22,36 @@
  * Clients that keep their connections and use them for as long as they stay open; some rest, write slowly, stop in the
  * middle or leave. New connections are made to nodes that the front sends clients to.
  */
-final class Clients implements AutoCloseable {
+final class SoakClients implements AutoCloseable {
     private static final int COUNT = 16;
-    private static final int CROWD = 150;
+    private static final int IDLE_CLIENTS = 150;
     private static final int DIAL_MILLIS = 1000;
     /** For how long after its time a client still listens, so that a late answer shows. */
-    private static final int LATE_MILLIS = 800;
+    private static final int LATE_ANSWER_MILLIS = 800;
     /** A client that stops in the middle is owed its error or the end within this and a little more. */
-    private static final int STOPPED_MILLIS = 3500;
+    private static final int STALLED_TIMEOUT_MILLIS = 3500;
 
     private static final String[] CLASSES = {"verify", "sign", "pay"};
     private static final int BUFFER_BYTES = 8192;
 
     private final History history;
-    private final Scenario scenario;
+    private final SoakScenario scenario;
     private final Map<String, InetSocketAddress> nodes;
-    private final Map<String, Boolean> takenIn = new ConcurrentHashMap<>();
+    private final Map<String, Boolean> acceptingNodes = new ConcurrentHashMap<>();
     private final Map<String, Integer> incarnations = new ConcurrentHashMap<>();
     private final List<Thread> threads = new ArrayList<>();
-    private final AtomicInteger numbers = new AtomicInteger();
-    private volatile boolean over;
+    private final AtomicInteger requestCount = new AtomicInteger();
+    private volatile boolean stopped;
 
-    Clients(History history, Scenario scenario, Map<String, InetSocketAddress> nodes) {
+    SoakClients(History history, SoakScenario scenario, Map<String, InetSocketAddress> nodes) {
         this.history = history;
         this.scenario = scenario;
         this.nodes = nodes;
     }
 
     /** The front sends new connections there, or does not. */
-    void takenIn(String node, boolean now) {
-        takenIn.put(node, now);
+    void acceptingNodes(String node, boolean now) {
+        acceptingNodes.put(node, now);
     }
 
     /** The node's process was killed or is another. */
@@ -62,10 +62,10 @@
     void start() {
         for (int i = 0; i < COUNT; i++) {
             SplittableRandom random = new SplittableRandom(scenario.seed() * 1000 + i);
-            threads.add(Threads.start("soak-client", () -> new One(random).run()));
+            threads.add(Threads.start("soak-client", () -> new SoakClient(random).run()));
         }
         if (scenario.crowd()) {
-            for (int i = 0; i < CROWD; i++) {
+            for (int i = 0; i < IDLE_CLIENTS; i++) {
                 String node = i % 2 == 0 ? "n0" : "n1";
                 threads.add(Threads.start("soak-idle", () -> idle(node)));
             }
@@ -74,7 +74,7 @@
 
     /** Hands in nothing more, and returns once all that was has ended. */
     void finish() throws InterruptedException {
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join();
         }
@@ -82,12 +82,12 @@
 
     /** A client that rests until the node ends its connection, and comes again. */
     private void idle(String node) {
-        while (!over) {
+        while (!stopped) {
             try (Socket socket = new Socket()) {
                 socket.connect(nodes.get(node), DIAL_MILLIS);
                 socket.setSoTimeout(300);
                 boolean ended = false;
-                while (!over && !ended) {
+                while (!stopped && !ended) {
                     ended = ended(socket);
                 }
             } catch (IOException e) {
@@ -114,13 +114,13 @@
     }
 
     /** A kept connection. */
-    private static final class Line {
+    private static final class KeptConnection {
         final String node;
         final Socket socket;
         final ResponseParser parser = new ResponseParser();
         boolean used;
 
-        Line(String node, Socket socket) {
+        KeptConnection(String node, Socket socket) {
             this.node = node;
             this.socket = socket;
         }
@@ -137,29 +137,29 @@
     private record Result(History.Ending ending, int status, String answer, boolean keepAlive) {}
 
     /** One client, which has one request out at a time. */
-    private final class One {
+    private final class SoakClient {
         private final SplittableRandom random;
-        private final Map<String, Line> lines = new HashMap<>();
+        private final Map<String, KeptConnection> connections = new HashMap<>();
 
-        One(SplittableRandom random) {
+        SoakClient(SplittableRandom random) {
             this.random = random;
         }
 
         void run() {
-            while (!over) {
-                Line line = line();
+            while (!stopped) {
+                KeptConnection line = connection();
                 if (line == null) {
                     pause(20);
                     continue;
                 }
                 if (draw(0.03 * scenario.clientTrouble())) {
-                    stopInTheMiddle(line);
+                    stallMidRequest(line);
                 } else {
                     request(line);
                 }
                 pause(draw(0.1) ? random.nextInt(600) : random.nextInt(25));
             }
-            lines.values().forEach(Line::close);
+            connections.values().forEach(KeptConnection::close);
         }
 
         private boolean draw(double probability) {
@@ -169,21 +169,21 @@
         /**
          * A kept connection to either node, whether it is about to end or not; else a new one where the front allows.
          */
-        private Line line() {
+        private KeptConnection connection() {
             String node = random.nextBoolean() ? "n0" : "n1";
-            Line kept = lines.get(node);
+            KeptConnection kept = connections.get(node);
             if (kept != null) {
                 return kept;
             }
-            if (!takenIn.getOrDefault(node, false)) {
+            if (!acceptingNodes.getOrDefault(node, false)) {
                 return null;
             }
             try {
                 Socket socket = new Socket();
                 socket.connect(nodes.get(node), DIAL_MILLIS);
                 socket.setTcpNoDelay(true);
-                Line line = new Line(node, socket);
-                lines.put(node, line);
+                KeptConnection line = new KeptConnection(node, socket);
+                connections.put(node, line);
                 if (draw(0.3 * scenario.clientTrouble())) {
                     pause(1850 + random.nextInt(350)); // about as long as a node waits for a first message
                 }
@@ -193,8 +193,8 @@
             }
         }
 
-        private void drop(Line line) {
-            lines.remove(line.node, line);
+        private void drop(KeptConnection line) {
+            connections.remove(line.node, line);
             line.close();
         }
 
@@ -215,13 +215,13 @@
         }
 
         private String nextId() {
-            return String.format("%08x%08x", scenario.seed() & 0xffffffffL, numbers.incrementAndGet());
+            return String.format("%08x%08x", scenario.seed() & 0xffffffffL, requestCount.incrementAndGet());
         }
 
-        private void request(Line line) {
+        private void request(KeptConnection line) {
             String id = nextId();
             String requestClass = CLASSES[random.nextInt(CLASSES.length)];
-            long patience = draw(0.05) ? 20 + random.nextInt(60) : scenario.longestDeadline();
+            long patience = draw(0.05) ? 20 + random.nextInt(60) : scenario.deadlineMillis();
             byte[] message = message(id, requestClass, patience);
             boolean first = !line.used;
             line.used = true;
@@ -259,7 +259,7 @@
         }
 
         /** All at once, or in pieces with pauses. */
-        private void write(Line line, byte[] message) throws IOException {
+        private void write(KeptConnection line, byte[] message) throws IOException {
             if (!draw(0.2 * scenario.clientTrouble())) {
                 line.socket.getOutputStream().write(message);
                 return;
@@ -276,8 +276,8 @@
             }
         }
 
-        private Result receive(Line line, long patienceMillis) {
-            long endUs = History.nowUs() + 1000 * (patienceMillis + LATE_MILLIS);
+        private Result receive(KeptConnection line, long patienceMillis) {
+            long endUs = History.nowUs() + 1000 * (patienceMillis + LATE_ANSWER_MILLIS);
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 for (; ; ) {
@@ -300,8 +300,8 @@
             }
         }
 
-        private void stopInTheMiddle(Line line) {
-            byte[] message = message(nextId(), "verify", scenario.longestDeadline());
+        private void stallMidRequest(KeptConnection line) {
+            byte[] message = message(nextId(), "verify", scenario.deadlineMillis());
             int incarnation = incarnations.getOrDefault(line.node, 0);
             try {
                 line.socket.getOutputStream().write(message, 0, 1 + random.nextInt(message.length - 2));
@@ -310,16 +310,16 @@
                 return;
             }
             long stoppedUs = History.nowUs();
-            receive(line, STOPPED_MILLIS);
+            receive(line, STALLED_TIMEOUT_MILLIS);
             long endedUs = History.nowUs();
             drop(line);
             boolean lived = incarnation == incarnations.getOrDefault(line.node, 0);
-            history.add(new History.Stopped(line.node, stoppedUs, endedUs, lived));
+            history.add(new History.StalledClient(line.node, stoppedUs, endedUs, lived));
         }
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
     }
 }
--- a/src/test/java/olivechute/soak/Discovery.java
+++ b/src/test/java/olivechute/soak/SoakDiscovery.java
@@ -11,46 +11,46 @@
 import olivechute.http.MessageWriter;
 
 /** A stand-in of discovery for one node: watches, changes, and trouble as a scenario says. */
-final class Discovery implements AutoCloseable {
-    private static final long NOTIFIED_AFTER_US = 6_000_000;
-    private static final int MOST_WAIT_MILLIS = 60_000;
+final class SoakDiscovery implements AutoCloseable {
+    private static final long ASSUMED_NOTIFIED_AFTER_US = 6_000_000;
+    private static final int MAX_WAIT_MILLIS = 60_000;
     private static final long SILENCE_MILLIS = 20_000;
 
-    private record Change(int index, String server, boolean takes, long atUs) {}
+    private record EndpointChange(int index, String server, boolean takes, long atUs) {}
 
     private final String node;
-    private final Servers servers;
+    private final SoakServers servers;
     private final History history;
-    private final double trouble;
+    private final double faultRate;
     private final SplittableRandom random;
-    private final StandIn first;
-    private final StandIn second;
-    private final TreeMap<String, Boolean> takes = new TreeMap<>();
-    private final List<Change> changes = new ArrayList<>();
-    private final Set<Change> written = new HashSet<>();
+    private final SoakListener first;
+    private final SoakListener second;
+    private final TreeMap<String, Boolean> activeByServer = new TreeMap<>();
+    private final List<EndpointChange> changes = new ArrayList<>();
+    private final Set<EndpointChange> written = new HashSet<>();
     private int index = 1;
     private long reachableSinceUs = History.nowUs();
     private boolean down;
-    private boolean over;
+    private boolean stopped;
 
-    Discovery(String node, Servers servers, History history, Scenario scenario) {
+    SoakDiscovery(String node, SoakServers servers, History history, SoakScenario scenario) {
         this.node = node;
         this.servers = servers;
         this.history = history;
-        this.trouble = scenario.discoveryTrouble();
+        this.faultRate = scenario.discoveryTrouble();
         this.random = new SplittableRandom(scenario.seed() + node.hashCode());
-        for (int i = 0; i < Servers.COUNT; i++) {
-            takes.put("w" + i, true);
+        for (int i = 0; i < SoakServers.COUNT; i++) {
+            activeByServer.put("w" + i, true);
         }
-        first = new StandIn("discovery", handler());
-        second = new StandIn("discovery-2", handler());
+        first = new SoakListener("discovery", handler());
+        second = new SoakListener("discovery-2", handler());
     }
 
-    private StandIn.Handler handler() {
-        return new StandIn.Handler() {
+    private SoakListener.Handler handler() {
+        return new SoakListener.Handler() {
             @Override
-            public void handle(StandIn.Exchange exchange) throws IOException, InterruptedException {
-                Discovery.this.handle(exchange);
+            public void handle(SoakListener.Exchange exchange) throws IOException, InterruptedException {
+                SoakDiscovery.this.handle(exchange);
             }
 
             @Override
@@ -76,15 +76,15 @@
     /** Servers as a configuration knows them: as they were before any change. */
     synchronized String known() {
         StringBuilder entries = new StringBuilder();
-        takes.keySet().forEach(server -> append(entries, server, true));
+        activeByServer.keySet().forEach(server -> append(entries, server, true));
         return entries.toString();
     }
 
     /** From now on a server takes nothing new, or takes again. */
     synchronized void change(String server, boolean takesNow) {
-        takes.put(server, takesNow);
+        activeByServer.put(server, takesNow);
         index++;
-        changes.add(new Change(index, server, takesNow, History.nowUs()));
+        changes.add(new EndpointChange(index, server, takesNow, History.nowUs()));
         notifyAll();
     }
 
@@ -99,16 +99,16 @@
         notifyAll();
     }
 
-    private void handle(StandIn.Exchange exchange) throws IOException, InterruptedException {
+    private void handle(SoakListener.Exchange exchange) throws IOException, InterruptedException {
         String since = exchange.request().queryParameter("since");
         int held = since == null ? -1 : Integer.parseInt(since);
         String wait = exchange.request().queryParameter("timeout_ms");
-        long endUs = History.nowUs() + 1000L * (wait == null ? 0 : Math.min(MOST_WAIT_MILLIS, Integer.parseInt(wait)));
+        long endUs = History.nowUs() + 1000L * (wait == null ? 0 : Math.min(MAX_WAIT_MILLIS, Integer.parseInt(wait)));
         String body;
         int told;
         double draw;
         synchronized (this) {
-            while (held == index && !over && !down && History.nowUs() < endUs) {
+            while (held == index && !stopped && !down && History.nowUs() < endUs) {
                 wait(Math.max(1, (endUs - History.nowUs()) / 1000));
             }
             draw = random.nextDouble();
@@ -117,23 +117,23 @@
             body = "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + entries(whole ? 0 : held)
                     + "]}";
         }
-        if (draw < trouble / 4) {
+        if (draw < faultRate / 4) {
             exchange.reply(MessageWriter.response(503, new byte[0], true));
             return;
         }
-        if (draw < trouble / 2) {
+        if (draw < faultRate / 2) {
             exchange.reset();
             return;
         }
         byte[] answer = MessageWriter.response(200, body.getBytes(StandardCharsets.UTF_8), true);
-        if (draw < 3 * trouble / 4) {
+        if (draw < 3 * faultRate / 4) {
             byte[] part = new byte[answer.length / 2];
             System.arraycopy(answer, 0, part, 0, part.length);
             exchange.reply(part);
             exchange.reset();
             return;
         }
-        if (draw < trouble) {
+        if (draw < faultRate) {
             Thread.sleep(SILENCE_MILLIS);
             return;
         }
@@ -144,7 +144,7 @@
     /** What an answer tells counts as notified once it is written. */
     private synchronized void notice(int held, int told) {
         long now = History.nowUs();
-        for (Change change : changes) {
+        for (EndpointChange change : changes) {
             if (change.index > held && change.index <= told) {
                 written.add(change);
                 history.add(new History.Notice(node, change.server, change.takes, now));
@@ -154,11 +154,11 @@
 
     /** What was never written to the node counts as notified all the same, some time after it could be. */
     synchronized void noticeAll() {
-        for (Change change : changes) {
+        for (EndpointChange change : changes) {
             if (written.contains(change)) {
                 continue;
             }
-            long at = Math.max(change.atUs, reachableSinceUs) + NOTIFIED_AFTER_US;
+            long at = Math.max(change.atUs, reachableSinceUs) + ASSUMED_NOTIFIED_AFTER_US;
             history.add(new History.Notice(node, change.server, change.takes, at));
         }
     }
@@ -166,7 +166,7 @@
     /** All entries, or those that changed since. */
     private String entries(int since) {
         StringBuilder entries = new StringBuilder();
-        takes.forEach((server, takesNow) -> {
+        activeByServer.forEach((server, takesNow) -> {
             boolean changed = since == 0 || changes.stream().anyMatch(c -> c.index > since && c.server.equals(server));
             if (changed) {
                 append(entries, server, takesNow);
@@ -189,7 +189,7 @@
     @Override
     public void close() {
         synchronized (this) {
-            over = true;
+            stopped = true;
             notifyAll();
         }
         first.close();
--- a/src/test/java/olivechute/soak/SoakIT.java
+++ b/src/test/java/olivechute/soak/SoakIT.java
@@ -18,14 +18,14 @@
  * many at once; each break is printed with its seed and trace, and the nodes' logs go to {@code target/soak}.
  */
 class SoakIT {
-    private static final String SEEDS_OF_EACH_BUILD = "1-6";
+    private static final String DEFAULT_SEEDS = "1-6";
     private static final int PARALLEL = Integer.getInteger("soak.parallel", 3);
     private static final Path LOGS = Path.of("target", "soak");
-    private static final int MOST_SHOWN = 5;
+    private static final int MAX_VIOLATIONS_SHOWN = 5;
 
     @Test
     void theRulesHoldUnderSeededFaults() throws Exception {
-        play(SEEDS_OF_EACH_BUILD);
+        play(DEFAULT_SEEDS);
     }
 
     @Test
@@ -79,7 +79,7 @@
         }
         System.out.println("  " + report.scenario());
         report.violations().stream()
-                .limit(MOST_SHOWN)
+                .limit(MAX_VIOLATIONS_SHOWN)
                 .forEach(v -> System.out.println("  broken: " + v.rule() + "\n    " + v.trace()));
         Files.createDirectories(LOGS);
         List<String> text =
--- a/src/test/java/olivechute/soak/StandIn.java
+++ b/src/test/java/olivechute/soak/SoakListener.java
@@ -11,10 +11,10 @@
 import olivechute.http.HttpRequest;
 import olivechute.http.RequestParser;
 import olivechute.net.Threads;
-import olivechute.rig.RigFault;
+import olivechute.rig.TestSetupException;
 
 /** A listener on loopback with a thread for each connection, whose handler may do to a connection what it likes. */
-final class StandIn implements AutoCloseable {
+final class SoakListener implements AutoCloseable {
     /** One request on one connection. */
     record Exchange(HttpRequest request, Socket socket, long beganUs, long completeUs) {
         void reply(byte[] bytes) throws IOException {
@@ -48,12 +48,12 @@
     private final Handler handler;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
-    StandIn(String name, Handler handler) {
+    SoakListener(String name, Handler handler) {
         this.handler = handler;
         try {
             server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new RigFault("no listener for " + name, e);
+            throw new TestSetupException("no listener for " + name, e);
         }
         Threads.start("soak-" + name, () -> accept(name));
     }
@@ -114,7 +114,7 @@
 
     /** Resets all that is open. */
     void resetAll() {
-        sockets.forEach(StandIn::reset);
+        sockets.forEach(SoakListener::reset);
     }
 
     private static void reset(Socket socket) {
@@ -131,7 +131,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            throw new RigFault("a listener does not close", e);
+            throw new TestSetupException("a listener does not close", e);
         }
         resetAll();
     }
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import olivechute.rig.Folder;
+import olivechute.rig.TestDirectory;
 import olivechute.rig.Ports;
-import olivechute.rig.Program;
-import olivechute.rig.Recipe;
-import olivechute.rig.RigFault;
+import olivechute.rig.TestProcess;
+import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestSetupException;
 
 /** One seed: two nodes with their surroundings, the faults of its scenario, and what the rules say of it. */
 @SuppressWarnings("FutureReturnValueIgnored") // what the clock's tasks do shows in the history
 final class SoakRun implements AutoCloseable {
     /** What one run found, and what it was made of. */
-    record Report(Scenario scenario, List<Rules.Violation> violations, String summary, List<String> logs) {}
+    record Report(SoakScenario scenario, List<Rules.Violation> violations, String summary, List<String> logs) {}
 
     private static final String CONFIG = """
         {"name":"NAME","listen":"LISTEN","discovery":"DISCOVERY","limits":{"cores":1.0,"memory_mb":192,"sockets":SOCKETS},
@@ -54,37 +54,37 @@
     private static final long WARM_UP_MILLIS = 700;
     private static final long FIRST_DISCOVERY_ENDS_MILLIS = 1500;
     private static final long READY_WITHIN_MILLIS = 30_000;
-    private static final byte[] READY =
+    private static final byte[] READINESS_REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private final Scenario scenario;
+    private final SoakScenario scenario;
     private final SplittableRandom random;
-    private final Folder folder = new Folder("soak");
+    private final TestDirectory folder = new TestDirectory("soak");
     private final History history = new History();
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, FaultShim> shims = new LinkedHashMap<>();
-    private final Map<String, Discovery> discoveries = new LinkedHashMap<>();
-    private final Map<String, Program> programs = new LinkedHashMap<>();
+    private final Map<String, SoakDiscovery> discoveries = new LinkedHashMap<>();
+    private final Map<String, TestProcess> programs = new LinkedHashMap<>();
     private final Map<String, Long> startedUs = new LinkedHashMap<>();
     private final Map<String, Boolean> moved = new LinkedHashMap<>();
     private final List<Rules.Violation> crashes = new ArrayList<>();
-    private final List<Thread> scripts = new ArrayList<>();
-    private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(2, SoakRun::daemon);
-    private final Servers servers;
-    private final Clients clients;
+    private final List<Thread> scriptThreads = new ArrayList<>();
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2, SoakRun::daemon);
+    private final SoakServers servers;
+    private final SoakClients clients;
     private long beganUs;
 
     SoakRun(long seed) {
-        scenario = Scenario.of(seed);
+        scenario = SoakScenario.of(seed);
         random = new SplittableRandom(seed + 7);
         for (String node : List.of("n0", "n1")) {
             addresses.put(node, reserved());
             shims.put(node, new FaultShim(folder, node, seed));
             moved.put(node, false);
         }
-        servers = new Servers(history, scenario, addresses);
-        addresses.keySet().forEach(node -> discoveries.put(node, new Discovery(node, servers, history, scenario)));
-        clients = new Clients(history, scenario, addresses);
+        servers = new SoakServers(history, scenario, addresses);
+        addresses.keySet().forEach(node -> discoveries.put(node, new SoakDiscovery(node, servers, history, scenario)));
+        clients = new SoakClients(history, scenario, addresses);
     }
 
     /** A port that no stand-in gets while a node is away: below those that the system gives. */
@@ -96,7 +96,7 @@
                 return address;
             } catch (IOException taken) {
                 if (port > LAST_PORT) {
-                    throw new RigFault("no free port", taken);
+                    throw new TestSetupException("no free port", taken);
                 }
             }
         }
@@ -109,39 +109,39 @@
     }
 
     private String writeConfig(String node) {
-        Discovery discovery = discoveries.get(node);
+        SoakDiscovery discovery = discoveries.get(node);
         String text = CONFIG.replace("NAME", node)
-                .replace("LISTEN", Ports.text(addresses.get(node)))
+                .replace("LISTEN", Ports.hostAndPort(addresses.get(node)))
                 .replace("DISCOVERY", discovery.address(moved.get(node)))
                 .replace("SOCKETS", String.valueOf(scenario.crowd() ? SOCKETS_IN_A_CROWD : SOCKETS))
                 .replace("KNOWN", discovery.known())
-                .replace("DEADLINE", String.valueOf(scenario.longestDeadline() / 1000.0));
+                .replace("DEADLINE", String.valueOf(scenario.deadlineMillis() / 1000.0));
         return folder.write(node + ".json", text).toString();
     }
 
     private void start(String node) throws InterruptedException {
-        Recipe recipe = Recipe.jar(node, Recipe.JAR, "serve")
-                .with("LB_CONFIG", writeConfig(node))
-                .with("OLIVECHUTE_LOG_LEVEL", "debug");
+        ProcessSpec recipe = ProcessSpec.jar(node, ProcessSpec.JAR, "serve")
+                .withEnvironment("LB_CONFIG", writeConfig(node))
+                .withEnvironment("OLIVECHUTE_LOG_LEVEL", "debug");
         startedUs.put(node, History.nowUs());
-        Program before = programs.get(node);
+        TestProcess before = programs.get(node);
         if (before == null) {
-            programs.put(node, Program.start(shims.get(node).in(recipe)));
+            programs.put(node, TestProcess.start(shims.get(node).preloadedInto(recipe)));
         } else {
-            before.restart(shims.get(node).in(recipe));
+            before.restart(shims.get(node).preloadedInto(recipe));
         }
         long readyUs = awaitReady(node);
         history.add(new History.Incarnation(node, startedUs.get(node), NEVER, NEVER, NEVER, true, readyUs));
-        clients.takenIn(node, true);
+        clients.acceptingNodes(node, true);
     }
 
     private long awaitReady(String node) throws InterruptedException {
         long endUs = History.nowUs() + 1000 * READY_WITHIN_MILLIS;
-        while (History.nowUs() < endUs && programs.get(node).alive()) {
+        while (History.nowUs() < endUs && programs.get(node).isAlive()) {
             try (Socket socket = new Socket()) {
                 socket.connect(addresses.get(node), 1000);
                 socket.setSoTimeout(1000);
-                socket.getOutputStream().write(READY);
+                socket.getOutputStream().write(READINESS_REQUEST);
                 if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith(" 200")) {
                     return History.nowUs();
                 }
@@ -152,8 +152,8 @@
         return History.nowUs();
     }
 
-    private void at(long millis, Runnable task) {
-        clock.schedule(task, Math.max(0, millis), TimeUnit.MILLISECONDS);
+    private void schedule(long millis, Runnable task) {
+        scheduler.schedule(task, Math.max(0, millis), TimeUnit.MILLISECONDS);
     }
 
     private void script(String name, Script script) {
@@ -171,7 +171,7 @@
                 },
                 name);
         thread.setDaemon(true);
-        scripts.add(thread);
+        scriptThreads.add(thread);
         thread.start();
     }
 
@@ -186,23 +186,23 @@
         Thread.sleep(WARM_UP_MILLIS);
         beganUs = History.nowUs();
         shims.values().forEach(shim -> scenario.rates().forEach(shim::rate));
-        arrange();
+        scheduleFaults();
         script("restart", () -> restartAsPlanned("n0"));
         if (scenario.configurationMoves()) {
-            script("move", () -> move("n1"));
+            script("move", () -> moveDiscovery("n1"));
         }
         if (scenario.killedOutright()) {
             script("kill", () -> killOutright("n1"));
         }
-        sleepUntil(scenario.length());
-        for (Thread thread : scripts) {
+        sleepUntil(scenario.durationMillis());
+        for (Thread thread : scriptThreads) {
             thread.join();
         }
-        shims.values().forEach(FaultShim::calm);
+        shims.values().forEach(FaultShim::clearFaults);
         servers.hang(false);
         clients.finish();
-        discoveries.values().forEach(Discovery::noticeAll);
-        programs.forEach(this::noteCrash);
+        discoveries.values().forEach(SoakDiscovery::noticeAll);
+        programs.forEach(this::recordCrash);
         return report();
     }
 
@@ -210,40 +210,40 @@
         Thread.sleep(Math.max(0, millis - (History.nowUs() - beganUs) / 1000));
     }
 
-    private void arrange() {
+    private void scheduleFaults() {
         long stepAt = random.nextLong(500, 4500);
-        at(stepAt, () -> shims.values().forEach(s -> s.clockOffset(Duration.ofMillis(scenario.clockStep()))));
-        String server = "w" + random.nextInt(Servers.COUNT);
-        at(scenario.drainAt(), () -> discoveries.values().forEach(d -> d.change(server, false)));
-        at(scenario.drainAt() + 3000, () -> discoveries.values().forEach(d -> d.change(server, true)));
+        schedule(stepAt, () -> shims.values().forEach(s -> s.clockOffset(Duration.ofMillis(scenario.clockStep()))));
+        String server = "w" + random.nextInt(SoakServers.COUNT);
+        schedule(scenario.drainAt(), () -> discoveries.values().forEach(d -> d.change(server, false)));
+        schedule(scenario.drainAt() + 3000, () -> discoveries.values().forEach(d -> d.change(server, true)));
         if (scenario.discoveryFails()) {
-            at(scenario.discoveryDownAt(), () -> discoveries.values().forEach(d -> d.down(true)));
+            schedule(scenario.discoveryDownAt(), () -> discoveries.values().forEach(d -> d.down(true)));
             long until = scenario.discoveryDownAt() + scenario.discoveryDownFor();
-            at(until, () -> discoveries.values().forEach(d -> d.down(false)));
+            schedule(until, () -> discoveries.values().forEach(d -> d.down(false)));
         }
         if (scenario.serversHangAtTheEnd()) {
-            at(scenario.termAt() - 200, () -> servers.hang(true));
-            at(scenario.termAt() + scenario.untilKill(), () -> servers.hang(false));
+            schedule(scenario.termAt() - 200, () -> servers.hang(true));
+            schedule(scenario.termAt() + scenario.killDelayMillis(), () -> servers.hang(false));
         }
     }
 
     private void restartAsPlanned(String node) throws InterruptedException {
         sleepUntil(scenario.termAt());
-        Program program = programs.get(node);
-        noteCrash(node, program);
+        TestProcess program = programs.get(node);
+        recordCrash(node, program);
         long termUs = History.nowUs();
-        program.term();
-        at(random.nextLong(200, 400), () -> clients.takenIn(node, false));
+        program.terminate();
+        schedule(random.nextLong(200, 400), () -> clients.acceptingNodes(node, false));
         if (scenario.signalsInSeries()) {
             for (String signal : List.of("HUP", "TERM", "USR2", "INT", "TERM")) {
                 Thread.sleep(random.nextInt(150));
                 program.signal(signal);
             }
         }
-        Thread.sleep(Math.max(0, scenario.untilKill() - (History.nowUs() - termUs) / 1000));
-        boolean ended = !program.alive();
+        Thread.sleep(Math.max(0, scenario.killDelayMillis() - (History.nowUs() - termUs) / 1000));
+        boolean ended = !program.isAlive();
         long killFromUs = History.nowUs();
-        clients.takenIn(node, false);
+        clients.acceptingNodes(node, false);
         program.kill();
         clients.onKilled(node);
         long startUs = startedUs.get(node);
@@ -254,9 +254,9 @@
 
     private void killOutright(String node) throws InterruptedException {
         sleepUntil(1000 + random.nextInt(6000));
-        Program program = programs.get(node);
-        noteCrash(node, program);
-        clients.takenIn(node, false);
+        TestProcess program = programs.get(node);
+        recordCrash(node, program);
+        clients.acceptingNodes(node, false);
         long killFromUs = History.nowUs();
         program.kill();
         clients.onKilled(node);
@@ -266,7 +266,7 @@
     }
 
     /** A new configuration moves discovery; the old address is closed some time later. */
-    private void move(String node) throws InterruptedException {
+    private void moveDiscovery(String node) throws InterruptedException {
         sleepUntil(500 + random.nextInt(5000));
         moved.put(node, true);
         writeConfig(node);
@@ -275,8 +275,8 @@
         discoveries.get(node).closeFirst();
     }
 
-    private void noteCrash(String node, Program program) {
-        if (!program.alive()) {
+    private void recordCrash(String node, TestProcess program) {
+        if (!program.isAlive()) {
             synchronized (crashes) {
                 crashes.add(new Rules.Violation("crash", node + " has ended by itself"));
             }
@@ -305,9 +305,9 @@
     @Override
     public void close() {
         clients.close();
-        clock.shutdownNow();
-        programs.values().forEach(Program::close);
-        discoveries.values().forEach(Discovery::close);
+        scheduler.shutdownNow();
+        programs.values().forEach(TestProcess::close);
+        discoveries.values().forEach(SoakDiscovery::close);
         servers.close();
         folder.close();
     }
--- a/src/test/java/olivechute/soak/Scenario.java
+++ b/src/test/java/olivechute/soak/SoakScenario.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /** What one run plays, all of it drawn from its seed. Times are milliseconds. */
-record Scenario(
+record SoakScenario(
         long seed,
-        long longestDeadline,
+        long deadlineMillis,
         boolean crowd,
         boolean configurationMoves,
         boolean discoveryFails,
@@ -24,23 +24,23 @@
         long drainAt,
         Map<FaultShim.Fault, Integer> rates) {
     /** Both nodes run for so long under faults. */
-    static final long LENGTH = 9000;
+    static final long MIN_DURATION_MILLIS = 9000;
     /** After SIGTERM, the longest deadline and so long: no sooner may SIGKILL come. */
-    static final long KILL_AFTER_DEADLINE = 700;
+    static final long KILL_DELAY_AFTER_DEADLINE_MILLIS = 700;
 
     private static final long[] DEADLINES = {400, 700, 1200, 3000, 5000};
     private static final long[] CLOCK_STEPS = {0, 2_000, -2_000, 3_600_000, -3_600_000};
-    private static final int MOST_PER_MILLION = 4000;
-    private static final int RARE_PER_MILLION = 400;
-    private static final int ACCEPTS_PER_MILLION = 60_000;
+    private static final int DEFAULT_MAX_PER_MILLION = 4000;
+    private static final int RARE_MAX_PER_MILLION = 400;
+    private static final int FREQUENT_MAX_PER_MILLION = 60_000;
 
-    static Scenario of(long seed) {
+    static SoakScenario of(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Map<FaultShim.Fault, Integer> rates = new EnumMap<>(FaultShim.Fault.class);
         for (FaultShim.Fault fault : FaultShim.Fault.values()) {
             rates.put(fault, random.nextInt(3) > 0 ? random.nextInt(most(fault)) : 0);
         }
-        return new Scenario(
+        return new SoakScenario(
                 seed,
                 DEADLINES[random.nextInt(DEADLINES.length)],
                 random.nextInt(4) == 0,
@@ -62,20 +62,20 @@
 
     private static int most(FaultShim.Fault fault) {
         return switch (fault) {
-            case ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS -> ACCEPTS_PER_MILLION;
-            case CONNECTION_BREAKS, HELD_UP -> RARE_PER_MILLION;
-            case SHORT_READ, SHORT_WRITE, FILE_FAILS, READ_INTERRUPTED -> ACCEPTS_PER_MILLION;
-            default -> MOST_PER_MILLION;
+            case ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS -> FREQUENT_MAX_PER_MILLION;
+            case CONNECTION_BREAKS, DELAYED_IO -> RARE_MAX_PER_MILLION;
+            case SHORT_READ, SHORT_WRITE, FILE_READ_FAILS, READ_INTERRUPTED -> FREQUENT_MAX_PER_MILLION;
+            default -> DEFAULT_MAX_PER_MILLION;
         };
     }
 
     /** From SIGTERM to SIGKILL. */
-    long untilKill() {
-        return Math.min(longestDeadline, 3000) + KILL_AFTER_DEADLINE;
+    long killDelayMillis() {
+        return Math.min(deadlineMillis, 3000) + KILL_DELAY_AFTER_DEADLINE_MILLIS;
     }
 
     /** The clock steps once, some time after the start; the length in which faults are played. */
-    long length() {
-        return Math.max(LENGTH, termAt + untilKill() + 3000);
+    long durationMillis() {
+        return Math.max(MIN_DURATION_MILLIS, termAt + killDelayMillis() + 3000);
     }
 }
--- a/src/test/java/olivechute/soak/Servers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -21,13 +21,13 @@
 
 /** Stand-ins of sign workers, one listener for each node and server, that misbehave as a scenario says. */
 @SuppressWarnings("FutureReturnValueIgnored") // the history shows what became of each attempt
-final class Servers implements AutoCloseable {
+final class SoakServers implements AutoCloseable {
     static final int COUNT = 4;
 
     private static final int STATUS_TRIES = 10;
     private static final int STATUS_PAUSE_MILLIS = 60;
     private static final int STATUS_TIMEOUT_MILLIS = 1000;
-    private static final int BRIEF_US = 50_000;
+    private static final int SHORT_DEADLINE_US = 50_000;
     private static final byte[] ACCEPTED = MessageWriter.response(202, new byte[0], true);
     private static final byte[] CANCELLED = MessageWriter.response(204, null, true);
     private static final byte[] FAILED = MessageWriter.response(500, new byte[0], true);
@@ -49,17 +49,17 @@
     }
 
     private final History history;
-    private final Scenario scenario;
+    private final SoakScenario scenario;
     private final SplittableRandom random;
     private final Map<String, InetSocketAddress> nodes;
-    private final List<StandIn> listeners = new ArrayList<>();
-    private final Map<String, StandIn> byNodeAndServer = new ConcurrentHashMap<>();
-    private final Map<String, History.Attempt> open = new ConcurrentHashMap<>(); // by server and id
+    private final List<SoakListener> listeners = new ArrayList<>();
+    private final Map<String, SoakListener> byNodeAndServer = new ConcurrentHashMap<>();
+    private final Map<String, History.Attempt> openAttempts = new ConcurrentHashMap<>(); // by server and id
     private final Set<History.Attempt> accepted = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(2, Servers::daemon);
+    private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2, SoakServers::daemon);
     private volatile boolean hang;
 
-    Servers(History history, Scenario scenario, Map<String, InetSocketAddress> nodes) {
+    SoakServers(History history, SoakScenario scenario, Map<String, InetSocketAddress> nodes) {
         this.history = history;
         this.scenario = scenario;
         this.nodes = nodes;
@@ -67,15 +67,15 @@
         for (String node : nodes.keySet()) {
             for (int i = 0; i < COUNT; i++) {
                 String server = "w" + i;
-                StandIn listener = new StandIn(server, new StandIn.Handler() {
+                SoakListener listener = new SoakListener(server, new SoakListener.Handler() {
                     @Override
-                    public void handle(StandIn.Exchange exchange) throws IOException {
-                        Servers.this.handle(node, server, exchange);
+                    public void handle(SoakListener.Exchange exchange) throws IOException {
+                        SoakServers.this.handle(node, server, exchange);
                     }
 
                     @Override
-                    public void onEnd(StandIn.Exchange last) {
-                        Servers.this.onEnd(server, last);
+                    public void onEnd(SoakListener.Exchange last) {
+                        SoakServers.this.onEnd(server, last);
                     }
                 });
                 listeners.add(listener);
@@ -114,10 +114,10 @@
         return all[(int) (draw() * all.length)];
     }
 
-    private void handle(String node, String server, StandIn.Exchange exchange) throws IOException {
+    private void handle(String node, String server, SoakListener.Exchange exchange) throws IOException {
         HttpRequest request = exchange.request();
         if (request.method().equals("DELETE")) {
-            History.Attempt given = open.get(server + " " + request.path().substring("/jobs/".length()));
+            History.Attempt given = openAttempts.get(server + " " + request.path().substring("/jobs/".length()));
             if (given != null) {
                 given.end(History.AttemptEnd.GIVEN_UP);
             }
@@ -135,8 +135,8 @@
                 exchange.completeUs(),
                 micros(remaining));
         history.add(attempt);
-        open.put(server + " " + id, attempt);
-        if (attempt.remainingUs < BRIEF_US && draw() < 0.5) {
+        openAttempts.put(server + " " + id, attempt);
+        if (attempt.remainingUs < SHORT_DEADLINE_US && draw() < 0.5) {
             return; // dropped without a word, as there is so little time left
         }
         answer(behaviour(), attempt, exchange);
@@ -147,25 +147,25 @@
         return remaining.endsWith("u") ? number : number * 1000;
     }
 
-    private void answer(Behaviour behaviour, History.Attempt attempt, StandIn.Exchange exchange) throws IOException {
+    private void answer(Behaviour behaviour, History.Attempt attempt, SoakListener.Exchange exchange) throws IOException {
         switch (behaviour) {
             case SERVE -> {
                 accept(attempt, exchange);
-                later(attempt, History.AttemptEnd.DONE);
+                scheduleFinish(attempt, History.AttemptEnd.DONE);
             }
             case SERVE_AND_CLOSE -> {
                 accept(attempt, exchange);
-                later(attempt, History.AttemptEnd.DONE);
-                clock.schedule(() -> quietlyClose(exchange.socket()), (long) (40 * draw()), TimeUnit.MILLISECONDS);
+                scheduleFinish(attempt, History.AttemptEnd.DONE);
+                scheduler.schedule(() -> quietlyClose(exchange.socket()), (long) (40 * draw()), TimeUnit.MILLISECONDS);
             }
             case SERVE_BEFORE_ACCEPTING -> {
-                later(attempt, History.AttemptEnd.DONE);
-                clock.schedule(() -> accept(attempt, exchange), (long) (80 * draw()), TimeUnit.MILLISECONDS);
+                scheduleFinish(attempt, History.AttemptEnd.DONE);
+                scheduler.schedule(() -> accept(attempt, exchange), (long) (80 * draw()), TimeUnit.MILLISECONDS);
             }
             case ANSWER_TWICE -> {
                 accept(attempt, exchange);
-                later(attempt, History.AttemptEnd.DONE);
-                clock.schedule(() -> accept(attempt, exchange), (long) (20 * draw()), TimeUnit.MILLISECONDS);
+                scheduleFinish(attempt, History.AttemptEnd.DONE);
+                scheduler.schedule(() -> accept(attempt, exchange), (long) (20 * draw()), TimeUnit.MILLISECONDS);
             }
             case FAIL -> {
                 attempt.end(History.AttemptEnd.FAILED);
@@ -177,7 +177,7 @@
             }
             case FAIL_LATER, RETURN_LATER, LOSE_LATER -> {
                 accept(attempt, exchange);
-                later(
+                scheduleFinish(
                         attempt,
                         behaviour == Behaviour.FAIL_LATER
                                 ? History.AttemptEnd.FAILED
@@ -197,7 +197,7 @@
     }
 
     /** Answers with 202, from which on an attempt is given up by DELETE only. */
-    private void accept(History.Attempt attempt, StandIn.Exchange exchange) {
+    private void accept(History.Attempt attempt, SoakListener.Exchange exchange) {
         accepted.add(attempt);
         try {
             exchange.reply(ACCEPTED);
@@ -214,9 +214,9 @@
         }
     }
 
-    private void later(History.Attempt attempt, History.AttemptEnd end) {
+    private void scheduleFinish(History.Attempt attempt, History.AttemptEnd end) {
         long takes = (long) (4 + 60 * draw() * draw());
-        clock.schedule(() -> Threads.start("soak-status", () -> finish(attempt, end)), takes, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> Threads.start("soak-status", () -> finish(attempt, end)), takes, TimeUnit.MILLISECONDS);
     }
 
     private void finish(History.Attempt attempt, History.AttemptEnd end) {
@@ -232,7 +232,7 @@
                 };
         String body = "{\"id\":\"" + attempt.id + "\",\"from\":\"" + attempt.server + "\",\"state\":" + state + "}";
         byte[] message = MessageWriter.request("POST", "/_jobs/news", "node", body.getBytes(StandardCharsets.US_ASCII));
-        for (int i = 0; i < STATUS_TRIES && !tell(nodes.get(attempt.node), message); i++) {
+        for (int i = 0; i < STATUS_TRIES && !sendEvent(nodes.get(attempt.node), message); i++) {
             pause();
         }
     }
@@ -245,7 +245,7 @@
         }
     }
 
-    private static boolean tell(InetSocketAddress node, byte[] message) {
+    private static boolean sendEvent(InetSocketAddress node, byte[] message) {
         try (Socket socket = new Socket()) {
             socket.connect(node, STATUS_TIMEOUT_MILLIS);
             socket.setSoTimeout(STATUS_TIMEOUT_MILLIS);
@@ -268,10 +268,10 @@
     }
 
     /** Before its 202 an attempt is given up by closing its connection. */
-    private void onEnd(String server, StandIn.Exchange last) {
+    private void onEnd(String server, SoakListener.Exchange last) {
         if (!last.request().method().equals("DELETE")) {
             History.Attempt attempt =
-                    open.get(server + " " + last.request().headers().get("X-Txn"));
+                    openAttempts.get(server + " " + last.request().headers().get("X-Txn"));
             if (attempt != null && attempt.completeUs == last.completeUs()) {
                 onConnectionEnd(attempt);
             }
@@ -286,7 +286,7 @@
 
     @Override
     public void close() {
-        clock.shutdownNow();
-        listeners.forEach(StandIn::close);
+        scheduler.shutdownNow();
+        listeners.forEach(SoakListener::close);
     }
 }
--- a/src/test/java/olivechute/store/StoredCommandsTest.java
+++ b/src/test/java/olivechute/store/StoredCommandsTest.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import olivechute.StoredForms;
+import olivechute.RecordedEncodings;
 import olivechute.store.wire.Command;
 import org.junit.jupiter.api.Test;
 
@@ -64,8 +64,8 @@
     void commandEncodingIsUnchanged() throws Exception {
         for (Map.Entry<String, Command> each : commands(SESSION).entrySet()) {
             MessageLite stamped = StoreMessages.withClock(each.getValue(), CLOCK_MS);
-            StoredForms.assertWritten("command-" + each.getKey(), stamped.toByteArray());
-            assertEquals(stamped, Command.parseFrom(StoredForms.recorded("command-" + each.getKey())));
+            RecordedEncodings.assertWritten("command-" + each.getKey(), stamped.toByteArray());
+            assertEquals(stamped, Command.parseFrom(RecordedEncodings.recorded("command-" + each.getKey())));
         }
     }
 
@@ -73,11 +73,11 @@
     void snapshotEncodingIsUnchanged() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         SnapshotCodec.write(sampleState(), out);
-        StoredForms.assertWritten("snapshot", out.toByteArray());
-        StoreState read = SnapshotCodec.read(new ByteArrayInputStream(StoredForms.recorded("snapshot")));
+        RecordedEncodings.assertWritten("snapshot", out.toByteArray());
+        StoreState read = SnapshotCodec.read(new ByteArrayInputStream(RecordedEncodings.recorded("snapshot")));
         assertArrayEquals(bytes("one"), read.entries().get("order/n1").value().toByteArray());
         ByteArrayOutputStream again = new ByteArrayOutputStream();
         SnapshotCodec.write(read, again);
-        StoredForms.assertWritten("snapshot", again.toByteArray());
+        RecordedEncodings.assertWritten("snapshot", again.toByteArray());
     }
 }
--- a/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Properties;
 import java.util.stream.Collectors;
-import olivechute.StoredForms;
+import olivechute.RecordedEncodings;
 import org.junit.jupiter.api.Test;
 
 /** What a supervisor notes of its orders and processes, as an earlier build wrote it, is read and written alike. */
@@ -31,20 +31,20 @@
 
     private static Properties recorded(String name) throws Exception {
         Properties values = new Properties();
-        values.load(new StringReader(new String(StoredForms.recorded(name), StandardCharsets.UTF_8)));
+        values.load(new StringReader(new String(RecordedEncodings.recorded(name), StandardCharsets.UTF_8)));
         return values;
     }
 
     @Test
     void theStoredOrderFormatIsUnchanged() throws Exception {
-        StoredForms.assertWritten("supervisor-order", text(SupervisorStateFile.toProperties(LAUNCH)));
+        RecordedEncodings.assertWritten("supervisor-order", text(SupervisorStateFile.toProperties(LAUNCH)));
         assertEquals(
                 LAUNCH, SupervisorStateFile.parseLaunch(recorded("supervisor-order")).orElseThrow());
     }
 
     @Test
     void theStoredProcessFormatIsUnchanged() throws Exception {
-        StoredForms.assertWritten("supervisor-process", text(SupervisorStateFile.toProperties(PROCESS)));
+        RecordedEncodings.assertWritten("supervisor-process", text(SupervisorStateFile.toProperties(PROCESS)));
         assertEquals(
                 PROCESS,
                 SupervisorStateFile.parseProcess(recorded("supervisor-process")).orElseThrow());
