--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -24,7 +24,7 @@
         return new Object[][] {{true, null}, {false, UNAVAILABLE_RESPONSE}, {false, NO_RESPONSE}};
     }
 
-    @Test(dataProvider = "ends")
+    @Test(dataProvider = "discoveryFailures")
     public void configurationIsReloadedWhenDiscoveryFails(boolean closed, byte[] answer) throws Exception {
         TestServer first = startServer(null);
         TestServer second = startServer(null);
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -364,7 +364,7 @@
         return new Object[][] {{"10.0", 2000, 3000}, {"1.0", 400, 600}};
     }
 
-    @Test(dataProvider = "askEvery")
+    @Test(dataProvider = "pollIntervals")
     public void aWatchWaitsForNoLongerThanTheSettingsLetItGoUnasked(String askEvery, int least, int most)
             throws Exception {
         discovery = startServer(r -> endpointListResponse(1, false));
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -133,7 +133,7 @@
     }
 
     /** Plain text, half a handshake, silence and rubbish: a close in time, with an alert at the most. */
-    @Test(dataProvider = "beginnings")
+    @Test(dataProvider = "invalidHandshakes")
     public void nonTlsConnectionIsClosedInTime(String said) throws Exception {
         startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0));
         try (Socket socket = new Socket()) {
--- a/src/test/java/olivechute/StaleEndpointListProcessTest.java
+++ b/src/test/java/olivechute/StaleEndpointListProcessTest.java
@@ -34,7 +34,7 @@
         assertEquals(server.requests().size(), before);
     }
 
-    @Test(dataProvider = "nothings")
+    @Test(dataProvider = "unhelpfulResponses")
     public void drainingServersGetNothingWhileDiscoveryIsUnavailable(byte[] nothing) throws Exception {
         TestServer first = startServer(null);
         TestServer second = startServer(null);
--- a/src/test/java/olivechute/rig/TestVersions.java
+++ b/src/test/java/olivechute/rig/TestVersions.java
@@ -26,7 +26,7 @@
  * test pass for nothing.
  */
 public final class TestVersions implements AutoCloseable {
-    private static final String INJECTED_FAULTS = "olivechute/rig/Planted";
+    private static final String INJECTED_FAULTS = "olivechute/rig/InjectedFaults";
     private static final String DISPATCHER = "olivechute/proxy/RequestDispatcher";
     private static final String DOWNSTREAM_SERVER = "olivechute/downstream/DownstreamServer";
     private static final String NODE = "olivechute/node/Node";
@@ -62,7 +62,7 @@
                                     method.visitMethodInsn(
                                             Opcodes.INVOKESTATIC,
                                             INJECTED_FAULTS,
-                                            "refuseTenth",
+                                            "rejectEveryTenth",
                                             "(Lolivechute/loadbalancing/LoadBalancer;JLolivechute/loadbalancing/Request;L"
                                                     + DISPATCHER + ";)V",
                                             false);
@@ -85,7 +85,7 @@
                                     if (!call.targets(DOWNSTREAM_SERVER, "requestArrived")) {
                                         return false;
                                     }
-                                    writeFaultCall(method, "slow", millis);
+                                    writeFaultCall(method, "delay", millis);
                                     return true;
                                 },
                                 null)));
@@ -94,7 +94,7 @@
     /** Ends by itself with status 3 so long after it got ready. */
     public Path crashesAfter(int millis) {
         return buildJar(
-                "crashes", Map.of(DOWNSTREAM_SERVER, code -> patch(code, "ready", null, method -> writeFaultCall(method, "crash", millis))));
+                "crashes", Map.of(DOWNSTREAM_SERVER, code -> patch(code, "ready", null, method -> writeFaultCall(method, "crashAfter", millis))));
     }
 
     /** Listens and serves, but never says that it is ready. */
@@ -223,7 +223,7 @@
                 throw new TestSetupException(jar + " lacks a class of " + patches.keySet());
             }
             put(to, MARKER_ENTRY, (name + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            try (InputStream in = InjectedFaults.class.getResourceAsStream("Planted.class")) {
+            try (InputStream in = InjectedFaults.class.getResourceAsStream("InjectedFaults.class")) {
                 put(to, INJECTED_FAULTS + ".class", in.readAllBytes());
             }
             return made;
