--- a/src/test/java/olivechute/soak/SoakIT.java
+++ b/src/test/java/olivechute/soak/SoakIT.java
@@ -45,7 +45,7 @@
             for (Future<SoakRun.Report> each : reports) {
                 SoakRun.Report report = each.get();
                 System.out.println(report.summary());
-                for (Rules.Violation violation : report.violations()) {
+                for (SoakInvariants.Violation violation : report.violations()) {
                     broken.add("seed " + report.scenario().seed() + ": " + violation.rule());
                 }
                 show(report);
--- a/src/test/java/olivechute/soak/Rules.java
+++ b/src/test/java/olivechute/soak/SoakInvariants.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 
 /** The rules, held against what was seen in one run. Every time limit is 50 ms longer on sockets. */
-final class Rules {
+final class SoakInvariants {
     private static final long SOCKET_TOLERANCE_US = 50_000;
     private static final long MAX_LATENESS_US = 500_000;
     private static final long DISCONNECT_DETECTION_US = 100_000;
@@ -29,7 +29,7 @@
     /** A broken rule, and the trace of what broke it. */
     record Violation(String rule, String trace) {}
 
-    private Rules(History history, Map<String, FaultShim> shims) {
+    private SoakInvariants(History history, Map<String, FaultShim> shims) {
         this.history = history;
         this.shims = shims;
         for (History.Attempt attempt : history.attempts()) {
@@ -39,7 +39,7 @@
     }
 
     static List<Violation> check(History history, Map<String, FaultShim> shims) {
-        Rules rules = new Rules(history, shims);
+        SoakInvariants rules = new SoakInvariants(history, shims);
         history.requests().forEach(rules::checkFinalAnswer);
         history.requests().forEach(rules::checkDisconnectedClient);
         history.requests().forEach(rules::checkDeadlinePropagation);
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -28,7 +28,7 @@
 @SuppressWarnings("FutureReturnValueIgnored") // what the clock's tasks do shows in the history
 final class SoakRun implements AutoCloseable {
     /** What one run found, and what it was made of. */
-    record Report(SoakScenario scenario, List<Rules.Violation> violations, String summary, List<String> logs) {}
+    record Report(SoakScenario scenario, List<SoakInvariants.Violation> violations, String summary, List<String> logs) {}
 
     private static final String CONFIG = """
         {"name":"NAME","listen":"LISTEN","discovery":"DISCOVERY","limits":{"cores":1.0,"memory_mb":192,"sockets":SOCKETS},
@@ -67,7 +67,7 @@
     private final Map<String, TestProcess> programs = new LinkedHashMap<>();
     private final Map<String, Long> startedUs = new LinkedHashMap<>();
     private final Map<String, Boolean> moved = new LinkedHashMap<>();
-    private final List<Rules.Violation> crashes = new ArrayList<>();
+    private final List<SoakInvariants.Violation> crashes = new ArrayList<>();
     private final List<Thread> scriptThreads = new ArrayList<>();
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2, SoakRun::daemon);
     private final SoakServers servers;
@@ -165,7 +165,7 @@
                         Thread.currentThread().interrupt();
                     } catch (RuntimeException e) {
                         synchronized (crashes) {
-                            crashes.add(new Rules.Violation("the run itself failed", name + ": " + e));
+                            crashes.add(new SoakInvariants.Violation("the run itself failed", name + ": " + e));
                         }
                     }
                 },
@@ -278,14 +278,14 @@
     private void recordCrash(String node, TestProcess program) {
         if (!program.isAlive()) {
             synchronized (crashes) {
-                crashes.add(new Rules.Violation("crash", node + " has ended by itself"));
+                crashes.add(new SoakInvariants.Violation("crash", node + " has ended by itself"));
             }
         }
     }
 
     private Report report() {
-        List<Rules.Violation> violations = new ArrayList<>(crashes);
-        violations.addAll(Rules.check(history, shims));
+        List<SoakInvariants.Violation> violations = new ArrayList<>(crashes);
+        violations.addAll(SoakInvariants.check(history, shims));
         Map<String, Integer> endings = new TreeMap<>();
         for (History.ClientRequest request : history.requests()) {
             String ending = request.ending() == History.Ending.ANSWERED
