--- a/src/main/java/olivechute/authorization/EndpointIdentityRules.java
+++ b/src/main/java/olivechute/authorization/EndpointIdentityRules.java
@@ -57,7 +57,9 @@
         }
 
         boolean appliesTo(String name) {
-            return endpoint.endsWith(WILDCARD) ? name.startsWith(endpoint.substring(0, endpoint.length() - 1)) : endpoint.equals(name);
+            return endpoint.endsWith(WILDCARD)
+                    ? name.startsWith(endpoint.substring(0, endpoint.length() - 1))
+                    : endpoint.equals(name);
         }
     }
 
--- a/src/main/java/olivechute/authorization/SpiffeIdPattern.java
+++ b/src/main/java/olivechute/authorization/SpiffeIdPattern.java
@@ -72,7 +72,8 @@
             }
             int slash = path.indexOf('/', start);
             int end = slash < 0 ? path.length() : slash;
-            if (!expected.equals(ANY_SEGMENT) && !(expected.length() == end - start && path.startsWith(expected, start))) {
+            if (!expected.equals(ANY_SEGMENT)
+                    && !(expected.length() == end - start && path.startsWith(expected, start))) {
                 return false;
             }
             start = end + 1;
--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -43,7 +43,11 @@
     BenchmarkRig(NodeUnderTest subject, Mode mode, int core, Scenario scenario) throws IOException {
         this.scenario = scenario;
         connectionFactory = subject.connectionFactory();
-        hosts = new StandInEndpoints(connectionFactory, scenario.endpoints(), scenario.rejectionsPerRequest(), scenario.newConnectionPerStatusEvent());
+        hosts = new StandInEndpoints(
+                connectionFactory,
+                scenario.endpoints(),
+                scenario.rejectionsPerRequest(),
+                scenario.newConnectionPerStatusEvent());
         discovery = new StandInDiscovery(hosts.entries());
         node = new NodeProcess(
                 subject.jar(),
@@ -143,7 +147,8 @@
         }
     }
 
-    private void drive(StandInClient client, int requests, Histogram latenciesUs, boolean skipRejections, boolean warmup)
+    private void drive(
+            StandInClient client, int requests, Histogram latenciesUs, boolean skipRejections, boolean warmup)
             throws IOException, InterruptedException {
         for (int i = 0; i < requests; i++) {
             client.request(latenciesUs, skipRejections, warmup);
--- a/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -13,7 +13,8 @@
  */
 final class BlockingHttpConnection implements AutoCloseable {
     /** Asks a node whether it is ready. */
-    static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+    static final byte[] READINESS_REQUEST =
+            "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
     static final int TIMEOUT_MILLIS = 20_000;
 
--- a/src/main/java/olivechute/benchmark/CountingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/CountingBenchmark.java
@@ -11,7 +11,8 @@
     }
 
     /** Bytes allocated a request where nothing is ever collected, to hold against the usual figure. */
-    static double bytesWithoutCollector(NodeUnderTest subject, Scenario scenario) throws IOException, InterruptedException {
+    static double bytesWithoutCollector(NodeUnderTest subject, Scenario scenario)
+            throws IOException, InterruptedException {
         BenchmarkRig.Run run = run(subject, Mode.EPSILON, scenario);
         return run.usage().allocatedBytes() / (double) run.requests();
     }
--- a/src/main/java/olivechute/benchmark/Counts.java
+++ b/src/main/java/olivechute/benchmark/Counts.java
@@ -47,7 +47,9 @@
 
         /** The most that may be seen of this scenario where so much is recorded. */
         double bound(Scenario scenario, double recorded) {
-            return recorded + Math.max(absoluteMargin, relativeMargin * recorded) * (timingDependent ? scenario.marginFactor() : 1);
+            return recorded
+                    + Math.max(absoluteMargin, relativeMargin * recorded)
+                            * (timingDependent ? scenario.marginFactor() : 1);
         }
     }
 
--- a/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
+++ b/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
@@ -59,7 +59,8 @@
         TlsStateMachine create(int i);
     }
 
-    private void measure(String name, int handshakes, ClientFactory dial, Supplier<TlsStateMachine> accept) throws TlsException {
+    private void measure(String name, int handshakes, ClientFactory dial, Supplier<TlsStateMachine> accept)
+            throws TlsException {
         for (int i = 0; i < WARMUP_HANDSHAKES; i++) {
             handshake(dial.create(-i), accept.get());
         }
--- a/src/main/java/olivechute/benchmark/NodeProbe.java
+++ b/src/main/java/olivechute/benchmark/NodeProbe.java
@@ -48,10 +48,12 @@
                 for (GarbageCollectorMXBean c : collectors) {
                     collections += Math.max(0, c.getCollectionCount());
                 }
-                System.out.println(ANSWER_PREFIX + (eden == null ? 0 : eden.getUsage().getUsed()) + " " + collections + " "
-                        + system.getProcessCpuTime() / 1000 + " " + io("syscr") + " " + io("syscw") + " " + voluntarySwitches()
-                        + " "
-                        + CopyCounter.totals());
+                System.out.println(
+                        ANSWER_PREFIX + (eden == null ? 0 : eden.getUsage().getUsed()) + " " + collections + " "
+                                + system.getProcessCpuTime() / 1000 + " " + io("syscr") + " " + io("syscw") + " "
+                                + voluntarySwitches()
+                                + " "
+                                + CopyCounter.totals());
             }
         }
         Runtime.getRuntime().halt(0);
--- a/src/main/java/olivechute/benchmark/NodeProcess.java
+++ b/src/main/java/olivechute/benchmark/NodeProcess.java
@@ -72,7 +72,8 @@
         String line = await(" listens on ");
         String addressText = line.substring(line.lastIndexOf('/') + 1);
         address = new InetSocketAddress(
-                addressText.substring(0, addressText.lastIndexOf(':')), Integer.parseInt(addressText.substring(addressText.lastIndexOf(':') + 1)));
+                addressText.substring(0, addressText.lastIndexOf(':')),
+                Integer.parseInt(addressText.substring(addressText.lastIndexOf(':') + 1)));
     }
 
     /** The jar that this program runs from. */
@@ -106,7 +107,9 @@
     /** What it has used so far; {@code objects} costs a walk through the heap. */
     Usage usage(boolean objects) throws IOException {
         stdin.println("usage");
-        String[] f = await(NodeProbe.ANSWER_PREFIX).substring(NodeProbe.ANSWER_PREFIX.length()).split(" ");
+        String[] f = await(NodeProbe.ANSWER_PREFIX)
+                .substring(NodeProbe.ANSWER_PREFIX.length())
+                .split(" ");
         long[] v = new long[9];
         for (int i = 0; i < v.length; i++) {
             v[i] = Long.parseLong(f[i]);
@@ -135,7 +138,9 @@
     List<String> classHistogram() throws IOException {
         stdin.println("classes");
         List<String> lines = new ArrayList<>();
-        for (String line = stdout.readLine(); line != null && !line.startsWith(NodeProbe.ANSWER_PREFIX); line = stdout.readLine()) {
+        for (String line = stdout.readLine();
+                line != null && !line.startsWith(NodeProbe.ANSWER_PREFIX);
+                line = stdout.readLine()) {
             lines.add(line);
         }
         return lines;
--- a/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
@@ -41,7 +41,8 @@
         }
     }
 
-    private static void open(BenchmarkRig rig, List<BlockingHttpConnection> openConnections, int connections) throws IOException {
+    private static void open(BenchmarkRig rig, List<BlockingHttpConnection> openConnections, int connections)
+            throws IOException {
         for (int i = 0; i < connections; i++) {
             BlockingHttpConnection wire = rig.openConnection();
             wire.write(BlockingHttpConnection.READINESS_REQUEST);
--- a/src/main/java/olivechute/benchmark/StandInClient.java
+++ b/src/main/java/olivechute/benchmark/StandInClient.java
@@ -33,7 +33,10 @@
      * long.
      */
     void request(Histogram latenciesUs, boolean skipRejections, boolean warmup) throws IOException {
-        byte[] head = head(skipRejections || scenario.rejectionsPerRequest() == 0 ? "user=7f3a9c21e0b4d655" : StandInEndpoints.REJECTION_MARKER);
+        byte[] head = head(
+                skipRejections || scenario.rejectionsPerRequest() == 0
+                        ? "user=7f3a9c21e0b4d655"
+                        : StandInEndpoints.REJECTION_MARKER);
         long startNanos = System.nanoTime();
         send(head);
         BlockingHttpConnection.Message answer = wire.read();
--- a/src/main/java/olivechute/benchmark/StandInEndpoints.java
+++ b/src/main/java/olivechute/benchmark/StandInEndpoints.java
@@ -41,7 +41,12 @@
     /**
      * {@code turnsAway}: how often each job is turned away first; {@code newsOnNew}: a new connection for each news.
      */
-    StandInEndpoints(ConnectionFactory connectionFactory, int count, int rejectionsPerRequest, boolean newConnectionPerStatusEvent) throws IOException {
+    StandInEndpoints(
+            ConnectionFactory connectionFactory,
+            int count,
+            int rejectionsPerRequest,
+            boolean newConnectionPerStatusEvent)
+            throws IOException {
         this.connectionFactory = connectionFactory;
         this.rejectionsPerRequest = rejectionsPerRequest;
         this.newConnectionPerStatusEvent = newConnectionPerStatusEvent;
@@ -114,7 +119,8 @@
                     continue;
                 }
                 String id = m.field("X-Txn");
-                if (m.head().contains(REJECTION_MARKER) && rejectionsById.merge(id, 1, Integer::sum) <= rejectionsPerRequest) {
+                if (m.head().contains(REJECTION_MARKER)
+                        && rejectionsById.merge(id, 1, Integer::sum) <= rejectionsPerRequest) {
                     wire.write(REJECTED_RESPONSE);
                     continue;
                 }
@@ -130,7 +136,8 @@
                     if (state.startsWith("\"done")) {
                         endpointTimeNanos.addAndGet(System.nanoTime() - startNanos);
                     }
-                    statusConnection = sendStatusEvent(newConnectionPerStatusEvent ? null : statusConnection, statusEvent(id, name, state));
+                    statusConnection = sendStatusEvent(
+                            newConnectionPerStatusEvent ? null : statusConnection, statusEvent(id, name, state));
                     if (newConnectionPerStatusEvent) {
                         statusConnection.close();
                     }
--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -94,8 +94,10 @@
                 }
                 SpiffeId id = X509Check.leafId(chain.get(0));
                 out.println("names " + id);
-                TrustBundle trustBundle = new TrustBundle(id.trustDomain(), PemReader.certificates(readText(bundle)), Map.of());
-                X509Svid svid = X509Check.check(chain, TrustBundles.EMPTY.with(trustBundle), at == null ? Instant.now() : at);
+                TrustBundle trustBundle =
+                        new TrustBundle(id.trustDomain(), PemReader.certificates(readText(bundle)), Map.of());
+                X509Svid svid =
+                        X509Check.check(chain, TrustBundles.EMPTY.with(trustBundle), at == null ? Instant.now() : at);
                 out.println("holds until " + svid.notAfter());
                 return 0;
             } catch (IdentityRejectedException e) {
--- a/src/main/java/olivechute/cli/PeerCertificateProbe.java
+++ b/src/main/java/olivechute/cli/PeerCertificateProbe.java
@@ -22,11 +22,15 @@
     private PeerCertificateProbe() {}
 
     /** The certificates that are shown there, whether they hold or not; {@code own} may be null. */
-    static List<X509Certificate> presentedChain(InetSocketAddress address, KeyStore.PrivateKeyEntry ownIdentity) throws IOException {
+    static List<X509Certificate> presentedChain(InetSocketAddress address, KeyStore.PrivateKeyEntry ownIdentity)
+            throws IOException {
         RecordingTrustManager trustManager = new RecordingTrustManager();
         try {
             SSLContext context = SSLContext.getInstance("TLS");
-            context.init(ownIdentity == null ? null : keyManagers(ownIdentity), new TrustManager[] {trustManager}, new SecureRandom());
+            context.init(
+                    ownIdentity == null ? null : keyManagers(ownIdentity),
+                    new TrustManager[] {trustManager},
+                    new SecureRandom());
             try (SSLSocket socket = (SSLSocket) context.getSocketFactory().createSocket()) {
                 socket.connect(address, TIMEOUT_MILLIS);
                 socket.setSoTimeout(TIMEOUT_MILLIS);
@@ -42,7 +46,8 @@
         }
     }
 
-    private static KeyManager[] keyManagers(KeyStore.PrivateKeyEntry ownIdentity) throws GeneralSecurityException, IOException {
+    private static KeyManager[] keyManagers(KeyStore.PrivateKeyEntry ownIdentity)
+            throws GeneralSecurityException, IOException {
         KeyStore store = KeyStore.getInstance("PKCS12");
         store.load(null, new char[0]);
         store.setEntry("svid", ownIdentity, new KeyStore.PasswordProtection(new char[0]));
--- a/src/main/java/olivechute/config/HoconObject.java
+++ b/src/main/java/olivechute/config/HoconObject.java
@@ -139,7 +139,8 @@
             addError(name, "must be a duration with a unit, as 2s or 250ms");
             return defaultValue;
         }
-        Duration duration = read(name, defaultValue, "a duration with a unit, as 2s or 250ms", c -> c.getDuration(name));
+        Duration duration =
+                read(name, defaultValue, "a duration with a unit, as 2s or 250ms", c -> c.getDuration(name));
         if (duration.compareTo(min) < 0 || duration.compareTo(max) > 0) {
             addError(name, "must be from " + min.toMillis() + "ms to " + max.toMillis() + "ms");
             return defaultValue;
--- a/src/main/java/olivechute/config/IdentitySettings.java
+++ b/src/main/java/olivechute/config/IdentitySettings.java
@@ -28,7 +28,13 @@
      * {@code folder} or {@code socket} is null where the kind needs none; {@code address} is the other form of a
      * socket.
      */
-    public record Source(Kind kind, Path folder, Duration pollInterval, Path socketPath, InetSocketAddress socketAddress, String svidHint) {}
+    public record Source(
+            Kind kind,
+            Path folder,
+            Duration pollInterval,
+            Path socketPath,
+            InetSocketAddress socketAddress,
+            String svidHint) {}
 
     /**
      * {@code lenient}: TLS 1.2 beside 1.3; {@code atOnce}: handshakes that may compute at the same time, on either
@@ -108,8 +114,8 @@
         if (enabled && kind == Kind.WORKLOAD_API && socket.isEmpty()) {
             object.addError("socket", "missing, must be unix:PATH or tcp://ADDRESS:PORT");
         }
-        Source source =
-                new Source(kind, folder.isEmpty() ? null : Path.of(folder), poll, path, address, object.text("hint", ""));
+        Source source = new Source(
+                kind, folder.isEmpty() ? null : Path.of(folder), poll, path, address, object.text("hint", ""));
         object.rejectUnknownKeys();
         return source;
     }
@@ -220,7 +226,8 @@
         NodeConfig.note(keys, "identity.tls", now.tls, before.tls);
         NodeConfig.note(keys, "identity.downstream", now.downstream, before.downstream);
         NodeConfig.note(keys, "identity.upstream", now.upstreamTls, before.upstreamTls);
-        NodeConfig.note(keys, "identity.jwt.plain", now.rules.allowPlaintextProxies, before.rules.allowPlaintextProxies);
+        NodeConfig.note(
+                keys, "identity.jwt.plain", now.rules.allowPlaintextProxies, before.rules.allowPlaintextProxies);
         return keys;
     }
 }
--- a/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
+++ b/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
@@ -172,6 +172,8 @@
     }
 
     static double numberAt(List<Object> list, int index, double defaultValue) {
-        return index >= 0 && index < list.size() && list.get(index) instanceof Number v ? v.doubleValue() : defaultValue;
+        return index >= 0 && index < list.size() && list.get(index) instanceof Number v
+                ? v.doubleValue()
+                : defaultValue;
     }
 }
--- a/src/main/java/olivechute/config/LoadReportFields.java
+++ b/src/main/java/olivechute/config/LoadReportFields.java
@@ -10,7 +10,8 @@
     public static LoadReportFields of(JsonFields settings) {
         JsonFields domain = settings.node("domain");
         List<Object> names = settings.node("report").list("fields");
-        return new LoadReportFields(names, fieldFor(names, domain, "free slots"), fieldFor(names, domain, "free memory"));
+        return new LoadReportFields(
+                names, fieldFor(names, domain, "free slots"), fieldFor(names, domain, "free memory"));
     }
 
     private static String fieldFor(List<Object> names, JsonFields domain, String meaning) {
--- a/src/main/java/olivechute/config/LogSettings.java
+++ b/src/main/java/olivechute/config/LogSettings.java
@@ -27,7 +27,8 @@
         String level = environment.getOrDefault(LEVEL_VARIABLE, "");
         if (!level.isEmpty()) {
             if (!level.matches(LEVELS)) {
-                throw new InvalidValueException(LEVEL_VARIABLE + ": must be one of " + LEVELS + ", not '" + level + "'");
+                throw new InvalidValueException(
+                        LEVEL_VARIABLE + ": must be one of " + LEVELS + ", not '" + level + "'");
             }
             System.setProperty("tinylog.level", level);
         }
--- a/src/main/java/olivechute/config/MetricsSettings.java
+++ b/src/main/java/olivechute/config/MetricsSettings.java
@@ -22,8 +22,8 @@
         }
         String version = environment.getOrDefault(VERSION_VARIABLE, "");
         if (version.length() > MAX_VERSION_LENGTH || version.chars().anyMatch(Character::isISOControl)) {
-            throw new InvalidValueException(
-                    VERSION_VARIABLE + ": must be at most " + MAX_VERSION_LENGTH + " characters, none of them control characters");
+            throw new InvalidValueException(VERSION_VARIABLE + ": must be at most " + MAX_VERSION_LENGTH
+                    + " characters, none of them control characters");
         }
         return new MetricsSettings(Address.parse(ADDRESS_VARIABLE, address), version);
     }
--- a/src/main/java/olivechute/config/NodeConfig.java
+++ b/src/main/java/olivechute/config/NodeConfig.java
@@ -110,7 +110,11 @@
         note(keys, "name", name, running.name);
         note(keys, "listen", listenAddress, running.listenAddress);
         note(keys, "limits", maxConnections, running.maxConnections);
-        note(keys, "settings", List.of(settings, loadReportFields), List.of(running.settings, running.loadReportFields));
+        note(
+                keys,
+                "settings",
+                List.of(settings, loadReportFields),
+                List.of(running.settings, running.loadReportFields));
         if (identity != running.identity) {
             keys.addAll(IdentitySettings.restartRequiredKeys(identity, running.identity));
         }
@@ -224,7 +228,8 @@
 
     /** As many as both limits bear; a memory limit too small for that is logged, and the node starts all the same. */
     private static int maxConnections(JsonFields limits, boolean withIdentity) {
-        int sockets = checkRange("limits.sockets", limits.integerOr("sockets", 1024), RESERVED_DESCRIPTORS + 16, 1 << 20);
+        int sockets =
+                checkRange("limits.sockets", limits.integerOr("sockets", 1024), RESERVED_DESCRIPTORS + 16, 1 << 20);
         int memoryMb = checkRange("limits.memory_mb", limits.integerOr("memory_mb", 192), 1, 1 << 20);
         long memoryBound = withIdentity
                 ? (memoryMb * 1024L - TLS_BASE_MEMORY_KIB) / TLS_CONNECTION_MEMORY_KIB
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -119,7 +119,8 @@
             List<RolloutException> errors =
                     Rollout.validate(initialState.spec(), fleet.nodes().size());
             if (!errors.isEmpty()) {
-                String errorText = errors.stream().map(RolloutException::subject).collect(Collectors.joining("; "));
+                String errorText =
+                        errors.stream().map(RolloutException::subject).collect(Collectors.joining("; "));
                 throw new RolloutException(ErrorCode.CHANGE_INVALID, "change " + requested.getId() + ": " + errorText);
             }
             ChangeRecord record = RolloutCodec.toRecord(
--- a/src/main/java/olivechute/grpc/GrpcConnection.java
+++ b/src/main/java/olivechute/grpc/GrpcConnection.java
@@ -6,8 +6,8 @@
 import static olivechute.grpc.Http2Frame.END_HEADERS;
 import static olivechute.grpc.Http2Frame.END_STREAM;
 import static olivechute.grpc.Http2Frame.GOAWAY;
-import static olivechute.grpc.Http2Frame.HEADER_BYTES;
 import static olivechute.grpc.Http2Frame.HEADERS;
+import static olivechute.grpc.Http2Frame.HEADER_BYTES;
 import static olivechute.grpc.Http2Frame.INITIAL_WINDOW;
 import static olivechute.grpc.Http2Frame.MAX_PAYLOAD_BYTES;
 import static olivechute.grpc.Http2Frame.PADDED;
@@ -40,7 +40,8 @@
 public final class GrpcConnection {
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final int DEFAULT_WINDOW_BYTES = 65_535; // of a connection and of each stream, until more is told
-    private static final int RECEIVE_WINDOW_BYTES = 1 << 20; // of ours: what a peer may send before it hears of more room
+    private static final int RECEIVE_WINDOW_BYTES =
+            1 << 20; // of ours: what a peer may send before it hears of more room
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
     private static final int MAX_HEADER_BLOCK_BYTES = 32 * 1024; // of a header block, encoded
     private static final int MAX_HEADER_LIST_BYTES = 64 * 1024; // and decoded
@@ -317,7 +318,8 @@
             case WINDOW_UPDATE -> room(stream, payload);
             case RST_STREAM -> {
                 if (streams.containsKey(stream)) {
-                    closeStream(stream, Map.of("reset", payload.remaining() == 4 ? String.valueOf(payload.getInt()) : "?"));
+                    closeStream(
+                            stream, Map.of("reset", payload.remaining() == 4 ? String.valueOf(payload.getInt()) : "?"));
                 }
             }
             case GOAWAY -> throw new GrpcException("the peer goes away");
@@ -439,7 +441,8 @@
             if (all.length - at < MESSAGE_PREFIX_BYTES + length) {
                 break;
             }
-            listener.onMessage(stream, Arrays.copyOfRange(all, at + MESSAGE_PREFIX_BYTES, at + MESSAGE_PREFIX_BYTES + length));
+            listener.onMessage(
+                    stream, Arrays.copyOfRange(all, at + MESSAGE_PREFIX_BYTES, at + MESSAGE_PREFIX_BYTES + length));
             at += MESSAGE_PREFIX_BYTES + length;
         }
         if (at > 0) {
--- a/src/main/java/olivechute/identity/JwkSets.java
+++ b/src/main/java/olivechute/identity/JwkSets.java
@@ -29,7 +29,10 @@
             for (JWK key : JWKSet.parse(text).getKeys()) {
                 boolean forTokens =
                         key.getKeyUse() == null || key.getKeyUse().identifier().equals(JWT_SVID_USE);
-                if (forTokens && key.getKeyID() != null && !key.isPrivate() && key instanceof AsymmetricJWK asymmetric) {
+                if (forTokens
+                        && key.getKeyID() != null
+                        && !key.isPrivate()
+                        && key instanceof AsymmetricJWK asymmetric) {
                     keys.put(key.getKeyID(), asymmetric.toPublicKey());
                 }
             }
--- a/src/main/java/olivechute/identity/JwtCheck.java
+++ b/src/main/java/olivechute/identity/JwtCheck.java
@@ -72,8 +72,9 @@
                 throw new IdentityRejectedException(
                         Reason.WRONG_AUDIENCE, "for " + audiences.size() + " others, not for " + audience);
             }
-            PublicKey key =
-                    bundles.bundleFor(id).keys().get(String.valueOf(jwt.getHeader().getKeyID()));
+            PublicKey key = bundles.bundleFor(id)
+                    .keys()
+                    .get(String.valueOf(jwt.getHeader().getKeyID()));
             if (key == null || !jwt.verify(verifier(key, algorithm))) {
                 throw new IdentityRejectedException(
                         Reason.NOT_VOUCHED,
@@ -97,7 +98,8 @@
         }
         Date notBefore = claims.getNotBeforeTime();
         if (notBefore != null && now.isBefore(notBefore.toInstant())) {
-            throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + notBefore.toInstant() + " on, it is " + now);
+            throw new IdentityRejectedException(
+                    Reason.NOT_YET, "holds from " + notBefore.toInstant() + " on, it is " + now);
         }
         return expiry.toInstant();
     }
--- a/src/main/java/olivechute/identity/SvidManager.java
+++ b/src/main/java/olivechute/identity/SvidManager.java
@@ -55,7 +55,8 @@
      * moment; a {@link IdentityRejectedException} says why they do not, and leaves all as it was. What is held of other
      * domains stays.
      */
-    public OfferResult offer(String chain, String key, String authorities, Instant now) throws IdentityRejectedException {
+    public OfferResult offer(String chain, String key, String authorities, Instant now)
+            throws IdentityRejectedException {
         List<X509Certificate> certificates = PemReader.certificates(chain);
         TrustBundles bundles =
                 state.bundles.with(new TrustBundle(trustDomain, PemReader.certificates(authorities), Map.of()));
--- a/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
+++ b/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
@@ -40,13 +40,16 @@
             attemptsByOutcome.merge(e.outcome(), 1, Integer::sum);
             attemptsByRequest.merge(e.request(), 1, Integer::sum);
             acceptedButTimedOut += e.outcome().equals("TIMEOUT") && e.acceptedAfterUs() >= 0 ? 1 : 0;
-            attemptEnds.computeIfAbsent(new NodeEndpoint(node, e.endpoint()), p -> new ArrayList<>())
+            attemptEnds
+                    .computeIfAbsent(new NodeEndpoint(node, e.endpoint()), p -> new ArrayList<>())
                     .add(e);
             sentAttempts.add(new SentAttempt(e.sentAtUs(), e.endpoint()));
         } else if (entry instanceof LogEntry.RequestRejected r) {
             rejectionsByLastOutcome.merge(r.lastOutcome(), 1, Integer::sum);
         } else if (entry instanceof LogEntry.EndpointConnected d) {
-            connectsByEndpoint.computeIfAbsent(d.endpoint(), h -> new TreeMap<>()).merge(d.atUs() / SECOND_US, 1, Integer::sum);
+            connectsByEndpoint
+                    .computeIfAbsent(d.endpoint(), h -> new TreeMap<>())
+                    .merge(d.atUs() / SECOND_US, 1, Integer::sum);
         } else if (entry instanceof LogEntry.EndpointListed l && l.state().equals("ACTIVE") && l.startedUs() > 0) {
             firstListedUs.merge(l.endpoint() + " " + l.startedUs(), l.atUs(), Math::min);
         } else if (entry instanceof LogEntry.DiscoveryCalled) {
@@ -59,15 +62,18 @@
     /** The counts, a line each. */
     List<String> report() {
         List<String> lines = new ArrayList<>();
-        lines.add(nodes.size() + " nodes, " + attemptsByRequest.size() + " streams sent on, " + sum(attemptsByOutcome) + " attempts");
+        lines.add(nodes.size() + " nodes, " + attemptsByRequest.size() + " streams sent on, " + sum(attemptsByOutcome)
+                + " attempts");
         lines.add("attempts by outcome: " + attemptsByOutcome);
         lines.add("streams by attempts: " + frequencies(attemptsByRequest.values()));
         lines.add("accepted and never heard of again: " + acceptedButTimedOut);
         lines.add("refusals by last outcome: " + rejectionsByLastOutcome);
-        lines.add("discovery: asked " + sum(discoveryCalls) + ", worst tenth of a second " + max(discoveryCalls) + "; failed "
-                + sum(failedDiscoveryCalls) + ", worst tenth " + max(failedDiscoveryCalls));
+        lines.add("discovery: asked " + sum(discoveryCalls) + ", worst tenth of a second " + max(discoveryCalls)
+                + "; failed " + sum(failedDiscoveryCalls) + ", worst tenth " + max(failedDiscoveryCalls));
         lines.add("dials: "
-                + connectsByEndpoint.values().stream().mapToInt(FleetLogAnalysis::sum).sum()
+                + connectsByEndpoint.values().stream()
+                        .mapToInt(FleetLogAnalysis::sum)
+                        .sum()
                 + " made, worst second at one host "
                 + connectsByEndpoint.values().stream()
                         .mapToInt(FleetLogAnalysis::max)
@@ -87,7 +93,9 @@
         for (Map.Entry<String, Long> e : firstListedUs.entrySet()) {
             String endpoint = e.getKey().substring(0, e.getKey().indexOf(' '));
             int received = (int) sentAttempts.stream()
-                    .filter(s -> s.endpoint().equals(endpoint) && s.atUs() >= e.getValue() && s.atUs() < e.getValue() + SECOND_US)
+                    .filter(s -> s.endpoint().equals(endpoint)
+                            && s.atUs() >= e.getValue()
+                            && s.atUs() < e.getValue() + SECOND_US)
                     .count();
             max = Math.max(max, received);
             total += received;
--- a/src/main/java/olivechute/loganalysis/LogEntry.java
+++ b/src/main/java/olivechute/loganalysis/LogEntry.java
@@ -11,7 +11,8 @@
     long atUs();
 
     /** An upstream request ended; {@code accepted} is negative where the host never took it. */
-    record AttemptEnded(long atUs, String request, String endpoint, String outcome, long tookUs, long acceptedAfterUs) implements LogEntry {
+    record AttemptEnded(long atUs, String request, String endpoint, String outcome, long tookUs, long acceptedAfterUs)
+            implements LogEntry {
         long sentAtUs() {
             return atUs - tookUs;
         }
@@ -38,13 +39,19 @@
         if (!matcher.find()) {
             return null;
         }
-        long atUs = ((Long.parseLong(matcher.group(1)) * 60 + Long.parseLong(matcher.group(2))) * 60 + Long.parseLong(matcher.group(3)))
+        long atUs = ((Long.parseLong(matcher.group(1)) * 60 + Long.parseLong(matcher.group(2))) * 60
+                                + Long.parseLong(matcher.group(3)))
                         * 1_000_000
                 + Long.parseLong(matcher.group(4)) * 1000;
         String text = matcher.group(5);
         if ((matcher = Form.ENDED.matcher(text)).matches()) {
             return new AttemptEnded(
-                    atUs, matcher.group(1), matcher.group(2), matcher.group(3), Long.parseLong(matcher.group(4)), Long.parseLong(matcher.group(5)));
+                    atUs,
+                    matcher.group(1),
+                    matcher.group(2),
+                    matcher.group(3),
+                    Long.parseLong(matcher.group(4)),
+                    Long.parseLong(matcher.group(5)));
         } else if ((matcher = Form.REJECTED.matcher(text)).matches()) {
             return new RequestRejected(atUs, matcher.group(1));
         } else if ((matcher = Form.CONNECTED.matcher(text)).matches()) {
--- a/src/main/java/olivechute/metrics/DelayBuckets.java
+++ b/src/main/java/olivechute/metrics/DelayBuckets.java
@@ -16,7 +16,8 @@
     private static final double LAST_BOUND_US = 10_000_000;
     private static final long[] BOUNDS_US = computeBounds();
     /** The upper ends of the buckets. */
-    public static final List<Long> UPPER_BOUNDS = Arrays.stream(BOUNDS_US).boxed().toList();
+    public static final List<Long> UPPER_BOUNDS =
+            Arrays.stream(BOUNDS_US).boxed().toList();
     /** The part of all that {@link #p99} leaves above it. */
     private static final double P99_TAIL = 0.01;
 
@@ -24,7 +25,10 @@
 
     private static long[] computeBounds() {
         long[] bounds = new long[BUCKET_COUNT];
-        Arrays.setAll(bounds, i -> Math.round(FIRST_BOUND_US * StrictMath.pow(LAST_BOUND_US / FIRST_BOUND_US, i / (BUCKET_COUNT - 1.0))));
+        Arrays.setAll(
+                bounds,
+                i -> Math.round(
+                        FIRST_BOUND_US * StrictMath.pow(LAST_BOUND_US / FIRST_BOUND_US, i / (BUCKET_COUNT - 1.0))));
         return bounds;
     }
 
--- a/src/main/java/olivechute/metrics/MetricsSender.java
+++ b/src/main/java/olivechute/metrics/MetricsSender.java
@@ -126,7 +126,9 @@
     /** Waits so long, through snapshots that come meanwhile, but not into the end. */
     private void pause(long millis) throws IOException {
         long deadlineNanos = System.nanoTime() + millis * 1_000_000;
-        for (long remainingMillis = millis; remainingMillis > 0 && !shuttingDown; remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000) {
+        for (long remainingMillis = millis;
+                remainingMillis > 0 && !shuttingDown;
+                remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000) {
             select(remainingMillis);
         }
     }
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -161,9 +161,11 @@
      * come through.
      */
     private static int maxConnections(NodeConfig config) {
-        int systemLimit = Math.max(NodeConfig.MIN_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED_DESCRIPTORS);
+        int systemLimit =
+                Math.max(NodeConfig.MIN_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED_DESCRIPTORS);
         if (systemLimit < config.maxConnections()) {
-            Logger.warn("limits.sockets: the system lets this process hold fewer, {} connections are kept", systemLimit);
+            Logger.warn(
+                    "limits.sockets: the system lets this process hold fewer, {} connections are kept", systemLimit);
         }
         return Math.min(systemLimit, config.maxConnections());
     }
@@ -244,7 +246,8 @@
                 .mapToLong(RequestClass::deadlineUs)
                 .max()
                 .orElse(0);
-        long drainDeadlineUs = loop.now() - sinceSignalUs + Math.min(longestDeadlineUs, MAX_DRAIN_DEADLINE_US) + DRAIN_EXTRA_US;
+        long drainDeadlineUs =
+                loop.now() - sinceSignalUs + Math.min(longestDeadlineUs, MAX_DRAIN_DEADLINE_US) + DRAIN_EXTRA_US;
         loop.post(new ProxyEvent.Task(() -> dispatcher.answerAllBy(drainDeadlineUs)));
         server.markNotReady();
         Thread.sleep(Math.max(0, Math.min(SERVE_AFTER_SIGTERM_MS, longestDeadlineUs / 1000) - sinceSignalUs / 1000));
@@ -258,7 +261,8 @@
         server.close(DRAIN_POLL_MS);
         server.endConnections();
         while (server.unansweredRequests() > 0
-                || (loop.now() < drainDeadlineUs + EXIT_RESERVE_US && !server.isQuiescentSince(loop.now() - LAST_ANSWER_RESERVE_US))) {
+                || (loop.now() < drainDeadlineUs + EXIT_RESERVE_US
+                        && !server.isQuiescentSince(loop.now() - LAST_ANSWER_RESERVE_US))) {
             Thread.sleep(DRAIN_POLL_MS);
         }
         if (reporting != null) {
--- a/src/main/java/olivechute/security/IdentityManager.java
+++ b/src/main/java/olivechute/security/IdentityManager.java
@@ -71,7 +71,9 @@
         OwnIdentity identity = svidManager.state().own();
         if (active == null || active.identity != identity) {
             active = new ActiveIdentity(
-                    identity, new TlsContext(identity.svid().chain(), identity.key(), allowTls12, this::bundles, clock), clock.get());
+                    identity,
+                    new TlsContext(identity.svid().chain(), identity.key(), allowTls12, this::bundles, clock),
+                    clock.get());
         }
         Logger.info(
                 "identity {} until {}, with bundles of {}",
@@ -109,7 +111,8 @@
         }
         Instant expiry = current.identity.svid().notAfter();
         Instant now = clock.get();
-        Instant warningTime = expiry.minus(Duration.between(current.since, expiry).dividedBy(3));
+        Instant warningTime =
+                expiry.minus(Duration.between(current.since, expiry).dividedBy(3));
         Instant reached = now.isAfter(expiry) ? expiry : now.isAfter(warningTime) ? warningTime : null;
         if (reached == null || reached.equals(lastExpiryWarning)) {
             return false;
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -59,7 +59,9 @@
             folder.start(identities, source.pollInterval());
         } else {
             workloadApiSource = new WorkloadApiSvidSource(
-                    source.socketPath() == null ? source.socketAddress() : UnixDomainSocketAddress.of(source.socketPath()),
+                    source.socketPath() == null
+                            ? source.socketAddress()
+                            : UnixDomainSocketAddress.of(source.socketPath()),
                     source.svidHint(),
                     settings.rules().audience() != null,
                     new SecureRandom());
@@ -83,8 +85,8 @@
     public Connector connector() {
         return host -> TlsConnection.client(identities, dialPermits, host, peer -> {
             if (!rules.endpointIdentities().matches(peer.id(), host)) {
-                throw new IOException(
-                        "host " + host + " must be " + rules.endpointIdentities().requiredId(host) + ", is " + peer.id());
+                throw new IOException("host " + host + " must be "
+                        + rules.endpointIdentities().requiredId(host) + ", is " + peer.id());
             }
         });
     }
@@ -93,7 +95,9 @@
     public PeerIdentity.Authenticator platformAuthenticator() {
         return settings.downstream().mode() == Mode.ONLY
                 ? tlsAuthenticator()
-                : settings.rules().allowPlaintextProxies() ? new TokenAuthenticator() : PeerIdentity.Authenticator.PLAINTEXT;
+                : settings.rules().allowPlaintextProxies()
+                        ? new TokenAuthenticator()
+                        : PeerIdentity.Authenticator.PLAINTEXT;
     }
 
     /** At an address where TLS is spoken. */
@@ -113,7 +117,9 @@
             public PeerIdentity authenticate(Connection link) throws IOException {
                 X509Svid peer = ((TlsConnection) link).peer();
                 Rules now = rules;
-                if (!now.clientAuthorization().isClient(peer.id()) && !now.endpointIdentities().isEndpoint(peer.id()) && !isProxy(now, peer.id())) {
+                if (!now.clientAuthorization().isClient(peer.id())
+                        && !now.endpointIdentities().isEndpoint(peer.id())
+                        && !isProxy(now, peer.id())) {
                     String reason = "no rule is about " + peer.id();
                     RejectionLog.log(link.socket().getRemoteSocketAddress(), reason);
                     throw new IOException(reason);
@@ -186,7 +192,10 @@
         }
         try {
             SpiffeId id = tokens.check(
-                            authorization.substring(SCHEME.length()), rules.audience(), identities.bundles(), identities.now())
+                            authorization.substring(SCHEME.length()),
+                            rules.audience(),
+                            identities.bundles(),
+                            identities.now())
                     .id();
             return checkClient(id, tenant);
         } catch (IdentityRejectedException e) {
--- a/src/main/java/olivechute/security/RejectionLog.java
+++ b/src/main/java/olivechute/security/RejectionLog.java
@@ -18,7 +18,8 @@
      */
     static void log(Object subject, String reason) {
         long second = System.nanoTime() / 1_000_000_000L;
-        long logged = LOGGED.updateAndGet(previous -> previous >>> 32 == (second & 0xffffffffL) ? previous + 1 : (second << 32) + 1);
+        long logged = LOGGED.updateAndGet(
+                previous -> previous >>> 32 == (second & 0xffffffffL) ? previous + 1 : (second << 32) + 1);
         if ((logged & 0xffffffffL) > MAX_LINES_PER_SECOND) {
             SUPPRESSED.incrementAndGet();
             return;
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -70,14 +70,17 @@
     }
 
     /** For a connection that was accepted; its handshake must be over after so long. */
-    static TlsConnection server(SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
+    static TlsConnection server(
+            SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
             throws IOException {
         IdentityManager.ActiveIdentity own = identities.active();
-        return new TlsConnection(channel, identities, own, own.context().server(), handshakePermits, handshakeTimeoutMillis, peer -> {});
+        return new TlsConnection(
+                channel, identities, own, own.context().server(), handshakePermits, handshakeTimeoutMillis, peer -> {});
     }
 
     /** For one to be dialled; sessions are resumed with the peer of the same name only. */
-    static TlsConnection client(IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
+    static TlsConnection client(
+            IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
             throws IOException {
         IdentityManager.ActiveIdentity own = identities.active();
         return new TlsConnection(
@@ -208,7 +211,9 @@
             return true; // its handshake is under way, and has its own time
         }
         Instant now = identities.now();
-        if (peerRejected || isOwnIdentityExpired() || now.isAfter(stateMachine.peer().notAfter())) {
+        if (peerRejected
+                || isOwnIdentityExpired()
+                || now.isAfter(stateMachine.peer().notAfter())) {
             return false;
         }
         SvidManager.State state = identities.state();
@@ -219,7 +224,8 @@
             } catch (IdentityRejectedException e) {
                 peerRejected = true;
                 RejectionLog.log(
-                        socket().getRemoteSocketAddress(), stateMachine.peer().id() + " holds no more: " + e.getMessage());
+                        socket().getRemoteSocketAddress(),
+                        stateMachine.peer().id() + " holds no more: " + e.getMessage());
                 return false;
             }
         }
@@ -246,7 +252,9 @@
                 }
             }
             if (!plaintext.hasRemaining()) {
-                int n = blocking ? super.read(stateMachine.receiveBuffer()) : super.readAvailable(stateMachine.receiveBuffer());
+                int n = blocking
+                        ? super.read(stateMachine.receiveBuffer())
+                        : super.readAvailable(stateMachine.receiveBuffer());
                 if (n < 0) {
                     throw new EOFException("ended without a word of leave");
                 }
--- a/src/main/java/olivechute/store/BatchExecutor.java
+++ b/src/main/java/olivechute/store/BatchExecutor.java
@@ -32,14 +32,17 @@
                 transaction.put(put.getKey(), put.getValue(), put.getSession());
             }
         }
-        if (transaction.keyCount() > limits.maxKeys() && transaction.keyCount() > state.entries().size()) {
+        if (transaction.keyCount() > limits.maxKeys()
+                && transaction.keyCount() > state.entries().size()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_MANY, "with these writes there are " + transaction.keyCount() + " keys, over " + limits.maxKeys());
+                    ErrorCode.TOO_MANY,
+                    "with these writes there are " + transaction.keyCount() + " keys, over " + limits.maxKeys());
         }
         if (transaction.totalBytes() > limits.maxTotalBytes() && transaction.totalBytes() > state.totalBytes()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY,
-                    "with these writes there are " + transaction.totalBytes() + " bytes, over " + limits.maxTotalBytes());
+                    "with these writes there are " + transaction.totalBytes() + " bytes, over "
+                            + limits.maxTotalBytes());
         }
         return transaction.commit();
     }
@@ -72,7 +75,8 @@
         if (fence.getNumber() < newestToken) {
             throw new CommandRejectedException(
                     ErrorCode.STALE_FENCE,
-                    "fence " + fence.getNumber() + " of '" + fence.getDomain() + "', " + newestToken + " was given since");
+                    "fence " + fence.getNumber() + " of '" + fence.getDomain() + "', " + newestToken
+                            + " was given since");
         }
         LeaseEntry lease = state.leases().findByName(fence.getDomain());
         if (lease == null || lease.session() != fence.getNumber()) {
--- a/src/main/java/olivechute/store/FeatureLevels.java
+++ b/src/main/java/olivechute/store/FeatureLevels.java
@@ -23,10 +23,11 @@
         if (Integer.compareUnsigned(announcement.getKnows(), state.featureLevel()) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "replica '" + announcement.getReplica() + "' knows level " + announcement.getKnows() + ", the group is at "
-                            + state.featureLevel());
+                    "replica '" + announcement.getReplica() + "' knows level " + announcement.getKnows()
+                            + ", the group is at " + state.featureLevel());
         }
-        transaction.announcedLevels = transaction.announcedLevels.plus(announcement.getReplica(), announcement.getKnows());
+        transaction.announcedLevels =
+                transaction.announcedLevels.plus(announcement.getReplica(), announcement.getKnows());
         if (transaction.announcedLevels.size() > limits.maxReplicas()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY, "over " + limits.maxReplicas() + " replicas told their feature level");
--- a/src/main/java/olivechute/store/LeaseEntry.java
+++ b/src/main/java/olivechute/store/LeaseEntry.java
@@ -3,7 +3,8 @@
 import olivechute.store.wire.Lease;
 
 /** A lease that is held; it ends at {@code endsMs} of the store's clock. */
-record LeaseEntry(String name, String owner, long session, long ttlMs, long expiresAtMs) implements Comparable<LeaseEntry> {
+record LeaseEntry(String name, String owner, long session, long ttlMs, long expiresAtMs)
+        implements Comparable<LeaseEntry> {
     /** The same lease, prolonged to its term from this moment. */
     LeaseEntry renewed(long nowMs) {
         return new LeaseEntry(name, owner, session, ttlMs, expiryMs(nowMs, ttlMs));
--- a/src/main/java/olivechute/store/LeaseManager.java
+++ b/src/main/java/olivechute/store/LeaseManager.java
@@ -37,8 +37,8 @@
         if (held != null && !held.owner().equals(request.getOwner())) {
             throw new CommandRejectedException(
                     ErrorCode.LEASE_HELD,
-                    "'" + held.owner() + "' has '" + request.getName() + "' for " + (held.expiresAtMs() - state.clockMs())
-                            + " ms more unless it prolongs it");
+                    "'" + held.owner() + "' has '" + request.getName() + "' for "
+                            + (held.expiresAtMs() - state.clockMs()) + " ms more unless it prolongs it");
         }
         if (held == null && state.leases().size() >= limits.maxLeases()) {
             throw new CommandRejectedException(
--- a/src/main/java/olivechute/store/SnapshotLoader.java
+++ b/src/main/java/olivechute/store/SnapshotLoader.java
@@ -51,7 +51,8 @@
             totalBytes += EntrySizes.sizeInBytes(entry.getKey(), entry.getValue());
             if (session != 0) {
                 keysBySession = keysBySession.plus(
-                        session, keysBySession.getOrDefault(session, TreePSet.empty()).plus(entry.getKey()));
+                        session,
+                        keysBySession.getOrDefault(session, TreePSet.empty()).plus(entry.getKey()));
             }
         }
         return null;
--- a/src/main/java/olivechute/store/StateTransaction.java
+++ b/src/main/java/olivechute/store/StateTransaction.java
@@ -58,7 +58,8 @@
         totalBytes += EntrySizes.sizeInBytes(key, value);
         if (session != 0) {
             keysBySession = keysBySession.plus(
-                    session, keysBySession.getOrDefault(session, TreePSet.empty()).plus(key));
+                    session,
+                    keysBySession.getOrDefault(session, TreePSet.empty()).plus(key));
         }
         changedKeys = changedKeys.plus(key);
     }
@@ -98,7 +99,17 @@
 
     private StoreState buildState(long version, ChangeHistory history) {
         return new StoreState(
-                before.index(), version, clockMs, featureLevel, entries, totalBytes, keysBySession, leases, fences, announcedLevels, history);
+                before.index(),
+                version,
+                clockMs,
+                featureLevel,
+                entries,
+                totalBytes,
+                keysBySession,
+                leases,
+                fences,
+                announcedLevels,
+                history);
     }
 
     private boolean remove(String key) {
@@ -110,7 +121,9 @@
         totalBytes -= EntrySizes.sizeInBytes(key, removed.value());
         if (removed.session() != 0) {
             TreePSet<String> remaining = keysBySession.get(removed.session()).minus(key);
-            keysBySession = remaining.isEmpty() ? keysBySession.minus(removed.session()) : keysBySession.plus(removed.session(), remaining);
+            keysBySession = remaining.isEmpty()
+                    ? keysBySession.minus(removed.session())
+                    : keysBySession.plus(removed.session(), remaining);
         }
         return true;
     }
--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -40,7 +40,9 @@
             batch.addPuts(put(write));
         }
         for (Store.Fence fence : fences) {
-            batch.addFences(Fence.newBuilder().setDomain(requireEncodable(fence.domain())).setNumber(fence.token()));
+            batch.addFences(Fence.newBuilder()
+                    .setDomain(requireEncodable(fence.domain()))
+                    .setNumber(fence.token()));
         }
         return newCommand().setBatch(batch).build();
     }
@@ -76,7 +78,9 @@
     /** {@code knows} 0 strikes the replica off. */
     public static Command announce(String replica, int knownLevel) throws StoreException {
         return newCommand()
-                .setAnnounce(Announce.newBuilder().setReplica(requireEncodable(replica)).setKnows(knownLevel))
+                .setAnnounce(Announce.newBuilder()
+                        .setReplica(requireEncodable(replica))
+                        .setKnows(knownLevel))
                 .build();
     }
 
@@ -100,7 +104,8 @@
     /** Asks for what changed under a prefix after a version, waiting for the first change. */
     public static Query watch(String prefix, long since, Duration wait) throws StoreException {
         int waitMs = (int) Math.min(Integer.MAX_VALUE, Math.max(0, wait.toMillis()));
-        return newQuery().setWatch(Watch.newBuilder()
+        return newQuery()
+                .setWatch(Watch.newBuilder()
                         .setPrefix(requireEncodable(prefix))
                         .setSince(since)
                         .setWaitMs(waitMs))
--- a/src/main/java/olivechute/store/StoreStateMachine.java
+++ b/src/main/java/olivechute/store/StoreStateMachine.java
@@ -116,7 +116,8 @@
         }
         if (command.getWhatCase() == Command.WhatCase.WHAT_NOT_SET) {
             throw new CommandRejectedException(
-                    ErrorCode.LEVEL_TOO_LOW, "a command of a kind that level " + state.featureLevel() + " does not know");
+                    ErrorCode.LEVEL_TOO_LOW,
+                    "a command of a kind that level " + state.featureLevel() + " does not know");
         }
     }
 
@@ -135,9 +136,12 @@
     private static Reply buildReply(StoreState state, Command command) {
         Reply.Builder reply = Reply.newBuilder().setVersion(state.version());
         if (command.hasAcquire()) {
-            reply.setLease(state.leases().findByName(command.getAcquire().getName()).toMessage());
+            reply.setLease(
+                    state.leases().findByName(command.getAcquire().getName()).toMessage());
         } else if (command.hasRenew()) {
-            reply.setLease(state.leases().findBySession(command.getRenew().getSession()).toMessage());
+            reply.setLease(state.leases()
+                    .findBySession(command.getRenew().getSession())
+                    .toMessage());
         }
         return reply.build();
     }
--- a/src/main/java/olivechute/store/raft/DataDirectory.java
+++ b/src/main/java/olivechute/store/raft/DataDirectory.java
@@ -57,7 +57,8 @@
             ownerFile.force(true);
         } else if (!content.equals(ownerId + "\n")) {
             throw new DiskException(
-                    ErrorCode.DATA_FOREIGN, "folder " + path + " is of '" + content.strip() + "', not of '" + ownerId + "'");
+                    ErrorCode.DATA_FOREIGN,
+                    "folder " + path + " is of '" + content.strip() + "', not of '" + ownerId + "'");
         }
     }
 
--- a/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
+++ b/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
@@ -55,7 +55,10 @@
         boolean replicaAnswered = CALL.get().replicaAnswered;
         return replicaAnswered
                 ? new StoreException(
-                        ErrorCode.NO_MAJORITY, "no replica leads that could be reached: " + lastFailure.getMessage(), lastFailure)
-                : new StoreException(ErrorCode.NOT_REACHED, "no replica answered: " + lastFailure.getMessage(), lastFailure);
+                        ErrorCode.NO_MAJORITY,
+                        "no replica leads that could be reached: " + lastFailure.getMessage(),
+                        lastFailure)
+                : new StoreException(
+                        ErrorCode.NOT_REACHED, "no replica answered: " + lastFailure.getMessage(), lastFailure);
     }
 }
--- a/src/main/java/olivechute/store/raft/DiskProbe.java
+++ b/src/main/java/olivechute/store/raft/DiskProbe.java
@@ -41,7 +41,8 @@
                 }
                 channel.force(false);
             }
-            return new DiskHealth.ProbeResult(null, Files.getFileStore(directory).getUsableSpace(), usedBytes());
+            return new DiskHealth.ProbeResult(
+                    null, Files.getFileStore(directory).getUsableSpace(), usedBytes());
         } catch (IOException e) {
             Logger.debug("probe: {}", e.toString());
             return new DiskHealth.ProbeResult(DiskHealth.errorCodeOf(e), 0, 0);
--- a/src/main/java/olivechute/store/raft/LogTail.java
+++ b/src/main/java/olivechute/store/raft/LogTail.java
@@ -74,7 +74,9 @@
         CRC32C checksum = new CRC32C();
         checksum.update(file, from, end - CHECKSUM_BYTES - from);
         int matching = 0;
-        while (matching < CHECKSUM_BYTES && file[end - CHECKSUM_BYTES + matching] == (byte) (checksum.getValue() >> (8 * (CHECKSUM_BYTES - 1 - matching)))) {
+        while (matching < CHECKSUM_BYTES
+                && file[end - CHECKSUM_BYTES + matching]
+                        == (byte) (checksum.getValue() >> (8 * (CHECKSUM_BYTES - 1 - matching)))) {
             matching++;
         }
         return matching;
--- a/src/main/java/olivechute/store/raft/RaftMember.java
+++ b/src/main/java/olivechute/store/raft/RaftMember.java
@@ -45,13 +45,17 @@
     private CompletableFuture<RaftClientReply> pendingTick = CompletableFuture.completedFuture(null);
 
     RaftMember(
-            ReplicaSettings settings, DataDirectory dataDirectory, RatisStateMachine.Listener listener, Supplier<String> diskStatus)
+            ReplicaSettings settings,
+            DataDirectory dataDirectory,
+            RatisStateMachine.Listener listener,
+            Supplier<String> diskStatus)
             throws IOException {
         this.settings = settings;
         this.diskStatus = diskStatus;
         group = RatisConfiguration.group(settings.region(), settings.replicas());
         id = RaftPeerId.valueOf(settings.id());
-        voteFile = dataDirectory.logDirectory()
+        voteFile = dataDirectory
+                .logDirectory()
                 .resolve(group.getGroupId().getUuid().toString())
                 .resolve("current")
                 .resolve("raft-meta");
--- a/src/main/java/olivechute/store/raft/RatisConfiguration.java
+++ b/src/main/java/olivechute/store/raft/RatisConfiguration.java
@@ -61,8 +61,10 @@
         // One at a time holds all that waits; several overtake each other on the way and are turned back for it.
         GrpcConfigKeys.Server.setLeaderOutstandingAppendsMax(properties, 1);
         RaftServerConfigKeys.setStorageDir(properties, List.of(logDirectory.toFile()));
-        RaftServerConfigKeys.Rpc.setTimeoutMin(properties, millis(settings.minElectionTimeout().toMillis()));
-        RaftServerConfigKeys.Rpc.setTimeoutMax(properties, millis(settings.maxElectionTimeout().toMillis()));
+        RaftServerConfigKeys.Rpc.setTimeoutMin(
+                properties, millis(settings.minElectionTimeout().toMillis()));
+        RaftServerConfigKeys.Rpc.setTimeoutMax(
+                properties, millis(settings.maxElectionTimeout().toMillis()));
         RaftServerConfigKeys.Rpc.setRequestTimeout(
                 properties, millis(settings.maxElectionTimeout().toMillis()));
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(2_000));
--- a/src/main/java/olivechute/store/raft/RatisStateMachine.java
+++ b/src/main/java/olivechute/store/raft/RatisStateMachine.java
@@ -134,7 +134,8 @@
         try {
             Command command =
                     Command.parseFrom(request.getMessage().getContent().asReadOnlyByteBuffer());
-            byte[] stamped = StoreMessages.withClock(command, clockMs.getAsLong()).toByteArray();
+            byte[] stamped =
+                    StoreMessages.withClock(command, clockMs.getAsLong()).toByteArray();
             return transaction
                     .setLogData(UnsafeByteOperations.unsafeWrap(stamped))
                     .build();
--- a/src/main/java/olivechute/store/raft/RatisStore.java
+++ b/src/main/java/olivechute/store/raft/RatisStore.java
@@ -58,7 +58,9 @@
         return new RatisStore(
                 timeout,
                 newClient(group, attemptMs),
-                newClient(group, RatisStateMachine.MAX_WATCH_WAIT.plus(WATCH_SLACK).toMillis()));
+                newClient(
+                        group,
+                        RatisStateMachine.MAX_WATCH_WAIT.plus(WATCH_SLACK).toMillis()));
     }
 
     private static RaftClient newClient(RaftGroup group, long attemptMs) {
@@ -92,7 +94,10 @@
             Duration remaining = Duration.ofNanos(Math.max(0, deadlineNs - System.nanoTime()));
             Query query = StoreMessages.watch(prefix, version, remaining);
             Changes changes = StoreMessages.changes(call(
-                    watchClient, query, timeout.plus(RatisStateMachine.MAX_WATCH_WAIT).plus(WATCH_SLACK), false));
+                    watchClient,
+                    query,
+                    timeout.plus(RatisStateMachine.MAX_WATCH_WAIT).plus(WATCH_SLACK),
+                    false));
             boolean empty = !changes.complete()
                     && changes.entries().isEmpty()
                     && changes.removed().isEmpty();
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -97,7 +97,8 @@
             if (closedMember != null) {
                 closedMember.repairVoteFile();
             }
-            RaftMember newMember = new RaftMember(settings, dataDirectory, new MemberListener(), diskMonitor::statusText);
+            RaftMember newMember =
+                    new RaftMember(settings, dataDirectory, new MemberListener(), diskMonitor::statusText);
             member = newMember;
             newMember.start();
             eventLines.accept("serves on " + settings.self().address());
--- a/src/main/java/olivechute/store/raft/ReplicaSettings.java
+++ b/src/main/java/olivechute/store/raft/ReplicaSettings.java
@@ -95,7 +95,8 @@
         }
         if (settings.quotaBytes() > 0 && settings.quotaBytes() < settings.minQuotaBytes()) {
             root.addError(
-                    "quota_mb", "must be at least " + settings.minQuotaBytes() / MIB + " for these bounds, or 0 for none");
+                    "quota_mb",
+                    "must be at least " + settings.minQuotaBytes() / MIB + " for these bounds, or 0 for none");
         }
         if (!faults.isEmpty()) {
             throw new SettingsException(ErrorCode.SETTINGS_INVALID, String.join("; ", faults));
--- a/src/main/java/olivechute/store/raft/SnapshotStorage.java
+++ b/src/main/java/olivechute/store/raft/SnapshotStorage.java
@@ -58,7 +58,8 @@
      * {@code every}, {@code bytes}: log entries and bytes of them after which one is due; {@code ready}: has the
      * consensus take it.
      */
-    SnapshotStorage(Path temporaryFile, long entryInterval, long byteInterval, Supplier<CompletableFuture<?>> requestSnapshot) {
+    SnapshotStorage(
+            Path temporaryFile, long entryInterval, long byteInterval, Supplier<CompletableFuture<?>> requestSnapshot) {
         this.temporaryFile = temporaryFile;
         this.entryInterval = entryInterval;
         this.byteInterval = byteInterval;
@@ -103,7 +104,8 @@
     /** Begins a snapshot where one is due. */
     void onApplied(StoreState state, TermIndex entry, long entryBytes) {
         bytesSinceSnapshot += entryBytes;
-        if ((entry.getIndex() - lastIndex < entryInterval && bytesSinceSnapshot < byteInterval) || !inProgress.compareAndSet(false, true)) {
+        if ((entry.getIndex() - lastIndex < entryInterval && bytesSinceSnapshot < byteInterval)
+                || !inProgress.compareAndSet(false, true)) {
             return;
         }
         bytesSinceSnapshot = 0;
@@ -125,7 +127,8 @@
                 SnapshotCodec.write(state, out);
                 channel.force(true);
             }
-            pending = new WrittenSnapshot(temporaryFile, MD5FileUtil.computeMd5ForFile(temporaryFile.toFile()), lastEntry);
+            pending = new WrittenSnapshot(
+                    temporaryFile, MD5FileUtil.computeMd5ForFile(temporaryFile.toFile()), lastEntry);
             requestSnapshot.get().whenComplete((reply, failure) -> {
                 if (pending != null) { // not taken: the next one is tried when it is due again
                     pending = null;
@@ -153,7 +156,8 @@
             try (FileChannel folder = FileChannel.open(file.getParent())) {
                 folder.force(true);
             }
-            storage.updateLatestSnapshot(new SingleFileSnapshotInfo(new FileInfo(file, snapshot.digest), snapshot.lastEntry));
+            storage.updateLatestSnapshot(
+                    new SingleFileSnapshotInfo(new FileInfo(file, snapshot.digest), snapshot.lastEntry));
             lastIndex = Math.max(lastIndex, snapshot.lastEntry.getIndex());
             return lastIndex;
         } finally {
--- a/src/main/java/olivechute/store/raft/VoteFile.java
+++ b/src/main/java/olivechute/store/raft/VoteFile.java
@@ -26,7 +26,10 @@
         Logger.warn("vote cut short on a full disk: mended at term {}", term);
         Path replacement = file.resolveSibling("raft-meta.mended");
         try (FileChannel channel = FileChannel.open(
-                replacement, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                replacement,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE)) {
             ByteBuffer bytes =
                     ByteBuffer.wrap(("term=" + term + "\nvotedFor=" + id + "\n").getBytes(StandardCharsets.UTF_8));
             while (bytes.hasRemaining()) {
--- a/src/main/java/olivechute/supervisor/ArtifactVerifier.java
+++ b/src/main/java/olivechute/supervisor/ArtifactVerifier.java
@@ -32,7 +32,8 @@
         }
         if (!expectedDigest.isEmpty() && !actualDigest.equalsIgnoreCase(expectedDigest)) {
             throw new SupervisionException(
-                    ErrorCode.PROGRAM_MISSING, program + " has the digest " + actualDigest + ", wanted is " + expectedDigest);
+                    ErrorCode.PROGRAM_MISSING,
+                    program + " has the digest " + actualDigest + ", wanted is " + expectedDigest);
         }
         return actualDigest;
     }
--- a/src/main/java/olivechute/supervisor/LaunchSpec.java
+++ b/src/main/java/olivechute/supervisor/LaunchSpec.java
@@ -5,7 +5,13 @@
  * that it must have, in hexadecimal digits, empty where any will do; {@code found}: the one that it had;
  * {@code config}: the node's whole configuration as JSON.
  */
-record LaunchSpec(String version, long orderNumber, String program, String expectedDigest, String actualDigest, String configJson) {
+record LaunchSpec(
+        String version,
+        long orderNumber,
+        String program,
+        String expectedDigest,
+        String actualDigest,
+        String configJson) {
     /** Whether a process that runs this can go over to another by reading its configuration again. */
     boolean canReloadTo(LaunchSpec other) {
         return program.equals(other.program)
--- a/src/main/java/olivechute/supervisor/LeaseRenewer.java
+++ b/src/main/java/olivechute/supervisor/LeaseRenewer.java
@@ -81,7 +81,11 @@
                     pause(Math.min(renewAtMs, reportAtMs) - monotonicClock.getAsLong(), false);
                 } catch (StoreException e) {
                     handleFailure(e);
-                    pause(lease == null && !heldByOther() ? ACQUIRE_RETRY_MS : settings.leaseTtl().toMillis() / 3, true);
+                    pause(
+                            lease == null && !heldByOther()
+                                    ? ACQUIRE_RETRY_MS
+                                    : settings.leaseTtl().toMillis() / 3,
+                            true);
                 }
             }
             release();
@@ -114,8 +118,10 @@
         }
         renewAtMs = Math.max(renewAtMs, nowMs + ttlMs / 3);
         if (takeReportChanged() || nowMs >= reportAtMs) {
-            byte[] reportBytes =
-                    reportSupplier.get().toBuilder().setFence(lease.session()).build().toByteArray();
+            byte[] reportBytes = reportSupplier.get().toBuilder()
+                    .setFence(lease.session())
+                    .build()
+                    .toByteArray();
             store.write(
                     List.of(new Store.Write("machine/" + settings.machine(), reportBytes, null, lease.session())),
                     List.of(lease.fence()));
--- a/src/main/java/olivechute/supervisor/MetricsBuffer.java
+++ b/src/main/java/olivechute/supervisor/MetricsBuffer.java
@@ -33,8 +33,9 @@
         }
         NodeFigures previous = latest.get(metrics.getNode());
         boolean newIncarnation = previous == null || metrics.getIncarnation() > previous.getIncarnation();
-        boolean newer =
-                newIncarnation || (metrics.getIncarnation() == previous.getIncarnation() && metrics.getSequence() > previous.getSequence());
+        boolean newer = newIncarnation
+                || (metrics.getIncarnation() == previous.getIncarnation()
+                        && metrics.getSequence() > previous.getSequence());
         if (!newer) {
             return UpdateResult.STALE;
         }
@@ -58,7 +59,9 @@
         List<NodeFigures> result = new ArrayList<>();
         for (String node : unpublished) {
             NodeFigures metrics = latest.get(node);
-            String version = versionOverride.getOrDefault(node, Map.of()).getOrDefault(metrics.getVersion(), metrics.getVersion());
+            String version = versionOverride
+                    .getOrDefault(node, Map.of())
+                    .getOrDefault(metrics.getVersion(), metrics.getVersion());
             result.add(metrics.toBuilder().setVersion(version).build());
         }
         unpublished.clear();
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -66,7 +66,10 @@
             try {
                 Socket socket = listener.accept();
                 if (openSockets.size() >= maxConnections) {
-                    Logger.warn("figures: {} dropped, {} connections are open", socket.getRemoteSocketAddress(), maxConnections);
+                    Logger.warn(
+                            "figures: {} dropped, {} connections are open",
+                            socket.getRemoteSocketAddress(),
+                            maxConnections);
                     socket.close();
                     continue;
                 }
@@ -106,7 +109,8 @@
                 }
             }
         } catch (SocketTimeoutException e) {
-            Logger.warn("figures: {} dropped, no message within {} ms", socket.getRemoteSocketAddress(), messageTimeoutMs);
+            Logger.warn(
+                    "figures: {} dropped, no message within {} ms", socket.getRemoteSocketAddress(), messageTimeoutMs);
         } catch (InvalidProtocolBufferException | SupervisionException e) {
             Logger.warn("figures: {} dropped: {}", socket.getRemoteSocketAddress(), e.getMessage());
         } catch (IOException e) {
--- a/src/main/java/olivechute/supervisor/NodeProcess.java
+++ b/src/main/java/olivechute/supervisor/NodeProcess.java
@@ -17,7 +17,12 @@
  * environment tells of, {@code since} the length of its log at its start.
  */
 record NodeProcess(
-        ProcessHandle handle, CompletableFuture<Integer> exitStatus, NodeLog log, long logOffset, Path configFile, LaunchSpec initialLaunch) {
+        ProcessHandle handle,
+        CompletableFuture<Integer> exitStatus,
+        NodeLog log,
+        long logOffset,
+        Path configFile,
+        LaunchSpec initialLaunch) {
     /** ms by which the machine's clock may tell the start of one process apart when asked twice. */
     private static final long START_TIME_TOLERANCE_MS = 2000;
 
@@ -58,7 +63,8 @@
     }
 
     SupervisorStateFile.ProcessRecord toRecord(String address, LaunchSpec launch) {
-        return new SupervisorStateFile.ProcessRecord(handle.pid(), startTimeMs(handle), address, configFile.toString(), launch);
+        return new SupervisorStateFile.ProcessRecord(
+                handle.pid(), startTimeMs(handle), address, configFile.toString(), launch);
     }
 
     /** Has it read its configuration again. */
--- a/src/main/java/olivechute/supervisor/NodeRunner.java
+++ b/src/main/java/olivechute/supervisor/NodeRunner.java
@@ -58,11 +58,16 @@
         this.metricsBuffer = metricsBuffer;
         this.eventSink = eventSink;
         this.output = output;
-        storedLaunch = directory.load(directory.file(node.name() + ".order"))
+        storedLaunch = directory
+                .load(directory.file(node.name() + ".order"))
                 .flatMap(SupervisorStateFile::parseLaunch)
                 .orElse(null);
         stateMachine = new NodeStateMachine(
-                node.name(), node.addresses(), settings.timeouts(), storedLaunch == null ? 0 : storedLaunch.orderNumber(), random);
+                node.name(),
+                node.addresses(),
+                settings.timeouts(),
+                storedLaunch == null ? 0 : storedLaunch.orderNumber(),
+                random);
         for (int i = 0; i < node.addresses().size(); i++) {
             logs.add(new NodeLog(directory.file(node.name() + "." + i + ".log"), MAX_LOG_BYTES));
         }
@@ -85,8 +90,10 @@
     void adopt(long nowMs) {
         for (int i = 0; i < node.addresses().size(); i++) {
             NodeLog log = logs.get(i);
-            SupervisorStateFile.ProcessRecord stored =
-                    directory.load(pidFile(i)).flatMap(SupervisorStateFile::parseProcess).orElse(null);
+            SupervisorStateFile.ProcessRecord stored = directory
+                    .load(pidFile(i))
+                    .flatMap(SupervisorStateFile::parseProcess)
+                    .orElse(null);
             NodeProcess process =
                     stored == null ? null : NodeProcess.find(stored, log).orElse(null);
             if (process != null && stored.address().equals(node.addresses().get(i))) {
@@ -231,7 +238,10 @@
                         int prefixIndex = line.indexOf(RELOAD_FAILED_PREFIX);
                         if (prefixIndex >= 0 || line.contains(RELOADED_MESSAGE)) {
                             eventSink.accept(new NodeEvent.Reloaded(
-                                    runId, prefixIndex < 0 ? "" : line.substring(prefixIndex + RELOAD_FAILED_PREFIX.length())));
+                                    runId,
+                                    prefixIndex < 0
+                                            ? ""
+                                            : line.substring(prefixIndex + RELOAD_FAILED_PREFIX.length())));
                             return;
                         }
                     }
@@ -249,7 +259,10 @@
             Logger.warn("node {}: its configuration cannot be put back: {}", node.name(), e.toString());
         }
         int addressIndex = logs.indexOf(process.log());
-        save(pidFile(addressIndex), SupervisorStateFile.toProperties(process.toRecord(node.addresses().get(addressIndex), launch)));
+        save(
+                pidFile(addressIndex),
+                SupervisorStateFile.toProperties(
+                        process.toRecord(node.addresses().get(addressIndex), launch)));
         metricsBuffer.versionOverride(node.name(), process.initialLaunch().version(), launch.version());
     }
 
--- a/src/main/java/olivechute/supervisor/NodeStateMachine.java
+++ b/src/main/java/olivechute/supervisor/NodeStateMachine.java
@@ -8,10 +8,10 @@
 import olivechute.rollout.NodePhase;
 import olivechute.supervisor.NodeEvent.Adopted;
 import olivechute.supervisor.NodeEvent.Exited;
-import olivechute.supervisor.NodeEvent.StartFailed;
 import olivechute.supervisor.NodeEvent.OrderReceived;
 import olivechute.supervisor.NodeEvent.Ready;
 import olivechute.supervisor.NodeEvent.Reloaded;
+import olivechute.supervisor.NodeEvent.StartFailed;
 import olivechute.supervisor.NodeEvent.Stop;
 
 /**
@@ -40,7 +40,8 @@
     private NodeReport report;
 
     /** {@code floor}: number of the last order that an earlier supervisor took up; a lower one is never carried out. */
-    NodeStateMachine(String node, List<String> addresses, NodeTimeouts timeouts, long minOrderNumber, RandomGenerator random) {
+    NodeStateMachine(
+            String node, List<String> addresses, NodeTimeouts timeouts, long minOrderNumber, RandomGenerator random) {
         this.node = node;
         this.timeouts = timeouts;
         this.minOrderNumber = minOrderNumber;
@@ -255,13 +256,17 @@
                 drain(slot, nowMs);
             }
         }
-        if (current == null && !rejected && nowMs >= retryAtMs && slots.stream().noneMatch(s -> s.reloadTarget != null)) {
+        if (current == null
+                && !rejected
+                && nowMs >= retryAtMs
+                && slots.stream().noneMatch(s -> s.reloadTarget != null)) {
             startTarget(nowMs);
         }
     }
 
     private void startTarget(long nowMs) {
-        NodeSlot serving = slots.stream().filter(NodeSlot::isServing).findFirst().orElse(null);
+        NodeSlot serving =
+                slots.stream().filter(NodeSlot::isServing).findFirst().orElse(null);
         NodeSlot free = slots.stream().filter(NodeSlot::isEmpty).findFirst().orElse(null);
         if (serving != null && serving.isReady() && !reloadTimedOut && serving.launch.canReloadTo(target)) {
             serving.reloadTarget = target;
@@ -298,7 +303,8 @@
                         .filter(s -> s.state == NodeSlot.State.ADOPTED)
                         .findFirst()
                         .orElse(null));
-        NodeSlot draining = slots.stream().filter(NodeSlot::isDraining).findFirst().orElse(null);
+        NodeSlot draining =
+                slots.stream().filter(NodeSlot::isDraining).findFirst().orElse(null);
         boolean targetReady = serving != null && serving.isReady() && isTarget(serving);
         boolean starting = slots.stream().anyMatch(s -> s.isStarting() || s.state == NodeSlot.State.ADOPTED)
                 || (serving != null && consecutiveFailures > 0);
@@ -311,9 +317,12 @@
                                 : serving != null
                                         ? NodePhase.READY
                                         : draining != null ? NodePhase.DRAINING : NodePhase.DOWN;
-        String version =
-                serving != null ? serving.launch.version() : phase == NodePhase.DRAINING ? draining.launch.version() : "";
-        long completedOrder = target != null && (targetReady || rejected || crashes > 0) ? target.orderNumber() : report.completedOrder();
+        String version = serving != null
+                ? serving.launch.version()
+                : phase == NodePhase.DRAINING ? draining.launch.version() : "";
+        long completedOrder = target != null && (targetReady || rejected || crashes > 0)
+                ? target.orderNumber()
+                : report.completedOrder();
         boolean unchanged = phase == report.phase() && version.equals(report.version());
         return new NodeReport(version, phase, unchanged ? report.sinceMs() : nowMs, completedOrder, crashes, lastError);
     }
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -93,7 +93,8 @@
 
     private void readOrders(Store.Lease lease) throws StoreException {
         boolean readAll = sinceVersion < 0 || lease.session() != lastSession;
-        Store.Changes changes = readAll ? store.list(ORDER_PREFIX) : store.watch(ORDER_PREFIX, sinceVersion, watchTimeout);
+        Store.Changes changes =
+                readAll ? store.list(ORDER_PREFIX) : store.watch(ORDER_PREFIX, sinceVersion, watchTimeout);
         if (readAll || changes.complete()) {
             orders.clear();
         }
--- a/src/main/java/olivechute/supervisor/SettingsOverlay.java
+++ b/src/main/java/olivechute/supervisor/SettingsOverlay.java
@@ -15,7 +15,8 @@
 final class SettingsOverlay {
     private static final String CEILINGS = "settings.ceilings";
     /** What a node takes over when it reads its file again; see {@link olivechute.config.NodeConfig#fixedSince}. */
-    private static final List<String> RELOADABLE_PATHS = List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
+    private static final List<String> RELOADABLE_PATHS =
+            List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
 
     private SettingsOverlay() {}
 
--- a/src/main/java/olivechute/supervisor/StartFailureClassifier.java
+++ b/src/main/java/olivechute/supervisor/StartFailureClassifier.java
@@ -15,6 +15,9 @@
      * same way.
      */
     static boolean isPermanent(Integer exitStatus, String lastLine) {
-        return exitStatus != null && exitStatus == 1 && SETTINGS_ERROR.matcher(lastLine).matches() && !lastLine.startsWith(ADDRESS_IN_USE_PREFIX);
+        return exitStatus != null
+                && exitStatus == 1
+                && SETTINGS_ERROR.matcher(lastLine).matches()
+                && !lastLine.startsWith(ADDRESS_IN_USE_PREFIX);
     }
 }
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -72,9 +72,20 @@
         MetricsBuffer metricsBuffer = new MetricsBuffer(nodes.keySet());
         LongSupplier monotonicClock = () -> System.nanoTime() / 1_000_000;
         try {
-            leaseRenewer = new LeaseRenewer(settings, store, directory.leaseOwner(settings.machine()), this::buildMachineReport, output, monotonicClock);
+            leaseRenewer = new LeaseRenewer(
+                    settings,
+                    store,
+                    directory.leaseOwner(settings.machine()),
+                    this::buildMachineReport,
+                    output,
+                    monotonicClock);
             metricsReceiver = new MetricsReceiver(
-                    settings.metricsAddress(), metricsBuffer, 4 * nodes.size() + 8, METRICS_MESSAGE_TIMEOUT_MS, Threads.connectionThreads(), output);
+                    settings.metricsAddress(),
+                    metricsBuffer,
+                    4 * nodes.size() + 8,
+                    METRICS_MESSAGE_TIMEOUT_MS,
+                    Threads.connectionThreads(),
+                    output);
         } catch (SupervisionException e) {
             directory.close();
             throw e;
@@ -92,7 +103,14 @@
             runners.put(
                     node.name(),
                     new NodeRunner(
-                            node, settings, metricsReceiver.address(), directory, metricsBuffer, random, e -> post(node.name(), e), output));
+                            node,
+                            settings,
+                            metricsReceiver.address(),
+                            directory,
+                            metricsBuffer,
+                            random,
+                            e -> post(node.name(), e),
+                            output));
         }
     }
 
@@ -126,7 +144,8 @@
                         .mapToLong(r -> r.stateMachine().nextTickMs())
                         .min()
                         .orElse(Long.MAX_VALUE);
-                QueuedEvent event = events.poll(Math.max(0, Math.min(nextTickMs, nextHousekeepingMs) - nowMs), TimeUnit.MILLISECONDS);
+                QueuedEvent event = events.poll(
+                        Math.max(0, Math.min(nextTickMs, nextHousekeepingMs) - nowMs), TimeUnit.MILLISECONDS);
                 nowMs = clock.getAsLong();
                 if (event != null) {
                     handle(event, nowMs);
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -70,7 +70,8 @@
         HoconObject store = root.node("store");
         List<ReplicaAddress> replicas = new ArrayList<>();
         for (HoconObject each : store.nodes("replicas")) {
-            replicas.add(new ReplicaAddress(each.requiredText("id"), address(each, "address", each.requiredText("address"))));
+            replicas.add(new ReplicaAddress(
+                    each.requiredText("id"), address(each, "address", each.requiredText("address"))));
             each.rejectUnknownKeys();
         }
         if (replicas.isEmpty()) {
--- a/src/main/java/olivechute/svid/FolderSvidSource.java
+++ b/src/main/java/olivechute/svid/FolderSvidSource.java
@@ -82,19 +82,22 @@
         Map<String, String> stamps = new TreeMap<>();
         for (Path file : files(directory)) {
             BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
-            stamps.put(file.toString(), Objects.toString(attributes.fileKey()) + attributes.lastModifiedTime() + attributes.size());
+            stamps.put(
+                    file.toString(),
+                    Objects.toString(attributes.fileKey()) + attributes.lastModifiedTime() + attributes.size());
         }
         return stamps;
     }
 
     private static List<Path> files(Path directory) throws IOException {
-        List<Path> files =
-                new ArrayList<>(List.of(directory.resolve("svid.pem"), directory.resolve("svid_key.pem"), directory.resolve("bundle.pem")));
+        List<Path> files = new ArrayList<>(List.of(
+                directory.resolve("svid.pem"), directory.resolve("svid_key.pem"), directory.resolve("bundle.pem")));
         if (Files.exists(directory.resolve("bundle.jwks"))) {
             files.add(directory.resolve("bundle.jwks"));
         }
         if (Files.isDirectory(directory.resolve("federated"))) {
-            try (DirectoryStream<Path> others = Files.newDirectoryStream(directory.resolve("federated"), "*.{pem,jwks}")) {
+            try (DirectoryStream<Path> others =
+                    Files.newDirectoryStream(directory.resolve("federated"), "*.{pem,jwks}")) {
                 for (Path other : others) {
                     files.add(other);
                     if (files.size() > MAX_FILES) {
@@ -109,7 +112,8 @@
     private Offer read(Path directory) throws IOException, IdentityRejectedException {
         List<X509Certificate> chain = PemReader.certificates(readText(directory.resolve("svid.pem")));
         PrivateKey key = PemReader.key(
-                readText(directory.resolve("svid_key.pem")), chain.get(0).getPublicKey().getAlgorithm());
+                readText(directory.resolve("svid_key.pem")),
+                chain.get(0).getPublicKey().getAlgorithm());
         Map<String, TrustBundle> bundles = new TreeMap<>();
         for (Path file : files(directory)) {
             String name = file.getFileName().toString();
@@ -118,7 +122,8 @@
                 continue;
             }
             String domain = own ? trustDomain : SpiffeId.trustDomain(name.substring(0, name.lastIndexOf('.')));
-            List<X509Certificate> authorities = name.endsWith(".pem") ? PemReader.certificates(readText(file)) : List.of();
+            List<X509Certificate> authorities =
+                    name.endsWith(".pem") ? PemReader.certificates(readText(file)) : List.of();
             Map<String, PublicKey> keys = name.endsWith(".jwks") ? JwkSets.parseKeys(readText(file)) : Map.of();
             bundles.merge(domain, new TrustBundle(domain, authorities, keys), TrustBundle::merge);
         }
--- a/src/main/java/olivechute/svid/WorkloadApiMessages.java
+++ b/src/main/java/olivechute/svid/WorkloadApiMessages.java
@@ -84,8 +84,10 @@
             PrivateKey key = PemReader.derKey(
                     lastValue(svid, KEY), chain.get(0).getPublicKey().getAlgorithm());
             List<TrustBundle> bundles = new ArrayList<>();
-            bundles.add(new TrustBundle(id.trustDomain(), PemReader.derCertificates(lastValue(svid, BUNDLE)), Map.of()));
-            for (Map.Entry<String, byte[]> other : parseDomainMap(response, FEDERATED).entrySet()) {
+            bundles.add(
+                    new TrustBundle(id.trustDomain(), PemReader.derCertificates(lastValue(svid, BUNDLE)), Map.of()));
+            for (Map.Entry<String, byte[]> other :
+                    parseDomainMap(response, FEDERATED).entrySet()) {
                 bundles.add(new TrustBundle(other.getKey(), PemReader.derCertificates(other.getValue()), Map.of()));
             }
             return new Offer(chain, key, bundles);
@@ -95,9 +97,11 @@
     }
 
     /** The keys that sign tokens, by trust domain. */
-    public static Map<String, Map<String, PublicKey>> parseJwtBundlesResponse(byte[] message) throws IdentityRejectedException {
+    public static Map<String, Map<String, PublicKey>> parseJwtBundlesResponse(byte[] message)
+            throws IdentityRejectedException {
         Map<String, Map<String, PublicKey>> keys = new HashMap<>();
-        for (Map.Entry<String, byte[]> each : parseDomainMap(parseFields(message), BUNDLES).entrySet()) {
+        for (Map.Entry<String, byte[]> each :
+                parseDomainMap(parseFields(message), BUNDLES).entrySet()) {
             keys.put(each.getKey(), JwkSets.parseKeys(new String(each.getValue(), StandardCharsets.UTF_8)));
         }
         return keys;
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -120,10 +120,14 @@
         void run() throws IOException, GrpcException {
             SocketChannel dialled = openChannel();
             dialled.connect(address);
-            x509Stream =
-                    connection.call("localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
+            x509Stream = connection.call(
+                    "localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
             if (fetchJwtBundles) {
-                connection.call("localhost", WorkloadApiMessages.FETCH_JWT_BUNDLES, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
+                connection.call(
+                        "localhost",
+                        WorkloadApiMessages.FETCH_JWT_BUNDLES,
+                        WorkloadApiMessages.METADATA,
+                        EMPTY_REQUEST);
             }
             ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
             while (endReason == null) {
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -17,7 +17,8 @@
 
 /** A certificate authority of a trust domain: its root, or one that the root signed. */
 public final class CertificateAuthority {
-    static final List<KeyPurposeId> SERVER_AND_CLIENT_AUTH = List.of(KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth);
+    static final List<KeyPurposeId> SERVER_AND_CLIENT_AUTH =
+            List.of(KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth);
     private static final String ALGORITHM = "SHA256withECDSA";
 
     private final String trustDomain;
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -124,7 +124,8 @@
 
         private CertificateAuthority intermediateWith(ContentChange change) {
             KeyPair keys = CertificateBuilder.newEcKeyPair();
-            return root.subordinate(keys, change.change(CertificateAuthority.authorityContent(domain, "between", keys, from, to)));
+            return root.subordinate(
+                    keys, change.change(CertificateAuthority.authorityContent(domain, "between", keys, from, to)));
         }
     }
 
--- a/src/main/java/olivechute/testca/TestCaCommand.java
+++ b/src/main/java/olivechute/testca/TestCaCommand.java
@@ -91,7 +91,9 @@
             Files.createDirectories(dir);
             PemWriter.write(dir.resolve("bundle.pem"), List.of(root.certificate()));
             for (SpiffeId id : ids) {
-                new TrustDirectory(folder(id)).svid(intermediate.issue(id, from, to)).bundle(List.of(root.certificate()));
+                new TrustDirectory(folder(id))
+                        .svid(intermediate.issue(id, from, to))
+                        .bundle(List.of(root.certificate()));
                 spec.commandLine().getOut().println(id);
             }
             if (forgery != null) {
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -110,7 +110,8 @@
     private final class Session implements GrpcConnection.Listener {
         private final SocketChannel channel;
         private final GrpcConnection connection = GrpcConnection.server(this); // guarded by this
-        private final Map<Integer, String> methodByStream = new HashMap<>(); // guarded by this: methods by their streams
+        private final Map<Integer, String> methodByStream =
+                new HashMap<>(); // guarded by this: methods by their streams
 
         Session(SocketChannel channel) {
             this.channel = channel;
@@ -164,7 +165,8 @@
                 }
                 connection.sendResponseHeaders(stream);
                 if (end != 0) {
-                    connection.finish(stream, Map.of("grpc-status", String.valueOf(end), "grpc-message", "turned away"));
+                    connection.finish(
+                            stream, Map.of("grpc-status", String.valueOf(end), "grpc-message", "turned away"));
                     return;
                 }
                 methodByStream.put(stream, method);
--- a/src/main/java/olivechute/tls/TlsStateMachine.java
+++ b/src/main/java/olivechute/tls/TlsStateMachine.java
@@ -77,7 +77,8 @@
                 if (inbound.position() == 0 && inbound.capacity() > INITIAL_BUFFER_BYTES) {
                     inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
                 } else if (!inbound.hasRemaining()) {
-                    inbound = enlarge(inbound, engine.getSession().getPacketBufferSize()); // the rest of a record is to come
+                    inbound = enlarge(
+                            inbound, engine.getSession().getPacketBufferSize()); // the rest of a record is to come
                 }
             }
         } catch (SSLException e) {
@@ -125,7 +126,8 @@
     private boolean unwrap() throws SSLException, TlsException {
         SSLEngineResult result = engine.unwrap(inbound, plaintext);
         if (result.getStatus() == Status.BUFFER_OVERFLOW && plaintext.capacity() <= INITIAL_BUFFER_BYTES) {
-            plaintext = enlarge(plaintext, INITIAL_BUFFER_BYTES + engine.getSession().getApplicationBufferSize());
+            plaintext = enlarge(
+                    plaintext, INITIAL_BUFFER_BYTES + engine.getSession().getApplicationBufferSize());
             result = engine.unwrap(inbound, plaintext);
         }
         if (result.getStatus() == Status.BUFFER_OVERFLOW || result.getStatus() == Status.BUFFER_UNDERFLOW) {
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -106,7 +106,8 @@
     }
 
     /** Holds each connection's reader from the moment at which it has read what comes after so many reads. */
-    private void listenBlockingAfterRead(int reads, CountDownLatch readDone, CountDownLatch release, int maxConnections) throws IOException {
+    private void listenBlockingAfterRead(int reads, CountDownLatch readDone, CountDownLatch release, int maxConnections)
+            throws IOException {
         listen(
                 channel -> {
                     AtomicInteger left = new AtomicInteger(reads);
@@ -249,7 +250,9 @@
 
     /** The second answer may wait for a client that does not read, as the first fills half of the send buffer. */
     private TestClient clientAwaitingSecondLargeResult() throws Exception {
-        TestClient client = connect().send(TestClient.jobRequest("verify", "t1", 5000)).send(TestClient.jobRequest("verify", "t2", 5000));
+        TestClient client = connect()
+                .send(TestClient.jobRequest("verify", "t1", 5000))
+                .send(TestClient.jobRequest("verify", "t2", 5000));
         sendResult(awaitRequest(), LARGE_RESULT);
         assertEquals(statusAndBody(client.receive()), "200 " + LARGE_RESULT);
         sendResult(awaitRequest(), LARGE_RESULT);
--- a/src/test/java/olivechute/DelayedNodeTest.java
+++ b/src/test/java/olivechute/DelayedNodeTest.java
@@ -29,7 +29,12 @@
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         DownstreamServer front = new DownstreamServer(
-                loop, new WriterThreads(100), Threads.connectionThreads(), config.settings(), config.loadReportFields(), 100);
+                loop,
+                new WriterThreads(100),
+                Threads.connectionThreads(),
+                config.settings(),
+                config.loadReportFields(),
+                100);
         loop.runPeriodically(SWEEP_INTERVAL_US, front::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
--- a/src/test/java/olivechute/DownstreamServerTestBase.java
+++ b/src/test/java/olivechute/DownstreamServerTestBase.java
@@ -57,12 +57,14 @@
         listen(connectionFactory, Threads.connectionThreads(), maxConnections);
     }
 
-    void listen(Function<SocketChannel, Connection> connectionFactory, ConnectionThreads threads, int maxConnections) throws IOException {
+    void listen(Function<SocketChannel, Connection> connectionFactory, ConnectionThreads threads, int maxConnections)
+            throws IOException {
         Path file = writeConfig(startServer(r -> null), 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         loop = new EventLoop();
-        server = new DownstreamServer(loop, writers, threads, config.settings(), config.loadReportFields(), maxConnections);
+        server = new DownstreamServer(
+                loop, writers, threads, config.settings(), config.loadReportFields(), maxConnections);
         loop.runPeriodically(SWEEP_INTERVAL_US, server::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
@@ -72,17 +74,18 @@
                 disconnects.add(e);
             }
         });
-        serverAddress = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Authenticator() {
-            @Override
-            public Connection createTransport(SocketChannel accepted) {
-                return connectionFactory.apply(accepted);
-            }
-
-            @Override
-            public PeerIdentity authenticate(Connection link) {
-                return PeerIdentity.UNRESTRICTED;
-            }
-        });
+        serverAddress = server.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new PeerIdentity.Authenticator() {
+                    @Override
+                    public Connection createTransport(SocketChannel accepted) {
+                        return connectionFactory.apply(accepted);
+                    }
+
+                    @Override
+                    public PeerIdentity authenticate(Connection link) {
+                        return PeerIdentity.UNRESTRICTED;
+                    }
+                });
         server.ready();
     }
 
--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -36,7 +36,8 @@
         startProcess("trap '' HUP", file);
         assertEquals(runJob(), "200 first");
 
-        byte[] drained = endpointListResponse(2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
+        byte[] drained = endpointListResponse(
+                2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
         byte[] none = endpointListResponse(2, false);
         TestServer moved = startServer(r -> r.target().contains("since=1&") ? drained : none);
         Files.move(writeConfig(moved, 1024), file, StandardCopyOption.REPLACE_EXISTING);
--- a/src/test/java/olivechute/NodeMetricsTest.java
+++ b/src/test/java/olivechute/NodeMetricsTest.java
@@ -49,10 +49,12 @@
             for (int i = 0; i < JOBS; i++) {
                 String kind = CLASSES[random.nextInt(CLASSES.length)];
                 boolean fails = random.nextInt(4) == 0;
-                host.handler = acceptAndReport("s1", "\"state\":\"started\"", fails ? "\"state\":\"failed\"" : doneEvent("r"));
+                host.handler =
+                        acceptAndReport("s1", "\"state\":\"started\"", fails ? "\"state\":\"failed\"" : doneEvent("r"));
                 observed.merge(
                         kind + " "
-                                + client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(),
+                                + client.exchange(TestClient.jobRequest(kind, "t" + i, 5000))
+                                        .status(),
                         1,
                         Integer::sum);
             }
@@ -61,7 +63,11 @@
             int before = host.requests().size();
             TestClient leaves = connectClient().send(TestClient.jobRequest("verify", "left", 5000));
             await(() -> host.requests().size() > before);
-            assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "left", 5000)).status(), 409);
+            assertEquals(
+                    connectClient()
+                            .exchange(TestClient.jobRequest("verify", "left", 5000))
+                            .status(),
+                    409);
             leaves.close();
             await(() -> node.unansweredRequests() == 0);
             node.drain();
--- a/src/test/java/olivechute/NodeProcessTest.java
+++ b/src/test/java/olivechute/NodeProcessTest.java
@@ -40,7 +40,8 @@
                 }
             }
             assertEquals(connect().exchange(READINESS_REQUEST).status(), 200);
-            assertEquals(statusAndBody(connect().exchange(TestClient.jobRequest("verify", "t" + round, 5000))), "200 ok");
+            assertEquals(
+                    statusAndBody(connect().exchange(TestClient.jobRequest("verify", "t" + round, 5000))), "200 ok");
         }
         assertTrue(program.isAlive());
     }
--- a/src/test/java/olivechute/NodeProcessTestBase.java
+++ b/src/test/java/olivechute/NodeProcessTestBase.java
@@ -8,8 +8,8 @@
 import java.time.Duration;
 import java.util.regex.Matcher;
 import olivechute.net.Threads;
-import olivechute.rig.TestProcess;
 import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestProcess;
 
 /** A node as a process of its own, between parties of the test's. */
 abstract class NodeProcessTestBase extends NodeTestBase {
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -43,7 +43,8 @@
 
     @Test
     public void aJobIsPassedOnUnchangedAndItsResultIsTheAnswer() throws Exception {
-        TestServer host = startServer(acceptAndReport("s1", "\"state\":\"started\"", "\"state\":\"running\",\"share\":0.4", doneEvent("r\\u00e9")));
+        TestServer host = startServer(acceptAndReport(
+                "s1", "\"state\":\"started\"", "\"state\":\"running\",\"share\":0.4", doneEvent("r\\u00e9")));
         start(endpointEntry("s1", host, "active", 0));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 r\u00e9");
         HttpRequest r = host.requests().get(0);
@@ -75,7 +76,9 @@
         TestServer host = startServer(r -> ACCEPTED);
         start(endpointEntry("s1", host, "active", 0));
         long before = System.nanoTime();
-        int status = connectClient().exchange(TestClient.jobRequest("pay", "t1", 1000)).status();
+        int status = connectClient()
+                .exchange(TestClient.jobRequest("pay", "t1", 1000))
+                .status();
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertEquals(status, 502);
         assertTrue(millis > 800 && millis < 1000 + 58, millis + " ms");
@@ -105,7 +108,11 @@
         start(endpointEntry("s1", host, "active", 0));
         TestClient first = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         awaitRequests(host, 1);
-        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 409);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("verify", "t1", 5000))
+                        .status(),
+                409);
         go.countDown();
         assertEquals(statusAndBody(first.receive()), "200 ok");
     }
@@ -145,12 +152,17 @@
         List<TestServer> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             String name = "s" + i;
-            TestServer host = startServer(r -> news == null ? reply : acceptAndReport(name, news).respond(r));
+            TestServer host = startServer(
+                    r -> news == null ? reply : acceptAndReport(name, news).respond(r));
             hosts.add(host);
             known.add(endpointEntry(name, host, "active", 0));
         }
         start(known.toArray(new String[0]));
-        assertEquals(connectClient().exchange(TestClient.jobRequest(kind, "t1", 2500)).status(), status);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest(kind, "t1", 2500))
+                        .status(),
+                status);
         assertEquals(hosts.stream().mapToInt(h -> h.requests().size()).sum(), requests);
     }
 
@@ -161,14 +173,16 @@
         TestServer host = startServer(acceptAndReport("s2", doneEvent("ok")));
         start(endpointEntry("s1", dead, "active", 0), endpointEntry("s2", host, "active", 0));
         for (int i = 0; i < 5; i++) {
-            assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("pay", "t" + i, 5000))), "200 ok");
+            assertEquals(
+                    statusAndBody(connectClient().exchange(TestClient.jobRequest("pay", "t" + i, 5000))), "200 ok");
         }
     }
 
     /** One silent connection held its job until the deadline, and made the decisions take its host for overrun. */
     @Test
     public void aJobThatIsNotAcceptedGoesToAnotherHost() throws Exception {
-        TestServer silent = startServer(r -> r.method().equals("DELETE") ? MessageWriter.response(204, null, true) : null);
+        TestServer silent =
+                startServer(r -> r.method().equals("DELETE") ? MessageWriter.response(204, null, true) : null);
         TestServer host = startServer(acceptAndReportAfterOther("s2", silent));
         start(endpointEntry("s1", silent, "active", 0), endpointEntry("s2", host, "active", 0));
         long before = System.nanoTime();
@@ -192,8 +206,9 @@
         TestServer cutOff = startServer(r -> null);
         TestServer host = startServer(acceptAndReportAfterOther("s2", cutOff));
         start(endpointEntry("s1", cutOff, "active", 0), endpointEntry("s2", host, "active", 0));
-        List<TestClient> clients =
-                List.of(connectClient().send(TestClient.jobRequest("sign", "t0", 5000)), connectClient().send(TestClient.jobRequest("sign", "t1", 5000)));
+        List<TestClient> clients = List.of(
+                connectClient().send(TestClient.jobRequest("sign", "t0", 5000)),
+                connectClient().send(TestClient.jobRequest("sign", "t1", 5000)));
         List<HttpResponse> answers = new ArrayList<>();
         for (TestClient c : clients) {
             answers.add(c.receive());
@@ -264,13 +279,16 @@
     public void aClassThatAHostLeavesUnacceptedGoesElsewhere() throws Exception {
         TestServer deaf = startServer(r -> r.method().equals("DELETE")
                 ? MessageWriter.response(204, null, true)
-                : r.path().equals("/sign") ? null : acceptAndReport("s1", doneEvent("deaf")).respond(r));
+                : r.path().equals("/sign")
+                        ? null
+                        : acceptAndReport("s1", doneEvent("deaf")).respond(r));
         TestServer host = startServer(acceptAndReport("s2", doneEvent("ok")));
         start(endpointEntry("s1", deaf, "active", 0), endpointEntry("s2", host, "active", 0));
         TestClient client = connectClient();
         for (int i = 0; i < 40; i++) {
             String kind = i % 2 == 0 ? "sign" : "verify";
-            assertEquals(client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(), 200, kind + " " + i);
+            assertEquals(
+                    client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(), 200, kind + " " + i);
         }
         long tried =
                 deaf.requests().stream().filter(r -> r.path().equals("/sign")).count();
@@ -327,7 +345,11 @@
             return r.target().contains("since")
                     ? null
                     : whole.incrementAndGet() == 1
-                            ? endpointListResponse(3, true, endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0))
+                            ? endpointListResponse(
+                                    3,
+                                    true,
+                                    endpointEntry("s1", one, "active", 0),
+                                    endpointEntry("s2", two, "active", 0))
                             : endpointListResponse(3, true);
         }));
         start(endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0));
@@ -345,7 +367,11 @@
         discovery = startServer(emptyUpdateThen(r -> {
             tell.await(5, TimeUnit.SECONDS);
             return r.target().contains("since=1&")
-                    ? endpointListResponse(2, false, endpointEntry("s1", leaving, "leaving", 0), endpointEntry("s2", staying, "active", 0))
+                    ? endpointListResponse(
+                            2,
+                            false,
+                            endpointEntry("s1", leaving, "leaving", 0),
+                            endpointEntry("s2", staying, "active", 0))
                     : null;
         }));
         start(endpointEntry("s1", leaving, "active", 0));
@@ -353,7 +379,8 @@
         tell.countDown();
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2&")));
         for (int i = 1; i < 6; i++) {
-            assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 new");
+            assertEquals(
+                    statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 new");
         }
         assertEquals(leaving.requests().size(), 1);
     }
@@ -414,7 +441,11 @@
                 ? endpointListResponse(0, false)
                 : r.target().contains("since")
                         ? null
-                        : endpointListResponse(0, true, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0)));
+                        : endpointListResponse(
+                                0,
+                                true,
+                                endpointEntry("s1", old, "leaving", 0),
+                                endpointEntry("s2", host, "active", 0)));
         discovery = startServer(emptyUpdateThen(r -> null));
         start(endpointEntry("s1", old, "active", 0));
         awaitRequests(discovery, 2);
@@ -451,7 +482,11 @@
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
         for (int i = 0; i < 5; i++) {
-            assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000)).status(), 200);
+            assertEquals(
+                    connectClient()
+                            .exchange(TestClient.jobRequest("verify", "t" + i, 5000))
+                            .status(),
+                    200);
             Thread.sleep(50); // the news may overtake the 202, which frees the connection
         }
         assertEquals(host.connectionCount.get(), 1);
@@ -471,7 +506,11 @@
             return null;
         });
         start(endpointEntry("s1", host, "active", 0));
-        assertEquals(connectClient().exchange(TestClient.jobRequest("pay", "t1", 500)).status(), 502);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("pay", "t1", 500))
+                        .status(),
+                502);
         awaitRequests(host, 2);
         Thread.sleep(2300);
         assertEquals(host.openConnections.get(), 0);
@@ -522,7 +561,9 @@
             hosts.add(startServer(r -> {
                 sentBoth.await(3, TimeUnit.SECONDS);
                 String id = r.headers().get("X-Txn");
-                return turnedAway.add(id) ? REJECTED : acceptAndReport(name, doneEvent(id)).respond(r);
+                return turnedAway.add(id)
+                        ? REJECTED
+                        : acceptAndReport(name, doneEvent(id)).respond(r);
             }));
         }
         start(endpointEntry("s0", hosts.get(0), "active", 0), endpointEntry("s1", hosts.get(1), "active", 0));
@@ -632,7 +673,8 @@
                             return ACCEPTED;
                         }
                         bigs.incrementAndGet();
-                        return acceptAndReport(name, doneEvent("x".repeat(60_000))).respond(r);
+                        return acceptAndReport(name, doneEvent("x".repeat(60_000)))
+                                .respond(r);
                     }),
                     "active",
                     0);
@@ -674,13 +716,23 @@
         CountDownLatch restarted = new CountDownLatch(1);
         discovery = startServer(emptyUpdateThen(r -> {
             restarted.await(5, TimeUnit.SECONDS);
-            return r.target().contains("since=1&") ? endpointListResponse(2, false, endpointEntry("s1", host, "active", 1000)) : null;
+            return r.target().contains("since=1&")
+                    ? endpointListResponse(2, false, endpointEntry("s1", host, "active", 1000))
+                    : null;
         }));
         start(endpointEntry("s1", host, "active", 0));
-        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 200);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("verify", "t1", 5000))
+                        .status(),
+                200);
         restarted.countDown();
         await(() -> host.openConnections.get() == 0);
-        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t2", 5000)).status(), 200);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("verify", "t2", 5000))
+                        .status(),
+                200);
         assertEquals(host.connectionCount.get(), 2);
     }
 
@@ -692,7 +744,9 @@
         for (int i = 0; i < 30; i++) {
             TestClient c = connectClient();
             assertEquals(
-                    c.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+                    c.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                            .status(),
+                    200);
             idle.add(c);
         }
         int ended = 0;
@@ -750,7 +804,11 @@
         TestClient bad = connectClient();
         assertEquals(bad.exchange(bytes.getBytes(StandardCharsets.ISO_8859_1)).status(), status);
         assertTrue(bad.isClosedByServer()); // it keeps no connection: by the hundred they would fill the bound
-        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 200);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("verify", "t1", 5000))
+                        .status(),
+                200);
         assertEquals(host.requests().size(), 1);
     }
 
@@ -776,12 +834,15 @@
         start(endpointEntry("s1", host, "active", 0));
         TestClient used = connectClient();
         assertEquals(
-                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                        .status(),
+                200);
         TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         TestClient silent = connectClient();
         List<TestClient> halves = List.of(
                 connectClient().send("POST /verify HTTP/1.1\r\nX-T".getBytes(UTF_8)),
-                connectClient().send("POST /verify HTTP/1.1\r\nX-Txn: t2\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8)));
+                connectClient()
+                        .send("POST /verify HTTP/1.1\r\nX-Txn: t2\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8)));
         long before = System.nanoTime();
         assertTrue(silent.isClosedByServer());
         for (TestClient half : halves) {
@@ -791,7 +852,9 @@
         long millis = (System.nanoTime() - before) / 1_000_000;
         assertTrue(millis < 2800, millis + " ms");
         assertEquals(
-                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+                used.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                        .status(),
+                200);
         sendStatusEvents("t1", "s1", doneEvent("ok"));
         assertEquals(statusAndBody(busy.receive()), "200 ok");
     }
@@ -800,7 +863,8 @@
     @Test
     public void aRejectedBodyIsReadOnSoThatItsAnswerArrives() throws Exception {
         start();
-        TestClient client = connectClient().send("POST /verify HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n".getBytes(UTF_8));
+        TestClient client =
+                connectClient().send("POST /verify HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n".getBytes(UTF_8));
         assertEquals(client.exchange(new byte[8 << 20]).status(), 413);
     }
 
@@ -809,7 +873,8 @@
     public void noClientWaitsLongerThanItsClassAllows() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
-        assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 99_000_000))), "200 ok");
+        assertEquals(
+                statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 99_000_000))), "200 ok");
         assertTrue(Long.parseLong(
                         host.requests().get(0).headers().get("X-Remaining").replace("u", ""))
                 <= 5_000_000);
@@ -821,7 +886,11 @@
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
-        assertEquals(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000)).status(), 409);
+        assertEquals(
+                connectClient()
+                        .exchange(TestClient.jobRequest("verify", "t1", 5000))
+                        .status(),
+                409);
         assertEquals(host.requests().size(), 1);
     }
 
@@ -871,7 +940,9 @@
         start(endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0));
         TestClient idle = connectClient();
         assertEquals(
-                idle.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8)).status(), 200);
+                idle.exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                        .status(),
+                200);
         TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t1", 5000));
         await(() -> one.requests().size() + two.requests().size() == 1);
         CountDownLatch drained = new CountDownLatch(1);
@@ -886,7 +957,8 @@
         long before = System.nanoTime();
         await(() -> {
             try {
-                return connectClient().exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
+                return connectClient()
+                                .exchange("GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8))
                                 .status()
                         == 503;
             } catch (Exception e) {
--- a/src/test/java/olivechute/NodeTestBase.java
+++ b/src/test/java/olivechute/NodeTestBase.java
@@ -110,7 +110,10 @@
     void sendStatusEvents(String id, String endpoint, String... events) {
         try (TestClient client = new TestClient(node.address())) {
             for (String event : events) {
-                assertEquals(client.exchange(TestClient.statusEventRequest(id, endpoint, event)).status(), 204);
+                assertEquals(
+                        client.exchange(TestClient.statusEventRequest(id, endpoint, event))
+                                .status(),
+                        204);
             }
         } catch (Exception e) {
             throw new IllegalStateException(e);
--- a/src/test/java/olivechute/PackageDependencyTest.java
+++ b/src/test/java/olivechute/PackageDependencyTest.java
@@ -55,7 +55,12 @@
             "loganalysis");
 
     /** What carries a change through a fleet, and what no node loads. */
-    private static final String[] FLEET_PACKAGES = {packagePattern("error"), packagePattern("store"), packagePattern("rollout"), packagePattern("controller"), packagePattern("supervisor")
+    private static final String[] FLEET_PACKAGES = {
+        packagePattern("error"),
+        packagePattern("store"),
+        packagePattern("rollout"),
+        packagePattern("controller"),
+        packagePattern("supervisor")
     };
 
     /** The store without its replicas, as their messages and those who run them are no part of what it decides. */
@@ -144,7 +149,9 @@
                 .resideInAPackage(packagePattern(name))
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(others.stream().map(PackageDependencyTest::packagePattern).toArray(String[]::new))
+                .resideInAnyPackage(others.stream()
+                        .map(PackageDependencyTest::packagePattern)
+                        .toArray(String[]::new))
                 .check(CLASSES);
     }
 
@@ -195,7 +202,12 @@
     @Test
     public void servingCodeDoesNotDependOnTools() {
         String[] tools = Stream.concat(
-                        Stream.of(packagePattern("benchmark"), packagePattern("loganalysis"), packagePattern("testca"), packagePattern("simulator")), Stream.of(FLEET_PACKAGES))
+                        Stream.of(
+                                packagePattern("benchmark"),
+                                packagePattern("loganalysis"),
+                                packagePattern("testca"),
+                                packagePattern("simulator")),
+                        Stream.of(FLEET_PACKAGES))
                 .toArray(String[]::new);
         String[] libraries = {
             "picocli..",
@@ -229,7 +241,12 @@
                 .haveNameNotMatching(".*Command(\\$.*)?")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("picocli..", packagePattern("benchmark"), packagePattern("loganalysis"), packagePattern("testca"), packagePattern("simulator"))
+                .resideInAnyPackage(
+                        "picocli..",
+                        packagePattern("benchmark"),
+                        packagePattern("loganalysis"),
+                        packagePattern("testca"),
+                        packagePattern("simulator"))
                 .check(CLASSES);
     }
 
@@ -240,7 +257,11 @@
     public void onlyTheNodeDependsOnMetricsReporting() {
         noClasses()
                 .that()
-                .resideOutsideOfPackages(packagePattern("metrics"), packagePattern("controller"), packagePattern("supervisor"), packagePattern("fleet"))
+                .resideOutsideOfPackages(
+                        packagePattern("metrics"),
+                        packagePattern("controller"),
+                        packagePattern("supervisor"),
+                        packagePattern("fleet"))
                 .and()
                 .haveNameNotMatching("olivechute\\.(node|cli)\\.[A-Za-z]+(\\$.*)?")
                 .should()
--- a/src/test/java/olivechute/PushedEndpointListTest.java
+++ b/src/test/java/olivechute/PushedEndpointListTest.java
@@ -27,15 +27,19 @@
         TestServer old = startServer(acceptAndReport("s1", doneEvent("old")));
         TestServer host = startServer(acceptAndReport("s2", doneEvent("new")));
         TestServer last = startServer(acceptAndReport("s3", doneEvent("last")));
-        byte[] first = endpointListResponse(2, true, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0));
-        byte[] second = endpointListResponse(3, false, endpointEntry("s2", host, "leaving", 0), endpointEntry("s3", last, "active", 0));
+        byte[] first = endpointListResponse(
+                2, true, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0));
+        byte[] second = endpointListResponse(
+                3, false, endpointEntry("s2", host, "leaving", 0), endpointEntry("s3", last, "active", 0));
         byte[] nothing = endpointListResponse(3, false);
-        discovery =
-                startServer(r -> r.target().contains("since=3") ? nothing : r.target().contains("since=2") ? second : first);
+        discovery = startServer(
+                r -> r.target().contains("since=3") ? nothing : r.target().contains("since=2") ? second : first);
         startPushed(endpointEntry("s1", old, "active", 0));
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=3")));
         for (int i = 0; i < 3; i++) {
-            assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000))), "200 last");
+            assertEquals(
+                    statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t" + i, 5000))),
+                    "200 last");
         }
         assertEquals(old.requests().size() + host.requests().size(), 0);
     }
@@ -45,10 +49,11 @@
     public void silentWatchIsRetriedOnANewConnection() throws Exception {
         TestServer old = startServer(acceptAndReport("s1", doneEvent("old")));
         TestServer host = startServer(acceptAndReport("s2", doneEvent("new")));
-        byte[] changed = endpointListResponse(2, false, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0));
+        byte[] changed = endpointListResponse(
+                2, false, endpointEntry("s1", old, "leaving", 0), endpointEntry("s2", host, "active", 0));
         byte[] nothing = endpointListResponse(2, false);
-        discovery =
-                startServer(r -> discovery.connectionCount.get() < 2 ? null : r.target().contains("since=2") ? nothing : changed);
+        discovery = startServer(
+                r -> discovery.connectionCount.get() < 2 ? null : r.target().contains("since=2") ? nothing : changed);
         startPushed(endpointEntry("s1", old, "active", 0));
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2")));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 new");
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -55,9 +55,16 @@
     public void aClientOfAnotherTenantGets403AndNoHostHearsOfIt() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
-        assertEquals(client("/client/bolt").exchange(TestClient.jobRequest("sign", "t1", 5000)).status(), 403);
         assertEquals(
-                client("/sign-worker/s1").exchange(TestClient.jobRequest("sign", "t2", 5000)).status(), 403);
+                client("/client/bolt")
+                        .exchange(TestClient.jobRequest("sign", "t1", 5000))
+                        .status(),
+                403);
+        assertEquals(
+                client("/sign-worker/s1")
+                        .exchange(TestClient.jobRequest("sign", "t2", 5000))
+                        .status(),
+                403);
         assertEquals(host.requests().size(), 0);
     }
 
@@ -71,7 +78,10 @@
     @Test
     public void aHostWithAnotherIdentityCouldNotBeConnectedTo() throws Exception {
         TestServer thief = secureServer("s7", r -> ACCEPTED);
-        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0), endpointEntry("s2", thief, "active", 0));
+        startSecure(
+                SETTINGS,
+                endpointEntry("s1", secureWorker("s1", "signed"), "active", 0),
+                endpointEntry("s2", thief, "active", 0));
         TestClient client = client("/client/acme");
         for (int i = 0; i < 3; i++) {
             assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("pay", "t" + i, 5000))), "200 signed");
@@ -98,7 +108,9 @@
             return ACCEPTED;
         });
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
-        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
+        assertEquals(
+                statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t1", 5000))),
+                "200 signed");
         assertEquals(refused.get(), 1);
     }
 
@@ -175,7 +187,11 @@
         startSecure(SETTINGS, known.toArray(new String[0]));
         for (ForgedIdentity kind : kinds) {
             assertEquals(
-                    sendStatusEventAs(context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, startTime))), "t", "s1", doneEvent("x")),
+                    sendStatusEventAs(
+                            context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, startTime))),
+                            "t",
+                            "s1",
+                            doneEvent("x")),
                     0,
                     kind.name());
         }
@@ -193,8 +209,12 @@
     @Test
     public void missingHandshakeIsAConnectFailure() throws Exception {
         TestServer silent = startServer(r -> null);
-        startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0), endpointEntry("s2", silent, "active", 0));
-        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("pay", "t1", 950))), "200 signed");
+        startSecure(
+                SETTINGS,
+                endpointEntry("s1", secureWorker("s1", "signed"), "active", 0),
+                endpointEntry("s2", silent, "active", 0));
+        assertEquals(
+                statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("pay", "t1", 950))), "200 signed");
         assertTrue(silent.connectionCount.get() > 0);
     }
 
@@ -266,7 +286,10 @@
         TestClient client = client("/client/acme").send(TestClient.jobRequest("sign", "t1", 5000));
         await(() -> host.received.size() == 1);
         TestClient news = client(worker);
-        assertEquals(news.exchange(TestClient.statusEventRequest("t1", "s1", "\"state\":\"started\"")).status(), 204);
+        assertEquals(
+                news.exchange(TestClient.statusEventRequest("t1", "s1", "\"state\":\"started\""))
+                        .status(),
+                204);
         clockOffset = Duration.ofSeconds(31);
         assertEquals(sendStatusEventAs(worker, "t1", "s1", doneEvent("signed")), 0);
         awaitCloseNanos(1_500); // at once: there is no handshake to wait for
@@ -274,7 +297,8 @@
         await(() -> isEventAccepted(worker, "t1", doneEvent("signed")));
         assertEquals(statusAndBody(client.receive()), "200 signed");
         host.handler = acceptAndReportAs(worker, "s1", doneEvent("again"));
-        assertEquals(statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t2", 5000))), "200 again");
+        assertEquals(
+                statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "t2", 5000))), "200 again");
     }
 
     private boolean isEventAccepted(TlsContext identity, String id, String rest) {
@@ -310,7 +334,8 @@
         resources.add(second);
         // Where the first job took long its host counts as overloaded, and is sent nothing for a second.
         for (int i = 2; i < 12 && second.connectionCount.get() == 0; i++) {
-            assertEquals(client.exchange(TestClient.jobRequest("pay", "t" + i, 2500)).status(), 503);
+            assertEquals(
+                    client.exchange(TestClient.jobRequest("pay", "t" + i, 2500)).status(), 503);
         }
         assertEquals(second.requests().size(), 0);
         assertTrue(second.connectionCount.get() > 0);
@@ -319,10 +344,12 @@
     /** What waits behind a request is read in TLS too, so that the client's leave is seen there at once. */
     @Test
     public void aClientThatLeavesBehindPipelinedRequestsIsSeenTo() throws Exception {
-        TestServer host = secureServer("s1", r -> r.method().equals("POST") ? ACCEPTED : MessageWriter.response(204, null, true));
+        TestServer host =
+                secureServer("s1", r -> r.method().equals("POST") ? ACCEPTED : MessageWriter.response(204, null, true));
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
-        TestClient client =
-                client("/client/acme").send(TestClient.jobRequest("sign", "t1", 5000)).send(TestClient.jobRequest("sign", "t2", 5000));
+        TestClient client = client("/client/acme")
+                .send(TestClient.jobRequest("sign", "t1", 5000))
+                .send(TestClient.jobRequest("sign", "t2", 5000));
         awaitRequests(host, 1);
         long from = System.nanoTime();
         client.close();
@@ -410,7 +437,9 @@
         String ends = "\"state\":\"done\",\"result\":\"" + id + "\",\"load\":{\"x0\":64,\"depth\":0}";
         try (TestClient before = client(identity[0])) {
             assertEquals(
-                    before.exchange(TestClient.statusEventRequest(id, from, "\"state\":\"started\"")).status(), 204);
+                    before.exchange(TestClient.statusEventRequest(id, from, "\"state\":\"started\""))
+                            .status(),
+                    204);
             started.add(id);
             go.await(50, TimeUnit.SECONDS);
             told.add(sendStatusEventAs(identity[0], id, from, ends));
--- a/src/test/java/olivechute/SecureNodeTestBase.java
+++ b/src/test/java/olivechute/SecureNodeTestBase.java
@@ -66,7 +66,8 @@
         root = authority();
         bundles = TrustBundles.EMPTY.with(root.bundle());
         folder = Files.createTempDirectory("svid");
-        nodeTrustDirectory = new TrustDirectory(folder).svid(issue("/node", HOUR)).bundle(List.of(root.certificate()));
+        nodeTrustDirectory =
+                new TrustDirectory(folder).svid(issue("/node", HOUR)).bundle(List.of(root.certificate()));
         warmedUp();
     }
 
@@ -112,7 +113,8 @@
     }
 
     CertificateAuthority.Issued issue(CertificateAuthority authority, String path, Duration lifetime) throws Exception {
-        return authority.issue(SpiffeId.parse("spiffe://" + DOMAIN + path), startTime.minusSeconds(60), now().plus(lifetime));
+        return authority.issue(
+                SpiffeId.parse("spiffe://" + DOMAIN + path), startTime.minusSeconds(60), now().plus(lifetime));
     }
 
     TlsContext context(CertificateAuthority.Issued issued) {
@@ -146,8 +148,8 @@
     /** TLS under this identity; who dials must show one. */
     static TestServer.SocketWrapper tlsWrapper(TlsContext identity) {
         return accepted -> {
-            SSLSocket socket =
-                    (SSLSocket) identity.sslContext().getSocketFactory().createSocket(accepted, (InputStream) null, true);
+            SSLSocket socket = (SSLSocket)
+                    identity.sslContext().getSocketFactory().createSocket(accepted, (InputStream) null, true);
             socket.setNeedClientAuth(true);
             return socket;
         };
@@ -158,8 +160,8 @@
     }
 
     TestClient client(TlsContext identity) throws IOException {
-        TestClient client =
-                new TestClient(node.address(), identity.sslContext().getSocketFactory().createSocket());
+        TestClient client = new TestClient(
+                node.address(), identity.sslContext().getSocketFactory().createSocket());
         resources.add(client);
         return client;
     }
@@ -208,7 +210,8 @@
         Files.writeString(file, Files.readString(file).replace("\"deadline\":5", "\"deadline\":" + deadlineSeconds));
         settings = Files.writeString(
                 Files.createTempFile("olivechute", ".conf"),
-                settingsTemplate.replace("SOURCE", "source { folder = \"" + folder + "\", poll = 50ms }")
+                settingsTemplate
+                        .replace("SOURCE", "source { folder = \"" + folder + "\", poll = 50ms }")
                         .replace("EXTRA", ""));
         node = new Node(
                 NodeConfig.load(Map.of("LB_CONFIG", file.toString(), "OLIVECHUTE_SETTINGS", settings.toString())),
--- a/src/test/java/olivechute/StaleEndpointListProcessTest.java
+++ b/src/test/java/olivechute/StaleEndpointListProcessTest.java
@@ -53,7 +53,8 @@
         program.kill();
         startProcess(1024, file);
         assertReceivesNoRequests(first);
-        byte[] drained = endpointListResponse(2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
+        byte[] drained = endpointListResponse(
+                2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
         byte[] none = endpointListResponse(2, false);
         discovery.handler = r -> r.target().contains("since=1&") ? drained : none;
         awaitAnswer("200 second");
@@ -66,7 +67,8 @@
         sendHangupSignal();
         awaitAnswer("503 ");
         assertReceivesNoRequests(second);
-        byte[] drainedToo = endpointListResponse(3, false, endpointEntry("s2", second, "leaving", 0), endpointEntry("s3", third, "active", 0));
+        byte[] drainedToo = endpointListResponse(
+                3, false, endpointEntry("s2", second, "leaving", 0), endpointEntry("s3", third, "active", 0));
         byte[] noneYet = endpointListResponse(3, false);
         moved.handler = r -> r.target().contains("since=2&") ? drainedToo : noneYet;
         awaitAnswer("200 third");
--- a/src/test/java/olivechute/StaleEndpointListTest.java
+++ b/src/test/java/olivechute/StaleEndpointListTest.java
@@ -38,7 +38,8 @@
         TestServer draining = startServer(acceptAndReport("s1", doneEvent("draining")));
         TestServer serving = startServer(acceptAndReport("s2", doneEvent("serving")));
         CountDownLatch answers = new CountDownLatch(1);
-        byte[] news = endpointListResponse(2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
+        byte[] news = endpointListResponse(
+                2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
         discovery = startServer(r -> {
             answers.await();
             return r.target().contains("since=1&") || !r.target().contains("since=") ? news : null;
@@ -68,7 +69,8 @@
         TestServer draining = startServer(acceptAndReport("s1", doneEvent("draining")));
         TestServer serving = startServer(acceptAndReport("s2", doneEvent("serving")));
         byte[] nothing = endpointListResponse(1, false);
-        byte[] news = endpointListResponse(2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
+        byte[] news = endpointListResponse(
+                2, false, endpointEntry("s1", draining, "leaving", 0), endpointEntry("s2", serving, "active", 0));
         boolean[] back = {false};
         discovery = startServer(r -> discovery.requests().size() == 1
                 ? nothing
--- a/src/test/java/olivechute/TestClient.java
+++ b/src/test/java/olivechute/TestClient.java
@@ -47,7 +47,8 @@
                 "POST",
                 "/_jobs/news",
                 "node",
-                ("{\"id\":\"" + id + "\",\"from\":\"" + endpoint + "\"," + fields + "}").getBytes(StandardCharsets.UTF_8));
+                ("{\"id\":\"" + id + "\",\"from\":\"" + endpoint + "\"," + fields + "}")
+                        .getBytes(StandardCharsets.UTF_8));
     }
 
     TestClient send(byte[] bytes) throws IOException {
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -208,7 +208,8 @@
     }
 
     private static UpstreamRequest request(String id, String host, PreSendCheck look) {
-        return new UpstreamRequest(id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, look);
+        return new UpstreamRequest(
+                id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, look);
     }
 
     private static void await(BooleanSupplier holds) throws InterruptedException {
@@ -284,8 +285,8 @@
         TestServer gone = startServer(acceptAll());
         TestServer drained = startServer(acceptAll());
         runOnLoop(() -> {
-            pools.onListUpdate(
-                    snapshot(endpoint("s1", gone, EndpointState.ACTIVE, 0), endpoint("s2", drained, EndpointState.DRAINING, 0)));
+            pools.onListUpdate(snapshot(
+                    endpoint("s1", gone, EndpointState.ACTIVE, 0), endpoint("s2", drained, EndpointState.DRAINING, 0)));
             pools.onListUpdate(snapshot());
         });
         runOnLoop(() -> {
@@ -351,8 +352,8 @@
     // ---- a client that leaves -----------------------------------------------------------------------------
 
     private void dispatch(ResolvedEndpoint... hosts) throws Exception {
-        RequestClass verify =
-                new RequestClass("verify", 5 * US_PER_S, US_PER_S / 5, 2, 1, 0, Idempotency.IDEMPOTENT, null, 0, null, 0);
+        RequestClass verify = new RequestClass(
+                "verify", 5 * US_PER_S, US_PER_S / 5, 2, 1, 0, Idempotency.IDEMPOTENT, null, 0, null, 0);
         LoadBalancerSettings settings = new LoadBalancerSettings(
                 List.of(verify),
                 List.of(),
@@ -609,7 +610,8 @@
         CompletableFuture.runAsync(() -> loop.post(new ProxyEvent.Task(() -> pools.send(request("b", "s1", waits)))));
         looking.await();
         peer.sendUnsolicited(0, ERROR);
-        await(() -> !connections.get(0).hasUnreadInput() && connections.get(0).reader.getState() == Thread.State.BLOCKED);
+        await(() -> !connections.get(0).hasUnreadInput()
+                && connections.get(0).reader.getState() == Thread.State.BLOCKED);
         looks.countDown();
         await(() -> events.size() == 2);
         assertEquals(events, List.of("a accepted", "b accepted"));
@@ -688,7 +690,8 @@
         assertEquals(peer.requests().size(), 12);
         assertEquals(peer.connectionCount.get(), 1);
         for (int i = 2; i < 12; i++) {
-            long since = peer.received.get(i).receivedAtMs() - peer.received.get(i - 1).receivedAtMs();
+            long since = peer.received.get(i).receivedAtMs()
+                    - peer.received.get(i - 1).receivedAtMs();
             assertTrue(since >= 29, "after " + since + " ms, in whole ones");
         }
     }
--- a/src/test/java/olivechute/WorkloadApiNodeTest.java
+++ b/src/test/java/olivechute/WorkloadApiNodeTest.java
@@ -38,7 +38,8 @@
     private void publish(CertificateAuthority.Issued issued, X509Certificate... authorities) {
         agent.publish(
                 WorkloadApiMessages.FETCH_X509,
-                WorkloadApiResponses.x509Response("spiffe://dala.example/node", issued, List.of(authorities), Map.of(), ""));
+                WorkloadApiResponses.x509Response(
+                        "spiffe://dala.example/node", issued, List.of(authorities), Map.of(), ""));
     }
 
     private void startWithAgent(String extra, String... known) throws Exception {
--- a/src/test/java/olivechute/authorization/AuthorizationTest.java
+++ b/src/test/java/olivechute/authorization/AuthorizationTest.java
@@ -117,8 +117,8 @@
         assertFalse(rules.allows(desk, "aral-water") || rules.allows(desk, null) || rules.allows(desk, "STEPPE-AID"));
         assertTrue(rules.allows(ops, "ile-rescue") && rules.allows(ops, null));
         assertTrue(rules.isClient(desk));
-        assertFalse(
-                rules.isClient(id("spiffe://td/member")) || rules.isClient(id("spiffe://elsewhere/member/steppe/desk")));
+        assertFalse(rules.isClient(id("spiffe://td/member"))
+                || rules.isClient(id("spiffe://elsewhere/member/steppe/desk")));
         assertFalse(new ClientAuthorization(List.of()).isClient(ops));
     }
 
@@ -127,8 +127,8 @@
         EndpointIdentityRules rules = new EndpointIdentityRules(List.of(
                 EndpointIdentityRules.Rule.parse("k", "s-old", "spiffe://former/signer"),
                 EndpointIdentityRules.Rule.parse("k", "s-*", "spiffe://td/sign-worker/{host}")));
-        assertTrue(
-                rules.matches(id("spiffe://td/sign-worker/s-1"), "s-1") && rules.matches(id("spiffe://former/signer"), "s-old"));
+        assertTrue(rules.matches(id("spiffe://td/sign-worker/s-1"), "s-1")
+                && rules.matches(id("spiffe://former/signer"), "s-old"));
         assertFalse(rules.matches(id("spiffe://td/sign-worker/s-2"), "s-1"));
         assertFalse(rules.matches(id("spiffe://td/sign-worker/s-old"), "s-old"));
         assertNull(rules.requiredId("w-1"));
--- a/src/test/java/olivechute/config/NodeConfigTest.java
+++ b/src/test/java/olivechute/config/NodeConfigTest.java
@@ -36,7 +36,10 @@
     public void theEnvironmentOverridesAndTheRestIsRead() throws IOException {
         NodeConfig config = read(Map.of("LB_NAME", "n7", "LB_LISTEN", "127.0.0.2:7070"));
         assertEquals(
-                config.name() + config.listenAddress().getPort() + config.discoveryAddress().getPort(), "n770708500");
+                config.name()
+                        + config.listenAddress().getPort()
+                        + config.discoveryAddress().getPort(),
+                "n770708500");
         assertEquals(config.connectTimeoutUs(), 250_000);
         assertEquals(config.settings().classes().size(), 3);
         assertEquals(config.seed(), 0x8c1f30d27a5be964L);
@@ -135,7 +138,8 @@
     @Test
     public void whatCannotChangeWhileRunningIsNamed() throws IOException {
         NodeConfig running = read(Map.of());
-        assertEquals(read(Map.of(), "127.0.0.1:8500", "127.0.0.1:8501").restartRequiredKeys(running), java.util.List.of());
+        assertEquals(
+                read(Map.of(), "127.0.0.1:8500", "127.0.0.1:8501").restartRequiredKeys(running), java.util.List.of());
         assertEquals(
                 read(
                                 Map.of(),
@@ -191,11 +195,14 @@
     @Test
     public void aWrongFormOrLevelNamesItsVariable() {
         assertEquals(
-                expectThrows(InvalidValueException.class, () -> LogSettings.apply(Map.of(LogSettings.FORMAT_VARIABLE, "xml")))
+                expectThrows(
+                                InvalidValueException.class,
+                                () -> LogSettings.apply(Map.of(LogSettings.FORMAT_VARIABLE, "xml")))
                         .getMessage(),
                 "OLIVECHUTE_LOG: must be text or json, not 'xml'");
         assertTrue(expectThrows(
-                        InvalidValueException.class, () -> LogSettings.apply(Map.of(LogSettings.LEVEL_VARIABLE, "loud")))
+                        InvalidValueException.class,
+                        () -> LogSettings.apply(Map.of(LogSettings.LEVEL_VARIABLE, "loud")))
                 .getMessage()
                 .startsWith("OLIVECHUTE_LOG_LEVEL: must be one of "));
     }
--- a/src/test/java/olivechute/config/OperatorFileTest.java
+++ b/src/test/java/olivechute/config/OperatorFileTest.java
@@ -53,7 +53,9 @@
                 "identities: asked of clients at /127.0.0.1:7443 only; asked of every sign worker; tokens for node",
                 read.describe());
         assertEquals(List.of(), IdentitySettings.restartRequiredKeys(read, read(GOOD)));
-        assertEquals(List.of("identity.source"), IdentitySettings.restartRequiredKeys(read, read(GOOD.replace("250ms", "300ms"))));
+        assertEquals(
+                List.of("identity.source"),
+                IdentitySettings.restartRequiredKeys(read, read(GOOD.replace("250ms", "300ms"))));
         assertEquals(List.of("identity.enabled"), IdentitySettings.restartRequiredKeys(null, read));
     }
 
--- a/src/test/java/olivechute/controller/StoredRolloutTest.java
+++ b/src/test/java/olivechute/controller/StoredRolloutTest.java
@@ -178,7 +178,8 @@
         assertEquals(PARSERS.keySet(), values.keySet());
         for (Map.Entry<String, MessageLite> each : values.entrySet()) {
             RecordedEncodings.assertWritten(each.getKey(), each.getValue().toByteArray());
-            assertEquals(each.getValue(), PARSERS.get(each.getKey()).parseFrom(RecordedEncodings.recorded(each.getKey())));
+            assertEquals(
+                    each.getValue(), PARSERS.get(each.getKey()).parseFrom(RecordedEncodings.recorded(each.getKey())));
         }
     }
 
--- a/src/test/java/olivechute/fleet/BadVersionIT.java
+++ b/src/test/java/olivechute/fleet/BadVersionIT.java
@@ -1,7 +1,7 @@
 package olivechute.fleet;
 
-import olivechute.rig.Fleet;
 import olivechute.rig.EventLedger;
+import olivechute.rig.Fleet;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/olivechute/fleet/DiskFullIT.java
+++ b/src/test/java/olivechute/fleet/DiskFullIT.java
@@ -22,7 +22,8 @@
         void apply(String replica) throws IOException, InterruptedException;
     }
 
-    private void assertAnotherReplicaTakesOver(DiskAction fill, DiskAction freeSpace) throws IOException, InterruptedException {
+    private void assertAnotherReplicaTakesOver(DiskAction fill, DiskAction freeSpace)
+            throws IOException, InterruptedException {
         startChange();
         String lead = fleet.leader();
         markReplicas();
@@ -55,7 +56,8 @@
     /** What fails is the write of the log itself. */
     @Test
     void logWritesFail() throws IOException, InterruptedException {
-        assertAnotherReplicaTakesOver(replica -> limitFileSize(replica, "1:"), replica -> limitFileSize(replica, "unlimited:"));
+        assertAnotherReplicaTakesOver(
+                replica -> limitFileSize(replica, "1:"), replica -> limitFileSize(replica, "unlimited:"));
     }
 
     private void limitFileSize(String replica, String bytes) throws IOException, InterruptedException {
--- a/src/test/java/olivechute/fleet/FleetIT.java
+++ b/src/test/java/olivechute/fleet/FleetIT.java
@@ -43,8 +43,8 @@
 
     @AfterEach
     void stopFleet() {
-        System.out.println(
-                "seed " + seed + ", jobs " + fleet.nodes().ledger().counts() + (passed ? "" : "\n" + fleet.recentOutput()));
+        System.out.println("seed " + seed + ", jobs " + fleet.nodes().ledger().counts()
+                + (passed ? "" : "\n" + fleet.recentOutput()));
         fleet.close();
         versions.close();
     }
--- a/src/test/java/olivechute/fleet/MachineFailureIT.java
+++ b/src/test/java/olivechute/fleet/MachineFailureIT.java
@@ -5,8 +5,8 @@
 
 import java.time.Duration;
 import java.util.List;
-import olivechute.rig.Fleet;
 import olivechute.rig.EventLedger;
+import olivechute.rig.Fleet;
 import olivechute.rig.TestMachine;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,8 @@
  */
 @Tag("long")
 class MachineFailureIT extends FleetIT {
-    private static final int JOBS_DURING_OUTAGE = 12 * JOBS_PER_SECOND; // 12 s of load: longer than a node that answers may be unready
+    private static final int JOBS_DURING_OUTAGE =
+            12 * JOBS_PER_SECOND; // 12 s of load: longer than a node that answers may be unready
     private static final Duration HELD_TIMEOUT = Duration.ofSeconds(20);
 
     @Override
--- a/src/test/java/olivechute/fleet/ServeIT.java
+++ b/src/test/java/olivechute/fleet/ServeIT.java
@@ -5,11 +5,11 @@
 
 import java.time.Duration;
 import java.util.List;
-import olivechute.rig.FleetInvariants;
 import olivechute.rig.EventLedger;
+import olivechute.rig.FleetInvariants;
+import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestNodes;
 import olivechute.rig.TestProcess;
-import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -44,7 +44,8 @@
 
     private long lostAt(String node) {
         return nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == EventLedger.Outcome.LOST && job.node().equals(node))
+                .filter(job ->
+                        job.end() == EventLedger.Outcome.LOST && job.node().equals(node))
                 .count();
     }
 
--- a/src/test/java/olivechute/fleet/StoreOutageIT.java
+++ b/src/test/java/olivechute/fleet/StoreOutageIT.java
@@ -44,7 +44,8 @@
         awaitMoreJobs(400);
         fleet.replicas().values().forEach(replica -> replica.restart());
         fleet.replicas()
-                .forEach((id, replica) -> replica.awaitLine("^replica " + id + " (leads term|follows)", CHANGE_TIMEOUT));
+                .forEach(
+                        (id, replica) -> replica.awaitLine("^replica " + id + " (leads term|follows)", CHANGE_TIMEOUT));
         fleet.proposeSettings("s2", "settings.ceilings.conn_idle = 4.0");
         assertChangeEnds("DONE", "s2");
         assertInvariantsHold(1);
--- a/src/test/java/olivechute/metrics/DelayBucketsTest.java
+++ b/src/test/java/olivechute/metrics/DelayBucketsTest.java
@@ -20,7 +20,8 @@
         assertEquals(50, DelayBuckets.UPPER_BOUNDS.get(0));
         assertEquals(10_000_000, DelayBuckets.UPPER_BOUNDS.get(DelayBuckets.BUCKET_COUNT - 1));
         for (int i = 1; i < DelayBuckets.BUCKET_COUNT; i++) {
-            assertEquals(1.3675, DelayBuckets.UPPER_BOUNDS.get(i) / (double) DelayBuckets.UPPER_BOUNDS.get(i - 1), 0.02);
+            assertEquals(
+                    1.3675, DelayBuckets.UPPER_BOUNDS.get(i) / (double) DelayBuckets.UPPER_BOUNDS.get(i - 1), 0.02);
         }
     }
 
--- a/src/test/java/olivechute/rig/Fleet.java
+++ b/src/test/java/olivechute/rig/Fleet.java
@@ -33,7 +33,8 @@
     private final Stages stages;
 
     /** The stages of every change: nodes at their ends, and the least and longest time and the least jobs of each. */
-    public record Stages(List<Integer> nodes, Duration minDuration, Duration maxDuration, int minJobs, int maxUnavailable) {
+    public record Stages(
+            List<Integer> nodes, Duration minDuration, Duration maxDuration, int minJobs, int maxUnavailable) {
         /** One node, then all; 3 to 20 s each. */
         public static Stages of(int nodes) {
             return new Stages(List.of(1, nodes), Duration.ofSeconds(3), Duration.ofSeconds(20), 20, 1);
@@ -55,7 +56,8 @@
             for (int m = 0; m < machines; m++) {
                 startMachine("m" + m, nodes.names().subList(m * nodesEach, (m + 1) * nodesEach));
             }
-            supervisors.forEach((machine, program) -> program.awaitLine("^supervisor " + machine + " ready", START_TIMEOUT));
+            supervisors.forEach(
+                    (machine, program) -> program.awaitLine("^supervisor " + machine + " ready", START_TIMEOUT));
             nodes.connectClients();
             nodes.clients().awaitReady(ready -> ready.values().stream().allMatch(is -> is), START_TIMEOUT.toMillis());
         } catch (TestSetupException e) {
@@ -76,7 +78,8 @@
                             + "election { least = 600ms, most = 1000ms }\n");
             replicas.put(
                     id,
-                    TestProcess.start(ProcessSpec.fleetCommand("replica-" + id, ProcessSpec.JAR, "store", "--settings", settings.toString())
+                    TestProcess.start(ProcessSpec.fleetCommand(
+                                    "replica-" + id, ProcessSpec.JAR, "store", "--settings", settings.toString())
                             .withDirectory(disk)));
         }
         replicas.forEach((id, program) -> program.awaitLine("^replica " + id + " (leads term|follows)", START_TIMEOUT));
@@ -99,7 +102,8 @@
                 + "ready_within = 8s\ndrain_within = 8s\nbackoff { least = 200ms, most = 1s }\n"
                 + "program { java = [\"" + ProcessSpec.java() + "\", "
                 + String.join(
-                        ", ", ProcessSpec.FLAGS.stream().map(f -> "\"" + f + "\"").toList())
+                        ", ",
+                        ProcessSpec.FLAGS.stream().map(f -> "\"" + f + "\"").toList())
                 + "] }\nnodes = [\n");
         for (String node : names) {
             machineOf.put(node, machine);
@@ -116,7 +120,8 @@
         Path settings = folder.write(machine + ".conf", text + "]\n");
         supervisors.put(
                 machine,
-                TestProcess.start(ProcessSpec.fleetCommand(machine, ProcessSpec.JAR, "supervise", "--settings", settings.toString())
+                TestProcess.start(ProcessSpec.fleetCommand(
+                                machine, ProcessSpec.JAR, "supervise", "--settings", settings.toString())
                         .withDirectory(disk)));
     }
 
@@ -216,7 +221,8 @@
         List<String> whole = new ArrayList<>(List.of(
                 "change", args[0], "--settings", folder.resolve("change.conf").toString()));
         whole.addAll(List.of(args).subList(1, args.length));
-        return TestProcess.start(ProcessSpec.fleetCommand("change " + args[0], ProcessSpec.JAR, whole.toArray(String[]::new)));
+        return TestProcess.start(
+                ProcessSpec.fleetCommand("change " + args[0], ProcessSpec.JAR, whole.toArray(String[]::new)));
     }
 
     private List<String> call(Duration within, String... args) {
@@ -224,7 +230,8 @@
             int status = call.awaitExit(within);
             call.awaitOutputEnd();
             if (status != 0) {
-                throw new TestSetupException("change " + String.join(" ", args) + " ended with " + status + ": " + call.lines());
+                throw new TestSetupException(
+                        "change " + String.join(" ", args) + " ended with " + status + ": " + call.lines());
             }
             return call.lines();
         }
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -46,7 +46,8 @@
      */
     synchronized void awaitPass(long came, long lastPassed, int lastBytes) throws InterruptedException {
         for (; ; ) {
-            long due = Math.max(came + delayNs, rate == 0 ? Long.MIN_VALUE : lastPassed + lastBytes * NS_PER_SECOND / rate);
+            long due = Math.max(
+                    came + delayNs, rate == 0 ? Long.MIN_VALUE : lastPassed + lastBytes * NS_PER_SECOND / rate);
             long left = due - System.nanoTime();
             if (partitioned) {
                 wait();
--- a/src/test/java/olivechute/rig/LinkProxy.java
+++ b/src/test/java/olivechute/rig/LinkProxy.java
@@ -34,7 +34,8 @@
 
     private final ServerSocket server;
     private final InetSocketAddress target;
-    private final Map<Direction, LinkFaults> faults = new EnumMap<>(Map.of(Direction.TO_TARGET, new LinkFaults(), Direction.FROM_TARGET, new LinkFaults()));
+    private final Map<Direction, LinkFaults> faults =
+            new EnumMap<>(Map.of(Direction.TO_TARGET, new LinkFaults(), Direction.FROM_TARGET, new LinkFaults()));
     private final Set<ProxiedConnection> openConnections = ConcurrentHashMap.newKeySet();
     private final List<Socket> fillers = new CopyOnWriteArrayList<>();
     private final Set<Integer> fillerPorts = ConcurrentHashMap.newKeySet();
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -178,7 +178,8 @@
                 line = line == null ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS) : line;
                 line.send(bytes);
                 end = EventLedger.Outcome.LOST;
-                HttpResponse answer = line.receive((int) (sent + DEADLINE_MILLIS + LATE_ANSWER_MILLIS - EventLedger.now()));
+                HttpResponse answer =
+                        line.receive((int) (sent + DEADLINE_MILLIS + LATE_ANSWER_MILLIS - EventLedger.now()));
                 if (answer != null) {
                     status = answer.status();
                     end = outcomeOf(status);
@@ -238,7 +239,10 @@
         synchronized (lock) {
             stopped = true;
         }
-        await(() -> openJobs == 0, DEADLINE_MILLIS + 4 * LATE_ANSWER_MILLIS, "jobs open: " + openJobs + ", nodes ready: ");
+        await(
+                () -> openJobs == 0,
+                DEADLINE_MILLIS + 4 * LATE_ANSWER_MILLIS,
+                "jobs open: " + openJobs + ", nodes ready: ");
         idleConnections.forEach((node, lines) -> lines.forEach(line -> {
             HttpResponse stray = line.pollUnsolicited();
             if (stray != null) {
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -74,8 +74,9 @@
             next = count;
             long left = (end - System.nanoTime()) / 1_000_000;
             if (ended || left <= 0) {
-                throw new TestSetupException(processName + (ended ? " ended" : " took over " + within.toMillis() + " ms")
-                        + " without a line of /" + pattern + "/; its last lines:\n" + String.join("\n", tail()));
+                throw new TestSetupException(processName
+                        + (ended ? " ended" : " took over " + within.toMillis() + " ms") + " without a line of /"
+                        + pattern + "/; its last lines:\n" + String.join("\n", tail()));
             }
             try {
                 wait(left);
--- a/src/test/java/olivechute/rig/ProcessSpec.java
+++ b/src/test/java/olivechute/rig/ProcessSpec.java
@@ -12,7 +12,11 @@
  * what a restart may empty, null for none.
  */
 public record ProcessSpec(
-        String name, List<String> prefix, List<String> command, Map<String, String> environment, TestDirectory directory) {
+        String name,
+        List<String> prefix,
+        List<String> command,
+        Map<String, String> environment,
+        TestDirectory directory) {
     /** The jar as the build left it. */
     public static final Path JAR = Path.of("target", "olivechute.jar").toAbsolutePath();
 
--- a/src/test/java/olivechute/rig/ProxiedConnection.java
+++ b/src/test/java/olivechute/rig/ProxiedConnection.java
@@ -24,7 +24,9 @@
     /** Bytes and when they came; none: the end, broken where it was no clean one. */
     private record Chunk(byte[] bytes, long receivedAtNs, boolean reset) {}
 
-    ProxiedConnection(Socket client, Socket target, Map<LinkProxy.Direction, LinkFaults> gates, Set<ProxiedConnection> open) throws IOException {
+    ProxiedConnection(
+            Socket client, Socket target, Map<LinkProxy.Direction, LinkFaults> gates, Set<ProxiedConnection> open)
+            throws IOException {
         this.client = client;
         this.target = target;
         this.faults = gates;
--- a/src/test/java/olivechute/rig/TestNodes.java
+++ b/src/test/java/olivechute/rig/TestNodes.java
@@ -100,8 +100,8 @@
 
     /** Starts this node without waiting. */
     public TestProcess launch(String node, Path jar) {
-        TestProcess program = TestProcess.start(
-                ProcessSpec.jar(node, jar, "serve").withEnvironment("LB_CONFIG", config(node).toString()));
+        TestProcess program = TestProcess.start(ProcessSpec.jar(node, jar, "serve")
+                .withEnvironment("LB_CONFIG", config(node).toString()));
         programs.put(node, program);
         return program;
     }
--- a/src/test/java/olivechute/rig/TestProcessTest.java
+++ b/src/test/java/olivechute/rig/TestProcessTest.java
@@ -39,7 +39,8 @@
     @Test
     void aWaitEndsWithTheProcessAndShowsItsLastLines() {
         try (TestProcess p = TestProcess.start(shell("echo last words; exit 3"))) {
-            TestSetupException fault = assertThrows(TestSetupException.class, () -> p.awaitLine("never", Duration.ofMinutes(5)));
+            TestSetupException fault =
+                    assertThrows(TestSetupException.class, () -> p.awaitLine("never", Duration.ofMinutes(5)));
             assertTrue(fault.getMessage().contains("last words"), fault.getMessage());
             assertEquals(3, p.awaitExit(SOON));
         }
@@ -60,7 +61,8 @@
             p.awaitLine("^beat 2", SOON);
             p.pause();
             assertThrows(
-                    TestSetupException.class, () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one may still be on its way
+                    TestSetupException.class,
+                    () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one may still be on its way
             long mark = p.mark();
             p.resume();
             p.awaitLine("beat", mark, SOON);
@@ -134,8 +136,8 @@
             TestDirectory.truncate(file, 4);
             assertEquals("ab", Files.readString(file));
             Path big = folder.resolve("big");
-            try (TestProcess p =
-                    TestProcess.start(shell("dd if=/dev/zero of=" + big + " bs=1024 count=64 2>/dev/null; echo status $?")
+            try (TestProcess p = TestProcess.start(
+                    shell("dd if=/dev/zero of=" + big + " bs=1024 count=64 2>/dev/null; echo status $?")
                             .withPrefix(TestDirectory.fileLimit(8)))) {
                 assertEquals("1", p.awaitLine("^status (\\d+)", SOON).group(1));
             }
--- a/src/test/java/olivechute/rig/TestVersions.java
+++ b/src/test/java/olivechute/rig/TestVersions.java
@@ -94,7 +94,10 @@
     /** Ends by itself with status 3 so long after it got ready. */
     public Path crashesAfter(int millis) {
         return buildJar(
-                "crashes", Map.of(DOWNSTREAM_SERVER, code -> patch(code, "ready", null, method -> writeFaultCall(method, "crashAfter", millis))));
+                "crashes",
+                Map.of(
+                        DOWNSTREAM_SERVER,
+                        code -> patch(code, "ready", null, method -> writeFaultCall(method, "crashAfter", millis))));
     }
 
     /** Listens and serves, but never says that it is ready. */
@@ -186,7 +189,8 @@
                                                     String method,
                                                     String of,
                                                     boolean ofInterface) {
-                                                MethodCall call = new MethodCall(opcode, owner, method, of, ofInterface);
+                                                MethodCall call =
+                                                        new MethodCall(opcode, owner, method, of, ofInterface);
                                                 if (calls == null) {
                                                     call.writeUnchanged(mv);
                                                 } else if (calls.write(mv, call)) {
@@ -198,7 +202,8 @@
                         },
                         0);
         if (changed[0] != 1) {
-            throw new TestSetupException("the patch of " + in + " changed " + changed[0] + " places, it should change one");
+            throw new TestSetupException(
+                    "the patch of " + in + " changed " + changed[0] + " places, it should change one");
         }
         return writer.toByteArray();
     }
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -3,10 +3,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
+import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestDirectory;
 import olivechute.rig.TestNodes;
 import olivechute.rig.TestProcess;
-import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.Test;
 
 /** A node whose configuration cannot be read for a moment (EIO). */
--- a/src/test/java/olivechute/soak/FaultShim.java
+++ b/src/test/java/olivechute/soak/FaultShim.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import olivechute.rig.TestDirectory;
 import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestDirectory;
 import olivechute.rig.TestSetupException;
 
 /** The library of {@code src/test/c/faultshim.c}, loaded into one node: its rates, its clock and what it recorded. */
--- a/src/test/java/olivechute/soak/InterruptedReadIT.java
+++ b/src/test/java/olivechute/soak/InterruptedReadIT.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import olivechute.http.MessageWriter;
 import olivechute.http.ResponseParser;
+import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestDirectory;
 import olivechute.rig.TestNodes;
 import olivechute.rig.TestProcess;
-import olivechute.rig.ProcessSpec;
 import org.junit.jupiter.api.Test;
 
 /** A node whose reads are interrupted by signals. */
--- a/src/test/java/olivechute/soak/SoakInvariants.java
+++ b/src/test/java/olivechute/soak/SoakInvariants.java
@@ -67,7 +67,8 @@
                 if (request.status() == 200 && !request.answer().equals(request.id())) {
                     addViolation("served with something that no server made for it", request, request.id());
                 }
-                if (request.endedUs() > request.sentUs() + request.patienceUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
+                if (request.endedUs()
+                        > request.sentUs() + request.patienceUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
                     addViolation("lost: answered too late", request, request.id());
                 }
             }
@@ -190,7 +191,8 @@
     }
 
     private void checkStalledClient(History.StalledClient client) {
-        if (client.nodeLived() && client.endedUs() - client.stoppedUs() > STALLED_CLIENT_TIMEOUT_US + SOCKET_TOLERANCE_US) {
+        if (client.nodeLived()
+                && client.endedUs() - client.stoppedUs() > STALLED_CLIENT_TIMEOUT_US + SOCKET_TOLERANCE_US) {
             addViolation("a client that stopped in the middle is not let go", client, "");
         }
     }
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -18,17 +18,18 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import olivechute.rig.TestDirectory;
 import olivechute.rig.Ports;
-import olivechute.rig.TestProcess;
 import olivechute.rig.ProcessSpec;
+import olivechute.rig.TestDirectory;
+import olivechute.rig.TestProcess;
 import olivechute.rig.TestSetupException;
 
 /** One seed: two nodes with their surroundings, the faults of its scenario, and what the rules say of it. */
 @SuppressWarnings("FutureReturnValueIgnored") // what the clock's tasks do shows in the history
 final class SoakRun implements AutoCloseable {
     /** What one run found, and what it was made of. */
-    record Report(SoakScenario scenario, List<SoakInvariants.Violation> violations, String summary, List<String> logs) {}
+    record Report(
+            SoakScenario scenario, List<SoakInvariants.Violation> violations, String summary, List<String> logs) {}
 
     private static final String CONFIG = """
         {"name":"NAME","listen":"LISTEN","discovery":"DISCOVERY","limits":{"cores":1.0,"memory_mb":192,"sockets":SOCKETS},
--- a/src/test/java/olivechute/soak/SoakServers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -117,7 +117,8 @@
     private void handle(String node, String server, SoakListener.Exchange exchange) throws IOException {
         HttpRequest request = exchange.request();
         if (request.method().equals("DELETE")) {
-            History.Attempt given = openAttempts.get(server + " " + request.path().substring("/jobs/".length()));
+            History.Attempt given =
+                    openAttempts.get(server + " " + request.path().substring("/jobs/".length()));
             if (given != null) {
                 given.end(History.AttemptEnd.GIVEN_UP);
             }
@@ -147,7 +148,8 @@
         return remaining.endsWith("u") ? number : number * 1000;
     }
 
-    private void answer(Behaviour behaviour, History.Attempt attempt, SoakListener.Exchange exchange) throws IOException {
+    private void answer(Behaviour behaviour, History.Attempt attempt, SoakListener.Exchange exchange)
+            throws IOException {
         switch (behaviour) {
             case SERVE -> {
                 accept(attempt, exchange);
@@ -216,7 +218,8 @@
 
     private void scheduleFinish(History.Attempt attempt, History.AttemptEnd end) {
         long takes = (long) (4 + 60 * draw() * draw());
-        scheduler.schedule(() -> Threads.start("soak-status", () -> finish(attempt, end)), takes, TimeUnit.MILLISECONDS);
+        scheduler.schedule(
+                () -> Threads.start("soak-status", () -> finish(attempt, end)), takes, TimeUnit.MILLISECONDS);
     }
 
     private void finish(History.Attempt attempt, History.AttemptEnd end) {
--- a/src/test/java/olivechute/store/MemoryStoreTest.java
+++ b/src/test/java/olivechute/store/MemoryStoreTest.java
@@ -43,7 +43,8 @@
         assertEquals(
                 List.of("a/1"), all.entries().stream().map(Store.Entry::key).toList());
         assertTrue(all.complete());
-        assertRejected(ErrorCode.CONFLICT, () -> store.write(List.of(Write.putIf("b", new byte[1], version + 1)), List.of()));
+        assertRejected(
+                ErrorCode.CONFLICT, () -> store.write(List.of(Write.putIf("b", new byte[1], version + 1)), List.of()));
         assertRejected(ErrorCode.CONFLICT, () -> store.write(List.of(Write.putIf("b", new byte[1], 0)), List.of()));
         store.write(List.of(Write.putIf("b", new byte[1], version), Write.delete("a/1")), List.of());
         assertTrue(store.list("a/").entries().isEmpty());
@@ -60,7 +61,8 @@
         assertEquals(
                 List.of("a/1"), changes.entries().stream().map(Store.Entry::key).toList());
         store.write(List.of(Write.delete("a/1")), List.of());
-        assertEquals(List.of("a/1"), store.watch("a/", changes.version(), LONG_WAIT).removed());
+        assertEquals(
+                List.of("a/1"), store.watch("a/", changes.version(), LONG_WAIT).removed());
     }
 
     @Test
@@ -84,7 +86,8 @@
         clock.addAndGet(1);
         store.tick();
         assertEquals(
-                List.of("machine/m1"), store.watch("machine/", version, LONG_WAIT).removed());
+                List.of("machine/m1"),
+                store.watch("machine/", version, LONG_WAIT).removed());
         assertRejected(ErrorCode.SESSION_ENDED, () -> store.renew(lease));
         assertRejected(ErrorCode.SESSION_ENDED, () -> store.write(List.of(), List.of(lease.fence())));
         Lease next = store.acquire("machine/m1", "two", LEASE_TTL);
--- a/src/test/java/olivechute/store/SnapshotCodecTest.java
+++ b/src/test/java/olivechute/store/SnapshotCodecTest.java
@@ -51,9 +51,12 @@
     @Test
     void stateRoundTrips() throws Exception {
         StoreState state = sampleState();
-        assertEquals(StateChecks.withoutHistory(state), StateChecks.restore(StateChecks.snapshotBytes(state, SMALL_FRAME_BYTES)));
+        assertEquals(
+                StateChecks.withoutHistory(state),
+                StateChecks.restore(StateChecks.snapshotBytes(state, SMALL_FRAME_BYTES)));
         assertEquals(StateChecks.withoutHistory(state), StateChecks.restore(StateChecks.snapshotBytes(state, 1 << 20)));
-        assertEquals(StoreState.EMPTY, StateChecks.restore(StateChecks.snapshotBytes(StoreState.EMPTY, SMALL_FRAME_BYTES)));
+        assertEquals(
+                StoreState.EMPTY, StateChecks.restore(StateChecks.snapshotBytes(StoreState.EMPTY, SMALL_FRAME_BYTES)));
     }
 
     @Test
@@ -87,7 +90,9 @@
                 DiskException fault = assertReadFails(flipped);
                 assertEquals(ErrorCode.DATA_CORRUPT, fault.code(), fault.subject());
                 assertTrue(
-                        fault.subject().startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", "),
+                        fault.subject()
+                                .startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset
+                                        + ", "),
                         fault.subject());
             }
         }
@@ -96,7 +101,8 @@
 
     @Test
     void newerFormatIsDistinguishedFromCorruption() throws Exception {
-        DiskException fault = assertReadFails(snapshotOf(Snapshot.newBuilder().setFormat(2).build()));
+        DiskException fault =
+                assertReadFails(snapshotOf(Snapshot.newBuilder().setFormat(2).build()));
         assertEquals(ErrorCode.LEVEL_TOO_LOW, fault.code());
         assertTrue(fault.subject().contains("format 2"), fault.subject());
     }
--- a/src/test/java/olivechute/store/StateChecks.java
+++ b/src/test/java/olivechute/store/StateChecks.java
@@ -30,14 +30,21 @@
                     context);
             totalBytes += each.getKey().length() + stored.value().size();
             if (stored.session() != 0) {
-                keysBySession.computeIfAbsent(stored.session(), s -> new TreeSet<>()).add(each.getKey());
-                assertTrue(state.leases().findBySession(stored.session()) != null, context + ": a key outlived its session");
+                keysBySession
+                        .computeIfAbsent(stored.session(), s -> new TreeSet<>())
+                        .add(each.getKey());
+                assertTrue(
+                        state.leases().findBySession(stored.session()) != null,
+                        context + ": a key outlived its session");
             }
         }
         assertEquals(keysBySession, state.keysBySession(), context);
         assertEquals(totalBytes, state.totalBytes(), context);
         assertTrue(totalBytes <= limits.maxTotalBytes() && state.entries().size() <= limits.maxKeys(), context);
-        assertTrue(state.leases().size() <= limits.maxLeases() && state.announcedLevels().size() <= limits.maxReplicas(), context);
+        assertTrue(
+                state.leases().size() <= limits.maxLeases()
+                        && state.announcedLevels().size() <= limits.maxReplicas(),
+                context);
         assertTrue(state.fences().size() <= 2 * limits.maxLeases(), context);
         assertEquals(state.leases().size(), state.leases().byName().size(), context);
         assertEquals(state.leases().size(), state.leases().byExpiry().size(), context);
@@ -47,7 +54,9 @@
             assertEquals(lease.session(), state.fences().get(lease.name()), context);
         }
         assertEquals(
-                state.history().keysByVersion().values().stream().mapToInt(List::size).sum(),
+                state.history().keysByVersion().values().stream()
+                        .mapToInt(List::size)
+                        .sum(),
                 state.history().keyCount(),
                 context);
         assertTrue(state.history().keyCount() <= limits.maxHistoryKeys(), context);
--- a/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
@@ -63,7 +63,9 @@
             restored = restoredResult.state();
             assertEquals(replayedResult.reply(), restoredResult.reply(), "seed " + seed + ", command " + i);
             assertEquals(
-                    StateChecks.withoutHistory(replayed), StateChecks.withoutHistory(restored), "seed " + seed + ", command " + i);
+                    StateChecks.withoutHistory(replayed),
+                    StateChecks.withoutHistory(restored),
+                    "seed " + seed + ", command " + i);
         }
     }
 
@@ -94,7 +96,8 @@
             } else if (command.hasBatch()) {
                 Map<String, VersionedValue> expected = new TreeMap<>(withoutBatch.entries());
                 for (Put put : command.getBatch().getPutsList()) {
-                    VersionedValue stored = new VersionedValue(put.getValue(), withoutBatch.version() + 1, put.getSession());
+                    VersionedValue stored =
+                            new VersionedValue(put.getValue(), withoutBatch.version() + 1, put.getSession());
                     if (put.getDelete()) {
                         expected.remove(put.getKey());
                     } else {
@@ -141,7 +144,9 @@
                         current == null
                                 || current.owner.equals(command.getAcquire().getOwner()),
                         context + ": two holders");
-                assertTrue(reply.getLease().getSession() > highestSession, context + ": " + reply + " after " + highestSession);
+                assertTrue(
+                        reply.getLease().getSession() > highestSession,
+                        context + ": " + reply + " after " + highestSession);
                 highestSession = reply.getLease().getSession();
                 heldLeases.put(
                         command.getAcquire().getName(),
@@ -155,14 +160,19 @@
             } else if (command.hasRenew() && !kind.equals(ErrorCode.LEVEL_TOO_LOW.name())) {
                 long session = command.getRenew().getSession();
                 assertEquals(
-                        heldLeases.values().stream().noneMatch(lease -> lease.session == session), reply.hasRefusal(), context);
-                heldLeases.replaceAll((name, lease) ->
-                        lease.session == session ? new HeldLease(lease.owner, session, lease.ttlMs, nowMs + lease.ttlMs) : lease);
+                        heldLeases.values().stream().noneMatch(lease -> lease.session == session),
+                        reply.hasRefusal(),
+                        context);
+                heldLeases.replaceAll((name, lease) -> lease.session == session
+                        ? new HeldLease(lease.owner, session, lease.ttlMs, nowMs + lease.ttlMs)
+                        : lease);
             } else if (command.hasRelease() && !reply.hasRefusal()) {
-                heldLeases.values()
+                heldLeases
+                        .values()
                         .removeIf(lease -> lease.session == command.getRelease().getSession());
             } else if (command.hasBatch() && command.getBatch().getFencesCount() == 1 && !reply.hasRefusal()) {
-                HeldLease holder = heldLeases.get(command.getBatch().getFences(0).getDomain());
+                HeldLease holder =
+                        heldLeases.get(command.getBatch().getFences(0).getDomain());
                 assertTrue(
                         holder != null
                                 && holder.session
--- a/src/test/java/olivechute/store/StoreStateMachineTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachineTest.java
@@ -55,7 +55,9 @@
     private static byte[] withUnknownField(byte[] message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(message);
-        out.writeBytes(new byte[] {(byte) ((UNKNOWN_FIELD_NUMBER << 3 & 0x7f) | 0x80 | 2), (byte) (UNKNOWN_FIELD_NUMBER >> 4), 1, 7});
+        out.writeBytes(new byte[] {
+            (byte) ((UNKNOWN_FIELD_NUMBER << 3 & 0x7f) | 0x80 | 2), (byte) (UNKNOWN_FIELD_NUMBER >> 4), 1, 7
+        });
         return out.toByteArray();
     }
 
@@ -174,14 +176,17 @@
             write(List.of(Write.put("a/" + i % 3, new byte[1]), Write.put("b", new byte[1])));
         }
         assertEquals(
-                List.of("a/0", "a/1", "a/2"), keys(stateMachine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))));
-        assertTrue(stateMachine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))
+                List.of("a/0", "a/1", "a/2"),
+                keys(stateMachine.query(state, StoreMessages.watch("a/", 13, Duration.ZERO))));
+        assertTrue(stateMachine
+                .query(state, StoreMessages.watch("a/", 13, Duration.ZERO))
                 .getWhole());
         Reply partial = stateMachine.query(state, StoreMessages.watch("a/", 18, Duration.ZERO));
         assertTrue(!partial.getWhole());
         assertEquals(List.of("a/0", "a/1"), keys(partial));
         StoreState restored = StateChecks.restore(StateChecks.snapshotBytes(state, 10));
-        assertTrue(stateMachine.query(restored, StoreMessages.watch("a/", 19, Duration.ZERO))
+        assertTrue(stateMachine
+                .query(restored, StoreMessages.watch("a/", 19, Duration.ZERO))
                 .getWhole());
         Reply ahead = stateMachine.query(restored, StoreMessages.watch("a/", 25, Duration.ZERO));
         assertEquals(Reply.newBuilder().setVersion(25).build(), ahead);
@@ -285,8 +290,8 @@
         assertEquals(ErrorCode.MALFORMED, fault.code());
         assertTrue(fault.subject().contains("MOON_TOO_FULL") && fault.subject().contains("at night"));
         StoreException held = new StoreException(ErrorCode.LEASE_HELD, "by x");
-        StoreException decoded =
-                assertThrows(StoreException.class, () -> StoreMessages.requireAccepted(StoreMessages.rejection(held, 3)));
+        StoreException decoded = assertThrows(
+                StoreException.class, () -> StoreMessages.requireAccepted(StoreMessages.rejection(held, 3)));
         assertEquals(held.getMessage(), decoded.getMessage());
     }
 }
--- a/src/test/java/olivechute/store/WatchPropertyTest.java
+++ b/src/test/java/olivechute/store/WatchPropertyTest.java
@@ -29,7 +29,9 @@
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             watchThroughCommands(seed);
         }
-        assertTrue(completeReplies > 100 && partialReplies > 1000, completeReplies + " whole answers, " + partialReplies + " partial ones");
+        assertTrue(
+                completeReplies > 100 && partialReplies > 1000,
+                completeReplies + " whole answers, " + partialReplies + " partial ones");
     }
 
     private void watchThroughCommands(long seed) throws Exception {
@@ -61,7 +63,8 @@
     /**
      * Exactly what differs and was there or is there, in order; a key that came and went since may be named as gone.
      */
-    private void checkReply(Reply reply, Map<String, Entry> seen, Map<String, Entry> stored, long since, String context) {
+    private void checkReply(
+            Reply reply, Map<String, Entry> seen, Map<String, Entry> stored, long since, String context) {
         long minVersion = reply.getWhole() ? 0 : since + 1;
         TreeSet<String> changed = new TreeSet<>();
         for (Entry entry : reply.getEntriesList()) {
@@ -155,7 +158,9 @@
         WatchRegistry registry = new WatchRegistry(CommandGenerator.TIGHT_LIMITS, StoreState.EMPTY);
         CompletableFuture<Reply> first = registry.register("a", 0, 100);
         CompletableFuture<Reply> second = registry.register("b", 0, 200);
-        assertEquals("TOO_MANY", completedReply(registry.register("c", 0, 100)).getRefusal().getKind());
+        assertEquals(
+                "TOO_MANY",
+                completedReply(registry.register("c", 0, 100)).getRefusal().getKind());
         first.cancel(false);
         CompletableFuture<Reply> third = registry.register("c", 0, 100);
         assertEquals(2, registry.size());
--- a/src/test/java/olivechute/store/raft/DiskHealthTest.java
+++ b/src/test/java/olivechute/store/raft/DiskHealthTest.java
@@ -41,7 +41,8 @@
 
     @Test
     void errorCodeIsDerivedFromMessageOfAnyCause() {
-        assertEquals(DISK_FULL, DiskHealth.errorCodeOf(new IOException("x", new IOException("No space left on device"))));
+        assertEquals(
+                DISK_FULL, DiskHealth.errorCodeOf(new IOException("x", new IOException("No space left on device"))));
         assertEquals(DISK_FULL, DiskHealth.errorCodeOf(new IOException("File too large")));
         assertEquals(DISK_BROKEN, DiskHealth.errorCodeOf(new IOException("Input/output error")));
     }
--- a/src/test/java/olivechute/store/raft/DiskTroubleIT.java
+++ b/src/test/java/olivechute/store/raft/DiskTroubleIT.java
@@ -25,7 +25,8 @@
     /**
      * The lead runs into trouble and out of it again; it is then needed for a majority, with all that was acknowledged.
      */
-    private static void assertLeaderLeavesAndReturns(String settings, GroupAction causeFault, GroupAction clearFault) throws Exception {
+    private static void assertLeaderLeavesAndReturns(String settings, GroupAction causeFault, GroupAction clearFault)
+            throws Exception {
         try (StoreGroup group = StoreGroup.startGroup(3, settings);
                 Store store = group.client(Duration.ofSeconds(10))) {
             int leader = group.awaitLeader(0);
@@ -70,7 +71,8 @@
         assertLeaderLeavesAndReturns(
                 SMALL_LIMITS,
                 (group, lead) -> {
-                    Path link = Files.createSymbolicLink(group.dataDirectory(lead).resolve("link"), Path.of("/dev/full"));
+                    Path link =
+                            Files.createSymbolicLink(group.dataDirectory(lead).resolve("link"), Path.of("/dev/full"));
                     Files.move(
                             link,
                             group.dataDirectory(lead).resolve("probe"),
--- a/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
+++ b/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
@@ -44,12 +44,14 @@
         assertInvalid("folder = f, replicas = []", "id: missing", "replicas: must name");
         assertInvalid(MINIMAL + ", election { least = 2s }", "election.most: must be longer");
         assertInvalid(MINIMAL + ", quota_mb = 50", "quota_mb: must be at least 88");
-        assertInvalid(MINIMAL + ", log { segment_mb = 99 }, bounds { key = 1 }", "log.segment_mb", "bounds.key: unknown key");
+        assertInvalid(
+                MINIMAL + ", log { segment_mb = 99 }, bounds { key = 1 }", "log.segment_mb", "bounds.key: unknown key");
         assertInvalid(
                 "id = a, folder = f, replicas = [{ id = a, address = here }, { id = a, address = \"127.0.0.1:2\" }]",
                 "replicas[0].address",
                 "replicas[1].id: each replica");
-        assertInvalid("id = \"a b\", folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]", "id: must be letters");
+        assertInvalid(
+                "id = \"a b\", folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]", "id: must be letters");
     }
 
     private static void assertInvalid(String text, String... expectedTexts) {
--- a/src/test/java/olivechute/store/raft/StoreGroup.java
+++ b/src/test/java/olivechute/store/raft/StoreGroup.java
@@ -65,8 +65,8 @@
 
     /** Starts one with a folder and an id that may be another's. */
     void start(int replica, Path dataDirectory, String id) throws IOException {
-        StringBuilder text =
-                new StringBuilder("id = " + id + "\nfolder = \"" + dataDirectory + "\"\n" + extraSettings + "\nreplicas = [\n");
+        StringBuilder text = new StringBuilder(
+                "id = " + id + "\nfolder = \"" + dataDirectory + "\"\n" + extraSettings + "\nreplicas = [\n");
         replicas.forEach(r -> text.append("  { id = ")
                 .append(r.id())
                 .append(", address = \"")
@@ -129,7 +129,8 @@
         }
     }
 
-    private OutputLine awaitMatch(int fromLine, String description, Predicate<OutputLine> matcher) throws InterruptedException {
+    private OutputLine awaitMatch(int fromLine, String description, Predicate<OutputLine> matcher)
+            throws InterruptedException {
         long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         synchronized (lines) {
             while (true) {
--- a/src/test/java/olivechute/store/raft/StoreMeasureIT.java
+++ b/src/test/java/olivechute/store/raft/StoreMeasureIT.java
@@ -40,7 +40,8 @@
                             latencyUs.getValueAtPercentile(99.9) / 1e3);
                 }
                 for (int i = 0; i < replicas; i++) {
-                    System.out.println("measure: " + replicas + " replicas, r" + i + " " + residentMemory(group.pid(i)));
+                    System.out.println(
+                            "measure: " + replicas + " replicas, r" + i + " " + residentMemory(group.pid(i)));
                 }
             }
         }
@@ -53,7 +54,8 @@
                 .orElse("");
     }
 
-    private static void runWriters(StoreGroup group, int writers, long durationNs, Histogram latencyUs) throws Exception {
+    private static void runWriters(StoreGroup group, int writers, long durationNs, Histogram latencyUs)
+            throws Exception {
         try (Store store = group.client(Duration.ofSeconds(10))) {
             long deadlineNs = System.nanoTime() + durationNs;
             List<Thread> threads = new ArrayList<>();
--- a/src/test/java/olivechute/supervisor/NodeStateMachinePropertyTest.java
+++ b/src/test/java/olivechute/supervisor/NodeStateMachinePropertyTest.java
@@ -67,8 +67,9 @@
         if (addressCount == 2 && run.ready && !run.launch.version().equals(target)) {
             assertTrue(
                     running.values().stream()
-                            .anyMatch(r ->
-                                    r.ready && !r.drainRequested && r.launch.version().equals(target)),
+                            .anyMatch(r -> r.ready
+                                    && !r.drainRequested
+                                    && r.launch.version().equals(target)),
                     "the old one ends before the new one is ready");
         }
         assertTrue(!run.ready || !run.launch.version().equals(target), "what serves as ordered is ended");
@@ -101,7 +102,8 @@
                 case 6, 7 -> {
                     if (selected != null) {
                         running.remove(selected.runId);
-                        handle(new NodeEvent.Exited(selected.runId, step / 100 % 3, step / 300 % 2 == 0 ? "key: wrong" : "broke"));
+                        handle(new NodeEvent.Exited(
+                                selected.runId, step / 100 % 3, step / 300 % 2 == 0 ? "key: wrong" : "broke"));
                     }
                 }
                 case 8 -> {
--- a/src/test/java/olivechute/supervisor/NodeStateMachineTest.java
+++ b/src/test/java/olivechute/supervisor/NodeStateMachineTest.java
@@ -10,10 +10,10 @@
 import olivechute.rollout.NodePhase;
 import olivechute.supervisor.NodeEvent.Adopted;
 import olivechute.supervisor.NodeEvent.Exited;
-import olivechute.supervisor.NodeEvent.StartFailed;
 import olivechute.supervisor.NodeEvent.OrderReceived;
 import olivechute.supervisor.NodeEvent.Ready;
 import olivechute.supervisor.NodeEvent.Reloaded;
+import olivechute.supervisor.NodeEvent.StartFailed;
 import olivechute.supervisor.NodeEvent.Stop;
 import olivechute.supervisor.NodeEvent.Tick;
 import org.junit.jupiter.api.Test;
@@ -61,7 +61,8 @@
 
     private void assertReport(NodePhase phase, String version, long order) {
         NodeReport view = machine.report();
-        assertEquals(phase + " " + version + " " + order, view.phase() + " " + view.version() + " " + view.completedOrder());
+        assertEquals(
+                phase + " " + version + " " + order, view.phase() + " " + view.version() + " " + view.completedOrder());
     }
 
     @Test
@@ -210,7 +211,8 @@
         assertReport(NodePhase.READY, "b", 2);
         assertEquals(
                 "reload 1 c",
-                handle(new OrderReceived(new LaunchSpec("c", 3, "j", "", "", "{\"discovery\":\"no\",\"name\":\"n\"}"), "")));
+                handle(new OrderReceived(
+                        new LaunchSpec("c", 3, "j", "", "", "{\"discovery\":\"no\",\"name\":\"n\"}"), "")));
         assertEquals("keep 1 b", handle(new Reloaded(1, "discovery: must be ADDRESS:PORT")));
         assertReport(NodePhase.REFUSED, "b", 3);
         assertEquals(
@@ -223,7 +225,8 @@
     void restartsWhenTheReloadTimesOut() {
         handle(new OrderReceived(new LaunchSpec("a", 1, "j", "", "", "{}"), ""));
         handle(new Ready(1));
-        assertEquals("reload 1 b", handle(new OrderReceived(new LaunchSpec("b", 2, "j", "", "", "{\"discovery\":1}"), "")));
+        assertEquals(
+                "reload 1 b", handle(new OrderReceived(new LaunchSpec("b", 2, "j", "", "", "{\"discovery\":1}"), "")));
         nowMs += 20_000;
         assertEquals("start 2 b 1", handle(new Tick()));
     }
--- a/src/test/java/olivechute/supervisor/SuperviseIT.java
+++ b/src/test/java/olivechute/supervisor/SuperviseIT.java
@@ -92,7 +92,8 @@
             store.close();
         }
         for (int i = 0; i < 2; i++) {
-            storedProcess(i).flatMap(p -> ProcessHandle.of(Long.parseLong(p.getProperty("pid"))))
+            storedProcess(i)
+                    .flatMap(p -> ProcessHandle.of(Long.parseLong(p.getProperty("pid"))))
                     .ifPresent(ProcessHandle::destroyForcibly);
         }
         for (Process each : processes) {
--- a/src/test/java/olivechute/supervisor/SupervisorRig.java
+++ b/src/test/java/olivechute/supervisor/SupervisorRig.java
@@ -66,7 +66,8 @@
         return "machine = m, zone = z, folder = \"" + dir.resolve("run") + "\", figures = \"127.0.0.1:0\"\n"
                 + "store { replicas = [{ id = a, address = \"127.0.0.1:1\" }], lease = 2s }\n"
                 + "program { jar = \"" + jar + "\", java = [java, -Xmx32m, \"-XX:TieredStopAtLevel=1\"] }\n"
-                + "nodes = [{ name = n, config = \"" + dir.resolve("base.json") + "\", listen = \"" + firstAddress + "\""
+                + "nodes = [{ name = n, config = \"" + dir.resolve("base.json") + "\", listen = \"" + firstAddress
+                + "\""
                 + (twoAddresses ? ", second = \"" + secondAddress + "\"" : "") + ", version = v1 }]\n" + extra;
     }
 
