--- a/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
@@ -107,7 +107,8 @@
         assertTrue(StartFailureClassifier.isPermanent(1, "settings.profiles[0].deadline: missing, must be a number"));
         assertTrue(StartFailureClassifier.isPermanent(1, "LB_CONFIG: f is not JSON: x"));
         assertFalse(StartFailureClassifier.isPermanent(1, "LB_LISTEN: cannot listen: Address already in use"));
-        assertFalse(StartFailureClassifier.isPermanent(1, "Exception in thread \"main\" java.lang.OutOfMemoryError: x"));
+        assertFalse(
+                StartFailureClassifier.isPermanent(1, "Exception in thread \"main\" java.lang.OutOfMemoryError: x"));
         assertFalse(StartFailureClassifier.isPermanent(134, "key: wrong"));
         assertFalse(StartFailureClassifier.isPermanent(null, "key: wrong"));
     }
--- a/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
@@ -14,8 +14,8 @@
 class SupervisorStateFileTest {
     private static final LaunchSpec LAUNCH =
             new LaunchSpec("v2", 9, "/programs/p.jar", "ab12", "cd34", "{\"name\":\"n1\"}");
-    private static final SupervisorStateFile.ProcessRecord PROCESS =
-            new SupervisorStateFile.ProcessRecord(4711, 1_700_000_000_000L, "127.0.0.1:7070", "/folder/n1-9.json", LAUNCH);
+    private static final SupervisorStateFile.ProcessRecord PROCESS = new SupervisorStateFile.ProcessRecord(
+            4711, 1_700_000_000_000L, "127.0.0.1:7070", "/folder/n1-9.json", LAUNCH);
 
     /** The lines of a file of properties without the date that it begins with, in order. */
     private static byte[] text(Properties values) throws Exception {
@@ -39,7 +39,8 @@
     void theStoredOrderFormatIsUnchanged() throws Exception {
         RecordedEncodings.assertWritten("supervisor-order", text(SupervisorStateFile.toProperties(LAUNCH)));
         assertEquals(
-                LAUNCH, SupervisorStateFile.parseLaunch(recorded("supervisor-order")).orElseThrow());
+                LAUNCH,
+                SupervisorStateFile.parseLaunch(recorded("supervisor-order")).orElseThrow());
     }
 
     @Test
--- a/src/test/java/olivechute/svid/SvidFuzzTest.java
+++ b/src/test/java/olivechute/svid/SvidFuzzTest.java
@@ -94,7 +94,8 @@
         assertEquals(ID, manager.state().own().svid().id().toString());
         assertEquals(2, manager.state().bundles().all().size());
         assertEquals(
-                1, JwkSets.parseKeys(new String(KEYS, StandardCharsets.ISO_8859_1)).size());
+                1,
+                JwkSets.parseKeys(new String(KEYS, StandardCharsets.ISO_8859_1)).size());
     }
 
     @Property(tries = 1500, seed = "20261201")
--- a/src/test/java/olivechute/testca/SvidManagerTest.java
+++ b/src/test/java/olivechute/testca/SvidManagerTest.java
@@ -86,7 +86,8 @@
                 bundle);
         assertRejected(Reason.UNREADABLE, chain, key, "rubbish");
         assertRejected(Reason.NOT_VOUCHED, chain, key, PemWriter.text(List.of(stranger.certificate())));
-        assertRejected(Reason.EXPIRED, PemWriter.text(issue(root, NOW.minusSeconds(1)).chain()), key, bundle);
+        assertRejected(
+                Reason.EXPIRED, PemWriter.text(issue(root, NOW.minusSeconds(1)).chain()), key, bundle);
         assertSame(manager.state(), before);
         assertTrue(manager.state().hasValidIdentity(NOW.plusSeconds(29)));
     }
@@ -102,7 +103,8 @@
     public void svidOfAnotherTrustDomainIsRejected() throws Exception {
         CertificateAuthority other = CertificateAuthority.root("other.example", NOW.minus(HOUR), NOW.plus(HOUR));
         manager.federate("other.example", PemWriter.text(List.of(other.certificate())));
-        assertEquals(manager.federate("other.example", PemWriter.text(List.of(other.certificate()))), OfferResult.UNCHANGED);
+        assertEquals(
+                manager.federate("other.example", PemWriter.text(List.of(other.certificate()))), OfferResult.UNCHANGED);
         CertificateAuthority.Issued theirs =
                 other.issue(SpiffeId.parse("spiffe://other.example/node"), NOW, NOW.plusSeconds(9));
         assertEquals(
@@ -121,7 +123,8 @@
         CertificateAuthority.Issued old = issue(root, NOW.plusSeconds(30));
         offer(old, root, NOW);
         String both = PemWriter.text(List.of(root.certificate(), next.certificate()));
-        assertEquals(manager.offer(PemWriter.text(old.chain()), PemWriter.text(old.key()), both, NOW), OfferResult.APPLIED);
+        assertEquals(
+                manager.offer(PemWriter.text(old.chain()), PemWriter.text(old.key()), both, NOW), OfferResult.APPLIED);
         assertEquals(offer(issue(next, NOW.plusSeconds(60)), next, NOW), OfferResult.APPLIED);
         assertEquals(
                 expectThrows(IdentityRejectedException.class, () -> offer(old, next, NOW))
--- a/src/test/java/olivechute/tls/TlsStateMachineTest.java
+++ b/src/test/java/olivechute/tls/TlsStateMachineTest.java
@@ -114,7 +114,8 @@
         String document = "x".repeat(40_000);
         client.send(bytes(document));
         exchange(client, node);
-        assertTrue(receivedText.get(node).equals(document), receivedText.get(node).length() + " heard, seed " + SEED);
+        assertTrue(
+                receivedText.get(node).equals(document), receivedText.get(node).length() + " heard, seed " + SEED);
         node.send(bytes("signed"));
         exchange(client, node);
         assertEquals(receivedText.get(client), "signed");
