--- a/src/main/java/olivechute/store/BatchExecutor.java
+++ b/src/main/java/olivechute/store/BatchExecutor.java
@@ -7,7 +7,9 @@
 import olivechute.store.wire.Fence;
 import olivechute.store.wire.Put;
 
-/** Carries out batches of writes: first all checks, then all writes. */
+/**
+ * Executes batches of writes atomically: all checks come before the first write. Called by {@link StoreStateMachine}.
+ */
 final class BatchExecutor {
     private final StoreLimits limits;
 
@@ -15,7 +17,7 @@
         this.limits = limits;
     }
 
-    /** The state after the batch. */
+    /** Returns the state after the batch, or throws if a limit, a fence or a precondition rejects it. */
     StoreState apply(StoreState state, Batch batch) throws CommandRejectedException {
         validate(batch);
         for (Fence fence : batch.getFencesList()) {
@@ -36,12 +38,12 @@
                 && transaction.keyCount() > state.entries().size()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY,
-                    "with these writes there are " + transaction.keyCount() + " keys, over " + limits.maxKeys());
+                    "the batch would leave " + transaction.keyCount() + " keys, the limit is " + limits.maxKeys());
         }
         if (transaction.totalBytes() > limits.maxTotalBytes() && transaction.totalBytes() > state.totalBytes()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_MANY,
-                    "with these writes there are " + transaction.totalBytes() + " bytes, over "
+                    "the batch would leave " + transaction.totalBytes() + " bytes, the limit is "
                             + limits.maxTotalBytes());
         }
         return transaction.commit();
@@ -51,21 +53,21 @@
         if (batch.getPutsCount() > limits.maxBatchSize() || batch.getFencesCount() > limits.maxBatchSize()) {
             throw new CommandRejectedException(
                     ErrorCode.TOO_LARGE,
-                    "a batch of " + batch.getPutsCount() + " writes and " + batch.getFencesCount() + " fences, over "
-                            + limits.maxBatchSize());
+                    "batch of " + batch.getPutsCount() + " writes and " + batch.getFencesCount()
+                            + " fences, the limit is " + limits.maxBatchSize());
         }
         Set<String> keys = new HashSet<>();
         for (Put put : batch.getPutsList()) {
             KeyValidator.validate("key", put.getKey(), limits);
             if (!keys.add(put.getKey())) {
                 throw new CommandRejectedException(
-                        ErrorCode.MALFORMED, "key '" + put.getKey() + "' is twice in a batch");
+                        ErrorCode.MALFORMED, "key '" + put.getKey() + "' occurs twice in the batch");
             }
             if (put.getValue().size() > limits.maxValueBytes()) {
                 throw new CommandRejectedException(
                         ErrorCode.TOO_LARGE,
-                        "the value of '" + put.getKey() + "' has "
-                                + put.getValue().size() + " bytes, over " + limits.maxValueBytes());
+                        "value of '" + put.getKey() + "' has " + put.getValue().size() + " bytes, the limit is "
+                                + limits.maxValueBytes());
             }
         }
     }
@@ -75,20 +77,21 @@
         if (fence.getNumber() < newestToken) {
             throw new CommandRejectedException(
                     ErrorCode.STALE_FENCE,
-                    "fence " + fence.getNumber() + " of '" + fence.getDomain() + "', " + newestToken
-                            + " was given since");
+                    "fencing token " + fence.getNumber() + " of '" + fence.getDomain() + "', " + newestToken
+                            + " has been issued since");
         }
         LeaseEntry lease = state.leases().findByName(fence.getDomain());
         if (lease == null || lease.session() != fence.getNumber()) {
             throw new CommandRejectedException(
-                    ErrorCode.SESSION_ENDED, "fence " + fence.getNumber() + " of '" + fence.getDomain() + "'");
+                    ErrorCode.SESSION_ENDED, "fencing token " + fence.getNumber() + " of '" + fence.getDomain() + "'");
         }
     }
 
     private static void checkPreconditions(StoreState state, Put put) throws CommandRejectedException {
         if (put.getSession() != 0 && !put.getDelete() && state.leases().findBySession(put.getSession()) == null) {
             throw new CommandRejectedException(
-                    ErrorCode.SESSION_ENDED, "session " + put.getSession() + " that '" + put.getKey() + "' goes with");
+                    ErrorCode.SESSION_ENDED,
+                    "session " + put.getSession() + " that '" + put.getKey() + "' should belong to");
         }
         VersionedValue stored = state.entries().get(put.getKey());
         long version = stored == null ? 0 : stored.version();
--- a/src/main/java/olivechute/store/ChangeHistory.java
+++ b/src/main/java/olivechute/store/ChangeHistory.java
@@ -4,20 +4,20 @@
 import org.pcollections.TreePMap;
 
 /**
- * Which keys changed at which version, the last so many. It holds no values: a watch is told the newest one of each key
- * that changed.
+ * Bounded history of the keys changed at each version, used to answer watches. It holds no values, since a watch
+ * returns the newest value of each changed key.
  *
- * @param changed keys by the version at which they changed
- * @param size number of keys over all versions
- * @param from the lowest version after which every change is known
+ * @param keysByVersion changed keys by the version at which they changed
+ * @param keyCount number of keys over all versions
+ * @param completeSince lowest version after which every change is in the history
  */
 record ChangeHistory(TreePMap<Long, List<String>> keysByVersion, int keyCount, long completeSince) {
-    /** One that begins after a version. */
+    /** Returns an empty history that covers the changes after a version. */
     static ChangeHistory startingAfter(long version) {
         return new ChangeHistory(TreePMap.empty(), 0, version);
     }
 
-    /** With the keys that changed at a version, less the oldest ones over the bound. */
+    /** Returns the history with the keys changed at a version, without the oldest versions that exceed the limit. */
     ChangeHistory append(long version, List<String> keys, int maxKeys) {
         TreePMap<Long, List<String>> remaining = keysByVersion.plus(version, keys);
         int remainingKeys = keyCount + keys.size();
@@ -30,12 +30,12 @@
         return new ChangeHistory(remaining, remainingKeys, start);
     }
 
-    /** Whether every change after this version is known. */
+    /** Returns whether the history holds every change after a version. */
     boolean covers(long since) {
         return since >= completeSince;
     }
 
-    /** The keys of each version after this one, oldest first. */
+    /** Returns the changed keys of each version after the given one, oldest version first. */
     Iterable<List<String>> changesSince(long version) {
         return keysByVersion.tailMap(version, false).values();
     }
--- a/src/main/java/olivechute/store/CommandRejectedException.java
+++ b/src/main/java/olivechute/store/CommandRejectedException.java
@@ -3,13 +3,13 @@
 import olivechute.error.ErrorCode;
 import olivechute.store.wire.Refusal;
 
-/** Ends a command that is not done; within the state machine only. */
+/** Thrown by the parts of the state machine to reject a command; never leaves the state machine. */
 final class CommandRejectedException extends Exception {
     private static final long serialVersionUID = 1;
 
     private final transient Refusal rejection;
 
-    /** {@code version}: the present one of the key in question, 0 where that says nothing. */
+    /** Creates a rejection; {@code version} is the stored version of the key in question, or 0 if none applies. */
     CommandRejectedException(ErrorCode kind, String text, long version) {
         super(text, null, false, false);
         rejection = Refusal.newBuilder()
--- a/src/main/java/olivechute/store/CommandResult.java
+++ b/src/main/java/olivechute/store/CommandResult.java
@@ -2,5 +2,5 @@
 
 import olivechute.store.wire.Reply;
 
-/** What a command came to: the state after it and the answer to its sender. */
+/** Result of a command: the state after it and the reply to the client that sent it. */
 public record CommandResult(StoreState state, Reply reply) {}
--- a/src/main/java/olivechute/store/EntrySizes.java
+++ b/src/main/java/olivechute/store/EntrySizes.java
@@ -2,11 +2,11 @@
 
 import com.google.protobuf.ByteString;
 
-/** How many bytes keys and values take. */
+/** Computes the sizes of keys and values in bytes, as counted against the store's limits. */
 final class EntrySizes {
     private EntrySizes() {}
 
-    /** Bytes of a text in UTF-8; each half of a pair counts two. */
+    /** Returns the length of a text in UTF-8; each half of a surrogate pair counts as two bytes. */
     static int sizeInBytes(String text) {
         int bytes = 0;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/olivechute/store/FeatureLevels.java
+++ b/src/main/java/olivechute/store/FeatureLevels.java
@@ -4,7 +4,7 @@
 import olivechute.error.ErrorCode;
 import olivechute.store.wire.Announce;
 
-/** Keeps the group's feature level at or below what every replica knows. */
+/** Keeps the group's feature level at or below the level that every announced replica supports. */
 final class FeatureLevels {
     private final StoreLimits limits;
 
@@ -12,9 +12,9 @@
         this.limits = limits;
     }
 
-    /** Notes what a replica knows; 0 strikes it off. */
+    /** Records the feature level that a replica supports; level 0 removes the replica. */
     StoreState announce(StoreState state, Announce announcement) throws CommandRejectedException {
-        KeyValidator.validate("replica's name", announcement.getReplica(), limits);
+        KeyValidator.validate("replica name", announcement.getReplica(), limits);
         StateTransaction transaction = new StateTransaction(state, limits);
         if (announcement.getKnows() == 0) {
             transaction.announcedLevels = transaction.announcedLevels.minus(announcement.getReplica());
@@ -23,14 +23,15 @@
         if (Integer.compareUnsigned(announcement.getKnows(), state.featureLevel()) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "replica '" + announcement.getReplica() + "' knows level " + announcement.getKnows()
-                            + ", the group is at " + state.featureLevel());
+                    "replica '" + announcement.getReplica() + "' supports level " + announcement.getKnows()
+                            + ", the group is at level " + state.featureLevel());
         }
         transaction.announcedLevels =
                 transaction.announcedLevels.plus(announcement.getReplica(), announcement.getKnows());
         if (transaction.announcedLevels.size() > limits.maxReplicas()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_MANY, "over " + limits.maxReplicas() + " replicas told their feature level");
+                    ErrorCode.TOO_MANY,
+                    "more than " + limits.maxReplicas() + " replicas have announced a feature level");
         }
         return transaction.commit();
     }
@@ -40,13 +41,13 @@
             return state;
         }
         if (state.announcedLevels().isEmpty()) {
-            throw new CommandRejectedException(ErrorCode.LEVEL_TOO_LOW, "no replica told which level it knows");
+            throw new CommandRejectedException(ErrorCode.LEVEL_TOO_LOW, "no replica has announced a feature level");
         }
         int lowestKnown = Collections.min(state.announcedLevels().values(), Integer::compareUnsigned);
         if (Integer.compareUnsigned(lowestKnown, level) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "level " + Integer.toUnsignedString(level) + ", but a replica knows only "
+                    "level " + Integer.toUnsignedString(level) + ", but a replica supports only "
                             + Integer.toUnsignedString(lowestKnown) + ": " + state.announcedLevels());
         }
         StateTransaction transaction = new StateTransaction(state, limits);
--- a/src/main/java/olivechute/store/KeyValidator.java
+++ b/src/main/java/olivechute/store/KeyValidator.java
@@ -2,18 +2,19 @@
 
 import olivechute.error.ErrorCode;
 
-/** What a key, the name of a lease or an owner may be. */
+/** Validates keys, lease names, owners and replica names: not empty and within the limit on their length in UTF-8. */
 final class KeyValidator {
     private KeyValidator() {}
 
     static void validate(String label, String value, StoreLimits limits) throws CommandRejectedException {
         if (value.isEmpty()) {
-            throw new CommandRejectedException(ErrorCode.MALFORMED, "an empty " + label);
+            throw new CommandRejectedException(ErrorCode.MALFORMED, "empty " + label);
         }
         int bytes = EntrySizes.sizeInBytes(value);
         if (bytes > limits.maxKeyBytes()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_LARGE, "a " + label + " of " + bytes + " bytes, over " + limits.maxKeyBytes());
+                    ErrorCode.TOO_LARGE,
+                    "the " + label + " has " + bytes + " bytes, the limit is " + limits.maxKeyBytes());
         }
     }
 }
--- a/src/main/java/olivechute/store/LeaseEntry.java
+++ b/src/main/java/olivechute/store/LeaseEntry.java
@@ -2,15 +2,18 @@
 
 import olivechute.store.wire.Lease;
 
-/** A lease that is held; it ends at {@code endsMs} of the store's clock. */
+/**
+ * A held lease. It expires once the store's clock reaches {@code expiresAtMs}, in ms since the epoch; {@code session}
+ * is its fencing token.
+ */
 record LeaseEntry(String name, String owner, long session, long ttlMs, long expiresAtMs)
         implements Comparable<LeaseEntry> {
-    /** The same lease, prolonged to its term from this moment. */
+    /** Returns the lease extended by its full time to live from now. */
     LeaseEntry renewed(long nowMs) {
         return new LeaseEntry(name, owner, session, ttlMs, expiryMs(nowMs, ttlMs));
     }
 
-    /** The end of a term that begins now, at most the end of time. */
+    /** Returns the expiry of a lease that starts now, capped at {@link Long#MAX_VALUE}. */
     static long expiryMs(long nowMs, long ttlMs) {
         return ttlMs > Long.MAX_VALUE - nowMs ? Long.MAX_VALUE : nowMs + ttlMs;
     }
@@ -25,7 +28,7 @@
                 .build();
     }
 
-    /** The one that ends first comes first. */
+    /** Orders leases by expiry, earliest first, then by session. */
     @Override
     public int compareTo(LeaseEntry other) {
         int byExpiry = Long.compare(expiresAtMs, other.expiresAtMs);
--- a/src/main/java/olivechute/store/LeaseManager.java
+++ b/src/main/java/olivechute/store/LeaseManager.java
@@ -4,7 +4,7 @@
 import olivechute.error.ErrorCode;
 import olivechute.store.wire.Acquire;
 
-/** Takes, prolongs and ends leases. */
+/** Acquires, renews, releases and expires leases. Called by {@link StoreStateMachine}. */
 final class LeaseManager {
     private final StoreLimits limits;
 
@@ -13,8 +13,8 @@
     }
 
     /**
-     * Moves the clock on and ends what ran out by then; a clock behind the state's finds nothing, as every lease held
-     * ends after that.
+     * Advances the clock and ends the leases that have expired by then. A clock behind the state's expires nothing,
+     * since every held lease expires after the state's clock.
      */
     StoreState advance(StoreState state, long nowMs) {
         StateTransaction transaction = new StateTransaction(state, limits);
@@ -28,21 +28,22 @@
     }
 
     StoreState acquire(StoreState state, Acquire request) throws CommandRejectedException {
-        KeyValidator.validate("lease's name", request.getName(), limits);
-        KeyValidator.validate("lease's owner", request.getOwner(), limits);
+        KeyValidator.validate("lease name", request.getName(), limits);
+        KeyValidator.validate("lease owner", request.getOwner(), limits);
         if (request.getTtlMs() <= 0) {
-            throw new CommandRejectedException(ErrorCode.MALFORMED, "lease '" + request.getName() + "' without a term");
+            throw new CommandRejectedException(
+                    ErrorCode.MALFORMED, "lease '" + request.getName() + "' has no time to live");
         }
         LeaseEntry held = state.leases().findByName(request.getName());
         if (held != null && !held.owner().equals(request.getOwner())) {
             throw new CommandRejectedException(
                     ErrorCode.LEASE_HELD,
-                    "'" + held.owner() + "' has '" + request.getName() + "' for "
-                            + (held.expiresAtMs() - state.clockMs()) + " ms more unless it prolongs it");
+                    "'" + held.owner() + "' holds '" + request.getName() + "' for "
+                            + (held.expiresAtMs() - state.clockMs()) + " ms more unless it renews the lease");
         }
         if (held == null && state.leases().size() >= limits.maxLeases()) {
             throw new CommandRejectedException(
-                    ErrorCode.TOO_MANY, "there are " + state.leases().size() + " leases");
+                    ErrorCode.TOO_MANY, "there are already " + state.leases().size() + " leases");
         }
         StateTransaction transaction = new StateTransaction(state, limits);
         if (held != null) {
@@ -70,7 +71,7 @@
         return transaction.commit();
     }
 
-    /** Ends a lease; one that ended already is as well. */
+    /** Ends a lease; a lease that has already ended is accepted too. */
     StoreState release(StoreState state, long session) {
         LeaseEntry lease = state.leases().findBySession(session);
         if (lease == null) {
@@ -82,8 +83,8 @@
     }
 
     /**
-     * A fence needs its lease, and each new session is higher than all before: a domain without a lease may be
-     * forgotten.
+     * Drops the oldest fencing token of a domain without a lease once there are too many. This is safe because a fence
+     * is only valid while its lease is held, and each new session is higher than all before.
      */
     private void evictOldestFence(StateTransaction transaction) {
         if (transaction.fences.size() <= 2 * limits.maxLeases()) {
--- a/src/main/java/olivechute/store/LeaseTable.java
+++ b/src/main/java/olivechute/store/LeaseTable.java
@@ -3,12 +3,12 @@
 import org.pcollections.TreePMap;
 import org.pcollections.TreePSet;
 
-/** The leases held, by session, by name and by the moment they end. */
+/** Immutable table of the held leases, indexed by session, by name and by expiry. */
 record LeaseTable(
         TreePMap<Long, LeaseEntry> bySession, TreePMap<String, LeaseEntry> byName, TreePSet<LeaseEntry> byExpiry) {
     static final LeaseTable EMPTY = new LeaseTable(TreePMap.empty(), TreePMap.empty(), TreePSet.empty());
 
-    /** With this lease, in place of the one of its name. */
+    /** Returns the table with this lease, which replaces the lease of the same name. */
     LeaseTable with(LeaseEntry lease) {
         LeaseEntry replaced = byName.get(lease.name());
         LeaseTable others = replaced == null ? this : without(replaced);
@@ -30,7 +30,7 @@
         return byName.get(name);
     }
 
-    /** The one that ends next, null where none is held. */
+    /** Returns the lease that expires next, or null if none is held. */
     LeaseEntry nextToExpire() {
         return byExpiry.isEmpty() ? null : byExpiry.first();
     }
--- a/src/main/java/olivechute/store/MemoryStore.java
+++ b/src/main/java/olivechute/store/MemoryStore.java
@@ -15,8 +15,9 @@
 import olivechute.store.wire.Reply;
 
 /**
- * The store within one process, over the same state machine: for tests and for what runs alone. Leases end by the given
- * clock, at each write and at {@link #tick}; watches wait by the machine's own.
+ * A store within one process, over the same state machine as the replicated store, for tests and for standalone use.
+ * Leases expire by the given clock, at each write and at {@link #tick}; watches wait by the machine's own clock. Safe
+ * for use by several threads.
  */
 public final class MemoryStore implements Store {
     private final LongSupplier clockMs;
@@ -25,12 +26,14 @@
     private final CompletableFuture<Void> closed = new CompletableFuture<>();
     private StoreState state = StoreState.EMPTY;
 
-    /** {@code clockMs}: ms since the epoch, or since whatever the caller likes. */
+    /**
+     * Creates a store with default limits; {@code clockMs} returns ms since the epoch or since any other fixed moment.
+     */
     public MemoryStore(LongSupplier clockMs) {
         this(clockMs, StoreLimits.DEFAULTS);
     }
 
-    /** With bounds of its own. */
+    /** Creates a store with the given limits. */
     public MemoryStore(LongSupplier clockMs, StoreLimits limits) {
         this.clockMs = clockMs;
         stateMachine = new StoreStateMachine(limits);
@@ -66,9 +69,9 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             pending.cancel(false);
-            throw new StoreException(ErrorCode.NOT_REACHED, "a watch that was interrupted", e);
+            throw new StoreException(ErrorCode.NOT_REACHED, "the watch was interrupted", e);
         } catch (ExecutionException e) {
-            throw new StoreException(ErrorCode.NOT_REACHED, "a watch that failed", e);
+            throw new StoreException(ErrorCode.NOT_REACHED, "the watch failed", e);
         }
         if (!pending.isDone()) {
             pending.cancel(false);
@@ -92,12 +95,12 @@
         StoreMessages.version(apply(StoreMessages.release(lease)));
     }
 
-    /** Ends the leases that ran out by now; the watches on their keys wake. */
+    /** Ends the leases that have expired by now; watches on their keys return the deletions. */
     public void tick() throws StoreException {
         StoreMessages.version(apply(StoreMessages.tick()));
     }
 
-    /** Ends all calls that wait, and refuses new ones as NOT_REACHED. */
+    /** Ends all waiting calls and rejects new ones with NOT_REACHED. */
     @Override
     public void close() {
         closed.complete(null);
@@ -127,7 +130,7 @@
 
     private void checkOpen() throws StoreException {
         if (closed.isDone()) {
-            throw new StoreException(ErrorCode.NOT_REACHED, "the store in memory is closed");
+            throw new StoreException(ErrorCode.NOT_REACHED, "the in-memory store is closed");
         }
     }
 }
--- a/src/main/java/olivechute/store/QueryExecutor.java
+++ b/src/main/java/olivechute/store/QueryExecutor.java
@@ -9,8 +9,8 @@
 import olivechute.store.wire.Reply;
 import olivechute.store.wire.Status;
 
-/** Reads a state. */
-@SuppressWarnings("NonApiType") // only the sorted set of the library has the range view
+/** Builds the replies to queries from a state, without side effects. */
+@SuppressWarnings("NonApiType") // only the library's own sorted set type has the range view
 final class QueryExecutor {
     private QueryExecutor() {}
 
@@ -23,7 +23,7 @@
         return reply.build();
     }
 
-    /** All under a prefix, by key. */
+    /** Returns all entries under a prefix, in key order. */
     static Reply list(StoreState state, String prefix) {
         Reply.Builder reply = Reply.newBuilder().setVersion(state.version()).setWhole(true);
         for (Map.Entry<String, VersionedValue> each :
@@ -37,9 +37,10 @@
     }
 
     /**
-     * What changed under a prefix after a version, without waiting: the newest value of each key, by version. Where the
-     * history does not reach back so far, all there is. A version beyond the state's own is one that another replica
-     * was at: nothing changed yet.
+     * Returns what changed under a prefix after a version, without waiting: the newest value of each changed key,
+     * ordered by version. If the history does not reach back to that version, returns all entries under the prefix. If
+     * the version is higher than the state's own, it came from a replica that is further ahead, so nothing has changed
+     * yet.
      */
     static Reply watch(StoreState state, String prefix, long since) {
         if (!state.history().covers(since)) {
@@ -59,7 +60,7 @@
         return reply.addAllEntries(entries).build();
     }
 
-    /** Whether a watch has something to tell. */
+    /** Returns whether a reply to a watch holds any change, or a complete listing. */
     static boolean hasChanges(Reply reply) {
         return reply.getWhole() || reply.getEntriesCount() > 0 || reply.getRemovedCount() > 0;
     }
--- a/src/main/java/olivechute/store/SnapshotCodec.java
+++ b/src/main/java/olivechute/store/SnapshotCodec.java
@@ -13,24 +13,24 @@
 import olivechute.store.wire.Snapshot;
 
 /**
- * Between a state and the file that holds it: pieces of at most about 256 KiB, so neither side needs a copy of the
- * whole in memory. What watches ask about is left out: after a restore a watch from before it is told all there is.
- * Every format begins with a piece that holds the format's number.
+ * Writes a state to a snapshot file and reads it back, in frames of at most about 256 KiB, so that neither side needs a
+ * copy of the whole file in memory. The change history is left out: after a restore, a watch from an earlier version
+ * returns a complete listing. Every format begins with a frame that holds the number of the format.
  */
 public final class SnapshotCodec {
-    /** The format that this program writes and the highest that it reads. */
+    /** Format that this program writes, and the highest one that it reads. */
     public static final int FORMAT = 1;
 
     private static final int FRAME_BYTES = 256 << 10;
 
     private SnapshotCodec() {}
 
-    /** Writes a state and flushes; the stream stays open. The same state gives the same bytes. */
+    /** Writes a state and flushes; the stream stays open. Equal states give the same bytes. */
     public static void write(StoreState state, OutputStream output) throws IOException {
         write(state, output, FRAME_BYTES);
     }
 
-    /** {@code most}: bytes at which a piece ends, over which it goes by one entry at most. */
+    /** Writes a state; a frame ends once it has {@code frameBytes}, which its last entry may exceed. */
     static void write(StoreState state, OutputStream output, int frameBytes) throws IOException {
         SnapshotFrames.Writer writer = new SnapshotFrames.Writer(output);
         writer.writeFrame(header(state));
@@ -59,23 +59,22 @@
     }
 
     /**
-     * Reads a state to the end of the stream.
+     * Reads a state up to the end of the stream.
      *
-     * @throws DiskException DATA_CORRUPT with the first piece that is not as written; LEVEL_TOO_LOW for a format of a
-     *     newer program
+     * @throws DiskException DATA_CORRUPT with the first damaged frame; LEVEL_TOO_LOW for the format of a newer program
      */
     public static StoreState read(InputStream input) throws IOException, DiskException {
         SnapshotFrames.Reader reader = new SnapshotFrames.Reader(input);
         byte[] first = reader.readFrame();
         Snapshot header = parse(reader, first);
         if (first.length == 0 || header.getFormat() == 0) {
-            throw reader.corruptFrame("holds no format");
+            throw reader.corruptFrame("has no format number");
         }
         if (Integer.compareUnsigned(header.getFormat(), FORMAT) > 0) {
             throw new DiskException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "snapshot of format " + Integer.toUnsignedString(header.getFormat()) + ", this program reads up to "
-                            + FORMAT);
+                    "snapshot has format " + Integer.toUnsignedString(header.getFormat())
+                            + ", this program supports formats up to " + FORMAT);
         }
         SnapshotLoader loader = new SnapshotLoader(header);
         for (byte[] bytes = reader.readFrame(); bytes.length > 0; bytes = reader.readFrame()) {
@@ -104,11 +103,11 @@
         try {
             return Snapshot.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw reader.corruptFrame("cannot be read: " + e.getMessage());
+            throw reader.corruptFrame("cannot be parsed: " + e.getMessage());
         }
     }
 
-    /** The piece that is being filled. */
+    /** Collects entries into the current frame and writes it out once it is full. */
     private static final class FrameBuilder {
         private final SnapshotFrames.Writer writer;
         private final int frameBytes;
@@ -127,7 +126,7 @@
             return frame;
         }
 
-        /** Counts what was added; 16 bytes stand for numbers and tags. */
+        /** Adds to the estimated size of the frame; 16 bytes per entry stand for numbers and tags. */
         void addBytes(long added) {
             estimatedBytes += added + 16;
         }
--- a/src/main/java/olivechute/store/SnapshotFrames.java
+++ b/src/main/java/olivechute/store/SnapshotFrames.java
@@ -12,14 +12,14 @@
 import olivechute.error.ErrorCode;
 
 /**
- * A file as pieces: each its length (4 bytes, big end first), its bytes, and the CRC32C of everything in the file
- * before that sum. A piece of length 0 ends it, so the last sum is over all. A reader thus knows which piece is the
- * first that is not as written.
+ * File format of a sequence of frames. Each frame is its length (4 bytes, big-endian), its content, and the CRC32C of
+ * all bytes of the file before the checksum. A frame of length 0 ends the file, so the last checksum covers all of it.
+ * A reader can thus tell which frame is the first damaged one.
  */
 final class SnapshotFrames {
     private SnapshotFrames() {}
 
-    /** Writes pieces; the stream stays open. */
+    /** Writes frames; the stream stays open. */
     static final class Writer {
         private final CheckedOutputStream checked;
         private final DataOutputStream out;
@@ -29,7 +29,7 @@
             out = new DataOutputStream(checked);
         }
 
-        /** One piece, not empty. */
+        /** Writes one frame, which must not be empty. */
         void writeFrame(byte[] content) throws IOException {
             out.writeInt(content.length);
             out.write(content);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Reads pieces. */
+    /** Reads frames and verifies their checksums. */
     static final class Reader {
         private final CheckedInputStream in;
         private long offset;
@@ -53,37 +53,37 @@
             in = new CheckedInputStream(input, new CRC32C());
         }
 
-        /** The next piece, empty for the end. */
+        /** Returns the content of the next frame, empty at the end of the file. */
         byte[] readFrame() throws IOException, DiskException {
             frameNumber++;
             frameOffset = offset;
             int length = ByteBuffer.wrap(readBytes(Integer.BYTES)).getInt();
             if (length < 0) {
-                throw corruptFrame("has the length " + length);
+                throw corruptFrame("has the invalid length " + length);
             }
             byte[] content = readBytes(length);
             int checksum = (int) in.getChecksum().getValue();
             if (ByteBuffer.wrap(readBytes(Integer.BYTES)).getInt() != checksum) {
-                throw corruptFrame("is not as written: its sum differs");
+                throw corruptFrame("has a wrong checksum");
             }
             if (length == 0 && in.read() >= 0) {
-                throw corruptFrame("is the last one, but more follows it");
+                throw corruptFrame("is the last one, but more data follows");
             }
             return content;
         }
 
-        /** A fault in the piece that was read last. */
+        /** Returns an exception that names the frame read last. */
         DiskException corruptFrame(String problem) {
             return new DiskException(
                     ErrorCode.DATA_CORRUPT,
-                    "snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset + ", " + problem);
+                    "snapshot: frame " + frameNumber + ", which starts at byte " + frameOffset + ", " + problem);
         }
 
         private byte[] readBytes(int count) throws IOException, DiskException {
             byte[] bytes = in.readNBytes(count);
             offset += bytes.length;
             if (bytes.length < count) {
-                throw corruptFrame("is torn: the file ends at byte " + offset + ", " + (count - bytes.length)
+                throw corruptFrame("is truncated: the file ends at byte " + offset + ", " + (count - bytes.length)
                         + " bytes or more are missing");
             }
             return bytes;
--- a/src/main/java/olivechute/store/SnapshotLoader.java
+++ b/src/main/java/olivechute/store/SnapshotLoader.java
@@ -8,7 +8,7 @@
 import org.pcollections.TreePMap;
 import org.pcollections.TreePSet;
 
-/** Builds a state from the pieces of a snapshot; leases come before the entries that go with them. */
+/** Builds a state from the frames of a snapshot, in which leases come before the entries that belong to them. */
 final class SnapshotLoader {
     private final Snapshot header;
     private TreePMap<String, Integer> announcedLevels = TreePMap.empty();
@@ -25,11 +25,11 @@
         }
     }
 
-    /** Adds a piece; what is wrong with it, else null. */
+    /** Adds the content of a frame; returns what is wrong with it, or null. */
     String addFrame(Snapshot frame) {
         if (frame.getEntriesCount() != frame.getEntrySessionsCount()) {
             return "has " + frame.getEntriesCount() + " entries and " + frame.getEntrySessionsCount()
-                    + " sessions of them";
+                    + " sessions for them";
         }
         for (Lease each : frame.getLeasesList()) {
             leases = leases.with(new LeaseEntry(
@@ -42,10 +42,10 @@
             Entry entry = frame.getEntries(i);
             long session = frame.getEntrySessions(i);
             if (session != 0 && leases.findBySession(session) == null) {
-                return "has an entry of session " + session + " that no lease has";
+                return "has an entry of session " + session + " which no lease has";
             }
             if (entries.containsKey(entry.getKey()) || entry.getVersion() > header.getVersion()) {
-                return "has an entry twice or from after the snapshot";
+                return "has a duplicate entry or one newer than the snapshot";
             }
             entries = entries.plus(entry.getKey(), new VersionedValue(entry.getValue(), entry.getVersion(), session));
             totalBytes += EntrySizes.sizeInBytes(entry.getKey(), entry.getValue());
@@ -58,7 +58,7 @@
         return null;
     }
 
-    /** The state; its history begins here. */
+    /** Returns the restored state, whose change history starts at the snapshot's version. */
     StoreState toState() {
         return new StoreState(
                 header.getIndex(),
--- a/src/main/java/olivechute/store/StateTransaction.java
+++ b/src/main/java/olivechute/store/StateTransaction.java
@@ -5,7 +5,9 @@
 import org.pcollections.TreePMap;
 import org.pcollections.TreePSet;
 
-/** A state in the making: what one command changes. For one thread; dropped unused, it leaves nothing behind. */
+/**
+ * Collects the changes of one command to a state. Not thread-safe. A transaction that is not committed has no effect.
+ */
 final class StateTransaction {
     private final StoreLimits limits;
     private final StoreState before;
@@ -33,12 +35,12 @@
         announcedLevels = before.announcedLevels();
     }
 
-    /** The version that changes of this draft get. */
+    /** Returns the version of the changes made in this transaction. */
     long nextVersion() {
         return before.version() + 1;
     }
 
-    /** A new number of a session: takes the next version even where no key changes. */
+    /** Returns a new session number, which consumes the next version even if no key changes. */
     long allocateSession() {
         sessionAllocated = true;
         return nextVersion();
@@ -70,7 +72,7 @@
         }
     }
 
-    /** Ends a lease; its keys go. */
+    /** Ends a lease and deletes its keys. */
     void endLease(LeaseEntry lease) {
         leases = leases.without(lease);
         for (String key : keysBySession.getOrDefault(lease.session(), TreePSet.empty())) {
@@ -86,7 +88,7 @@
         return totalBytes;
     }
 
-    /** The state that it comes to. */
+    /** Returns the state after all changes. */
     StoreState commit() {
         if (changedKeys.isEmpty() && !sessionAllocated) {
             return buildState(before.version(), before.history());
--- a/src/main/java/olivechute/store/Store.java
+++ b/src/main/java/olivechute/store/Store.java
@@ -6,31 +6,36 @@
 import olivechute.error.StoreException;
 
 /**
- * The replicated store as its clients see it: keys with versioned values, leases with fencing numbers, watches without
- * gaps. All but watches are linearizable. Every call answers or fails within the client's time-out with a
- * {@link StoreException}; after NOT_REACHED a write may or may not have taken effect. Safe for use by several threads.
+ * Client interface of the replicated store: keys with versioned values, leases with fencing tokens, and watches without
+ * gaps. All operations except watches are linearizable. Every call returns or fails within the client's time-out, with
+ * a {@link StoreException} on failure; after NOT_REACHED a write may or may not have taken effect. Safe for use by
+ * several threads.
  */
 public interface Store extends AutoCloseable {
-    /** A value and the store's version at its last change. */
+    /** A key and its value, with the store's version at its last change. */
     record Entry(String key, byte[] value, long version) {}
 
-    /** What changed under a prefix; {@code whole}: {@code entries} are all there are. Watch on from {@code version}. */
+    /**
+     * Changes under a prefix. If {@code complete} is true, {@code entries} lists everything under it. The next watch
+     * continues from {@code version}.
+     */
     record Changes(long version, boolean complete, List<Entry> entries, List<String> removed) {}
 
-    /** A held lease; {@code session} is the fencing number too and only grows. */
+    /** A held lease; {@code session} is also its fencing token, which only increases. */
     record Lease(String name, String owner, long session, Duration ttl) {
-        /** The fence that writes under this lease carry. */
+        /** Returns the fence that writes under this lease carry. */
         public Fence fence() {
             return new Fence(name, session);
         }
     }
 
-    /** Proof that nobody took the lease of this name since. */
+    /** Makes a write fail if the lease of this name has been acquired anew since, or has ended. */
     record Fence(String domain, long token) {}
 
     /**
-     * One change: {@code value} null deletes; {@code ifVersion} null: whatever is there, 0: nothing may be;
-     * {@code session} 0: it stays.
+     * One change of a key. A null {@code value} deletes the key. {@code ifVersion} makes the write conditional: null
+     * accepts any version, 0 requires that the key is absent. {@code session} is the lease that the key belongs to;
+     * with 0 the key stays until it is deleted.
      */
     record Write(String key, byte[] value, Long ifVersion, long session) {
         public static Write put(String key, byte[] value) {
@@ -48,31 +53,31 @@
 
     Optional<Entry> get(String key) throws StoreException;
 
-    /** All under a prefix. */
+    /** Returns all entries under a prefix. */
     Changes list(String prefix) throws StoreException;
 
     /**
-     * All of the writes or none; returns the store's version after. Faults: CONFLICT, STALE_FENCE, SESSION_ENDED,
-     * TOO_LARGE, TOO_MANY.
+     * Applies all of the writes or none, and returns the store's version after them. Fails with CONFLICT, STALE_FENCE,
+     * SESSION_ENDED, TOO_LARGE or TOO_MANY.
      */
     long write(List<Write> writes, List<Fence> fences) throws StoreException;
 
     /**
-     * What changed under a prefix after a version, waiting up to {@code wait} for the first; no change gives an empty
-     * one.
+     * Returns what changed under a prefix after a version, waiting up to {@code wait} for the first change; without a
+     * change the result is empty.
      */
     Changes watch(String prefix, long since, Duration wait) throws StoreException;
 
     /**
-     * Takes a lease; LEASE_HELD while another owner holds it. The same owner that asks again gets a new, higher
-     * session.
+     * Acquires a lease; fails with LEASE_HELD while another owner holds it. The same owner gets a new, higher session
+     * when it acquires the lease again.
      */
     Lease acquire(String name, String owner, Duration ttl) throws StoreException;
 
-    /** Prolongs a lease by its ttl; SESSION_ENDED once it ran out. */
+    /** Extends a lease by its time to live; fails with SESSION_ENDED once it has expired. */
     void renew(Lease lease) throws StoreException;
 
-    /** Ends a lease; its keys go. */
+    /** Ends a lease and deletes its keys. */
     void release(Lease lease) throws StoreException;
 
     @Override
--- a/src/main/java/olivechute/store/StoreLimits.java
+++ b/src/main/java/olivechute/store/StoreLimits.java
@@ -1,17 +1,18 @@
 package olivechute.store;
 
 /**
- * How much the store holds at most; the same on every replica, as each decides for itself what to refuse.
+ * Limits on what the store holds. They must be the same on every replica, as each replica decides by itself which
+ * commands to reject.
  *
- * @param valueBytes most bytes of one value
- * @param keyBytes most bytes of one key, of a lease's name and of its owner, in UTF-8
- * @param batch most writes and most fences of one batch
- * @param keys most keys
- * @param bytes most bytes of all keys and values together
- * @param leases most leases held at once; so many ended ones are remembered by their fence too
- * @param members most replicas that told their feature level
- * @param history most changes of single keys that are kept for watches
- * @param watches most watches that wait at once at one replica
+ * @param maxValueBytes maximum bytes of one value
+ * @param maxKeyBytes maximum bytes of one key, of a lease name and of a lease owner, in UTF-8
+ * @param maxBatchSize maximum writes and maximum fences of one batch
+ * @param maxKeys maximum number of keys
+ * @param maxTotalBytes maximum bytes of all keys and values together
+ * @param maxLeases maximum leases held at once; the fencing tokens of as many ended leases are remembered too
+ * @param maxReplicas maximum replicas that have announced their feature level
+ * @param maxHistoryKeys maximum changes of single keys that are kept for watches
+ * @param maxWatches maximum watches that wait at once at one replica
  */
 public record StoreLimits(
         int maxValueBytes,
@@ -23,7 +24,7 @@
         int maxReplicas,
         int maxHistoryKeys,
         int maxWatches) {
-    /** What a region's fleet needs, many times over. */
+    /** Defaults, many times what the fleet of one region needs. */
     public static final StoreLimits DEFAULTS =
             new StoreLimits(64 << 10, 512, 1024, 20_000, 64L << 20, 4096, 16, 10_000, 1024);
 }
--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -23,17 +23,17 @@
 import olivechute.store.wire.Watch;
 
 /**
- * Between what a client of the store says and the messages that carry it. The clock of commands is left open: the lead
- * stamps it with {@link #stamped}. Text that UTF-8 cannot hold is MALFORMED. What reads a reply throws the refusal that
- * it holds.
+ * Converts between the client interface of the store and its protobuf messages. The clock of a command is left unset;
+ * the leader sets it with {@link #withClock}. Text that cannot be encoded in UTF-8 is MALFORMED. Methods that read a
+ * reply throw if the reply is a rejection.
  */
 public final class StoreMessages {
-    /** The feature level that these messages need. */
+    /** Feature level required by these messages. */
     private static final int FEATURE_LEVEL = 1;
 
     private StoreMessages() {}
 
-    /** Writes under these fences, all of them or none. */
+    /** Builds a batch of writes under these fences, which is applied as a whole or not at all. */
     public static Command batch(List<Store.Write> writes, List<Store.Fence> fences) throws StoreException {
         Batch.Builder batch = Batch.newBuilder();
         for (Store.Write write : writes) {
@@ -47,7 +47,7 @@
         return newCommand().setBatch(batch).build();
     }
 
-    /** Takes a lease. */
+    /** Builds a command that acquires a lease. */
     public static Command acquire(String name, String owner, Duration ttl) throws StoreException {
         return newCommand()
                 .setAcquire(Acquire.newBuilder()
@@ -57,14 +57,14 @@
                 .build();
     }
 
-    /** Prolongs a lease by its time to live. */
+    /** Builds a command that extends a lease by its time to live. */
     public static Command renew(Store.Lease lease) {
         return newCommand()
                 .setRenew(Renew.newBuilder().setSession(lease.session()))
                 .build();
     }
 
-    /** Ends a lease. */
+    /** Builds a command that ends a lease. */
     public static Command release(Store.Lease lease) {
         return newCommand()
                 .setRelease(Release.newBuilder().setSession(lease.session()))
@@ -75,7 +75,7 @@
         return newCommand().setTick(Tick.getDefaultInstance()).build();
     }
 
-    /** {@code knows} 0 strikes the replica off. */
+    /** Builds a command that announces the feature level a replica supports; level 0 removes the replica. */
     public static Command announce(String replica, int knownLevel) throws StoreException {
         return newCommand()
                 .setAnnounce(Announce.newBuilder()
@@ -88,7 +88,7 @@
         return newCommand().setRaise(RaiseLevel.newBuilder().setLevel(level)).build();
     }
 
-    /** The command with the lead's clock, ms since the epoch. */
+    /** Returns the command with the leader's clock, in ms since the epoch. */
     public static Command withClock(Command command, long nowMs) {
         return command.toBuilder().setNowMs(nowMs).build();
     }
@@ -101,7 +101,7 @@
         return newQuery().setList(requireEncodable(prefix)).build();
     }
 
-    /** Asks for what changed under a prefix after a version, waiting for the first change. */
+    /** Builds a query for what changed under a prefix after a version, which waits for the first change. */
     public static Query watch(String prefix, long since, Duration wait) throws StoreException {
         int waitMs = (int) Math.min(Integer.MAX_VALUE, Math.max(0, wait.toMillis()));
         return newQuery()
@@ -116,7 +116,7 @@
         return newQuery().setStatus(true).build();
     }
 
-    /** A reply that refuses; {@code version} is the store's. */
+    /** Builds a rejection; {@code version} is the store's version. */
     public static Reply rejection(ErrorCode kind, String text, long version) {
         return Reply.newBuilder()
                 .setVersion(version)
@@ -124,12 +124,12 @@
                 .build();
     }
 
-    /** A fault as the reply that carries it to the client. */
+    /** Builds the rejection that carries a failure to the client. */
     public static Reply rejection(StoreException fault, long version) {
         return rejection(fault.code(), fault.subject(), version);
     }
 
-    /** The same reply, once it is known to refuse nothing. */
+    /** Returns the reply, or throws the error that it carries if it is a rejection. */
     public static Reply requireAccepted(Reply reply) throws StoreException {
         if (!reply.hasRefusal()) {
             return reply;
@@ -141,7 +141,7 @@
             }
         }
         throw new StoreException(
-                ErrorCode.MALFORMED, "a refusal of the unknown kind '" + refusal.getKind() + "': " + refusal.getText());
+                ErrorCode.MALFORMED, "rejection of unknown kind '" + refusal.getKind() + "': " + refusal.getText());
     }
 
     public static long version(Reply reply) throws StoreException {
@@ -152,7 +152,7 @@
         return requireAccepted(reply).getEntriesList().stream().findFirst().map(StoreMessages::entry);
     }
 
-    /** The changes in a reply, unless it rejects. */
+    /** Returns the changes in a reply; throws if it is a rejection. */
     public static Store.Changes changes(Reply reply) throws StoreException {
         List<Store.Entry> entries = requireAccepted(reply).getEntriesList().stream()
                 .map(StoreMessages::entry)
@@ -160,10 +160,10 @@
         return new Store.Changes(reply.getVersion(), reply.getWhole(), entries, List.copyOf(reply.getRemovedList()));
     }
 
-    /** The lease in a reply, unless it rejects. */
+    /** Returns the lease in a reply; throws if it is a rejection. */
     public static Store.Lease lease(Reply reply) throws StoreException {
         if (!requireAccepted(reply).hasLease()) {
-            throw new StoreException(ErrorCode.MALFORMED, "a reply without the lease that was asked for");
+            throw new StoreException(ErrorCode.MALFORMED, "the reply lacks the requested lease");
         }
         olivechute.store.wire.Lease lease = reply.getLease();
         return new Store.Lease(
@@ -194,7 +194,8 @@
 
     private static String requireEncodable(String text) throws StoreException {
         if (!StandardCharsets.UTF_8.newEncoder().canEncode(text)) {
-            throw new StoreException(ErrorCode.MALFORMED, "text with half a character pair");
+            throw new StoreException(
+                    ErrorCode.MALFORMED, "the text holds an unpaired surrogate and cannot be encoded in UTF-8");
         }
         return text;
     }
--- a/src/main/java/olivechute/store/StoreState.java
+++ b/src/main/java/olivechute/store/StoreState.java
@@ -4,20 +4,21 @@
 import org.pcollections.TreePSet;
 
 /**
- * All that the store holds. Nothing of it ever changes, so whoever has a reference has a snapshot, and taking one stops
+ * Complete, immutable state of the store. A reference to it serves as a consistent snapshot, so taking one blocks
  * nobody.
  *
- * @param index log index of the last command that was applied
- * @param version the store's version: grows with each change of keys and with each lease taken
- * @param clockMs highest clock seen in a command, ms since the epoch
- * @param level the group's feature level
+ * @param index log index of the last applied command
+ * @param version the store's version, which increases with each change of keys and with each lease acquired
+ * @param clockMs highest clock seen in a command, in ms since the epoch
+ * @param featureLevel the group's feature level
  * @param entries values by key
- * @param bytes bytes of all keys and values
- * @param owned keys by the session they go with
- * @param leases what is held
- * @param fences highest number seen of each domain; ended ones are forgotten over the bound, lowest first
- * @param announced feature level that each replica told
- * @param history what changed last
+ * @param totalBytes bytes of all keys and values
+ * @param keysBySession keys by the session that they belong to
+ * @param leases held leases
+ * @param fences highest fencing token seen of each domain; tokens of ended leases are dropped over the limit, lowest
+ *     first
+ * @param announcedLevels feature level announced by each replica
+ * @param history most recent changes
  */
 public record StoreState(
         long index,
@@ -31,7 +32,7 @@
         TreePMap<String, Long> fences,
         TreePMap<String, Integer> announcedLevels,
         ChangeHistory history) {
-    /** Nothing stored, at the first feature level. */
+    /** Empty state at the first feature level. */
     public static final StoreState EMPTY = new StoreState(
             0,
             0,
--- a/src/main/java/olivechute/store/StoreStateMachine.java
+++ b/src/main/java/olivechute/store/StoreStateMachine.java
@@ -7,12 +7,12 @@
 import olivechute.store.wire.Reply;
 
 /**
- * The store's state machine: from a state and a command to the next state and the answer. Time comes from commands
- * alone, nothing from chance or the machine it runs on, so all replicas that apply the same log are equal. No I/O; safe
- * for use by several threads.
+ * Deterministic state machine of the store: computes the next state and the reply from a state and a command. Time
+ * comes only from commands, and nothing depends on randomness or on the machine it runs on, so all replicas that apply
+ * the same log have equal states. Performs no I/O; safe for use by several threads.
  */
 public final class StoreStateMachine {
-    /** The highest feature level that this program knows. */
+    /** Highest feature level that this program supports. */
     public static final int SUPPORTED_LEVEL = 1;
 
     private final StoreLimits limits;
@@ -21,12 +21,12 @@
     private final LeaseManager leaseManager;
     private final FeatureLevels featureLevels;
 
-    /** One of this program's level. */
+    /** Creates a state machine that supports this program's feature level. */
     public StoreStateMachine(StoreLimits limits) {
         this(limits, SUPPORTED_LEVEL);
     }
 
-    /** {@code known}: the highest feature level that it understands. */
+    /** Creates a state machine; {@code supportedLevel} is the highest feature level that it understands. */
     public StoreStateMachine(StoreLimits limits, int supportedLevel) {
         this.limits = limits;
         this.supportedLevel = supportedLevel;
@@ -35,30 +35,31 @@
         featureLevels = new FeatureLevels(limits);
     }
 
-    /** How much the store holds at most. */
+    /** Returns the limits on what the store holds. */
     public StoreLimits limits() {
         return limits;
     }
 
-    /** The highest feature level that it understands. */
+    /** Returns the highest feature level that this state machine understands. */
     public int supportedLevel() {
         return supportedLevel;
     }
 
     /**
-     * Applies a command: first ends the leases that ran out by its clock, then does what it says or refuses it. A
-     * command above the group's level, or of a kind that it does not know, is refused as LEVEL_TOO_LOW and moves not
-     * even the clock.
+     * Applies a command: ends the leases that have expired by its clock, then executes or rejects it. A command above
+     * the group's feature level, or of an unknown kind, is rejected with LEVEL_TOO_LOW and does not even advance the
+     * clock.
      *
-     * @param index the command's place in the log, which the next state carries
-     * @throws StoreException LEVEL_TOO_LOW where the group's level is above what this program knows: it must stop here,
-     *     since from now on it might decide otherwise than the others
+     * @param index the command's log index, which the next state carries
+     * @throws StoreException LEVEL_TOO_LOW if the group's feature level is above the supported one; the replica must
+     *     stop then, since its decisions could differ from those of the others from here on
      */
     public CommandResult apply(StoreState state, Command command, long index) throws StoreException {
         if (state.featureLevel() > supportedLevel) {
             throw new StoreException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "this program knows level " + supportedLevel + ", the group is at " + state.featureLevel());
+                    "this program supports level " + supportedLevel + ", the group is at level "
+                            + state.featureLevel());
         }
         StoreState current = withIndex(state, index);
         try {
@@ -77,7 +78,8 @@
     }
 
     /**
-     * Answers from a state; a watch is not waited for. {@code status} leaves out what only the replica itself knows.
+     * Answers a query from a state, without waiting for changes in the case of a watch. The reply to {@code status}
+     * lacks the fields that only the replica itself knows.
      */
     public Reply query(StoreState state, Query query) {
         if (Integer.compareUnsigned(query.getLevel(), supportedLevel) <= 0) {
@@ -102,8 +104,8 @@
         }
         return StoreMessages.rejection(
                 ErrorCode.LEVEL_TOO_LOW,
-                "a query of level " + Integer.toUnsignedString(query.getLevel()) + " that level " + supportedLevel
-                        + " does not know",
+                "query of level " + Integer.toUnsignedString(query.getLevel()) + ", which level " + supportedLevel
+                        + " does not support",
                 state.version());
     }
 
@@ -111,13 +113,13 @@
         if (Integer.compareUnsigned(command.getLevel(), state.featureLevel()) > 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "a command of level " + Integer.toUnsignedString(command.getLevel()) + ", the group is at "
+                    "command of level " + Integer.toUnsignedString(command.getLevel()) + ", the group is at level "
                             + state.featureLevel());
         }
         if (command.getWhatCase() == Command.WhatCase.WHAT_NOT_SET) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
-                    "a command of a kind that level " + state.featureLevel() + " does not know");
+                    "command of a kind that level " + state.featureLevel() + " does not support");
         }
     }
 
--- a/src/main/java/olivechute/store/WatchRegistry.java
+++ b/src/main/java/olivechute/store/WatchRegistry.java
@@ -10,9 +10,9 @@
 import olivechute.store.wire.Reply;
 
 /**
- * The watches that wait at one replica, so many at most. Each is answered once: by the first state that has something
- * for it, or at its deadline with what there is. A watch that its caller cancels goes by itself. Safe for use by
- * several threads; answers are given outside of the lock, on the thread that brought the state or the time.
+ * Registry of the watches that wait at one replica, up to a limit. Each watch is completed once: by the first state
+ * with a change for it, or at its deadline. A watch that its caller cancels is removed. Safe for use by several
+ * threads; futures are completed outside of the lock, on the thread that called {@link #onChange} or {@link #expire}.
  */
 public final class WatchRegistry {
     private static final class PendingWatch {
@@ -32,17 +32,18 @@
     private final List<PendingWatch> pending = new ArrayList<>();
     private StoreState latest;
 
-    /** {@code state}: where the replica stands now. */
+    /** Creates a registry; {@code state} is the replica's present state. */
     public WatchRegistry(StoreLimits limits, StoreState state) {
         maxWatches = limits.maxWatches();
         latest = state;
     }
 
     /**
-     * The answer to a watch, at once where there is something to tell; with as many waiting as may, a refusal TOO_MANY.
+     * Registers a watch and returns the future of its reply, which is already completed if there are changes. If the
+     * limit of waiting watches is reached, the reply is a TOO_MANY rejection.
      *
      * @param since version after which changes count
-     * @param deadlineMs moment at which to answer at the latest, on the clock of {@link #expire}
+     * @param deadlineMs latest moment to reply at, on the clock of {@link #expire}
      */
     public synchronized CompletableFuture<Reply> register(String prefix, long since, long deadlineMs) {
         Reply reply = QueryExecutor.watch(latest, prefix, since);
@@ -52,14 +53,18 @@
         pending.removeIf(each -> each.future.isDone());
         if (pending.size() >= maxWatches) {
             return CompletableFuture.completedFuture(StoreMessages.rejection(
-                    ErrorCode.TOO_MANY, "there are " + maxWatches + " watches waiting here", latest.version()));
+                    ErrorCode.TOO_MANY,
+                    "there are already " + maxWatches + " watches waiting at this replica",
+                    latest.version()));
         }
         PendingWatch added = new PendingWatch(prefix, reply.getVersion(), deadlineMs);
         pending.add(added);
         return added.future;
     }
 
-    /** Answers the watches that a new state has something for. One that is not newer than the last is passed over. */
+    /**
+     * Completes the watches for which a new state has changes. A state that is not newer than the last one is ignored.
+     */
     public void onChange(StoreState state) {
         Map<PendingWatch, Reply> due;
         synchronized (this) {
@@ -72,7 +77,7 @@
         due.forEach((each, reply) -> each.future.complete(reply));
     }
 
-    /** Answers the watches whose deadline is now or past. */
+    /** Completes the watches whose deadline is now or past. */
     public void expire(long nowMs) {
         Map<PendingWatch, Reply> due;
         synchronized (this) {
@@ -81,7 +86,7 @@
         due.forEach((each, reply) -> each.future.complete(reply));
     }
 
-    /** Number of watches that wait. */
+    /** Returns the number of waiting watches. */
     public synchronized int size() {
         pending.removeIf(each -> each.future.isDone());
         return pending.size();
--- a/src/main/java/olivechute/store/raft/DataDirectory.java
+++ b/src/main/java/olivechute/store/raft/DataDirectory.java
@@ -10,7 +10,8 @@
 import olivechute.error.ErrorCode;
 
 /**
- * A replica's folder: whose it is, by the file {@code owner}, and that no other process has it, by a lock on that file.
+ * Data directory of a replica. The file {@code owner} names the replica that it belongs to, and a lock on that file
+ * keeps other processes out.
  */
 final class DataDirectory implements AutoCloseable {
     private static final int MAX_OWNER_BYTES = 4096;
@@ -23,7 +24,10 @@
         this.ownerFile = ownerFile;
     }
 
-    /** Takes a folder, a new one where there is none. Faults: DATA_IN_USE, DATA_FOREIGN, DISK_FULL, DISK_BROKEN. */
+    /**
+     * Acquires a data directory, creating it if it does not exist. Fails with DATA_IN_USE, DATA_FOREIGN, DISK_FULL or
+     * DISK_BROKEN.
+     */
     static DataDirectory acquire(Path path, String ownerId) throws DiskException {
         try {
             Files.createDirectories(path.resolve("log"));
@@ -40,13 +44,13 @@
             }
             return new DataDirectory(path, ownerFile);
         } catch (IOException e) {
-            throw new DiskException(DiskHealth.errorCodeOf(e), "folder " + path + ": " + e, e);
+            throw new DiskException(DiskHealth.errorCodeOf(e), "data directory " + path + ": " + e, e);
         }
     }
 
     private static void claim(Path path, FileChannel ownerFile, String ownerId) throws IOException, DiskException {
         if (!tryLock(ownerFile)) {
-            throw new DiskException(ErrorCode.DATA_IN_USE, "folder " + path);
+            throw new DiskException(ErrorCode.DATA_IN_USE, "data directory " + path);
         }
         byte[] ownContent = (ownerId + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8);
         java.nio.ByteBuffer buffer = java.nio.ByteBuffer.allocate(MAX_OWNER_BYTES);
@@ -58,7 +62,7 @@
         } else if (!content.equals(ownerId + "\n")) {
             throw new DiskException(
                     ErrorCode.DATA_FOREIGN,
-                    "folder " + path + " is of '" + content.strip() + "', not of '" + ownerId + "'");
+                    "data directory " + path + " belongs to '" + content.strip() + "', not to '" + ownerId + "'");
         }
     }
 
@@ -83,7 +87,7 @@
         try {
             ownerFile.close();
         } catch (IOException e) {
-            org.tinylog.Logger.warn("folder {} not closed: {}", path, e.toString());
+            org.tinylog.Logger.warn("data directory {} not closed: {}", path, e.toString());
         }
     }
 }
--- a/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
+++ b/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
@@ -10,7 +10,7 @@
 import org.apache.ratis.protocol.exceptions.ReadIndexException;
 import org.apache.ratis.retry.RetryPolicy;
 
-/** Tries again until the time of the call on this thread is over, with short pauses of uneven length. */
+/** Retry policy of the Raft client: retries until the time-out of the call on this thread, with short random pauses. */
 final class DeadlineRetryPolicy implements RetryPolicy {
     private static final int MIN_PAUSE_MS = 20;
     private static final int MAX_PAUSE_MS = 120;
@@ -24,12 +24,15 @@
 
     private final long attemptMs;
 
-    /** {@code attemptMs}: longest that one attempt takes; none is begun that would end after the call's time. */
+    /**
+     * Creates a policy; {@code attemptMs} is the time-out of one attempt. No attempt starts that could end after the
+     * call's deadline.
+     */
     DeadlineRetryPolicy(long attemptMs) {
         this.attemptMs = attemptMs;
     }
 
-    /** A call begins on this thread. */
+    /** Starts a call on this thread; must precede the request. */
     static void startCall(Duration timeout) {
         Call call = CALL.get();
         call.deadlineNs = System.nanoTime() + timeout.toNanos();
@@ -40,7 +43,7 @@
     public Action handleAttemptFailure(Event event) {
         Call call = CALL.get();
         Throwable cause = event.getCause();
-        // Somebody answered, and knew of none that leads.
+        // A replica answered, but it knew of no leader that is ready.
         call.replicaAnswered |= cause == null
                 || cause instanceof NotLeaderException
                 || cause instanceof LeaderNotReadyException
@@ -50,14 +53,15 @@
         return pastDeadline ? NO_RETRY_ACTION : () -> RatisConfiguration.millis(pauseMs);
     }
 
-    /** What a call came to that found no answer in its time. */
+    /**
+     * Returns the exception for a call that got no result in its time-out: NO_MAJORITY if a replica answered, otherwise
+     * NOT_REACHED.
+     */
     static StoreException toStoreException(IOException lastFailure) {
         boolean replicaAnswered = CALL.get().replicaAnswered;
         return replicaAnswered
                 ? new StoreException(
-                        ErrorCode.NO_MAJORITY,
-                        "no replica leads that could be reached: " + lastFailure.getMessage(),
-                        lastFailure)
+                        ErrorCode.NO_MAJORITY, "no leader could be reached: " + lastFailure.getMessage(), lastFailure)
                 : new StoreException(
                         ErrorCode.NOT_REACHED, "no replica answered: " + lastFailure.getMessage(), lastFailure);
     }
--- a/src/main/java/olivechute/store/raft/DiskHealth.java
+++ b/src/main/java/olivechute/store/raft/DiskHealth.java
@@ -2,22 +2,22 @@
 
 import olivechute.error.ErrorCode;
 
-/** Judges a replica's disk from what the probes find. No I/O. */
+/** Decides from probe results whether a replica's disk is healthy. Performs no I/O. */
 final class DiskHealth {
     /**
-     * Free bytes below which the disk counts as full: what a snapshot under way or a log file may take before the next
-     * look.
+     * Free bytes below which the disk counts as full. This leaves room for what a snapshot in progress or a log file
+     * may take before the next probe.
      */
     static final long MIN_FREE_BYTES = 8L << 20;
 
     private static final int RECOVERY_CHECKS = 3;
 
     /**
-     * What a look at the folder found.
+     * Result of one probe of the data directory.
      *
-     * @param failed what the write of the probe came to; null for well
-     * @param free bytes that the disk has left
-     * @param held bytes that the folder holds
+     * @param fault error of the probe's write, or null on success
+     * @param freeBytes bytes free on the disk
+     * @param usedBytes bytes used by the data directory
      */
     record ProbeResult(ErrorCode fault, long freeBytes, long usedBytes) {}
 
@@ -25,19 +25,19 @@
     private ErrorCode fault;
     private int healthyChecks;
 
-    /** {@code quota}: most bytes that the folder may hold, 0 for no bound. */
+    /** Creates a health state; {@code quotaBytes} is the maximum size of the data directory, 0 for no limit. */
     DiskHealth(long quotaBytes) {
         this.quotaBytes = quotaBytes;
     }
 
-    /** What is wrong now; null for nothing. */
+    /** Returns the present fault, or null if the disk is healthy. */
     ErrorCode fault() {
         return fault;
     }
 
     /**
-     * A look was taken. It takes several good ones in a row to be well again, so that it does not flap. Returns what is
-     * wrong now.
+     * Records a probe result and returns the present fault. Several good results in a row are needed to recover, so
+     * that the state does not flap.
      */
     ErrorCode onProbeResult(ProbeResult result) {
         ErrorCode newFault = evaluate(result);
@@ -50,7 +50,7 @@
         return fault;
     }
 
-    /** Something could not be written. */
+    /** Records a failed write and returns the resulting fault. */
     ErrorCode onFailure(ErrorCode kind) {
         healthyChecks = 0;
         fault = kind;
@@ -65,7 +65,10 @@
         return full ? ErrorCode.DISK_FULL : null;
     }
 
-    /** What a failed read or write means: Linux says by its text alone why. */
+    /**
+     * Derives the error code of a failed read or write from the messages of its causes, since Linux reports the reason
+     * only as text.
+     */
     static ErrorCode errorCodeOf(Throwable failure) {
         for (Throwable each = failure; each != null; each = each.getCause()) {
             String message = String.valueOf(each.getMessage());
@@ -78,7 +81,7 @@
         return ErrorCode.DISK_BROKEN;
     }
 
-    /** As the log line names it. */
+    /** Returns the fault as it appears in log lines. */
     static String describe(ErrorCode fault) {
         return fault == null ? "well" : fault == ErrorCode.DISK_FULL ? "full" : "broken";
     }
--- a/src/main/java/olivechute/store/raft/DiskMonitor.java
+++ b/src/main/java/olivechute/store/raft/DiskMonitor.java
@@ -5,8 +5,8 @@
 import olivechute.error.ErrorCode;
 
 /**
- * Watches the disk of one replica, and has it leave the group while the disk takes no writes and come back once it
- * does. For one thread, but for {@link #word}.
+ * Monitors the disk of one replica: reports a fault, on which the replica leaves the group, and reports recovery, on
+ * which it rejoins. For use by one thread, except for {@link #statusText}.
  */
 final class DiskMonitor {
     private final DiskProbe probe;
@@ -15,8 +15,8 @@
     private volatile ErrorCode reportedFault;
 
     /**
-     * {@code changed}: told each kind of trouble once, and null once it is over; called by {@link #look} and
-     * {@link #failed}.
+     * Creates a monitor. {@code onChange} is called once with each kind of fault, and with null on recovery, from
+     * {@link #check} and {@link #writeFailed}.
      */
     DiskMonitor(DiskProbe probe, long quotaBytes, Consumer<ErrorCode> onChange) {
         this.probe = probe;
@@ -24,14 +24,14 @@
         this.onChange = onChange;
     }
 
-    /** Looks once; true where the disk is well. */
+    /** Probes the disk once and returns whether it is healthy. */
     boolean check() {
         DiskHealth.ProbeResult result = probe.probe();
         report(health.onProbeResult(result.fault() == null ? requireReserve(result) : result));
         return reportedFault == null;
     }
 
-    /** It is well only with room for the reserve. */
+    /** Turns the result into a fault if the reserve file cannot be kept. */
     private DiskHealth.ProbeResult requireReserve(DiskHealth.ProbeResult result) {
         try {
             probe.ensureReserve();
@@ -41,12 +41,12 @@
         }
     }
 
-    /** A write failed elsewhere. */
+    /** Records a write that failed outside of the probe. */
     void writeFailed(Throwable cause) {
         report(health.onFailure(DiskHealth.errorCodeOf(cause)));
     }
 
-    /** For the replica's status: empty while well. */
+    /** Returns the fault for the replica's status, empty while the disk is healthy. */
     String statusText() {
         ErrorCode fault = reportedFault;
         return fault == null ? "" : DiskHealth.describe(fault);
--- a/src/main/java/olivechute/store/raft/DiskProbe.java
+++ b/src/main/java/olivechute/store/raft/DiskProbe.java
@@ -12,19 +12,19 @@
 import org.tinylog.Logger;
 
 /**
- * Looks whether a replica's folder still takes writes: writes a block and settles it, as far into a file as the log's
- * files reach, since a limit on the length of files counts too. Holds some bytes in reserve that are given up once the
- * disk is full, so that what is under way can end.
+ * Probes whether a replica's data directory is writable: writes a block and forces it to disk, at the same file offset
+ * that log files reach, since a limit on file sizes counts too. Also keeps a reserve file, which is deleted once the
+ * disk is full so that work in progress can finish.
  */
 final class DiskProbe {
     private static final int BLOCK_BYTES = 4096;
-    /** Bytes held in reserve. */
+    /** Size of the reserve file in bytes. */
     static final int RESERVE_BYTES = 4 << 20;
 
     private final Path directory;
     private final long blockOffset;
 
-    /** {@code reach}: offset of the block that is written, the length of the log's files. */
+    /** Creates a probe; {@code blockOffset} is the file offset of the block that it writes, the size of a log file. */
     DiskProbe(Path directory, long blockOffset) {
         this.directory = directory;
         this.blockOffset = blockOffset;
@@ -44,12 +44,12 @@
             return new DiskHealth.ProbeResult(
                     null, Files.getFileStore(directory).getUsableSpace(), usedBytes());
         } catch (IOException e) {
-            Logger.debug("probe: {}", e.toString());
+            Logger.debug("disk probe failed: {}", e.toString());
             return new DiskHealth.ProbeResult(DiskHealth.errorCodeOf(e), 0, 0);
         }
     }
 
-    /** Bytes that the folder's files have, without the probe, which is mostly a hole. */
+    /** Returns the total size of the files in the directory, except for the probe file, which is mostly a hole. */
     private long usedBytes() throws IOException {
         long total = 0;
         try (Stream<Path> files = Files.walk(directory)) {
@@ -59,7 +59,7 @@
                 }
             }
         } catch (java.io.UncheckedIOException e) {
-            Logger.debug("folder changed while it was counted: {}", e.toString());
+            Logger.debug("data directory changed while its size was computed: {}", e.toString());
         }
         return total;
     }
@@ -68,11 +68,11 @@
         try {
             return Files.size(file);
         } catch (NoSuchFileException e) {
-            return 0; // gone since
+            return 0; // deleted since it was listed
         }
     }
 
-    /** Puts the reserve there; fails where there is no room for it. */
+    /** Creates the reserve file if it is missing; fails if there is no room for it. */
     void ensureReserve() throws IOException {
         Path reserveFile = directory.resolve("reserve");
         if (Files.exists(reserveFile) && Files.size(reserveFile) == RESERVE_BYTES) {
@@ -89,12 +89,12 @@
         }
     }
 
-    /** Gives the reserve up. */
+    /** Deletes the reserve file to free its space. */
     void releaseReserve() {
         try {
             Files.deleteIfExists(directory.resolve("reserve"));
         } catch (IOException e) {
-            Logger.warn("reserve not given up: {}", e.toString());
+            Logger.warn("cannot delete the reserve file: {}", e.toString());
         }
     }
 }
--- a/src/main/java/olivechute/store/raft/LogTail.java
+++ b/src/main/java/olivechute/store/raft/LogTail.java
@@ -11,10 +11,10 @@
 import org.tinylog.Logger;
 
 /**
- * Tells a torn end of the log from a damaged log. The library lays zeros out ahead of what it writes, so a write that a
- * kill or a loss of power cut in two leaves an entry that ends in zeros, with only zeros behind it. It was never
- * settled, so nobody was told that it is kept, and it may go. Any other entry with a wrong sum is left for the library
- * to refuse.
+ * Distinguishes a torn write at the end of the log from a corrupt log. The Raft library preallocates log files with
+ * zeros, so a write cut off by a kill or a power loss leaves an entry that ends in zeros, followed by zeros only. Such
+ * an entry was never synced and so never acknowledged, and may be removed. Any other entry with a wrong checksum is
+ * left for the library to reject.
  */
 final class LogTail {
     private static final int HEADER_BYTES = 8;
@@ -22,7 +22,9 @@
 
     private LogTail() {}
 
-    /** Cuts torn ends off the open files of a log; there is none before the first start. */
+    /**
+     * Truncates torn entries at the end of the open log segments. The directory does not exist before the first start.
+     */
     static void truncateTornEntries(Path logDirectory) throws IOException {
         if (!Files.isDirectory(logDirectory)) {
             return;
@@ -44,7 +46,7 @@
         }
     }
 
-    /** Where a torn entry begins; -1 for none. */
+    /** Returns the offset of a torn entry, or -1 if there is none. */
     static int findTornEntry(byte[] file) {
         for (int offset = HEADER_BYTES; offset < file.length && file[offset] != 0; ) {
             long length = 0;
@@ -58,7 +60,7 @@
             }
             long end = dataOffset + length + CHECKSUM_BYTES;
             if (end > file.length) {
-                return -1; // cut short as a file: the library passes over it
+                return -1; // the file itself is truncated; the library ignores the partial entry
             }
             int matching = countMatchingChecksumBytes(file, offset, (int) end);
             if (matching < CHECKSUM_BYTES) {
@@ -69,7 +71,7 @@
         return -1;
     }
 
-    /** How many bytes of an entry's sum are right, from the first. */
+    /** Returns how many leading bytes of an entry's checksum are correct. */
     private static int countMatchingChecksumBytes(byte[] file, int from, int end) {
         CRC32C checksum = new CRC32C();
         checksum.update(file, from, end - CHECKSUM_BYTES - from);
--- a/src/main/java/olivechute/store/raft/RaftMember.java
+++ b/src/main/java/olivechute/store/raft/RaftMember.java
@@ -26,7 +26,10 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.UnsafeByteOperations;
 import org.tinylog.Logger;
 
-/** The consensus of one replica between a start and an end of it; trouble at the disk ends one and begins the next. */
+/**
+ * The Raft server of one replica, from one start to its end. A disk fault ends a member, and the recovery of the disk
+ * starts a new one.
+ */
 final class RaftMember implements AutoCloseable {
     private static final int SNAPSHOT_TIMEOUT_MS = 60_000;
     private static final int TRANSFER_TIMEOUT_MS = 800;
@@ -107,12 +110,12 @@
         }
     }
 
-    /** The term it is in, after its end the one that it was in. */
+    /** Returns the current term, or the last one after the server has ended. */
     long term() {
         try {
             term = server.getDivision(group.getGroupId()).getInfo().getCurrentTerm();
         } catch (IOException e) {
-            Logger.debug("term of an ended member");
+            Logger.debug("the member has ended; returning its last term");
         }
         return term;
     }
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Whether the consensus ended by itself, which it does where it cannot keep what it should. */
+    /** Returns whether the Raft server has shut itself down, as it does when it cannot persist its data. */
     boolean isClosed() {
         try {
             return server.getDivision(group.getGroupId())
@@ -137,7 +140,7 @@
         }
     }
 
-    /** Hands the lead to another, as far as that is done in a moment. */
+    /** Transfers leadership to another replica, trying each for a short time. */
     void transferLeadership() {
         for (ReplicaAddress each : settings.replicas()) {
             if (isLeaderReady() && !each.id().equals(settings.id())) {
@@ -151,7 +154,7 @@
                                     TRANSFER_TIMEOUT_MS))
                             .get(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 } catch (IOException | ExecutionException | TimeoutException e) {
-                    Logger.info("lead not passed to {}: {}", each.id(), e.toString());
+                    Logger.info("leadership not transferred to {}: {}", each.id(), e.toString());
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     return;
@@ -160,7 +163,7 @@
         }
     }
 
-    /** A quarter of a second has passed: watches end, and where this replica leads, leases do. */
+    /** Called every quarter of a second: expires watches and, on the leader, submits a tick that expires leases. */
     void tick() {
         stateMachine.expireWatches();
         if (isLeaderReady() && pendingTick.isDone() && stateMachine.leaseCount() > 0) {
@@ -183,7 +186,10 @@
         }
     }
 
-    /** Mends what a disk without room left of its vote; once it is closed, and before the next one begins. */
+    /**
+     * Repairs a vote file that a full disk left truncated. To be called after this member is closed and before the next
+     * one starts.
+     */
     void repairVoteFile() throws IOException {
         VoteFile.repair(voteFile, term, settings.id());
     }
@@ -196,7 +202,7 @@
             server.close();
             term = division.getInfo().getCurrentTerm();
         } catch (IOException e) {
-            Logger.warn("consensus not closed: {}", e.toString());
+            Logger.warn("Raft server not closed: {}", e.toString());
         }
         snapshots.close();
     }
--- a/src/main/java/olivechute/store/raft/RatisConfiguration.java
+++ b/src/main/java/olivechute/store/raft/RatisConfiguration.java
@@ -20,21 +20,21 @@
 import org.apache.ratis.util.TimeDuration;
 
 /**
- * What the settings mean in the words of the library: the group, and bounds of its memory, so that a replica lives in a
- * small heap.
+ * Maps the settings to the configuration of the Ratis library: the Raft group, and memory limits that let a replica run
+ * in a small heap.
  */
 final class RatisConfiguration {
     private static final int MIB = 1024 * 1024;
     private static final int CACHED_SEGMENTS = 2;
-    private static final int MAX_COMMAND_BYTES = 4 * MIB; // the longest command that goes through
-    private static final int PREALLOCATED_BYTES = 64 * 1024; // of a log file ahead of what is written
-    private static final int SNAPSHOT_CHUNK_BYTES = MIB; // of a snapshot that goes to another replica
+    private static final int MAX_COMMAND_BYTES = 4 * MIB; // maximum size of a command
+    private static final int PREALLOCATED_BYTES = 64 * 1024; // of a log file, ahead of the last write
+    private static final int SNAPSHOT_CHUNK_BYTES = MIB; // of a snapshot sent to another replica
 
     private RatisConfiguration() {}
 
     /**
-     * The group of these replicas: its id follows from the region's name and their ids, so that none of another group
-     * is let in.
+     * Returns the Raft group of these replicas. Its id is derived from the region's name and the replica ids, so that
+     * members of another group are rejected.
      */
     static RaftGroup group(String region, List<ReplicaAddress> replicas) {
         List<RaftPeer> peers = new ArrayList<>();
@@ -58,7 +58,8 @@
         GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
         GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(2L * MAX_COMMAND_BYTES));
         GrpcConfigKeys.setFlowControlWindow(properties, SizeInBytes.valueOf(MIB));
-        // One at a time holds all that waits; several overtake each other on the way and are turned back for it.
+        // One append at a time carries all pending entries; several can overtake each other on the way and are rejected
+        // for it.
         GrpcConfigKeys.Server.setLeaderOutstandingAppendsMax(properties, 1);
         RaftServerConfigKeys.setStorageDir(properties, List.of(logDirectory.toFile()));
         RaftServerConfigKeys.Rpc.setTimeoutMin(
@@ -69,7 +70,7 @@
                 properties, millis(settings.maxElectionTimeout().toMillis()));
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(2_000));
         RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        // A pause of the machine is not taken for a reason to end: the supervisor of the process sees to that.
+        // A pause of the machine must not shut down the server; the supervisor of the process handles that.
         RaftServerConfigKeys.setCloseThreshold(properties, millis(3_600_000));
         setMemoryLimits(properties, settings);
         return properties;
--- a/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
+++ b/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import olivechute.error.FleetException;
 
-/** A fault of ours on its way through the library, which lets only this type by. */
+/** Carries an exception of this project through the Ratis library, which only passes on {@link IOException}. */
 final class RatisExceptionAdapter extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -18,7 +18,7 @@
         return fault;
     }
 
-    /** The fault somewhere behind a throwable, null where there is none. */
+    /** Returns the exception carried in the cause chain of a throwable, or null if there is none. */
     static FleetException findFault(Throwable thrown) {
         for (Throwable each = thrown; each != null; each = each.getCause()) {
             if (each instanceof RatisExceptionAdapter adapter) {
--- a/src/main/java/olivechute/store/raft/RatisStateMachine.java
+++ b/src/main/java/olivechute/store/raft/RatisStateMachine.java
@@ -37,13 +37,16 @@
 import org.apache.ratis.util.LifeCycle;
 
 /**
- * Between the consensus and the store's own state machine: bytes to commands, and the state into snapshots and back.
+ * Adapts {@link StoreStateMachine} to the Ratis library: decodes commands and queries, and loads and saves the state as
+ * snapshots.
  */
 final class RatisStateMachine extends BaseStateMachine {
-    /** Longest that one call waits for a change; a longer watch is several calls. */
+    /** Maximum time that one call waits for a change; a longer watch takes several calls. */
     static final Duration MAX_WATCH_WAIT = Duration.ofSeconds(2);
 
-    /** What a replica wants to know of it; called on threads of the consensus, which must not be held up. */
+    /**
+     * Events of the state machine for its replica. Called on threads of the Raft library, which must not be blocked.
+     */
     interface Listener {
         void onLeader();
 
@@ -51,12 +54,12 @@
 
         void onFollower(RaftPeerId leader);
 
-        /** It took over a snapshot of the one that leads. */
+        /** A snapshot of the leader was installed. */
         void onSnapshotInstalled();
 
         void onLogFailure(Throwable cause);
 
-        /** Nothing more is applied: going on would part this replica from the others. */
+        /** No further command is applied, because continuing would let this replica diverge from the others. */
         void onFatalError(FleetException fault);
     }
 
@@ -69,7 +72,7 @@
     private volatile StoreState state = StoreState.EMPTY;
     private volatile boolean stopped;
 
-    /** {@code status}: adds what only the replica knows to a status reply. */
+    /** Creates the adapter; {@code addReplicaStatus} adds the fields that only the replica knows to a status reply. */
     RatisStateMachine(
             StoreStateMachine stateMachine,
             SnapshotStorage snapshots,
@@ -84,17 +87,17 @@
         watches = new WatchRegistry(stateMachine.limits(), state);
     }
 
-    /** Leases held now. */
+    /** Returns the number of leases held now. */
     long leaseCount() {
         return stateMachine.query(state, StoreMessages.status()).getStatus().getSessions();
     }
 
-    /** Answers the watches that have waited long enough. */
+    /** Completes the watches whose deadline has passed. */
     void expireWatches() {
         watches.expire(clockMs.getAsLong());
     }
 
-    /** Answers all watches, as nothing more will change here. */
+    /** Completes all watches, since no more changes are applied here. */
     void completeWatches() {
         watches.expire(Long.MAX_VALUE);
     }
@@ -142,7 +145,7 @@
         } catch (InvalidProtocolBufferException e) {
             return transaction
                     .build()
-                    .setException(new StateMachineException("a command that cannot be read: " + e.getMessage()));
+                    .setException(new StateMachineException("cannot parse the command: " + e.getMessage()));
         }
     }
 
@@ -150,7 +153,8 @@
     public CompletableFuture<Message> applyTransaction(TransactionContext transaction) {
         LogEntryProto entry = transaction.getLogEntry();
         if (stopped) {
-            return CompletableFuture.failedFuture(new StateMachineException("the replica cannot go on"));
+            return CompletableFuture.failedFuture(
+                    new StateMachineException("the replica has stopped applying commands"));
         }
         Reply reply;
         try {
@@ -161,12 +165,12 @@
             reply = result.reply();
         } catch (InvalidProtocolBufferException e) {
             reply = StoreMessages.rejection(
-                    ErrorCode.MALFORMED, "a command that cannot be read: " + e.getMessage(), state.version());
+                    ErrorCode.MALFORMED, "cannot parse the command: " + e.getMessage(), state.version());
         } catch (StoreException e) {
             stopped = true;
             listener.onFatalError(e);
             return CompletableFuture.failedFuture(
-                    new StateMachineException("the replica cannot go on: " + e.getMessage()));
+                    new StateMachineException("the replica has stopped applying commands: " + e.getMessage()));
         }
         updateLastAppliedTermIndex(entry.getTerm(), entry.getIndex());
         watches.onChange(state);
@@ -181,7 +185,7 @@
             query = Query.parseFrom(request.getContent().asReadOnlyByteBuffer());
         } catch (InvalidProtocolBufferException e) {
             return CompletableFuture.completedFuture(toMessage(StoreMessages.rejection(
-                    ErrorCode.MALFORMED, "a query that cannot be read: " + e.getMessage(), state.version())));
+                    ErrorCode.MALFORMED, "cannot parse the query: " + e.getMessage(), state.version())));
         }
         if (query.hasWatch() && query.getLevel() <= stateMachine.supportedLevel()) {
             long waitMs = Math.min(Integer.toUnsignedLong(query.getWatch().getWaitMs()), MAX_WATCH_WAIT.toMillis());
--- a/src/main/java/olivechute/store/raft/RatisStore.java
+++ b/src/main/java/olivechute/store/raft/RatisStore.java
@@ -23,14 +23,14 @@
 import org.apache.ratis.thirdparty.com.google.protobuf.UnsafeByteOperations;
 
 /**
- * A client of the replicated store. It finds the replica that leads by itself and tries again within the time-out of
- * each call; the attempts of one call are one to the replicas, so a write takes effect once. After NOT_REACHED or
- * NO_MAJORITY a write may still take effect, once or not at all, until a minute has passed; one that depends on a
- * version ({@code putIf}) can be made again safely, as its second coming is refused with CONFLICT. Safe for use by
+ * A client of the replicated store. It finds the leader by itself and retries within the time-out of each call. The
+ * replicas recognize the attempts of one call as the same request, so a write takes effect once. After NOT_REACHED or
+ * NO_MAJORITY a write may still take effect, once or not at all, until a minute has passed. A write that depends on a
+ * version ({@code putIf}) can be repeated safely, as a second execution is rejected with CONFLICT. Safe for use by
  * several threads.
  */
 public final class RatisStore implements Store {
-    private static final int MIN_ATTEMPTS = 4; // that a time-out leaves room for where each hangs
+    private static final int MIN_ATTEMPTS = 4; // attempts that fit into a time-out if each of them hangs
     private static final Duration WATCH_SLACK = Duration.ofSeconds(1);
 
     private final Duration timeout;
@@ -43,14 +43,14 @@
         this.watchClient = watchClient;
     }
 
-    /** A client of replicas whose settings name no region. */
+    /** Creates a client of replicas whose settings name no region. */
     public static RatisStore connect(List<ReplicaAddress> replicas, Duration timeout) {
         return connect("", replicas, timeout);
     }
 
     /**
-     * A client of these replicas in a region; each call ends within {@code timeout}, a watch within its wait and
-     * {@code timeout}.
+     * Creates a client of these replicas in a region. Each call ends within {@code timeout}, a watch within its wait
+     * plus {@code timeout}.
      */
     public static RatisStore connect(String region, List<ReplicaAddress> replicas, Duration timeout) {
         RaftGroup group = RatisConfiguration.group(region, replicas);
@@ -123,12 +123,12 @@
         StoreMessages.version(apply(StoreMessages.release(lease)));
     }
 
-    /** Any command, as it is. */
+    /** Sends a command unchanged. */
     public Reply apply(Command command) throws StoreException {
         return call(callClient, command, timeout, true);
     }
 
-    /** Any query, as it is. */
+    /** Sends a query unchanged. */
     public Reply query(Query query) throws StoreException {
         return call(callClient, query, timeout, false);
     }
@@ -142,9 +142,9 @@
                     isWrite ? client.io().send(message) : client.io().sendReadOnly(message);
             return Reply.parseFrom(reply.getMessage().getContent().asReadOnlyByteBuffer());
         } catch (InvalidProtocolBufferException e) {
-            throw new StoreException(ErrorCode.MALFORMED, "a reply that cannot be read", e);
+            throw new StoreException(ErrorCode.MALFORMED, "cannot parse the reply", e);
         } catch (StateMachineException e) {
-            throw new StoreException(ErrorCode.MALFORMED, "refused by the replica that leads: " + e.getMessage(), e);
+            throw new StoreException(ErrorCode.MALFORMED, "rejected by the leader: " + e.getMessage(), e);
         } catch (AlreadyClosedException e) {
             throw new StoreException(ErrorCode.NOT_REACHED, "the client is closed", e);
         } catch (IOException e) {
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -21,8 +21,8 @@
 import org.tinylog.Logger;
 
 /**
- * One replica of the shared store: takes its folder, agrees with the others on each write, and tells who leads.
- * {@link #ended} tells when it cannot go on.
+ * One replica of the replicated store: acquires its data directory, runs its Raft member and reports leadership. Leaves
+ * the group on a disk fault and rejoins it on recovery. {@link #terminated} completes when it cannot continue.
  */
 @SuppressWarnings(
         "FutureReturnValueIgnored") // the periodic tasks run until the replica is closed, and log what they throw
@@ -40,10 +40,10 @@
     private DataDirectory dataDirectory;
     private DiskMonitor diskMonitor;
     private volatile RaftMember member;
-    private RaftMember closedMember; // the one that trouble at the disk ended
+    private RaftMember closedMember; // the one that was closed on the last disk fault
     private volatile boolean isLeader;
 
-    /** {@code say}: takes each line about what happens. */
+    /** Creates a replica; {@code eventLines} receives a line for each event. */
     public Replica(ReplicaSettings settings, Consumer<String> eventLines) {
         this.settings = settings;
         this.eventLines = line -> eventLines.accept("replica " + settings.id() + " " + line);
@@ -58,16 +58,16 @@
     }
 
     /**
-     * Calls with true once it leads, with false once no more, one after the other on one thread that must not be held
-     * up long.
+     * Registers a listener that is called with true when this replica becomes leader and with false when it no longer
+     * is. The calls come one after the other on one thread, which must not be blocked for long.
      */
     public void onLeadershipChange(Consumer<Boolean> listener) {
         onLeadershipChange.add(listener);
     }
 
     /**
-     * Takes the folder and begins to serve, or waits for room there. Faults: DATA_IN_USE, DATA_FOREIGN, DATA_CORRUPT,
-     * DISK_BROKEN.
+     * Acquires the data directory and starts to serve, or waits until the disk has room. Fails with DATA_IN_USE,
+     * DATA_FOREIGN, DATA_CORRUPT or DISK_BROKEN.
      */
     public void start() throws FleetException {
         dataDirectory = DataDirectory.acquire(
@@ -103,11 +103,11 @@
             newMember.start();
             eventLines.accept("serves on " + settings.self().address());
         } catch (IOException | RuntimeException e) {
-            throw toStartFailure(e); // the library's checks of what it reads throw unchecked
+            throw toStartFailure(e); // the library's validation of stored data throws unchecked exceptions
         }
     }
 
-    /** What keeps the consensus from a start; a failed read is mostly one of what was written. */
+    /** Returns the exception for a failed start; a failed read mostly means corrupt data. */
     private FleetException toStartFailure(Exception failure) {
         for (Throwable each = failure; each != null; each = each.getCause()) {
             if (each instanceof BindException) {
@@ -123,20 +123,20 @@
                 ? adapted
                 : new DiskException(
                         diskFull ? ErrorCode.DISK_FULL : ErrorCode.DATA_CORRUPT,
-                        "folder " + dataDirectory.path() + ": " + failure,
+                        "data directory " + dataDirectory.path() + ": " + failure,
                         failure);
     }
 
     private void checkDisk() {
         RaftMember current = member;
         if (current != null && current.isClosed()) {
-            diskMonitor.writeFailed(new DiskException(ErrorCode.DISK_BROKEN, "the log ended by itself"));
+            diskMonitor.writeFailed(new DiskException(ErrorCode.DISK_BROKEN, "the Raft server shut itself down"));
         } else {
             diskMonitor.check();
         }
     }
 
-    /** On the disk's thread: leaves the group, or comes back to it. */
+    /** Leaves the group on a fault, or rejoins it on recovery. Runs on the disk thread. */
     private void disk(ErrorCode fault) {
         if (member == null && fault == null) {
             eventLines.accept("disk: well");
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Tells the group which feature level this program knows, once it can be told. */
+    /** Announces the feature level that this program supports, retrying until the group is reachable. */
     private void announceLevel() {
         try (RatisStore store = RatisStore.connect(settings.region(), settings.replicas(), ANNOUNCE_TIMEOUT)) {
             while (!terminated.isDone()) {
@@ -184,7 +184,7 @@
                     return;
                 } catch (StoreException e) {
                     if (e.code() != ErrorCode.NO_MAJORITY && e.code() != ErrorCode.NOT_REACHED) {
-                        Logger.warn("feature level not told: {}", e.getMessage());
+                        Logger.warn("feature level not announced: {}", e.getMessage());
                         return;
                     }
                 }
@@ -192,12 +192,12 @@
         }
     }
 
-    /** Whether it leads and has all that was acknowledged before. */
+    /** Returns whether this replica is the leader and has every write acknowledged before. */
     public boolean isLeader() {
         return isLeader;
     }
 
-    /** Done with the reason once it cannot go on. */
+    /** Completes with the failure once the replica cannot continue, or with null once it is closed. */
     public CompletableFuture<FleetException> terminated() {
         return terminated;
     }
@@ -241,7 +241,7 @@
 
         @Override
         public void onLogFailure(Throwable cause) {
-            Logger.error("log: {}", String.valueOf(cause));
+            Logger.error("Raft log failed: {}", String.valueOf(cause));
             disk.execute(() -> diskMonitor.writeFailed(cause));
         }
 
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Bounds of the store as the settings have them. */
+    /** Returns the limits of the store according to the settings. */
     static StoreLimits storeLimits(ReplicaSettings settings) {
         StoreLimits defaults = StoreLimits.DEFAULTS;
         return new StoreLimits(
@@ -266,7 +266,7 @@
                 settings.maxWatches());
     }
 
-    /** Hands the lead to another and ends. */
+    /** Transfers leadership to another replica and shuts down. */
     @Override
     public void close() {
         terminated.complete(null);
--- a/src/main/java/olivechute/store/raft/ReplicaSettings.java
+++ b/src/main/java/olivechute/store/raft/ReplicaSettings.java
@@ -16,11 +16,11 @@
 import olivechute.store.ReplicaAddress;
 
 /**
- * Settings of one replica; deploy/store.conf tells each key.
+ * Settings of one replica; deploy/store.conf documents each key.
  *
- * @param region parts groups of replicas with the same ids; clients must name the same one
- * @param quotaBytes most that the folder may hold, 0 for no bound of ours
- * @param snapshotEvery log entries after which a snapshot is taken
+ * @param region separates groups of replicas with the same ids; clients must name the same region
+ * @param quotaBytes maximum size of the data directory in bytes, 0 for no limit of this program
+ * @param snapshotEntries log entries after which a snapshot is taken
  * @param snapshotBytes bytes of log entries after which a snapshot is taken
  */
 public record ReplicaSettings(
@@ -42,7 +42,7 @@
     private static final int MIB = 1024 * 1024;
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]{0,62}");
 
-    /** Reads a file; SETTINGS_INVALID names every fault in it. */
+    /** Reads a settings file; fails with SETTINGS_INVALID, which names every fault in it. */
     public static ReplicaSettings load(Path file) throws SettingsException {
         try {
             return parse(Files.readString(file));
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Reads a text in HOCON. */
+    /** Parses settings in HOCON. */
     public static ReplicaSettings parse(String text) throws SettingsException {
         List<String> faults = new ArrayList<>();
         HoconObject root = HoconObject.parse(text, faults);
@@ -88,7 +88,7 @@
                 bounds.integer("leases", 1_000, 1, 100_000),
                 bounds.integer("watches", 500, 1, 10_000));
         bounds.rejectUnknownKeys();
-        root.has("rollout"); // the driver's, read by it
+        root.has("rollout"); // read by the rollout driver
         root.rejectUnknownKeys();
         if (faults.isEmpty() && replicas.stream().noneMatch(r -> r.id().equals(settings.id()))) {
             root.addError("id", "must be one of the replicas");
@@ -133,14 +133,14 @@
     }
 
     /**
-     * Bytes that the folder may come to by itself: the reserve, three snapshots, and the log that a snapshot has not
-     * yet ended twice.
+     * Returns the bytes that the data directory may need: the reserve, three snapshots, and twice the log between two
+     * snapshots with its last segment.
      */
     long minQuotaBytes() {
         return DiskProbe.RESERVE_BYTES + 3 * maxTotalBytes + 2 * (snapshotBytes + segmentBytes);
     }
 
-    /** Where this replica listens. */
+    /** Returns the address of this replica. */
     public ReplicaAddress self() {
         return replicas.stream().filter(r -> r.id().equals(id)).findFirst().orElseThrow();
     }
--- a/src/main/java/olivechute/store/raft/SnapshotStorage.java
+++ b/src/main/java/olivechute/store/raft/SnapshotStorage.java
@@ -32,13 +32,13 @@
 import org.tinylog.Logger;
 
 /**
- * Snapshots of a state that never changes, so that writing one stops nobody: after so many log entries or bytes a
- * thread of its own writes the state to a temporary file and settles it on the disk; then the consensus is asked to
- * take a snapshot, which finds it ready and only renames it.
+ * Takes and loads snapshots. As the state is immutable, writing one blocks nobody: after a number of log entries or
+ * bytes a thread of its own writes the state to a temporary file and syncs it to disk; then the Raft server is asked to
+ * take a snapshot, which only renames the finished file.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // a snapshot that was not taken is tried again when the next one is due
+@SuppressWarnings("FutureReturnValueIgnored") // a snapshot that failed is retried when the next one is due
 final class SnapshotStorage implements AutoCloseable {
-    /** A state from the disk, and the last log entry in it. */
+    /** A state loaded from disk, and the last log entry in it. */
     record LoadedSnapshot(StoreState state, TermIndex lastEntry) {}
 
     private record WrittenSnapshot(Path file, MD5Hash digest, TermIndex lastEntry) {}
@@ -50,13 +50,13 @@
     private final SimpleStateMachineStorage storage = new SimpleStateMachineStorage();
     private final ExecutorService writer = Executors.newSingleThreadExecutor(SnapshotStorage::newThread);
     private final AtomicBoolean inProgress = new AtomicBoolean();
-    private long bytesSinceSnapshot; // bytes of commands applied after the last snapshot was begun
+    private long bytesSinceSnapshot; // bytes of commands applied since the last snapshot was started
     private volatile WrittenSnapshot pending;
     private volatile long lastIndex = RaftLog.INVALID_LOG_INDEX;
 
     /**
-     * {@code every}, {@code bytes}: log entries and bytes of them after which one is due; {@code ready}: has the
-     * consensus take it.
+     * Creates the storage. A snapshot is due after {@code entryInterval} log entries or {@code byteInterval} bytes of
+     * them; {@code requestSnapshot} asks the Raft server to take it.
      */
     SnapshotStorage(
             Path temporaryFile, long entryInterval, long byteInterval, Supplier<CompletableFuture<?>> requestSnapshot) {
@@ -80,7 +80,10 @@
         return storage;
     }
 
-    /** The newest one, null where there is none; DATA_CORRUPT as the cause where it is not what was written. */
+    /**
+     * Loads the newest snapshot, or returns null if there is none. Fails with DATA_CORRUPT as the cause if the file is
+     * not what was written.
+     */
     LoadedSnapshot load() throws IOException {
         SingleFileSnapshotInfo info = storage.loadLatestSnapshot();
         if (info == null) {
@@ -90,7 +93,7 @@
         MD5Hash digest = info.getFile().getFileDigest();
         if (digest != null && !digest.equals(MD5FileUtil.computeMd5ForFile(file.toFile()))) {
             throw new RatisExceptionAdapter(
-                    new DiskException(ErrorCode.DATA_CORRUPT, file.getFileName() + " has another digest"));
+                    new DiskException(ErrorCode.DATA_CORRUPT, file.getFileName() + " does not match its digest"));
         }
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
             StoreState state = SnapshotCodec.read(in);
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Begins a snapshot where one is due. */
+    /** Starts a snapshot if one is due. */
     void onApplied(StoreState state, TermIndex entry, long entryBytes) {
         bytesSinceSnapshot += entryBytes;
         if ((entry.getIndex() - lastIndex < entryInterval && bytesSinceSnapshot < byteInterval)
@@ -112,7 +115,7 @@
         try {
             writer.execute(() -> write(state, entry));
         } catch (RejectedExecutionException e) {
-            inProgress.set(false); // closed meanwhile
+            inProgress.set(false); // closed in the meantime
         }
     }
 
@@ -130,18 +133,18 @@
             pending = new WrittenSnapshot(
                     temporaryFile, MD5FileUtil.computeMd5ForFile(temporaryFile.toFile()), lastEntry);
             requestSnapshot.get().whenComplete((reply, failure) -> {
-                if (pending != null) { // not taken: the next one is tried when it is due again
+                if (pending != null) { // not taken; retried when the next snapshot is due
                     pending = null;
                     inProgress.set(false);
                 }
             });
         } catch (IOException e) {
-            Logger.error("no snapshot at {}: {}", lastEntry.getIndex(), e.toString());
+            Logger.error("cannot write the snapshot at index {}: {}", lastEntry.getIndex(), e.toString());
             inProgress.set(false);
         }
     }
 
-    /** Puts a written snapshot in its place; returns the index of the newest one. */
+    /** Moves a written snapshot to its final place; returns the index of the newest snapshot. */
     long install() throws IOException {
         WrittenSnapshot snapshot = pending;
         if (snapshot == null) {
--- a/src/main/java/olivechute/store/raft/VoteFile.java
+++ b/src/main/java/olivechute/store/raft/VoteFile.java
@@ -11,19 +11,19 @@
 import org.tinylog.Logger;
 
 /**
- * The library's file of a replica's term and vote. Written to a disk without room, it is left cut short in place of the
- * whole one. As long as the process lives, its term is known: nothing was voted in a higher one, and a vote for oneself
- * in it gives none away.
+ * The Raft library's file of a replica's term and vote. When it is written to a full disk, a truncated file replaces
+ * the complete one. As long as the process lives, its term is known: it has not voted in a higher term, and recording a
+ * vote for itself in that term cannot grant a second vote to another replica.
  */
 final class VoteFile {
     private VoteFile() {}
 
-    /** Mends a file that was cut short; {@code term}: the highest that this replica was in. */
+    /** Repairs a truncated file; {@code term} is the highest term that this replica has been in. */
     static void repair(Path file, long term, String id) throws IOException {
         if (!Files.exists(file) || isComplete(Files.readString(file))) {
             return;
         }
-        Logger.warn("vote cut short on a full disk: mended at term {}", term);
+        Logger.warn("vote file truncated on a full disk; repaired at term {}", term);
         Path replacement = file.resolveSibling("raft-meta.mended");
         try (FileChannel channel = FileChannel.open(
                 replacement,
--- a/src/test/java/olivechute/store/CommandGenerator.java
+++ b/src/test/java/olivechute/store/CommandGenerator.java
@@ -16,11 +16,11 @@
 import olivechute.store.wire.Tick;
 
 /**
- * Commands by chance, over few keys, names and owners so that they meet; numbers are mostly, not always, such as the
- * state has.
+ * Generates random commands over few keys, names and owners, so that they interact. Numbers such as versions and
+ * sessions mostly, but not always, match the state.
  */
 final class CommandGenerator {
-    /** So tight that chance meets each of them. */
+    /** Limits small enough for random commands to reach each of them. */
     static final StoreLimits TIGHT_LIMITS = new StoreLimits(8, 12, 6, 9, 90, 3, 2, 12, 2);
 
     private final Random random;
--- a/src/test/java/olivechute/store/MemoryStoreTest.java
+++ b/src/test/java/olivechute/store/MemoryStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.function.Executable;
 
-/** The store in one process, as its clients see it. */
+/** Tests the in-memory store through its client interface. */
 @Timeout(60)
 class MemoryStoreTest {
     private static final Duration LEASE_TTL = Duration.ofSeconds(5);
--- a/src/test/java/olivechute/store/SnapshotCodecTest.java
+++ b/src/test/java/olivechute/store/SnapshotCodecTest.java
@@ -14,7 +14,7 @@
 import olivechute.store.wire.Snapshot;
 import org.junit.jupiter.api.Test;
 
-/** Snapshot files: what was written comes back, and nothing else passes for it. */
+/** Tests snapshot files: a written state is read back, and damaged or invalid files are rejected. */
 class SnapshotCodecTest {
     private static final int SMALL_FRAME_BYTES = 20;
 
@@ -31,7 +31,7 @@
                 return state;
             }
         }
-        throw new AssertionError("no state with something of everything");
+        throw new AssertionError("no generated state has entries, sessions and announced levels");
     }
 
     private static DiskException assertReadFails(byte[] file) {
@@ -72,7 +72,7 @@
                 assertReadFails(Arrays.copyOf(file, file.length + 1)).code());
     }
 
-    /** Every bit; the fault names the piece that the bit is in. */
+    /** Flips every bit of the file; the error must name the frame that holds the bit. */
     @Test
     void anyFlippedBitIsRejected() throws Exception {
         byte[] file = StateChecks.snapshotBytes(sampleState(), SMALL_FRAME_BYTES);
@@ -91,12 +91,12 @@
                 assertEquals(ErrorCode.DATA_CORRUPT, fault.code(), fault.subject());
                 assertTrue(
                         fault.subject()
-                                .startsWith("snapshot: piece " + frameNumber + ", which begins at byte " + frameOffset
+                                .startsWith("snapshot: frame " + frameNumber + ", which starts at byte " + frameOffset
                                         + ", "),
                         fault.subject());
             }
         }
-        assertTrue(frameNumber > 8, frameNumber + " pieces");
+        assertTrue(frameNumber > 8, frameNumber + " frames");
     }
 
     @Test
--- a/src/test/java/olivechute/store/StateChecks.java
+++ b/src/test/java/olivechute/store/StateChecks.java
@@ -13,11 +13,11 @@
 import java.util.TreeSet;
 import olivechute.error.DiskException;
 
-/** What holds of every state, and its way through a snapshot. */
+/** Checks invariants that hold in every state, and passes states through snapshots. */
 final class StateChecks {
     private StateChecks() {}
 
-    /** That all parts of the state say the same, and none is over its bound. */
+    /** Checks that all parts of the state are consistent and within the limits. */
     static void assertConsistent(StoreState state, StoreLimits limits, String context) {
         Map<Long, TreeSet<String>> keysBySession = new TreeMap<>();
         long totalBytes = 0;
@@ -35,7 +35,7 @@
                         .add(each.getKey());
                 assertTrue(
                         state.leases().findBySession(stored.session()) != null,
-                        context + ": a key outlived its session");
+                        context + ": a key exists after its session has ended");
             }
         }
         assertEquals(keysBySession, state.keysBySession(), context);
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The state as a restored replica has it: all but what changed before. */
+    /** Returns the state as a restored replica has it: without the change history. */
     static StoreState withoutHistory(StoreState state) {
         return new StoreState(
                 state.index(),
--- a/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachinePropertyTest.java
@@ -18,8 +18,11 @@
 import olivechute.store.wire.Reply;
 import olivechute.store.wire.Tick;
 
-/** What holds whatever is asked in whatever order. Each case is a seed, which a failure names. */
-@SuppressWarnings("LiteProtoToString") // only told when a check fails
+/**
+ * Tests properties of the state machine over random sequences of commands. Each case is a seed, which a failure
+ * reports.
+ */
+@SuppressWarnings("LiteProtoToString") // only printed when a check fails
 class StoreStateMachinePropertyTest {
     private static final int COMMAND_COUNT = 150;
     private static final StoreLimits LIMITS = CommandGenerator.TIGHT_LIMITS;
@@ -43,7 +46,10 @@
         }
     }
 
-    /** A restored replica goes on as if it had been there all along; so does one that was handed another's file. */
+    /**
+     * A replica restored from its own snapshot behaves like one that applied the whole log, and so does a replica that
+     * received the snapshot of another.
+     */
     @Property(tries = 80, seed = "20261202")
     void snapshotAtAnyPointIsEquivalentToLog(@ForAll long seed) throws Exception {
         CommandGenerator generator = new CommandGenerator(seed);
@@ -117,7 +123,7 @@
     private record HeldLease(String owner, long session, long ttlMs, long expiresAtMs) {}
 
     /**
-     * Told from the answers alone: a lease that was granted holds off all others until it ends by the clock of the
+     * Derived from the replies alone: a granted lease excludes all other owners until it expires by the clock of the
      * commands.
      */
     @Property(tries = 120, seed = "20261202")
@@ -143,7 +149,7 @@
                 assertTrue(
                         current == null
                                 || current.owner.equals(command.getAcquire().getOwner()),
-                        context + ": two holders");
+                        context + ": two owners hold the lease");
                 assertTrue(
                         reply.getLease().getSession() > highestSession,
                         context + ": " + reply + " after " + highestSession);
@@ -177,7 +183,7 @@
                         holder != null
                                 && holder.session
                                         == command.getBatch().getFences(0).getNumber(),
-                        context + ": a stale writer");
+                        context + ": a write with a stale fence was accepted");
             }
             assertEquals(heldLeases.keySet(), result.state().leases().byName().keySet(), context);
             state = result.state();
--- a/src/test/java/olivechute/store/StoreStateMachineTest.java
+++ b/src/test/java/olivechute/store/StoreStateMachineTest.java
@@ -20,8 +20,8 @@
 import olivechute.store.wire.Reply;
 import org.junit.jupiter.api.Test;
 
-/** Single rules of the state machine, and of groups whose replicas are of several versions. */
-@SuppressWarnings("LiteProtoToString") // only told when a check fails
+/** Tests single rules of the state machine, and groups whose replicas run different versions. */
+@SuppressWarnings("LiteProtoToString") // only printed when a check fails
 class StoreStateMachineTest {
     private static final Duration LEASE_TTL = Duration.ofMillis(100);
     private static final int UNKNOWN_FIELD_NUMBER = 99;
@@ -51,7 +51,7 @@
                         .code());
     }
 
-    /** The bytes with one more field, length-delimited, of a number that nobody knows. */
+    /** Returns the message with one more length-delimited field of an unknown number. */
     private static byte[] withUnknownField(byte[] message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.writeBytes(message);
@@ -216,7 +216,7 @@
         assertEquals(1, state.announcedLevels().size());
     }
 
-    /** One that knows less must not go on: it would part from the others. */
+    /** A replica that supports less than the group's level must stop, since it would diverge from the others. */
     @Test
     void replicaBelowGroupLevelStops() throws Exception {
         stateMachine = new StoreStateMachine(StoreLimits.DEFAULTS, 2);
--- a/src/test/java/olivechute/store/StoredCommandsTest.java
+++ b/src/test/java/olivechute/store/StoredCommandsTest.java
@@ -15,7 +15,10 @@
 import olivechute.store.wire.Command;
 import org.junit.jupiter.api.Test;
 
-/** Commands in the log and snapshots of the state, as an earlier build wrote them, are read and written alike. */
+/**
+ * Tests compatibility: commands in the log and snapshots of the state that an earlier build wrote are read, and are
+ * still written with the same bytes.
+ */
 class StoredCommandsTest {
     private static final long SESSION = 3;
     private static final long CLOCK_MS = 1_700_000_000_000L;
--- a/src/test/java/olivechute/store/WatchPropertyTest.java
+++ b/src/test/java/olivechute/store/WatchPropertyTest.java
@@ -13,7 +13,7 @@
 import olivechute.store.wire.Reply;
 import org.junit.jupiter.api.Test;
 
-/** A watcher that goes on from the version it was told misses nothing, however late it comes. */
+/** Tests that a watch that continues from the version of the last reply misses no change, however late it comes. */
 class WatchPropertyTest {
     private static final long FIRST_SEED = 20261202;
     private static final int SEED_COUNT = 100;
@@ -31,7 +31,7 @@
         }
         assertTrue(
                 completeReplies > 100 && partialReplies > 1000,
-                completeReplies + " whole answers, " + partialReplies + " partial ones");
+                completeReplies + " complete replies, " + partialReplies + " partial replies");
     }
 
     private void watchThroughCommands(long seed) throws Exception {
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Exactly what differs and was there or is there, in order; a key that came and went since may be named as gone.
+     * The reply holds exactly the entries that differ, in order of version. A key that was added and deleted since may
+     * be reported as removed.
      */
     private void checkReply(
             Reply reply, Map<String, Entry> seen, Map<String, Entry> stored, long since, String context) {
@@ -111,12 +112,12 @@
     }
 
     /**
-     * The same through the book: it answers at the first state that has something, and loses nothing while its watch is
-     * not waiting.
+     * The same through the registry: it replies at the first state with a change, and no change is lost while no watch
+     * is registered.
      */
     @Test
     void registryAnswersWatchesWithChanges() throws Exception {
-        System.out.println("book seeds from " + FIRST_SEED + ", " + SEED_COUNT + " of them");
+        System.out.println("registry seeds from " + FIRST_SEED + ", " + SEED_COUNT + " of them");
         int answered = 0;
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             CommandGenerator generator = new CommandGenerator(seed);
@@ -132,7 +133,9 @@
                 state = machine.apply(state, generator.next(state), i).state();
                 registry.onChange(state);
                 if (pending != null) {
-                    assertTrue(pending.isDone() || before.equals(list(state)), context + ": slept through a change");
+                    assertTrue(
+                            pending.isDone() || before.equals(list(state)),
+                            context + ": pending watch missed a change");
                 }
                 if (random.nextInt(30) == 0) {
                     registry.expire(i);
@@ -150,7 +153,7 @@
             }
             assertTrue(registry.size() <= 1, "seed " + seed);
         }
-        assertTrue(answered > 500, answered + " answers");
+        assertTrue(answered > 500, answered + " replies");
     }
 
     @Test
@@ -174,7 +177,10 @@
         assertEquals(0, registry.size());
     }
 
-    /** While it waits it keeps up, so it is not woken by what others write, however much that is. */
+    /**
+     * A pending watch advances with the state, so that writes under other prefixes do not complete it, however many
+     * there are.
+     */
     @Test
     void pendingWatchOutlivesHistory() {
         WatchRegistry registry = new WatchRegistry(CommandGenerator.TIGHT_LIMITS, StoreState.EMPTY);
@@ -193,7 +199,7 @@
     }
 
     private static Reply completedReply(CompletableFuture<Reply> pending) {
-        assertTrue(pending.isDone(), "not answered yet");
+        assertTrue(pending.isDone(), "the watch has no reply yet");
         return pending.join();
     }
 
--- a/src/test/java/olivechute/store/raft/DiskHealthTest.java
+++ b/src/test/java/olivechute/store/raft/DiskHealthTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests how disk faults are detected and cleared, and how a truncated vote file is repaired. */
 class DiskHealthTest {
     private static final long AMPLE_BYTES = 1L << 30;
 
--- a/src/test/java/olivechute/store/raft/DiskTroubleIT.java
+++ b/src/test/java/olivechute/store/raft/DiskTroubleIT.java
@@ -13,7 +13,10 @@
 import olivechute.store.Store.Write;
 import org.junit.jupiter.api.Test;
 
-/** A replica whose disk takes no more leaves the group, the others serve on, and it comes back by itself. */
+/**
+ * Tests that a replica with a full disk leaves the group, that the others keep serving, and that it rejoins on
+ * recovery.
+ */
 class DiskTroubleIT {
     private static final String SMALL_LIMITS =
             "bounds { total_mb = 1, value_kb = 64 }, log { segment_mb = 1, snapshot_mb = 1 }";
@@ -23,7 +26,8 @@
     }
 
     /**
-     * The lead runs into trouble and out of it again; it is then needed for a majority, with all that was acknowledged.
+     * Causes a disk fault on the leader and clears it again; the replica is then needed for a majority, and must have
+     * every acknowledged write.
      */
     private static void assertLeaderLeavesAndReturns(String settings, GroupAction causeFault, GroupAction clearFault)
             throws Exception {
@@ -81,7 +85,7 @@
                 (group, lead) -> Files.delete(group.dataDirectory(lead).resolve("probe")));
     }
 
-    /** All its files are bounded while it runs: the log's own write is what fails. */
+    /** Limits the size of all files of the running process, so that the log's own write fails. */
     @Test
     void fileSizeLimit() throws Exception {
         assertLeaderLeavesAndReturns(
--- a/src/test/java/olivechute/store/raft/LogTailTest.java
+++ b/src/test/java/olivechute/store/raft/LogTailTest.java
@@ -8,8 +8,9 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
+/** Tests that a torn entry at the end of the log is told apart from an intact and from a corrupt log. */
 class LogTailTest {
-    /** A file of entries of these lengths, with zeros laid out behind. */
+    /** Returns a log file with entries of these lengths, followed by preallocated zeros. */
     private static byte[] logFile(int... entryLengths) {
         ByteBuffer file = ByteBuffer.allocate(4096).put("RaftLog1".getBytes(UTF_8));
         for (int length : entryLengths) {
@@ -33,7 +34,7 @@
     void intactLogIsKept() {
         assertEquals(-1, LogTail.findTornEntry(logFile()));
         assertEquals(-1, LogTail.findTornEntry(logFile(20, 300, 5)));
-        assertEquals(-1, LogTail.findTornEntry(Arrays.copyOf(logFile(20, 300), 200))); // short as a file
+        assertEquals(-1, LogTail.findTornEntry(Arrays.copyOf(logFile(20, 300), 200))); // the file itself is truncated
     }
 
     @Test
--- a/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
+++ b/src/test/java/olivechute/store/raft/ReplicaSettingsTest.java
@@ -10,6 +10,7 @@
 import olivechute.error.SettingsException;
 import org.junit.jupiter.api.Test;
 
+/** Tests the defaults of the replica settings and the reporting of faults in them. */
 class ReplicaSettingsTest {
     private static final String MINIMAL = "id = a, folder = f, replicas = [{ id = a, address = \"127.0.0.1:1\" }]";
 
--- a/src/test/java/olivechute/store/raft/StoreGroup.java
+++ b/src/test/java/olivechute/store/raft/StoreGroup.java
@@ -16,12 +16,13 @@
 import olivechute.store.ReplicaAddress;
 
 /**
- * Replicas as processes of the built jar, on free ports of loopback, with folders of their own; waits on what they say.
+ * Runs replicas as processes of the built jar, on free loopback ports with a data directory each, and waits for lines
+ * of their output.
  */
 final class StoreGroup implements AutoCloseable {
     static final long TIMEOUT_MS = 30_000;
 
-    /** What all processes said, in the order in which it came. */
+    /** A line of output; the lines of all processes are kept in the order in which they arrived. */
     private record OutputLine(int replica, int run, String text) {}
 
     final List<ReplicaAddress> replicas = new ArrayList<>();
@@ -31,7 +32,7 @@
     private final List<OutputLine> lines = new ArrayList<>();
     private final String extraSettings;
 
-    /** {@code more}: settings beside those that name the group. */
+    /** Creates a group; {@code extraSettings} is added to the settings that define the group. */
     StoreGroup(int count, String extraSettings) throws IOException {
         this.extraSettings = extraSettings;
         processes = new Process[count];
@@ -63,7 +64,7 @@
         start(replica, dataDirectory(replica), "r" + replica);
     }
 
-    /** Starts one with a folder and an id that may be another's. */
+    /** Starts a replica with the given data directory and id, which may be those of another replica. */
     void start(int replica, Path dataDirectory, String id) throws IOException {
         StringBuilder text = new StringBuilder(
                 "id = " + id + "\nfolder = \"" + dataDirectory + "\"\n" + extraSettings + "\nreplicas = [\n");
@@ -102,7 +103,7 @@
                 }
             }
         } catch (IOException e) {
-            // it was ended
+            // the process has ended
         }
     }
 
@@ -110,19 +111,19 @@
         return processes[replica].pid();
     }
 
-    /** SIGKILL. */
+    /** Kills the replica with SIGKILL. */
     void kill(int replica) throws InterruptedException {
         processes[replica].destroyForcibly().waitFor();
     }
 
     int awaitExit(int replica) throws InterruptedException {
         if (!processes[replica].waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("replica " + replica + " did not end; said: " + output());
+            throw new AssertionError("replica " + replica + " did not end; output: " + output());
         }
         return processes[replica].exitValue();
     }
 
-    /** How much was said so far: where to look from. */
+    /** Returns the number of output lines so far, as the position to search from. */
     int lineCount() {
         synchronized (lines) {
             return lines.size();
@@ -141,14 +142,14 @@
                 }
                 long left = (end - System.nanoTime()) / 1_000_000;
                 if (left <= 0) {
-                    throw new AssertionError("no line " + description + " in time; said: " + output());
+                    throw new AssertionError("no output line " + description + " in time; output: " + output());
                 }
                 lines.wait(left);
             }
         }
     }
 
-    /** Waits for a line of a replica's present run that holds a text. */
+    /** Waits for an output line of a replica's present run that contains a text. */
     void awaitLine(int fromLine, int replica, String text) throws InterruptedException {
         int run = runs[replica];
         awaitMatch(
@@ -157,11 +158,11 @@
                 line -> line.replica == replica && line.run == run && line.text.contains(text));
     }
 
-    /** Waits until one leads that still runs; returns which. */
+    /** Waits until a running replica is leader; returns its number. */
     int awaitLeader(int fromLine) throws InterruptedException {
         return awaitMatch(
                         fromLine,
-                        "of one that leads",
+                        "of a leader",
                         line -> line.text.contains(" leads term ")
                                 && line.run == runs[line.replica]
                                 && processes[line.replica].isAlive())
--- a/src/test/java/olivechute/store/raft/StoreGroupIT.java
+++ b/src/test/java/olivechute/store/raft/StoreGroupIT.java
@@ -21,7 +21,10 @@
 import olivechute.store.Store.Write;
 import org.junit.jupiter.api.Test;
 
-/** Groups of replicas as whole processes: what is acknowledged is there, once, whoever is killed. */
+/**
+ * Tests groups of replica processes: every acknowledged write is kept and takes effect once, whichever replica is
+ * killed.
+ */
 class StoreGroupIT {
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
@@ -47,7 +50,8 @@
             assertEquals(ErrorCode.CONFLICT, conflict.code());
             Store.Lease lease = store.acquire("machine/m1", "m1", Duration.ofMillis(600));
             store.write(List.of(new Write("machine/m1", bytes("up"), null, lease.session())), List.of(lease.fence()));
-            // Nobody renews it and nobody writes: the lead's clock alone ends it, and the watch tells.
+            // Nobody renews the lease and nobody writes, so only the leader's clock expires it; the watch must report
+            // the deletion.
             Store.Changes gone = store.watch("machine/", store.list("machine/").version(), Duration.ofSeconds(20));
             assertEquals(List.of("machine/m1"), gone.removed());
         }
@@ -61,7 +65,10 @@
         }
     }
 
-    /** Counts up by compare and set; what was acknowledged, at the least, and how far it may have come, at the most. */
+    /**
+     * Increments a counter by conditional writes. The stored count must be at least the last acknowledged one, and at
+     * most that plus the writes of unknown outcome.
+     */
     private static final class Counter implements AutoCloseable {
         private final Store store;
         private final Thread thread = new Thread(this::run);
@@ -109,13 +116,13 @@
             }
         }
 
-        /** Waits until so many more are acknowledged. */
+        /** Waits until the given number of further writes are acknowledged. */
         void awaitMore(int more) throws InterruptedException {
             long target = acknowledged + more;
             long deadlineNs = System.nanoTime() + StoreGroup.TIMEOUT_MS * 1_000_000;
             while (acknowledged < target) {
                 if (failure != null || System.nanoTime() > deadlineNs) {
-                    throw new AssertionError("the writer stands at " + acknowledged, failure);
+                    throw new AssertionError("the writer is stuck at " + acknowledged, failure);
                 }
                 thread.join(5);
             }
@@ -162,7 +169,7 @@
             int leader = group.awaitLeader(0);
             int emptied = (leader + 1) % 3;
             group.kill(emptied);
-            for (int i = 0; i < 60; i++) { // so much that log files end and go
+            for (int i = 0; i < 60; i++) { // enough data for log segments to be completed and purged
                 store.write(List.of(Write.put("large", new byte[60_000])), List.of());
             }
             counter.awaitMore(200);
@@ -170,7 +177,7 @@
             int mark = group.lineCount();
             group.start(emptied);
             group.awaitLine(mark, emptied, "caught up from a snapshot");
-            // With the third one gone, each write needs the emptied one.
+            // With the third replica killed, each write needs the emptied one.
             group.kill(3 - leader - emptied);
             counter.awaitMore(50);
             counter.check(store);
--- a/src/test/java/olivechute/store/raft/StoreMeasureIT.java
+++ b/src/test/java/olivechute/store/raft/StoreMeasureIT.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
-/** Measures, never judges; with -Dmeasure=true. Values of 200 bytes, every replica and client on one machine. */
+/**
+ * Measures the store and checks no bounds; runs with -Dmeasure=true. Values have 200 bytes, and all replicas and
+ * clients run on one machine.
+ */
 @EnabledIfSystemProperty(named = "measure", matches = "true")
 class StoreMeasureIT {
     private static final long RUN_NS = 8_000_000_000L;
@@ -84,7 +87,8 @@
     }
 
     /**
-     * From SIGKILL to the first write that the next lead acknowledged, and the restart of the killed one by its log.
+     * Measures the time from SIGKILL of the leader to the first write acknowledged by the next leader; the killed
+     * replica then restarts from its log.
      */
     @Test
     void leaderKills() throws Exception {
@@ -118,7 +122,7 @@
                 KILLS, outageMs.getValueAtPercentile(50), outageMs.getMaxValue());
     }
 
-    /** From the start of a lone replica to its first answer, by entries in its log. */
+    /** Measures the time from the start of a single replica until it is leader, by the number of entries in its log. */
     @Test
     void recoveryTime() throws Exception {
         for (int entries : new int[] {1_000, 10_000}) {
--- a/src/test/java/olivechute/store/raft/StoredLogTest.java
+++ b/src/test/java/olivechute/store/raft/StoredLogTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The folder of a replica that an earlier build left behind, store-folder.zip: its log has three writes, of which a
- * snapshot holds none. A replica of this build starts on it, serves what was acknowledged then and takes further
- * writes.
+ * Tests compatibility with the data directory that an earlier build left behind, in store-folder.zip. Its log has three
+ * writes, none of which is in a snapshot. A replica of this build must start on it, serve the writes acknowledged then
+ * and accept further ones.
  */
 class StoredLogTest {
     @TempDir
