--- a/src/main/java/olivechute/metrics/DelayBuckets.java
+++ b/src/main/java/olivechute/metrics/DelayBuckets.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * Buckets of added delays, in microseconds: each takes what lies above the upper end of the one before and up to its
- * own; the last takes all that is longer, too. Forty whose ends grow by the same factor, from 50 us to 10 s, tell a
- * delay to within 37 %.
+ * Histogram buckets for added delays in microseconds. Each bucket counts delays above the upper bound of the previous
+ * one and up to its own; the last one counts all longer delays too. The 40 bounds grow by a constant factor from 50 us
+ * to 10 s, which gives a delay to within 37 %.
  */
 public final class DelayBuckets {
-    /** How many there are. */
+    /** Number of buckets. */
     public static final int BUCKET_COUNT = 40;
 
     private static final double FIRST_BOUND_US = 50;
     private static final double LAST_BOUND_US = 10_000_000;
     private static final long[] BOUNDS_US = computeBounds();
-    /** The upper ends of the buckets. */
+    /** Upper bounds of the buckets in microseconds. */
     public static final List<Long> UPPER_BOUNDS =
             Arrays.stream(BOUNDS_US).boxed().toList();
-    /** The part of all that {@link #p99} leaves above it. */
+    /** Share of the counted delays that may exceed {@link #p99}. */
     private static final double P99_TAIL = 0.01;
 
     private DelayBuckets() {}
@@ -32,15 +32,17 @@
         return bounds;
     }
 
-    /** The bucket of a delay; one that is negative, as a clock could show it, goes to the first. */
+    /**
+     * Returns the bucket of a delay. Negative delays, which a clock adjustment can cause, belong to the first bucket.
+     */
     public static int bucketIndex(long delayUs) {
         int position = Arrays.binarySearch(BOUNDS_US, delayUs);
         return Math.min(position < 0 ? -position - 1 : position, BUCKET_COUNT - 1);
     }
 
     /**
-     * The sum of two counts, bucket by bucket; what lies past the last bucket here, as another version may have it,
-     * goes to the last.
+     * Adds two histograms bucket by bucket. Counts beyond the last bucket, as another version may send them, are added
+     * to the last bucket.
      */
     public static long[] merge(long[] one, long[] other) {
         long[] sum = new long[BUCKET_COUNT];
@@ -52,7 +54,9 @@
         return sum;
     }
 
-    /** The mean of what was counted, each taken for the middle of its bucket; NaN where nothing was. */
+    /**
+     * Returns the mean in microseconds, with each delay taken as the middle of its bucket; NaN if nothing was counted.
+     */
     public static double mean(long[] counts) {
         double sum = 0;
         long total = 0;
@@ -63,7 +67,7 @@
         return total == 0 ? Double.NaN : sum / total;
     }
 
-    /** The least upper end that 99 of 100 do not exceed; NaN where nothing was counted. */
+    /** Returns the lowest upper bound that at least 99 % of the delays do not exceed; NaN if nothing was counted. */
     public static double p99(long[] counts) {
         long remaining = Arrays.stream(counts).sum();
         if (remaining == 0) {
--- a/src/main/java/olivechute/metrics/MetricsReporting.java
+++ b/src/main/java/olivechute/metrics/MetricsReporting.java
@@ -8,7 +8,10 @@
 import olivechute.proxy.ProxyEvent;
 import olivechute.proxy.RequestMetrics;
 
-/** A node's counts on their way to its supervisor, a report each second. */
+/**
+ * Reports a node's request metrics to its supervisor once a second. Counters and snapshots belong to the event loop;
+ * {@link MetricsSender} sends on a thread of its own.
+ */
 public final class MetricsReporting {
     private static final long INTERVAL_US = 1_000_000;
 
@@ -17,8 +20,8 @@
     private final MetricsSender sender;
 
     /**
-     * {@code classes}: names of the node's classes of requests, in order; the node's process is named by the moment of
-     * this call.
+     * {@code classNames}: names of the node's request classes, in order. The time of this call becomes the incarnation
+     * of the node's process.
      */
     public MetricsReporting(
             EventLoop loop, MetricsSettings settings, String node, List<String> classNames, RandomGenerator random)
@@ -32,12 +35,12 @@
                 random);
     }
 
-    /** What is told of the node's streams. */
+    /** Returns the counters, to be updated on the event loop. */
     public RequestMetrics requestMetrics() {
         return counters;
     }
 
-    /** Reports from now on; to be called before the loop starts. */
+    /** Starts the reports; must be called before the event loop starts. */
     public void start() {
         sender.start();
         loop.runPeriodically(INTERVAL_US, this::report);
@@ -47,7 +50,7 @@
         sender.offer(counters.snapshot(loop.now()));
     }
 
-    /** Reports once more and then ends; returns at once. */
+    /** Sends a last report and then stops; returns at once. */
     public void shutDown() {
         loop.post(new ProxyEvent.Task(() -> {
             report();
--- a/src/main/java/olivechute/metrics/MetricsSender.java
+++ b/src/main/java/olivechute/metrics/MetricsSender.java
@@ -15,17 +15,17 @@
 import org.tinylog.Logger;
 
 /**
- * Sends the newest snapshot to the supervisor over one connection, on a thread of its own; who hands in snapshots never
- * waits. A newer one takes the place of one that waits. A supervisor that is not there, or does not read, is tried
- * again after a bounded while.
+ * Sends the newest snapshot to the supervisor over one connection, on a thread of its own, so that the event loop,
+ * which offers the snapshots, never waits. A newer snapshot replaces one that is still waiting. If the supervisor is
+ * absent or does not read, sending is retried after a bounded backoff.
  */
 final class MetricsSender {
-    /** Small: what a supervisor that stands still has not read is old. */
+    /** Kept small, because data that a stalled supervisor has not read is outdated. */
     private static final int SEND_BUFFER_BYTES = 32 * 1024;
 
     private static final int DISCARD_BUFFER_BYTES = 512;
 
-    /** Milliseconds: how long a connection and a write may take, and the least and most wait between tries. */
+    /** Timeouts of a connection and of a write, and bounds of the backoff between attempts, in milliseconds. */
     record Limits(long connectTimeoutMs, long writeTimeoutMs, long minBackoffMs, long maxBackoffMs) {
         static final Limits DEFAULT = new Limits(2000, 2000, 200, 5000);
     }
@@ -38,7 +38,7 @@
     private final Selector selector;
     private final ByteBuffer discardBuffer = ByteBuffer.allocate(DISCARD_BUFFER_BYTES);
     private volatile boolean shuttingDown;
-    private SocketChannel channel; // null while there is no connection; the thread's, as the rest
+    private SocketChannel channel; // null while disconnected; used by the sender's thread only, as is the rest
     private SelectionKey selectionKey;
 
     MetricsSender(InetSocketAddress supervisor, MetricsSnapshot.Origin origin, Limits limits, RandomGenerator random)
@@ -50,18 +50,18 @@
         this.selector = Selector.open();
     }
 
-    /** Returns its thread, which lasts until {@link #end}. */
+    /** Starts the sender's thread and returns it; it runs until {@link #shutDown}. */
     Thread start() {
         return Threads.start("figures", this::run);
     }
 
-    /** Takes a snapshot to send; never waits. */
+    /** Sets the next snapshot to send; never waits. */
     void offer(MetricsSnapshot snapshot) {
         pendingSnapshot.set(snapshot);
         selector.wakeup();
     }
 
-    /** Sends what was handed in, if the supervisor is there, and then no more. */
+    /** Makes the thread send the waiting snapshot, if the supervisor is reachable, and then end. */
     void shutDown() {
         shuttingDown = true;
         selector.wakeup();
@@ -71,7 +71,7 @@
         try (selector) {
             MetricsSnapshot unsent = null;
             for (; ; ) {
-                boolean last = shuttingDown; // looked at before the slot: what came before the end is sent
+                boolean last = shuttingDown; // read first, so that a snapshot offered before shutDown is sent
                 unsent = takePendingOr(unsent);
                 if (unsent == null && last) {
                     return;
@@ -87,19 +87,22 @@
                 }
             }
         } catch (IOException e) {
-            Logger.error(e, "figures end");
+            Logger.error(e, "metrics: sender failed");
         } finally {
             closeConnection();
         }
     }
 
-    /** The snapshot that waits, if one does. */
+    /** Returns the pending snapshot, or the given one if there is none. */
     private MetricsSnapshot takePendingOr(MetricsSnapshot unsent) {
         MetricsSnapshot pending = pendingSnapshot.getAndSet(null);
         return pending == null ? unsent : pending;
     }
 
-    /** Until a snapshot is there or the connection ends: the supervisor says nothing on it. */
+    /**
+     * Waits until there is a snapshot or the connection ends. The supervisor sends nothing, so anything it does send is
+     * discarded.
+     */
     private void awaitSnapshotOrClose() throws IOException {
         if (selectionKey != null) {
             selectionKey.interestOps(SelectionKey.OP_READ);
@@ -123,7 +126,7 @@
         selector.selectedKeys().clear();
     }
 
-    /** Waits so long, through snapshots that come meanwhile, but not into the end. */
+    /** Waits for the given time even if snapshots arrive meanwhile, but stops at shutdown. */
     private void pause(long millis) throws IOException {
         long deadlineNanos = System.nanoTime() + millis * 1_000_000;
         for (long remainingMillis = millis;
@@ -143,7 +146,7 @@
         }
     }
 
-    /** True if there is a connection, or is one now. */
+    /** Connects if there is no connection; false if that fails or times out. */
     private boolean ensureConnected() {
         try {
             return channel != null || closeIfTimedOut(connect());
@@ -154,14 +157,14 @@
 
     private boolean closeIfTimedOut(boolean inTime) {
         if (!inTime) {
-            Logger.warn("figures: {} does not take them in time", supervisor);
+            Logger.warn("metrics: connecting or writing to {} timed out", supervisor);
             closeConnection();
         }
         return inTime;
     }
 
     private boolean handleFailure(IOException e) {
-        Logger.debug("figures: {}: {}", supervisor, e.getMessage());
+        Logger.debug("metrics: {}: {}", supervisor, e.getMessage());
         closeConnection();
         return false;
     }
@@ -191,7 +194,10 @@
         return true;
     }
 
-    /** Waits for the connection, at most until then, as a new snapshot wakes too; false if the time is over. */
+    /**
+     * Waits for the operation until the deadline or until a new snapshot wakes the selector; false if the deadline has
+     * passed.
+     */
     private boolean awaitOperation(int operation, long deadlineNanos) throws IOException {
         selectionKey.interestOps(operation);
         long remainingMillis = (deadlineNanos - System.nanoTime()) / 1_000_000;
@@ -208,7 +214,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            Logger.debug("figures: {}", e.getMessage());
+            Logger.debug("metrics: {}", e.getMessage());
         }
         channel = null;
         selectionKey = null;
--- a/src/main/java/olivechute/metrics/MetricsSnapshot.java
+++ b/src/main/java/olivechute/metrics/MetricsSnapshot.java
@@ -5,8 +5,8 @@
 import olivechute.fleet.wire.NodeFigures;
 
 /**
- * A copy of the counts, which nobody changes. The loop makes it; the message is put together where it is sent, so that
- * the loop never waits for the library's classes.
+ * An immutable copy of the counters. The event loop makes it; the message is built by the sender's thread, so that the
+ * event loop never waits for the classes of the protobuf library to load.
  */
 record MetricsSnapshot(long sequence, long atMs, long[][] classCounts, long ruleViolations, long[] delayCounts) {
     static final int RECEIVED = 0;
@@ -15,13 +15,15 @@
     static final int REJECTED = 3;
     static final int FAILED = 4;
     static final int CLIENT_DISCONNECTED = 5;
-    /** How many counts a class has. */
+    /** Number of counters per request class. */
     static final int COUNTS_PER_CLASS = 6;
 
-    /** Whose counts they are: the node, what it runs, its process, and its classes in order. */
+    /**
+     * The source of the counters: the node, its version, its incarnation and the names of its request classes in order.
+     */
     record Origin(String node, String version, long incarnation, List<String> classNames) {}
 
-    /** The message for the supervisor. */
+    /** Builds the message for the supervisor. */
     NodeFigures toMessage(Origin origin) {
         NodeFigures.Builder message = NodeFigures.newBuilder()
                 .setNode(origin.node())
--- a/src/main/java/olivechute/metrics/RequestCounters.java
+++ b/src/main/java/olivechute/metrics/RequestCounters.java
@@ -3,10 +3,11 @@
 import olivechute.proxy.RequestMetrics;
 
 /**
- * Counts since the process began. All of it runs on the loop, snapshots too, so nothing is locked and plain numbers do.
+ * Counters since the process started. They are updated and copied on the event loop only and therefore need no locks or
+ * atomics.
  */
 final class RequestCounters implements RequestMetrics {
-    private final long[][] classCounts; // by class, then as Snapshot orders them
+    private final long[][] classCounts; // by request class, then by the index constants of MetricsSnapshot
     private final long[] delayCounts = new long[DelayBuckets.BUCKET_COUNT];
     private long ruleViolations;
     private long sequence;
@@ -50,7 +51,7 @@
         ruleViolations++;
     }
 
-    /** What is counted so far, the next in the sequence; {@code now} in microseconds since the epoch. */
+    /** Copies the counters under the next sequence number; {@code nowUs} is in microseconds since the epoch. */
     MetricsSnapshot snapshot(long nowUs) {
         long[][] copy = new long[classCounts.length][];
         for (int i = 0; i < copy.length; i++) {
--- a/src/main/java/olivechute/metrics/package-info.java
+++ b/src/main/java/olivechute/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What a node counts of itself, and its way to the supervisor of its machine. Counts are cumulative since the process
- * began: a report that is lost costs nothing, and one that comes twice counts once. Nothing here is loaded without
- * {@code OLIVECHUTE_FIGURES}.
+ * A node's request metrics and their transmission to the supervisor of its machine. Counters are cumulative since the
+ * process started: a lost report costs nothing, and a report that arrives twice counts once. No class of this package
+ * is loaded unless {@code OLIVECHUTE_FIGURES} is set.
  */
 package olivechute.metrics;
--- a/src/main/java/olivechute/supervisor/ArtifactVerifier.java
+++ b/src/main/java/olivechute/supervisor/ArtifactVerifier.java
@@ -11,13 +11,13 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.SupervisionException;
 
-/** Whether a program is what a version says. */
+/** Checks a node's jar against the digest that its version demands. */
 final class ArtifactVerifier {
     private ArtifactVerifier() {}
 
     /**
-     * PROGRAM_MISSING where the file is not there or has another SHA-256 digest; an empty one is not asked for. Gives
-     * its digest.
+     * Returns the SHA-256 digest of the program in hexadecimal. Throws PROGRAM_MISSING if the file cannot be read or
+     * has another digest than expected; an empty expected digest accepts any.
      */
     static String verify(String program, String expectedDigest) throws SupervisionException {
         Path path = Path.of(program);
@@ -33,19 +33,19 @@
         if (!expectedDigest.isEmpty() && !actualDigest.equalsIgnoreCase(expectedDigest)) {
             throw new SupervisionException(
                     ErrorCode.PROGRAM_MISSING,
-                    program + " has the digest " + actualDigest + ", wanted is " + expectedDigest);
+                    program + " has the digest " + actualDigest + ", expected " + expectedDigest);
         }
         return actualDigest;
     }
 
-    /** SHA-256 in hexadecimal digits. */
+    /** Returns the SHA-256 digest of a file in hexadecimal. */
     static String sha256(Path file) throws IOException {
         try (InputStream in = new DigestInputStream(Files.newInputStream(file), MessageDigest.getInstance("SHA-256"))) {
             in.transferTo(java.io.OutputStream.nullOutputStream());
             return HexFormat.of()
                     .formatHex(((DigestInputStream) in).getMessageDigest().digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("SHA-256 is in every Java", e);
+            throw new AssertionError("every Java platform provides SHA-256", e);
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/LaunchSpec.java
+++ b/src/main/java/olivechute/supervisor/LaunchSpec.java
@@ -1,9 +1,13 @@
 package olivechute.supervisor;
 
 /**
- * What a node is to run: a version by the order of a number. {@code program}: path of the jar; {@code digest}: SHA-256
- * that it must have, in hexadecimal digits, empty where any will do; {@code found}: the one that it had;
- * {@code config}: the node's whole configuration as JSON.
+ * What a node has to run: a version, as demanded by an order.
+ *
+ * @param orderNumber number of the order that demanded the version
+ * @param program path of the jar
+ * @param expectedDigest SHA-256 digest that the jar must have, in hexadecimal; empty accepts any
+ * @param actualDigest digest that the jar had when the order arrived
+ * @param configJson the node's complete configuration as JSON
  */
 record LaunchSpec(
         String version,
@@ -12,7 +16,7 @@
         String expectedDigest,
         String actualDigest,
         String configJson) {
-    /** Whether a process that runs this can go over to another by reading its configuration again. */
+    /** Whether a process running this can change to the other by reloading its configuration. */
     boolean canReloadTo(LaunchSpec other) {
         return program.equals(other.program)
                 && actualDigest.equals(other.actualDigest)
--- a/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
+++ b/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
@@ -8,16 +8,19 @@
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.supervisor.SupervisorSettings.ManagedNode;
 
-/** Makes of a version what a node of this machine is to run. */
+/** Builds the {@link LaunchSpec} of a node from a version in the store and the node's base configuration file. */
 final class LaunchSpecFactory {
     private final String defaultJar;
 
-    /** {@code own}: the jar of versions that name none. */
+    /** {@code defaultJar}: the jar for versions that name no program. */
     LaunchSpecFactory(String defaultJar) {
         this.defaultJar = defaultJar;
     }
 
-    /** The order as the node's machine takes it; what cannot be carried out says so before anything is ended for it. */
+    /**
+     * Creates the event for the node's state machine. Program and settings are checked here, so that an order that
+     * cannot be carried out carries its error before any process is ended for it.
+     */
     NodeEvent.OrderReceived createOrder(ManagedNode node, VersionSpec spec, long orderNumber) {
         String program = spec.getProgram().isEmpty() ? defaultJar : spec.getProgram();
         try {
--- a/src/main/java/olivechute/supervisor/LeaseRenewer.java
+++ b/src/main/java/olivechute/supervisor/LeaseRenewer.java
@@ -10,12 +10,15 @@
 import olivechute.store.Store;
 import org.tinylog.Logger;
 
-/** Holds the lease of a machine, on a thread of its own, and keeps the machine's report under it. */
-@SuppressWarnings("WaitNotInLoop") // the wait stands in the loop of the caller, which reads the state anew
+/**
+ * Acquires and renews the lease of this machine and writes the machine's report to the store under its fencing token.
+ * {@link #run} is the loop of a thread of its own; the other methods may be called from any thread.
+ */
+@SuppressWarnings("WaitNotInLoop") // the callers' loops check the state again
 final class LeaseRenewer {
-    /** Reports are written again after so many ms, even where nothing changed. */
+    /** The report is written at this interval even if nothing changed. */
     private static final long REPORT_INTERVAL_MS = 1000;
-    /** Without a lease that nobody else holds, it is asked for again after so many. */
+    /** Interval between attempts to acquire the lease while it is not known to be held by another process. */
     private static final long ACQUIRE_RETRY_MS = 50;
 
     private final SupervisorSettings settings;
@@ -33,7 +36,7 @@
     private boolean closed;
     private ErrorCode lastLoggedError;
 
-    /** {@code clock}: steady, ms. */
+    /** {@code monotonicClock}: milliseconds. */
     LeaseRenewer(
             SupervisorSettings settings,
             Store store,
@@ -49,23 +52,23 @@
         this.monotonicClock = monotonicClock;
     }
 
-    /** The lease, if it can be relied on now; else null. */
+    /** Returns the lease if it is certainly still valid, otherwise null. */
     synchronized Store.Lease validLease() {
         return lease != null && monotonicClock.getAsLong() < validUntilMs ? lease : null;
     }
 
-    /** Whether another process was told to hold it. */
+    /** Whether the store last answered that another process holds the lease. */
     synchronized boolean heldByOther() {
         return heldByOther;
     }
 
-    /** The report is to be written anew. */
+    /** Requests that the report is written again without waiting for the interval. */
     synchronized void reportChanged() {
         reportChanged = true;
         notifyAll();
     }
 
-    /** Waits up to so many ms for the lease. */
+    /** Waits for the lease, at most so many milliseconds. */
     synchronized void awaitLease(long millis) throws InterruptedException {
         if (validLease() == null && !closed) {
             wait(millis);
@@ -149,14 +152,14 @@
             case LEASE_HELD -> heldByOther = true;
             default -> {}
         }
-        reportChanged = true; // what was not written is written as soon as there is a lease
+        reportChanged = true; // the report that was not written follows as soon as there is a lease
         if (error.code() != lastLoggedError) {
             lastLoggedError = error.code();
             output.accept("supervisor " + settings.machine() + ": " + error.getMessage());
         }
     }
 
-    /** Lets the lease go, and the report with it. */
+    /** Makes {@link #run} release the lease, which removes the report too. */
     synchronized void close() {
         closed = true;
         notifyAll();
@@ -168,7 +171,10 @@
                 store.release(lease);
             }
         } catch (StoreException e) {
-            Logger.warn("supervisor {}: its lease ends by itself: {}", settings.machine(), e.getMessage());
+            Logger.warn(
+                    "supervisor {}: cannot release its lease, which will expire: {}",
+                    settings.machine(),
+                    e.getMessage());
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/MetricsBuffer.java
+++ b/src/main/java/olivechute/supervisor/MetricsBuffer.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import olivechute.fleet.wire.NodeFigures;
 
-/** The newest figures of each node of the machine. */
+/**
+ * Holds the newest metrics of each node of the machine. {@link MetricsReceiver} updates it from its connection threads,
+ * {@link MetricsPublisher} takes what is new.
+ */
 final class MetricsBuffer {
     private final Set<String> nodes;
     private final Map<String, NodeFigures> latest = new HashMap<>();
@@ -19,7 +22,7 @@
         this.nodes = Set.copyOf(nodes);
     }
 
-    /** What a node told: kept if it is newer. */
+    /** What became of received metrics: they are kept if they are newer than those held. */
     enum UpdateResult {
         NEW_INCARNATION,
         NEWER,
@@ -27,6 +30,7 @@
         UNKNOWN_NODE
     }
 
+    /** Keeps the metrics of a known node if their incarnation or sequence number is higher. */
     synchronized UpdateResult update(NodeFigures metrics) {
         if (!nodes.contains(metrics.getNode())) {
             return UpdateResult.UNKNOWN_NODE;
@@ -44,17 +48,20 @@
         return newIncarnation ? UpdateResult.NEW_INCARNATION : UpdateResult.NEWER;
     }
 
-    /** A process of the node was started: what it calls its version is so. */
+    /** A process of the node was started: the version that it reports is right from now on. */
     synchronized void processStarted(String node) {
         versionOverride.remove(node);
     }
 
-    /** The node's process, started as one version, took over the settings of another, which it cannot know by name. */
+    /**
+     * Replaces the version in the metrics of a process that reloaded its settings: it goes on reporting the version
+     * that it was started with.
+     */
     synchronized void versionOverride(String node, String startedVersion, String currentVersion) {
         versionOverride.put(node, Map.of(startedVersion, currentVersion));
     }
 
-    /** What came since this was asked last. */
+    /** Returns the metrics received since the last call, the newest of each node. */
     synchronized List<NodeFigures> unpublished() {
         List<NodeFigures> result = new ArrayList<>();
         for (String node : unpublished) {
--- a/src/main/java/olivechute/supervisor/MetricsPublisher.java
+++ b/src/main/java/olivechute/supervisor/MetricsPublisher.java
@@ -11,8 +11,8 @@
 import org.tinylog.Logger;
 
 /**
- * Passes on once a second what nodes told, all in one write, on a thread of its own; while the store is slow, seconds
- * are left out.
+ * Writes the nodes' new metrics to the store once a second, all in one write, on a thread of its own. While the store
+ * is slow, seconds are skipped.
  */
 final class MetricsPublisher {
     private static final long INTERVAL_MS = 1000;
@@ -54,7 +54,7 @@
         } catch (StoreException e) {
             if (e.code() != lastLoggedError) {
                 lastLoggedError = e.code();
-                Logger.warn("figures: not passed on: {}", e.getMessage());
+                Logger.warn("metrics: not written to the store: {}", e.getMessage());
             }
         }
     }
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -19,7 +19,11 @@
 import olivechute.supervisor.MetricsBuffer.UpdateResult;
 import org.tinylog.Logger;
 
-/** Takes what nodes tell of their counts; a sender that is slow or odd is dropped. It never waits for the store. */
+/**
+ * Accepts connections on which the nodes send their metrics, and puts these into a {@link MetricsBuffer}. Runs a thread
+ * that accepts and a thread per connection. A sender that is slow or sends an invalid message is disconnected. It never
+ * waits for the store.
+ */
 final class MetricsReceiver implements AutoCloseable {
     private static final int MAX_MESSAGE_BYTES = 64 * 1024;
     private static final int MAX_LENGTH_BYTES = 3;
@@ -33,7 +37,8 @@
     private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
     /**
-     * {@code most}: connections at once, run by {@code threads}; {@code within}: ms that a sender has for each message.
+     * {@code maxConnections}: connections at once, served by {@code threads}; {@code messageTimeoutMs}: milliseconds
+     * that a sender has for each message.
      */
     MetricsReceiver(
             InetSocketAddress address,
@@ -51,12 +56,12 @@
         try {
             listener = new ServerSocket(address.getPort(), maxConnections, address.getAddress());
         } catch (IOException e) {
-            throw new SupervisionException(ErrorCode.NOT_REACHED, "figures: cannot listen on " + address + ": " + e, e);
+            throw new SupervisionException(ErrorCode.NOT_REACHED, "metrics: cannot listen on " + address + ": " + e, e);
         }
         Threads.start("figures", this::accept);
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on, as ADDRESS:PORT. */
     String address() {
         return listener.getInetAddress().getHostAddress() + ":" + listener.getLocalPort();
     }
@@ -67,7 +72,7 @@
                 Socket socket = listener.accept();
                 if (openSockets.size() >= maxConnections) {
                     Logger.warn(
-                            "figures: {} dropped, {} connections are open",
+                            "metrics: connection from {} closed, {} connections are open",
                             socket.getRemoteSocketAddress(),
                             maxConnections);
                     socket.close();
@@ -76,19 +81,23 @@
                 startServing(socket);
             } catch (IOException e) {
                 if (!listener.isClosed()) {
-                    Logger.warn("figures: {}", e.toString());
+                    Logger.warn("metrics: {}", e.toString());
                 }
             }
         }
     }
 
-    /** Gives it a thread. Where the system grants none the sender comes again; the intake goes on. */
+    /**
+     * Serves the connection on a thread. If the system grants no thread, the connection is closed, the sender connects
+     * again, and the receiver goes on accepting.
+     */
     private void startServing(Socket socket) throws IOException {
         openSockets.add(socket);
         try {
             threads.run(() -> serve(socket));
         } catch (OutOfMemoryError noThread) {
-            Logger.warn("figures: {} dropped, the system grants no thread", socket.getRemoteSocketAddress());
+            Logger.warn(
+                    "metrics: connection from {} closed, the system grants no thread", socket.getRemoteSocketAddress());
             openSockets.remove(socket);
             socket.close();
         }
@@ -102,7 +111,7 @@
                 UpdateResult result = buffer.update(metrics);
                 if (result == UpdateResult.UNKNOWN_NODE) {
                     throw new SupervisionException(
-                            ErrorCode.MALFORMED, "no node of this machine is called '" + metrics.getNode() + "'");
+                            ErrorCode.MALFORMED, "no node of this machine is named '" + metrics.getNode() + "'");
                 }
                 if (result == UpdateResult.NEW_INCARNATION) {
                     output.accept("figures from " + metrics.getNode());
@@ -110,19 +119,21 @@
             }
         } catch (SocketTimeoutException e) {
             Logger.warn(
-                    "figures: {} dropped, no message within {} ms", socket.getRemoteSocketAddress(), messageTimeoutMs);
+                    "metrics: connection from {} closed, no message within {} ms",
+                    socket.getRemoteSocketAddress(),
+                    messageTimeoutMs);
         } catch (InvalidProtocolBufferException | SupervisionException e) {
-            Logger.warn("figures: {} dropped: {}", socket.getRemoteSocketAddress(), e.getMessage());
+            Logger.warn("metrics: connection from {} closed: {}", socket.getRemoteSocketAddress(), e.getMessage());
         } catch (IOException e) {
-            Logger.debug("figures: {} ended: {}", socket.getRemoteSocketAddress(), e.toString());
+            Logger.debug("metrics: connection from {} ended: {}", socket.getRemoteSocketAddress(), e.toString());
         } finally {
             openSockets.remove(socket);
         }
     }
 
     /**
-     * One message, its length before it in 7 bits a byte; null at the end. The whole of it has its time, however it
-     * comes.
+     * Reads one message, which is preceded by its length in 7 bits per byte (varint); null at the end of the stream.
+     * The timeout applies to the whole message, however many pieces it arrives in.
      */
     private byte[] readMessage(Socket socket, InputStream in) throws IOException, SupervisionException {
         long deadlineNanos = System.nanoTime() + messageTimeoutMs * 1_000_000L;
@@ -135,21 +146,21 @@
                 return null;
             }
             if (nextByte < 0 || shift == 7 * MAX_LENGTH_BYTES) {
-                throw new SupervisionException(ErrorCode.MALFORMED, "no length of a message");
+                throw new SupervisionException(ErrorCode.MALFORMED, "message length is cut off or too long");
             }
             length |= (nextByte & 0x7f) << shift;
             shift += 7;
         } while (nextByte >= 0x80);
         if (length > MAX_MESSAGE_BYTES) {
             throw new SupervisionException(
-                    ErrorCode.TOO_LARGE, "a message of " + length + " bytes, most is " + MAX_MESSAGE_BYTES);
+                    ErrorCode.TOO_LARGE, "message of " + length + " bytes exceeds the limit of " + MAX_MESSAGE_BYTES);
         }
         byte[] message = new byte[length];
         for (int offset = 0; offset < length; ) {
             socket.setSoTimeout(remainingMillis(deadlineNanos));
             int count = TimedReads.read(in, message, offset, length - offset);
             if (count < 0) {
-                throw new SupervisionException(ErrorCode.MALFORMED, "a message that is cut off");
+                throw new SupervisionException(ErrorCode.MALFORMED, "message is cut off");
             }
             offset += count;
         }
@@ -178,7 +189,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            Logger.debug("figures: {}", e.toString());
+            Logger.debug("metrics: {}", e.toString());
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/NodeEvent.java
+++ b/src/main/java/olivechute/supervisor/NodeEvent.java
@@ -1,28 +1,34 @@
 package olivechute.supervisor;
 
-/** What happened to a node. A run is one process of it; its number is given by the machine that asked for the start. */
+/**
+ * An event for {@link NodeStateMachine}. A run is one process of the node; its id is assigned by the state machine when
+ * it requests the start.
+ */
 sealed interface NodeEvent {
-    /** An order; {@code fault} says why it cannot be carried out, empty where it can. */
+    /** An order arrived; {@code error} says why it cannot be carried out and is empty if it can. */
     record OrderReceived(LaunchSpec launch, String error) implements NodeEvent {}
 
-    /** A process of an earlier supervisor runs at the address of that index. */
+    /** A process of an earlier supervisor runs at the address with that index. */
     record Adopted(int addressIndex, LaunchSpec launch) implements NodeEvent {}
 
-    /** The run answered that it is ready. */
+    /** The readiness probe of the run succeeded. */
     record Ready(long runId) implements NodeEvent {}
 
-    /** The run could not be started at all. */
+    /** The process of the run could not be started. */
     record StartFailed(long runId, String error) implements NodeEvent {}
 
-    /** The run ended; {@code status} is null where nobody can tell, {@code line} the last that it said. */
+    /**
+     * The process of the run exited. {@code exitStatus} is null if it is unknown, {@code lastLine} is the last line of
+     * its output.
+     */
     record Exited(long runId, Integer exitStatus, String lastLine) implements NodeEvent {}
 
-    /** The run read its configuration again; {@code fault} says why it did not take it, empty where it did. */
+    /** The run reread its configuration; {@code error} says why it was not accepted and is empty if it was. */
     record Reloaded(long runId, String error) implements NodeEvent {}
 
-    /** A time given by {@link NodeStateMachine#due} may have come. */
+    /** A deadline given by {@link NodeStateMachine#nextTickMs} may have passed. */
     record Tick() implements NodeEvent {}
 
-    /** All processes are to end, and none is started any more. */
+    /** All processes have to end, and none is started any more. */
     record Stop() implements NodeEvent {}
 }
--- a/src/main/java/olivechute/supervisor/NodeLog.java
+++ b/src/main/java/olivechute/supervisor/NodeLog.java
@@ -10,8 +10,9 @@
 import org.tinylog.Logger;
 
 /**
- * What a process says, in a file that it writes itself, so that it goes on when its supervisor ends. Once over the
- * bound it is copied aside and emptied; what is written between the two is lost.
+ * The log file of a node's process. The process writes it directly, so that it can go on when the supervisor ends. A
+ * file that exceeds the size limit is copied to a second file and truncated; lines written between the copy and the
+ * truncation are lost.
  */
 final class NodeLog {
     private static final int MAX_TAIL_BYTES = 8 * 1024;
@@ -32,7 +33,7 @@
         return file.toFile().length();
     }
 
-    /** Puts the file aside where it is over the bound. */
+    /** Copies and truncates the file if it exceeds the size limit. */
     void rotate() {
         if (size() <= maxBytes) {
             return;
@@ -41,11 +42,11 @@
             Files.copy(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
             log.setLength(0);
         } catch (IOException e) {
-            Logger.warn("cannot put {} aside: {}", file, e.toString());
+            Logger.warn("cannot rotate {}: {}", file, e.toString());
         }
     }
 
-    /** The lines after a place, the last 8 KiB of them at most. */
+    /** Returns the lines after a byte offset, at most the last 8 KiB of them. */
     List<String> linesAfter(long offset) {
         try (RandomAccessFile log = new RandomAccessFile(file.toFile(), "r")) {
             long start = Math.max(offset <= log.length() ? offset : 0, log.length() - MAX_TAIL_BYTES);
@@ -58,7 +59,7 @@
         }
     }
 
-    /** The last line with something in it that was said after a place, cut at 400 characters; empty for none. */
+    /** Returns the last line after a byte offset that is not blank, cut at 400 characters; empty if there is none. */
     String lastLineAfter(long offset) {
         String lastLine = linesAfter(offset).stream()
                 .filter(line -> !line.isBlank())
--- a/src/main/java/olivechute/supervisor/NodeProcess.java
+++ b/src/main/java/olivechute/supervisor/NodeProcess.java
@@ -13,8 +13,12 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A process of a node, started here or by an earlier supervisor. {@code started} is the {@link LaunchSpec} that its
- * environment tells of, {@code since} the length of its log at its start.
+ * The operating system process of a node, started by this supervisor or by an earlier one.
+ *
+ * @param exitStatus completes when the process exits; with null for a process of an earlier supervisor
+ * @param logOffset length of the log when the process was started or adopted
+ * @param initialLaunch the {@link LaunchSpec} that it was started with or, for a process of an earlier supervisor, the
+ *     recorded one
  */
 record NodeProcess(
         ProcessHandle handle,
@@ -23,10 +27,10 @@
         long logOffset,
         Path configFile,
         LaunchSpec initialLaunch) {
-    /** ms by which the machine's clock may tell the start of one process apart when asked twice. */
+    /** Maximum difference between two readings of the start time of one process, in milliseconds. */
     private static final long START_TIME_TOLERANCE_MS = 2000;
 
-    /** Starts a jar as a node; it writes its log itself. */
+    /** Starts a jar as a node; the process writes its log file itself. */
     static NodeProcess start(
             List<String> javaCommand, LaunchSpec launch, Map<String, String> environment, NodeLog log, Path configFile)
             throws IOException {
@@ -36,7 +40,7 @@
                 .redirectErrorStream(true)
                 .redirectInput(ProcessBuilder.Redirect.from(Path.of("/dev/null").toFile()))
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.file().toFile()));
-        builder.environment().remove("LB_DISCOVERY"); // it would come before the file's
+        builder.environment().remove("LB_DISCOVERY"); // would take precedence over the configuration file
         builder.environment().putAll(environment);
         long logOffset = log.size();
         Process process = builder.start();
@@ -44,7 +48,10 @@
                 process.toHandle(), process.onExit().thenApply(Process::exitValue), log, logOffset, configFile, launch);
     }
 
-    /** The process that an earlier supervisor noted; empty where it ended or its pid is another's now. */
+    /**
+     * Finds the process that an earlier supervisor recorded; empty if it exited or its pid belongs to another process
+     * now.
+     */
     static Optional<NodeProcess> find(SupervisorStateFile.ProcessRecord stored, NodeLog log) {
         return ProcessHandle.of(stored.pid())
                 .filter(ProcessHandle::isAlive)
@@ -67,12 +74,12 @@
                 handle.pid(), startTimeMs(handle), address, configFile.toString(), launch);
     }
 
-    /** Has it read its configuration again. */
+    /** Makes the process read its configuration again. */
     void sendHangup() throws IOException {
         new ProcessBuilder("/bin/sh", "-c", "kill -HUP " + handle.pid()).start();
     }
 
-    /** Waits for its end; false once that takes longer than so many ms. */
+    /** Waits for the exit of the process; false on timeout. */
     boolean waitForExit(long timeoutMs) throws InterruptedException {
         try {
             exitStatus.get(timeoutMs, TimeUnit.MILLISECONDS);
--- a/src/main/java/olivechute/supervisor/NodeReport.java
+++ b/src/main/java/olivechute/supervisor/NodeReport.java
@@ -3,9 +3,13 @@
 import olivechute.rollout.NodePhase;
 
 /**
- * A node as the supervisor reports it. {@code version}: what serves now, empty for nothing; {@code since}: ms since the
- * epoch at which that or the phase changed; {@code order}: number of the last order that came to an end, well or not;
- * {@code crashes}: starts under the version of the newest order that ended by themselves or were not ready in time,
- * since that order.
+ * The state of a node as the supervisor reports it to the store.
+ *
+ * @param version version that serves now, empty for none
+ * @param sinceMs milliseconds since the epoch when version or phase last changed
+ * @param completedOrder number of the last order that was carried out, rejected, or has led to a crash
+ * @param crashes starts under the version of the newest order that exited by themselves or were not ready in time,
+ *     since that order
+ * @param lastError the last error of the node, empty for none
  */
 record NodeReport(String version, NodePhase phase, long sinceMs, long completedOrder, int crashes, String lastError) {}
--- a/src/main/java/olivechute/supervisor/NodeRunner.java
+++ b/src/main/java/olivechute/supervisor/NodeRunner.java
@@ -19,9 +19,12 @@
 import olivechute.supervisor.SupervisorSettings.ManagedNode;
 import org.tinylog.Logger;
 
-/** Carries out what a node's machine decides. All but what it posts runs on the supervisor's own thread. */
+/**
+ * Carries out the actions of one node's {@link NodeStateMachine}: starts, signals and monitors its processes. Runs on
+ * the supervisor's thread; its own threads only post events.
+ */
 @SuppressWarnings({"ReferenceEquality", "FutureReturnValueIgnored"
-}) // identity of the one process; a failed task is logged by what it runs
+}) // the same process object is meant; a failed task is logged by what it runs
 final class NodeRunner {
     private static final long MAX_LOG_BYTES = 16 * 1024 * 1024;
     private static final long POLL_INTERVAL_MS = 50;
@@ -36,7 +39,7 @@
     private final Consumer<NodeEvent> eventSink;
     private final Consumer<String> output;
     private final NodeStateMachine stateMachine;
-    private final LaunchSpec storedLaunch; // null where no earlier supervisor took up an order
+    private final LaunchSpec storedLaunch; // null if no earlier supervisor accepted an order
     private final List<NodeLog> logs = new ArrayList<>();
     private final Map<Long, NodeProcess> processes = new HashMap<>();
     private final Map<Integer, NodeProcess> adoptable = new HashMap<>();
@@ -81,12 +84,15 @@
         return node;
     }
 
-    /** What the last supervisor took up here. */
+    /** Returns what an earlier supervisor last accepted for this node. */
     Optional<LaunchSpec> storedLaunch() {
         return Optional.ofNullable(storedLaunch);
     }
 
-    /** Takes over what an earlier supervisor left running. */
+    /**
+     * Adopts the processes that an earlier supervisor left running. A process at an address that is no longer the
+     * node's is terminated.
+     */
     void adopt(long nowMs) {
         for (int i = 0; i < node.addresses().size(); i++) {
             NodeLog log = logs.get(i);
@@ -101,7 +107,7 @@
                 handle(new NodeEvent.Adopted(i, stored.launch()), nowMs);
             } else if (process != null) {
                 Logger.warn(
-                        "node {} ran at {}, which is not its address any more: it is ended",
+                        "node {} runs at {}, which is no longer one of its addresses: terminating it",
                         node.name(),
                         stored.address());
                 process.handle().destroy();
@@ -113,7 +119,7 @@
         return directory.file(node.name() + "." + addressIndex + ".pid");
     }
 
-    /** Puts an event to the machine and does what follows. */
+    /** Passes an event to the state machine and executes the resulting actions. */
     void handle(NodeEvent event, long nowMs) {
         pendingEvents.add(event);
         while (!pendingEvents.isEmpty()) {
@@ -190,7 +196,7 @@
         }
     }
 
-    /** Waits, on threads of its own, for its readiness and for its end. */
+    /** Waits on other threads for the process to become ready and to exit. */
     private void monitor(long runId, int addressIndex, NodeProcess process) {
         processes.put(runId, process);
         process.exitStatus()
@@ -211,7 +217,7 @@
         });
     }
 
-    /** Forgets a process that ended. */
+    /** Removes a process that exited, and its pid file. */
     void removeProcess(long runId) {
         NodeProcess removed = processes.remove(runId);
         for (int i = 0; removed != null && i < logs.size(); i++) {
@@ -256,7 +262,7 @@
         try {
             directory.replace(process.configFile(), launch.configJson());
         } catch (IOException e) {
-            Logger.warn("node {}: its configuration cannot be put back: {}", node.name(), e.toString());
+            Logger.warn("node {}: cannot write its configuration file: {}", node.name(), e.toString());
         }
         int addressIndex = logs.indexOf(process.log());
         save(
@@ -271,14 +277,14 @@
             directory.save(file, values);
         } catch (IOException e) {
             Logger.error(
-                    "node {}: {} cannot be written, after a restart of the supervisor it will be out of date: {}",
+                    "node {}: cannot write {}, which will be out of date after a restart of the supervisor: {}",
                     node.name(),
                     file,
                     e.toString());
         }
     }
 
-    /** Keeps the logs within their bound. */
+    /** Truncates the logs that exceed the size limit. */
     void rotateLogs() {
         logs.forEach(NodeLog::rotate);
     }
--- a/src/main/java/olivechute/supervisor/NodeSlot.java
+++ b/src/main/java/olivechute/supervisor/NodeSlot.java
@@ -1,11 +1,14 @@
 package olivechute.supervisor;
 
-/** One address of a node, and the process there. */
+/**
+ * One address of a node and the process there, as {@link NodeStateMachine} sees it. Times are milliseconds since the
+ * epoch.
+ */
 final class NodeSlot {
-    /** What is in the slot. */
+    /** State of the process at the address. */
     enum State {
         EMPTY,
-        /** Left by an earlier supervisor, not known yet to be ready. */
+        /** Started by an earlier supervisor and not yet known to be ready. */
         ADOPTED,
         STARTING,
         READY,
@@ -17,9 +20,9 @@
     State state = State.EMPTY;
     long runId;
     LaunchSpec launch;
-    /** What it was told to go over to while it runs, else null. */
+    /** What the process is reloading its configuration to, else null. */
     LaunchSpec reloadTarget;
-    /** ms at which the present state has lasted too long. */
+    /** When the present state, or the reload in it, times out. */
     long deadlineMs = Long.MAX_VALUE;
 
     long readySinceMs;
@@ -49,7 +52,7 @@
         return state == State.STARTING;
     }
 
-    /** Whether clients may be served there by a process that was not told to end. */
+    /** Whether the process may be serving clients and was not asked to end. */
     boolean isServing() {
         return state == State.READY || state == State.ADOPTED;
     }
--- a/src/main/java/olivechute/supervisor/NodeStateMachine.java
+++ b/src/main/java/olivechute/supervisor/NodeStateMachine.java
@@ -15,9 +15,9 @@
 import olivechute.supervisor.NodeEvent.Stop;
 
 /**
- * Decides for one node. It has one or two addresses, each with one process at most. Where an address is free, the new
- * version starts there and the old one is told to end only once the new one is ready; else the old one ends first.
- * Times are ms since the epoch.
+ * Decides what to do for one node; does no I/O. A node has one or two addresses with at most one process each. If an
+ * address is free, the new version starts there, and the old process drains only once the new one is ready; otherwise
+ * the old process ends first. Called on the supervisor's thread. Times are milliseconds since the epoch.
  */
 final class NodeStateMachine {
     private final String node;
@@ -28,8 +28,8 @@
     private final long minOrderNumber;
     private LaunchSpec target;
     private boolean rejected;
-    private boolean reloadTimedOut; // the target was not taken over in time by reading again
-    private boolean targetWasReady; // the target was ready here once
+    private boolean reloadTimedOut; // the reload to the target timed out, so it takes a new process
+    private boolean targetWasReady; // the target has been ready on this node before
     private boolean stopping;
     private int consecutiveFailures;
     private int crashes;
@@ -39,7 +39,10 @@
     private String lastError = "";
     private NodeReport report;
 
-    /** {@code floor}: number of the last order that an earlier supervisor took up; a lower one is never carried out. */
+    /**
+     * {@code minOrderNumber}: number of the last order that an earlier supervisor accepted; orders with a lower number
+     * are ignored.
+     */
     NodeStateMachine(
             String node, List<String> addresses, NodeTimeouts timeouts, long minOrderNumber, RandomGenerator random) {
         this.node = node;
@@ -52,7 +55,7 @@
         report = new NodeReport("", NodePhase.DOWN, 0, 0, 0, "");
     }
 
-    /** What is to be done now that this happened. */
+    /** Returns the actions that follow from an event, in order. */
     List<NodeAction> handle(NodeEvent event, long nowMs) {
         actions.clear();
         if (event instanceof OrderReceived e) {
@@ -248,7 +251,7 @@
                         .findFirst()
                         .orElse(null));
         for (NodeSlot slot : slots) {
-            // What never served goes at once; what serves only when the other is ready.
+            // A starting process is drained at once, a serving one only when its replacement is ready.
             if (slot != current
                     && !slot.isEmpty()
                     && !slot.isDraining()
@@ -281,7 +284,7 @@
         }
     }
 
-    /** ms at which {@link NodeEvent.Tick} is wanted; the greatest number for never. */
+    /** When the next {@link NodeEvent.Tick} is due; {@link Long#MAX_VALUE} for never. */
     long nextTickMs() {
         boolean waitingForRetry = target != null
                 && !rejected
@@ -327,17 +330,17 @@
         return new NodeReport(version, phase, unchanged ? report.sinceMs() : nowMs, completedOrder, crashes, lastError);
     }
 
-    /** How the node stands after the last event. */
+    /** Returns the state of the node after the last event. */
     NodeReport report() {
         return report;
     }
 
-    /** What the newest order wants, null before the first. */
+    /** Returns what the newest order demands; null before the first order. */
     LaunchSpec target() {
         return target;
     }
 
-    /** Whether no process of it is left. */
+    /** Whether the node has no process. */
     boolean isIdle() {
         return slots.stream().allMatch(NodeSlot::isEmpty);
     }
--- a/src/main/java/olivechute/supervisor/NodeTimeouts.java
+++ b/src/main/java/olivechute/supervisor/NodeTimeouts.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** How long things of a node may take, and how long to wait before it is started again after it ended by itself. */
+/** Time limits for starting and draining a node, and bounds of the backoff between a failure and the next start. */
 record NodeTimeouts(Duration readyTimeout, Duration drainTimeout, Duration minBackoff, Duration maxBackoff) {
     private static final int MAX_DOUBLINGS = 20;
 
     /**
-     * Wait before the start after so many failures in turn, ms: doubles up to the most, give or take a fifth by chance.
+     * Returns the delay in milliseconds before the next start after so many consecutive failures: it doubles up to the
+     * maximum and is varied randomly by up to 20 %.
      */
     long backoffMillis(int failures, RandomGenerator random) {
         long delayMs = Math.min(maxBackoff.toMillis(), minBackoff.toMillis() << Math.min(MAX_DOUBLINGS, failures - 1));
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -17,11 +17,11 @@
 import org.tinylog.Logger;
 
 /**
- * Watches the orders, on a thread of its own and only while the lease is held. After each cut and under each new lease
- * it reads all of them before it gives any; one that was not taken up is given again.
+ * Watches the orders in the store, on a thread of its own and only while the lease is held. After each store error and
+ * under each new lease it reads all orders before it delivers any; an order that was not accepted is delivered again.
  */
 final class OrderWatcher {
-    /** An order for a node. */
+    /** An order and the node that it is for. */
     record NodeOrder(String node, OrderReceived order) {}
 
     private static final String ORDER_PREFIX = "order/";
@@ -41,7 +41,7 @@
     private ErrorCode lastLoggedError;
     private volatile boolean closed;
 
-    /** {@code taken}: number of the newest order that a node took up, below 0 for none. */
+    /** {@code currentOrderNumber}: number of the newest order that a node accepted, negative for none. */
     OrderWatcher(
             Map<String, ManagedNode> nodes,
             Store store,
@@ -141,7 +141,7 @@
                                 node, VersionSpec.newBuilder().setId(version).build(), 0)));
             } else if (!Long.valueOf(orderNumber).equals(missingVersionOrders.put(node.name(), orderNumber))) {
                 Logger.warn(
-                        "node {}: order {} names the version {}, which the store does not hold",
+                        "node {}: order {} names the version {}, which the store does not contain",
                         node.name(),
                         orderNumber,
                         version);
--- a/src/main/java/olivechute/supervisor/ReadinessProbe.java
+++ b/src/main/java/olivechute/supervisor/ReadinessProbe.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import olivechute.net.TimedReads;
 
-/** Asks one of our own nodes whether it is ready. */
+/** Readiness probe for a node of this machine, an HTTP request to {@code /health/ready}. */
 final class ReadinessProbe {
     private static final int TIMEOUT_MS = 1000;
     private static final byte[] REQUEST =
@@ -15,7 +15,9 @@
 
     private ReadinessProbe() {}
 
-    /** True if it answers 200 within a second. */
+    /**
+     * Returns true if the node answers with status 200 within the timeout of 1 second for connecting and for each read.
+     */
     static boolean isReady(InetSocketAddress address) {
         try (Socket socket = new Socket()) {
             socket.connect(address, TIMEOUT_MS);
--- a/src/main/java/olivechute/supervisor/SettingsOverlay.java
+++ b/src/main/java/olivechute/supervisor/SettingsOverlay.java
@@ -11,18 +11,21 @@
 import olivechute.error.ErrorCode;
 import olivechute.error.SettingsException;
 
-/** A version's settings laid over a node's own file. */
+/** Merges a version's settings into a node's own configuration file. */
 final class SettingsOverlay {
     private static final String CEILINGS = "settings.ceilings";
-    /** What a node takes over when it reads its file again; see {@link olivechute.config.NodeConfig#fixedSince}. */
+    /**
+     * Paths that a node applies when it reads its configuration again; see
+     * {@link olivechute.config.NodeConfig#fixedSince}.
+     */
     private static final List<String> RELOADABLE_PATHS =
             List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
 
     private SettingsOverlay() {}
 
     /**
-     * The whole configuration as JSON on one line; SETTINGS_INVALID where the text is no HOCON or refers to what is not
-     * there.
+     * Returns the merged configuration as JSON on one line, in which the overlay takes precedence. Throws
+     * SETTINGS_INVALID if a text is not valid HOCON or refers to a value that does not exist.
      */
     static String merge(String base, String overlay) throws SettingsException {
         try {
@@ -33,7 +36,7 @@
         }
     }
 
-    /** Whether nothing differs but what a node can change while it runs. */
+    /** Whether the configurations differ only in what a node can change while it runs. */
     static boolean canReload(String before, String after) {
         return withoutReloadable(before).equals(withoutReloadable(after));
     }
@@ -43,7 +46,7 @@
         for (String path : RELOADABLE_PATHS) {
             rest = rest.withoutPath(path);
         }
-        // To a node an object without keys is as good as none.
+        // A node treats an object without keys as a missing one.
         return rest.hasPath(CEILINGS) && rest.getConfig(CEILINGS).isEmpty() ? rest.withoutPath(CEILINGS) : rest;
     }
 
--- a/src/main/java/olivechute/supervisor/StartFailureClassifier.java
+++ b/src/main/java/olivechute/supervisor/StartFailureClassifier.java
@@ -2,17 +2,17 @@
 
 import java.util.regex.Pattern;
 
-/** Tells a node that refuses its program or settings from one that broke. */
+/** Tells nodes that reject their program or settings from nodes that crash. */
 final class StartFailureClassifier {
     private static final Pattern SETTINGS_ERROR = Pattern.compile("[A-Za-z_][A-Za-z0-9_.\\[\\]-]*: .*");
-    /** A neighbour may hold the address for a moment: worth another start. */
+    /** Another process may hold the address for a moment, so another start is worthwhile. */
     private static final String ADDRESS_IN_USE_PREFIX = "LB_LISTEN: cannot listen";
 
     private StartFailureClassifier() {}
 
     /**
-     * Whether an end with this status and last line, before it was ever ready, says that another start would end the
-     * same way.
+     * Whether a process that exited with this status and last line before it was ever ready would fail the same way if
+     * started again.
      */
     static boolean isPermanent(Integer exitStatus, String lastLine) {
         return exitStatus != null
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -21,8 +21,8 @@
 import org.tinylog.Logger;
 
 /**
- * Runs the nodes of a machine. One thread decides and acts; others hold the lease, read orders, pass figures on and
- * wait for processes, and post to it what they see.
+ * Runs the nodes of one machine. One thread decides and acts; other threads renew the lease, read orders, publish
+ * metrics and wait for processes, and post events to it.
  */
 final class Supervisor implements AutoCloseable {
     private static final int EVENT_QUEUE_CAPACITY = 4096;
@@ -50,8 +50,8 @@
     private boolean stopping;
 
     /**
-     * {@code own}: the jar of versions that name none. {@code clock}: ms since the epoch. Takes the folder and the
-     * address for figures, and faults where it cannot. The store is closed with it.
+     * {@code defaultJar}: the jar for versions that name no program; {@code clock}: milliseconds since the epoch. Locks
+     * the directory and opens the metrics address; throws if either fails. {@link #close} closes the store too.
      */
     Supervisor(
             SupervisorSettings settings,
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Starts its threads and returns. */
+    /** Starts the supervisor's threads and returns. */
     void start() {
         Threads.start("supervisor", this::run);
     }
@@ -175,7 +175,7 @@
             return;
         }
         if (queued.event() instanceof NodeEvent.OrderReceived && (stopping || leaseRenewer.validLease() == null)) {
-            return; // read before the lease ran out: it is read again under the next one
+            return; // was read before the lease expired; it is read again under the next lease
         }
         NodeRunner runner = runners.get(queued.node());
         dispatch(runner, queued.event(), nowMs);
@@ -184,7 +184,10 @@
         }
     }
 
-    /** Without a store, nodes start as they were last ordered, or under the version that they begin with. */
+    /**
+     * Starts nodes without orders from the store after one lease time: with what they were last ordered to run, or with
+     * their initial version.
+     */
     private void startWithoutStore(long waitedMs, long nowMs) {
         if (waitedMs < settings.leaseTtl().toMillis() || leaseRenewer.heldByOther() || stopping) {
             return;
@@ -192,7 +195,7 @@
         for (NodeRunner runner : runners.values()) {
             if (runner.stateMachine().target() == null) {
                 Logger.warn(
-                        "node {}: begins without a word of the store",
+                        "node {}: starting without orders from the store",
                         runner.node().name());
                 dispatch(
                         runner,
@@ -240,7 +243,7 @@
         return report.build();
     }
 
-    /** Ends its nodes in good order, lets the lease go and returns; what does not end in time is killed. */
+    /** Drains the nodes, releases the lease and returns; a process that does not exit in time is killed. */
     @Override
     public void close() throws InterruptedException {
         post(null, new NodeEvent.Stop());
--- a/src/main/java/olivechute/supervisor/SupervisorCommand.java
+++ b/src/main/java/olivechute/supervisor/SupervisorCommand.java
@@ -12,12 +12,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs the nodes of one machine as the store orders. */
+/**
+ * The {@code supervise} command: runs a {@link Supervisor} for the nodes of one machine until a signal ends the
+ * process.
+ */
 @Command(
         name = "supervise",
         mixinStandardHelpOptions = true,
-        description = "Runs the nodes of one machine as the store orders.",
-        footer = "Exit status: 1 settings that cannot be used or trouble that is told, 2 wrong call, "
+        description = "Runs the nodes of one machine according to the orders in the store.",
+        footer = "Exit status: 1 invalid settings or a reported error, 2 invalid usage, "
                 + "143 after SIGTERM, once its nodes have ended.")
 public final class SupervisorCommand implements Callable<Integer> {
     @Spec
@@ -55,7 +58,7 @@
             spec.commandLine().getErr().println(e.getMessage());
             return 1;
         }
-        Thread.currentThread().join(); // its threads go on until a signal
+        Thread.currentThread().join(); // the supervisor's threads run until a signal
         return 0;
     }
 
--- a/src/main/java/olivechute/supervisor/SupervisorDirectory.java
+++ b/src/main/java/olivechute/supervisor/SupervisorDirectory.java
@@ -22,12 +22,18 @@
 import olivechute.error.SupervisionException;
 import org.tinylog.Logger;
 
-/** The supervisor's folder: replaced as a whole or not at all, and of one process at a time. */
+/**
+ * The directory in which a supervisor stores its state. A lock gives it to one process at a time, and files are
+ * replaced atomically.
+ */
 final class SupervisorDirectory implements AutoCloseable {
     private final Path path;
     private final FileChannel lockChannel;
 
-    /** Takes the folder, which is made where it is not there; DATA_IN_USE while another supervisor has it. */
+    /**
+     * Creates the directory if it does not exist and locks it. Throws DATA_IN_USE while another supervisor holds the
+     * lock.
+     */
     SupervisorDirectory(Path path) throws SupervisionException {
         this.path = path.toAbsolutePath();
         try {
@@ -55,7 +61,7 @@
         return path.resolve(name);
     }
 
-    /** Replaces a file at once: whoever reads it sees the old text or the new. */
+    /** Replaces a file atomically: a reader sees either the old text or the new. */
     void replace(Path file, String text) throws IOException {
         Path newFile = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out = FileChannel.open(
@@ -80,7 +86,7 @@
         }
     }
 
-    /** Removes the configurations of a node that none of these needs. */
+    /** Deletes the configuration files of a node except those in the list. */
     void deleteUnusedConfigs(String node, List<Path> needed) {
         String fileNamePattern = Pattern.quote(node) + "-[0-9]+\\.json";
         try (Stream<Path> files = Files.list(path)) {
@@ -92,8 +98,8 @@
     }
 
     /**
-     * This supervisor's own name as a holder of leases: the same after a restart, so that it need not wait for its own
-     * lease to end.
+     * Returns the name under which this supervisor holds leases. It is the same after a restart, so that the supervisor
+     * does not have to wait for its own lease to expire.
      */
     String leaseOwner(String machine) throws SupervisionException {
         Path file = file("owner");
@@ -113,7 +119,7 @@
         replace(file, text.toString());
     }
 
-    /** What a file holds; empty where there is none or it cannot be read, which is logged. */
+    /** Reads a properties file; empty if it does not exist or cannot be read, which is logged. */
     Optional<Properties> load(Path file) {
         if (!Files.exists(file)) {
             return Optional.empty();
@@ -133,7 +139,7 @@
         try {
             lockChannel.close();
         } catch (IOException e) {
-            Logger.warn("cannot let go of {}: {}", path, e.toString());
+            Logger.warn("cannot release the lock on {}: {}", path, e.toString());
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -17,8 +17,11 @@
 import olivechute.store.ReplicaAddress;
 
 /**
- * What a supervisor is told, in HOCON; deploy/supervise.conf has every key. {@code program} is null for the jar that it
- * runs from, {@code java} the command and its flags before {@code -jar}.
+ * The settings of a supervisor, in HOCON; deploy/supervise.conf has every key.
+ *
+ * @param leaseTtl time to live of the machine's lease
+ * @param programJar the jar for versions that name no program; null for the one that the supervisor runs from
+ * @param javaCommand the java command and its flags before {@code -jar}
  */
 record SupervisorSettings(
         String machine,
@@ -38,12 +41,15 @@
     private static final Duration HOUR = Duration.ofHours(1);
 
     /**
-     * A node: its base file, where it listens (one address or two, of which one serves), and the version before any
-     * order.
+     * A node to run.
+     *
+     * @param configFile its base configuration
+     * @param addresses where it listens: one address, or two of which one serves
+     * @param initialVersion the version that it runs before the first order
      */
     record ManagedNode(String name, Path configFile, List<String> addresses, String initialVersion) {}
 
-    /** Reads a file; SETTINGS_INVALID tells all that is wrong with it. */
+    /** Reads a settings file; the SETTINGS_INVALID error lists everything that is wrong with it. */
     static SupervisorSettings load(Path file) throws SettingsException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
@@ -138,7 +144,7 @@
                 addresses.add(address(each, "second", second));
             }
             if (!names.add(name)) {
-                each.addError("name", "there is another node of that name");
+                each.addError("name", "another node has this name");
             }
             if (!usedAddresses.addAll(addresses) || new HashSet<>(addresses).size() < addresses.size()) {
                 each.addError("listen", "each address can be used once");
@@ -159,7 +165,7 @@
         return text;
     }
 
-    /** Names are parts of keys and of file names. */
+    /** Names are used in keys of the store and in file names. */
     private static String name(HoconObject parent, String key) {
         String name = parent.requiredText(key);
         if (!name.isEmpty() && !name.matches("[A-Za-z0-9][A-Za-z0-9._-]{0,63}")) {
--- a/src/main/java/olivechute/supervisor/SupervisorStateFile.java
+++ b/src/main/java/olivechute/supervisor/SupervisorStateFile.java
@@ -3,9 +3,15 @@
 import java.util.Optional;
 import java.util.Properties;
 
-/** How the folder's files hold what runs and what was ordered. */
+/**
+ * Converts what is stored in the supervisor's directory, the last order and the running processes of a node, to and
+ * from properties.
+ */
 final class SupervisorStateFile {
-    /** A process: what it runs, from which configuration file, and what tells it from a later one with the same pid. */
+    /**
+     * A running process: what it runs and from which configuration file; its start time in milliseconds since the epoch
+     * tells it from a later process with the same pid.
+     */
     record ProcessRecord(long pid, long startedMs, String address, String configFile, LaunchSpec launch) {}
 
     private SupervisorStateFile() {}
@@ -30,7 +36,7 @@
         return values;
     }
 
-    /** Empty where a value is missing or no number. */
+    /** Returns empty if a value is missing or is not a number. */
     static Optional<LaunchSpec> parseLaunch(Properties values) {
         String program = values.getProperty("program");
         String version = values.getProperty("version");
--- a/src/test/java/olivechute/metrics/DelayBucketsTest.java
+++ b/src/test/java/olivechute/metrics/DelayBucketsTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Tests the bounds of the buckets and the mean and 99th percentile computed from them. */
 class DelayBucketsTest {
     @Test
     void boundsGrowByOneFactorFrom50MicrosecondsTo10Seconds() {
@@ -40,7 +41,7 @@
         assertEquals(DelayBuckets.BUCKET_COUNT - 1, DelayBuckets.bucketIndex(Long.MAX_VALUE));
     }
 
-    /** The mean is that of the delays to within a bucket, and all but 1 in 100 lie at or below the p99. */
+    /** The mean is exact to within a bucket, and at most 1 in 100 delays exceeds the p99. */
     @Property
     void meanAndP99ApproximateTheRecordedDelays(
             @ForAll @Size(min = 1, max = 300) List<@LongRange(min = 50, max = 9_000_000) Long> delays) {
--- a/src/test/java/olivechute/metrics/MetricsSenderTest.java
+++ b/src/test/java/olivechute/metrics/MetricsSenderTest.java
@@ -26,8 +26,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The way to a supervisor that is there, is not, comes late, breaks off or stands still. */
-@SuppressWarnings("EmptyCatch") // the receiver ends with its socket
+/** Tests sending to a supervisor that is reachable, absent, starts late, resets the connection or stops reading. */
+@SuppressWarnings("EmptyCatch") // a timeout of accept means that another attempt follows
 public class MetricsSenderTest {
     private static final int TIMEOUT_MS = 10_000;
     private static final int CLASSES = 200;
@@ -63,7 +63,7 @@
         return (InetSocketAddress) supervisor.getLocalSocketAddress();
     }
 
-    /** Ends the sender before its port is another's. */
+    /** Ends the sender before its port can be reused by another process. */
     @AfterMethod(alwaysRun = true)
     public void tearDown() throws IOException {
         sender.shutDown();
@@ -92,7 +92,7 @@
         return NodeFigures.parseDelimitedFrom(in);
     }
 
-    /** The first report at or after a sequence number; numbers grow on the way there. */
+    /** Returns the first report with at least this sequence number; checks that the numbers increase until then. */
     private static NodeFigures readUntil(InputStream in, long sequence) throws IOException {
         long previous = 0;
         for (; ; ) {
@@ -138,22 +138,22 @@
     }
 
     /**
-     * Offers until the supervisor is called anew: what was sent into a connection that then breaks is lost, and the
-     * next makes up for it.
+     * Offers snapshots until the sender connects again. What was sent into a connection that then breaks is lost; the
+     * next report makes up for it.
      */
     private InputStream offerUntilReconnected() throws IOException {
         supervisor.setSoTimeout(20);
         for (long end = System.nanoTime() + TIMEOUT_MS * 1_000_000L; System.nanoTime() < end; ) {
             long before = System.nanoTime();
             offer();
-            assertTrue(System.nanoTime() - before < TIMEOUT_MS * 1_000_000L / 2, "waits for the supervisor");
+            assertTrue(System.nanoTime() - before < TIMEOUT_MS * 1_000_000L / 2, "offer waited for the supervisor");
             try {
                 return accept();
             } catch (SocketTimeoutException e) {
 
             }
         }
-        throw new AssertionError("never called anew");
+        throw new AssertionError("the sender never connected again");
     }
 
     @Test
@@ -175,8 +175,8 @@
     }
 
     /**
-     * One that reads nothing holds up its own reports only; they are not stored up for it, and the next to read gets
-     * the newest.
+     * A supervisor that stops reading delays only its own reports. They are not queued for it, and after reconnecting
+     * it receives the newest.
      */
     @Test
     public void reconnectsAndSendsTheNewestAfterAWriteTimeout() throws Exception {
@@ -186,7 +186,7 @@
         assertEquals(readUntil(again, last).getClasses(0).getTaken(), last);
     }
 
-    /** Ended, it sends what it has and takes leave. */
+    /** After shutDown the sender sends its pending snapshot and closes the connection. */
     @Test
     public void sendsTheLastReportBeforeShutdown() throws Exception {
         InputStream in = acceptAfter(offer());
@@ -208,10 +208,13 @@
         Thread thread = alone.start();
         alone.shutDown();
         thread.join(TIMEOUT_MS);
-        assertTrue(!thread.isAlive(), "waits for its next try");
+        assertTrue(!thread.isAlive(), "the sender waits for its next attempt");
     }
 
-    /** The loop runs on, whatever the supervisor does: here nobody takes even the connection. */
+    /**
+     * The event loop must go on whatever the supervisor does; here the backlog is full, so not even the connection is
+     * accepted.
+     */
     @Test
     public void theEventLoopNeverWaitsForTheSupervisor() throws Exception {
         ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
--- a/src/test/java/olivechute/metrics/RequestCountersTest.java
+++ b/src/test/java/olivechute/metrics/RequestCountersTest.java
@@ -7,6 +7,7 @@
 import olivechute.fleet.wire.NodeFigures;
 import org.junit.jupiter.api.Test;
 
+/** Tests the mapping of the counters to message fields and the independence of snapshots. */
 class RequestCountersTest {
     private static final MetricsSnapshot.Origin ORIGIN =
             new MetricsSnapshot.Origin("n0", "v1", 7, List.of("verify", "sign"));
--- a/src/test/java/olivechute/supervisor/MetricsReceiverTest.java
+++ b/src/test/java/olivechute/supervisor/MetricsReceiverTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What nodes tell over real sockets, and what becomes of senders that are odd. */
+/** Tests metrics received over real sockets, and that connections with invalid or slow messages are closed. */
 @Timeout(60)
 @SuppressWarnings("UnsynchronizedOverridesSynchronized") // started once, by the test's thread
 class MetricsReceiverTest {
@@ -35,7 +35,7 @@
         receiver = new MetricsReceiver(new InetSocketAddress("127.0.0.1", 0), buffer, 2, 500, threads(), output::add);
     }
 
-    /** The system's, but for the first ones after {@link #refusals} was set. */
+    /** Runs tasks on system threads, except for as many as {@link #threadFailures} says, whose start fails. */
     private ConnectionThreads threads() {
         return new ConnectionThreads(task -> new Thread(task) {
             @Override
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The other end closes: an end or a reset. */
+    /** Asserts that the other end closes the connection, by an end of stream or a reset. */
     private static void assertClosed(Socket socket) {
         try {
             assertEquals(-1, socket.getInputStream().read());
@@ -109,8 +109,8 @@
     }
 
     /**
-     * More senders than may be connected at once find no thread: each leaves its place, and the one that comes again is
-     * heard.
+     * Guards against a leak of connection slots: when more connections than the limit of 2 fail for lack of a thread,
+     * each must free its slot, so that the next connection is served.
      */
     @Test
     void closesConnectionsWithoutAThreadAndServesTheNext() throws Exception {
--- a/src/test/java/olivechute/supervisor/NodeStateMachinePropertyTest.java
+++ b/src/test/java/olivechute/supervisor/NodeStateMachinePropertyTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Whatever happens in whatever order. */
+/** Checks the invariants of {@link NodeStateMachine} under random sequences of events. */
 class NodeStateMachinePropertyTest {
-    /** A process as the world has it. */
+    /** The actual state of a process, which the state machine only learns from events. */
     private static final class FakeProcess {
         long runId;
         int address;
@@ -34,21 +34,21 @@
         for (NodeAction action : machine.handle(event, nowMs)) {
             if (action instanceof NodeAction.Start a) {
                 started(a.runId(), a.addressIndex(), a.launch());
-                assertTrue(a.launch().orderNumber() >= highestOrder, "an older order is carried out");
+                assertTrue(a.launch().orderNumber() >= highestOrder, "an older order was carried out");
                 highestOrder = a.launch().orderNumber();
             } else if (action instanceof NodeAction.Adopt a) {
                 started(a.runId(), a.addressIndex(), a.launch());
             } else if (action instanceof NodeAction.Drain a) {
                 drained(running.get(a.runId()));
             } else if (action instanceof NodeAction.Kill a) {
-                assertTrue(running.get(a.runId()).drainRequested, "killed before it was asked to end");
+                assertTrue(running.get(a.runId()).drainRequested, "killed before it was asked to drain");
             } else if (action instanceof NodeAction.Reload a) {
-                assertTrue(running.get(a.runId()).ready, "a start would end on this signal");
+                assertTrue(running.get(a.runId()).ready, "SIGHUP would end a process that is still starting");
             } else if (action instanceof NodeAction.RecordLaunch a) {
                 running.get(a.runId()).launch = a.launch();
             }
         }
-        assertTrue(machine.nextTickMs() > nowMs, "asks for a tick over and over");
+        assertTrue(machine.nextTickMs() > nowMs, "the next tick is not in the future");
     }
 
     private void started(long id, int address, LaunchSpec launch) {
@@ -61,7 +61,7 @@
     }
 
     private void drained(FakeProcess run) {
-        assertTrue(!run.drainRequested, "told to end twice");
+        assertTrue(!run.drainRequested, "asked to drain twice");
         run.drainRequested = true;
         String target = machine.target().version();
         if (addressCount == 2 && run.ready && !run.launch.version().equals(target)) {
@@ -70,12 +70,14 @@
                             .anyMatch(r -> r.ready
                                     && !r.drainRequested
                                     && r.launch.version().equals(target)),
-                    "the old one ends before the new one is ready");
+                    "the old process drains before the new one is ready");
         }
-        assertTrue(!run.ready || !run.launch.version().equals(target), "what serves as ordered is ended");
+        assertTrue(
+                !run.ready || !run.launch.version().equals(target),
+                "a process that serves the ordered version is drained");
     }
 
-    /** Each step is a number that says what happens and to which process. */
+    /** Each step is a number that encodes the event and the process that it concerns. */
     @Property(tries = 2000)
     void invariantsHoldForAnyEventSequence(
             @ForAll @IntRange(min = 1, max = 2) int count,
@@ -117,14 +119,14 @@
         assertConverges();
     }
 
-    /** Versions 0 and 1 differ in what can change while running, the others in their programs. */
+    /** Versions 0 and 1 differ only in reloadable settings, the others in their programs. */
     private void order(int version, long number) {
         handle(new NodeEvent.OrderReceived(
                 new LaunchSpec("v" + version, number, "p" + version / 2, "", "", "{\"discovery\":" + version + "}"),
                 ""));
     }
 
-    /** Once nothing goes wrong any more, the newest order is what runs, and nothing else. */
+    /** Once no more errors occur, the version of the newest order must run, and nothing else. */
     private void assertConverges() {
         order(3, 100);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/olivechute/supervisor/NodeStateMachineTest.java
+++ b/src/test/java/olivechute/supervisor/NodeStateMachineTest.java
@@ -18,7 +18,7 @@
 import olivechute.supervisor.NodeEvent.Tick;
 import org.junit.jupiter.api.Test;
 
-/** What a node's machine does on what happens, step by step. */
+/** Tests the actions and reports of {@link NodeStateMachine} event by event. */
 class NodeStateMachineTest {
     static final NodeTimeouts TIMEOUTS = new NodeTimeouts(
             Duration.ofSeconds(20), Duration.ofSeconds(10), Duration.ofMillis(200), Duration.ofSeconds(30));
@@ -38,7 +38,7 @@
         return handle(new OrderReceived(launch(version, number), ""));
     }
 
-    /** The actions, shortly. */
+    /** Handles an event and returns the resulting actions in a short form. */
     private String handle(NodeEvent event) {
         List<String> performed = new ArrayList<>();
         for (NodeAction action : machine.handle(event, nowMs)) {
@@ -163,7 +163,7 @@
         handle(new Ready(run));
         nowMs += 60_000;
         handle(new Exited(run, null, ""));
-        assertTrue(machine.nextTickMs() - nowMs <= 240, "a node that was steady waits as after the first failure");
+        assertTrue(machine.nextTickMs() - nowMs <= 240, "a node that was stable waits as after the first failure");
         assertEquals("start 14 b 0", order("b", 2));
         assertEquals(0, machine.report().crashes());
     }
--- a/src/test/java/olivechute/supervisor/StandInNode.java
+++ b/src/test/java/olivechute/supervisor/StandInNode.java
@@ -10,9 +10,9 @@
 import sun.misc.Signal;
 
 /**
- * A stand-in for a node, run as a process of its own: answers {@code /health/ready}, ends on SIGTERM. Words in its
- * configuration have it refuse ({@code "refuse"}), never be ready ({@code "never"}), break at once ({@code "break"}),
- * stay on SIGTERM ({@code "stay"}), and break once a request asks it to ({@code GET /break}).
+ * A fake node that runs as a process: it answers {@code /health/ready} and exits on SIGTERM. Words in its configuration
+ * make it reject its settings ({@code "refuse"}), never become ready ({@code "never"}), crash on start
+ * ({@code "break"}) or ignore SIGTERM ({@code "stay"}). {@code GET /break} makes it crash.
  */
 public final class StandInNode {
     private StandInNode() {}
--- a/src/test/java/olivechute/supervisor/SuperviseIT.java
+++ b/src/test/java/olivechute/supervisor/SuperviseIT.java
@@ -31,9 +31,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The built jar in all three parts: a replica of the store, a supervisor, and real nodes under it. */
+/** Tests the built jar in its three roles: a replica of the store, a supervisor, and real nodes under it. */
 @Timeout(240)
-@SuppressWarnings("UnusedVariable") // the wait is the point
+@SuppressWarnings("UnusedVariable") // awaitLine is called for its wait
 class SuperviseIT {
     private static final Path JAR = Path.of("target/olivechute.jar").toAbsolutePath();
 
@@ -141,7 +141,7 @@
                 }
             }
         }
-        throw new AssertionError("no figures under " + version);
+        throw new AssertionError("no metrics under " + version);
     }
 
     @Test
@@ -179,7 +179,7 @@
                         .count());
         awaitMetrics("v4");
 
-        supervisor.toHandle().destroy(); // of the process itself would close its output too
+        supervisor.toHandle().destroy(); // Process.destroy would close its output too
         assertTrue(supervisor.waitFor(60, TimeUnit.SECONDS));
         assertEquals(143, supervisor.exitValue());
         rig.awaitLine(drains, "node n ended 143");
--- a/src/test/java/olivechute/supervisor/SupervisorRig.java
+++ b/src/test/java/olivechute/supervisor/SupervisorRig.java
@@ -24,8 +24,8 @@
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.store.Store;
 
-/** A machine's folder, a stand-in's jar, free addresses, and waits that end with what they wait for or fail. */
-@SuppressWarnings("LiteProtoToString") // only told when a check fails
+/** Provides a machine's directory, the jar of the fake node, free addresses, and waits that fail on timeout. */
+@SuppressWarnings("LiteProtoToString") // printed only when a check fails
 final class SupervisorRig {
     static final String BASE_CONFIG = "{\"name\":\"x\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"mode\":\"well\"}}";
     private static final long TIMEOUT_MS = 20_000;
@@ -61,7 +61,7 @@
         return file;
     }
 
-    /** Settings with the stand-in as the program, one node n, at one address or two. */
+    /** Returns settings with the fake node as the program and one node n, at one address or two. */
     String settings(boolean twoAddresses, String extra) {
         return "machine = m, zone = z, folder = \"" + dir.resolve("run") + "\", figures = \"127.0.0.1:0\"\n"
                 + "store { replicas = [{ id = a, address = \"127.0.0.1:1\" }], lease = 2s }\n"
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Waits for a line that begins so, the first after so many lines; gives its place. */
+    /** Waits for a line with this prefix, the first after so many lines; returns its index. */
     int awaitLine(int after, String prefix) throws InterruptedException {
         long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         synchronized (lines) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** What was said by now, beginning so. */
+    /** Returns the number of lines so far with this prefix. */
     long count(String prefix) {
         synchronized (lines) {
             return lines.stream().filter(l -> l.startsWith(prefix)).count();
@@ -125,7 +125,7 @@
         store.write(List.of(Store.Write.put("order/n", order.toByteArray())), List.of());
     }
 
-    /** Waits for a report of the node that is so. */
+    /** Waits for a report of the node that meets the condition. */
     static NodeState awaitReport(Store store, Predicate<NodeState> condition) throws Exception {
         long end = System.nanoTime() + TIMEOUT_MS * 1_000_000;
         long since = 0;
@@ -141,10 +141,10 @@
             }
             store.watch("machine/m", since, Duration.ofSeconds(1));
         } while (System.nanoTime() < end);
-        throw new AssertionError("not so: " + state);
+        throw new AssertionError("condition not met in time, last state: " + state);
     }
 
-    /** What answers at an address, as VERSION PID; empty where nothing does. */
+    /** Returns the body that an address answers, as VERSION PID for the fake node; empty if nothing answers. */
     static String get(String address, String path) throws IOException {
         String[] parts = address.split(":");
         try (Socket socket = new Socket(parts[0], Integer.parseInt(parts[1]))) {
--- a/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorSettingsTest.java
@@ -14,13 +14,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a supervisor's settings say, which key is blamed, and how a version's settings are laid over a node's file. */
+/**
+ * Tests the supervisor's settings, the key that errors name, and the merging of a version's settings into a node's
+ * configuration file.
+ */
 class SupervisorSettingsTest {
     private static final String MINIMAL =
             "machine = m, folder = f, store.replicas = [{ id = a, address = \"127.0.0.1:1\" }]\n"
                     + "nodes = [{ name = n, config = c, listen = \"127.0.0.1:2\", version = v }]\n";
 
-    /** The file that is shipped says what the defaults are. */
+    /** The example file that is shipped must state the defaults. */
     @Test
     void theShippedFileHasTheDefaults() throws Exception {
         SupervisorSettings shipped = SupervisorSettings.load(Path.of("deploy/supervise.conf"));
--- a/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorStateFileTest.java
@@ -10,14 +10,14 @@
 import olivechute.RecordedEncodings;
 import org.junit.jupiter.api.Test;
 
-/** What a supervisor notes of its orders and processes, as an earlier build wrote it, is read and written alike. */
+/** Tests that the stored orders and processes are written and read in the same format as by earlier builds. */
 class SupervisorStateFileTest {
     private static final LaunchSpec LAUNCH =
             new LaunchSpec("v2", 9, "/programs/p.jar", "ab12", "cd34", "{\"name\":\"n1\"}");
     private static final SupervisorStateFile.ProcessRecord PROCESS = new SupervisorStateFile.ProcessRecord(
             4711, 1_700_000_000_000L, "127.0.0.1:7070", "/folder/n1-9.json", LAUNCH);
 
-    /** The lines of a file of properties without the date that it begins with, in order. */
+    /** Returns the lines of a properties file in order, without its leading date comment. */
     private static byte[] text(Properties values) throws Exception {
         StringWriter text = new StringWriter();
         values.store(text, null);
--- a/src/test/java/olivechute/supervisor/SupervisorTest.java
+++ b/src/test/java/olivechute/supervisor/SupervisorTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A supervisor over a store in memory, with processes that stand in for nodes. */
+/** Tests a supervisor with an in-memory store and processes of a fake node. */
 @Timeout(120)
 class SupervisorTest {
     @TempDir
@@ -148,7 +148,7 @@
         assertTrue(state.getTrouble().contains("discovery: must be"), state.getTrouble());
         assertTrue(
                 Files.readString(dir.resolve("run").resolve("n-0.json")).contains("127.0.0.1:2"),
-                "the file is put back");
+                "the configuration file is restored");
         SupervisorRig.putVersion(store, "v4", "settings.mode = other");
         SupervisorRig.putOrder(store, "v4", 3);
         rig.awaitLine(again, "node n starts v4");
@@ -203,7 +203,7 @@
         rig.awaitLine(said, "node n ready v2");
     }
 
-    /** Ends the supervisor's lease and takes it before the supervisor does. */
+    /** Releases the supervisor's lease and acquires it before the supervisor does. */
     private Store.Lease takeOver(long session) throws StoreException {
         Store.Lease lease = new Store.Lease("machine/m", "", session, Duration.ofSeconds(2));
         for (int i = 0; i < 1000; i++) {
@@ -219,7 +219,7 @@
                         lease.ttl());
             }
         }
-        throw new AssertionError("the supervisor was always sooner");
+        throw new AssertionError("the supervisor always acquired the lease first");
     }
 
     @Test
