--- a/src/main/java/olivechute/supervisor/SettingsOverlay.java
+++ b/src/main/java/olivechute/supervisor/SettingsOverlay.java
@@ -16,7 +16,7 @@
     private static final String CEILINGS = "settings.ceilings";
     /**
      * Paths that a node applies when it reads its configuration again; see
-     * {@link olivechute.config.NodeConfig#fixedSince}.
+     * {@link olivechute.config.NodeConfig#restartRequiredKeys}.
      */
     private static final List<String> RELOADABLE_PATHS =
             List.of("discovery", CEILINGS + ".open_cap", CEILINGS + ".dial_timeout");
