--- a/src/main/java/olivechute/authorization/ClientAuthorization.java
+++ b/src/main/java/olivechute/authorization/ClientAuthorization.java
@@ -5,13 +5,15 @@
 import olivechute.identity.SpiffeId;
 
 /**
- * Which identities may hand in jobs, and for which tenants. Rules add up: what one allows no other takes back. Without
- * a rule that is about it an identity is no client at all.
+ * Decides which identities may submit jobs, and for which tenants. Rules are additive: none revokes what another
+ * allows. An identity that no rule matches is not a client.
  */
 public final class ClientAuthorization {
     private final List<Rule> rules;
 
-    /** Identities that may speak for these tenants, or, where {@code tenants} is empty, for any and for none. */
+    /**
+     * Allows the matching identities these tenants; with empty {@code tenants}, every tenant and requests without one.
+     */
     public record Rule(SpiffeIdPattern ids, Set<String> tenants) {
         public Rule {
             tenants = Set.copyOf(tenants);
@@ -22,17 +24,20 @@
         }
     }
 
-    /** In any order. */
+    /** Creates the rules; their order does not matter. */
     public ClientAuthorization(List<Rule> rules) {
         this.rules = List.copyOf(rules);
     }
 
-    /** True if this identity may be a client of some tenant: whom else to let in ends at the handshake. */
+    /**
+     * Returns true if this identity may be a client of at least one tenant. Other identities are rejected after the
+     * handshake unless they are endpoints or proxies.
+     */
     public boolean isClient(SpiffeId id) {
         return rules.stream().anyMatch(r -> r.ids.matches(id));
     }
 
-    /** True if this identity may hand in a job of this tenant; null where the job names none. */
+    /** Returns true if this identity may submit a job of this tenant; null if the job names none. */
     public boolean allows(SpiffeId id, String tenant) {
         return rules.stream().anyMatch(r -> r.allows(tenant) && r.ids.matches(id));
     }
--- a/src/main/java/olivechute/authorization/EndpointIdentityRules.java
+++ b/src/main/java/olivechute/authorization/EndpointIdentityRules.java
@@ -5,11 +5,11 @@
 import olivechute.identity.SpiffeId;
 
 /**
- * Which identity the upstream host of a given name must have, as discovery names it. The first rule that is about a
- * name decides; a name that none is about has no identity, so nobody can be it.
+ * Maps the names of upstream endpoints, as discovery gives them, to the identities that they must have. The first rule
+ * that applies to a name decides; a name to which no rule applies has no identity, so no peer is accepted for it.
  */
 public final class EndpointIdentityRules {
-    /** Stands for the host's name in an ID. */
+    /** Placeholder for the endpoint's name in an ID. */
     private static final String PLACEHOLDER = "{host}";
 
     private static final String WILDCARD = "*";
@@ -17,15 +17,15 @@
     private final List<Rule> rules;
 
     /**
-     * {@code host} is a name, or a beginning of names with a star after it; {@code id} is an ID that may hold
+     * {@code endpoint} is a name, or a prefix of names followed by {@code *}; {@code id} is an ID that may contain
      * {@code {host}}.
      */
     public record Rule(String endpoint, String id) {
-        /** Checks both; {@code key} is blamed. */
+        /** Parses a rule; {@code key} is the settings key named in an error. */
         public static Rule parse(String key, String host, String id) {
             if (host.isEmpty() || (host.indexOf('*') >= 0 && host.indexOf('*') != host.length() - 1)) {
                 throw new IllegalArgumentException(
-                        key + ".host: must be a name, or a beginning of some with a star after it");
+                        key + ".host: must be a name, or a prefix of names with a star after it");
             }
             try {
                 if (!SpiffeId.parse(id.replace(PLACEHOLDER, "h")).isWorkload()) {
@@ -37,12 +37,12 @@
             }
             int slash = id.indexOf('/', "spiffe://".length());
             if (id.indexOf(PLACEHOLDER) >= 0 && id.indexOf(PLACEHOLDER) < slash) {
-                throw new IllegalArgumentException(key + ".id: a trust domain is not to hang on a host's name");
+                throw new IllegalArgumentException(key + ".id: a trust domain must not depend on an endpoint's name");
             }
             return new Rule(host, id);
         }
 
-        /** True if some name, put in its place, makes this ID. */
+        /** Returns true if this ID results from the rule for some name to which the rule applies. */
         boolean matchesId(String shown) {
             int at = id.indexOf(PLACEHOLDER);
             if (at < 0) {
@@ -63,32 +63,33 @@
         }
     }
 
-    /** In their order. */
+    /** Creates the rules; the first that applies to a name decides. */
     public EndpointIdentityRules(List<Rule> rules) {
         this.rules = List.copyOf(rules);
     }
 
-    /** The ID that the host of this name must show, null if there is none that would do. */
+    /** Returns the ID that the endpoint of this name must have, null if no ID is valid for it. */
     public SpiffeId requiredId(String endpoint) {
         for (Rule rule : rules) {
             if (rule.appliesTo(endpoint)) {
                 try {
                     return endpoint.indexOf('/') >= 0 ? null : SpiffeId.parse(rule.id.replace(PLACEHOLDER, endpoint));
                 } catch (IdentityRejectedException unfit) {
-                    return null; // a name that no ID can hold
+                    return null; // the name cannot be part of a SPIFFE ID
                 }
             }
         }
         return null;
     }
 
-    /** True if who shows this identity may be the host of some name. */
+    /** Returns true if this identity may be the endpoint of some name. */
     public boolean isEndpoint(SpiffeId id) {
         return rules.stream().anyMatch(r -> r.matchesId(id.toString()));
     }
 
     /**
-     * True if who shows this identity may be the host of this name: for what it is sent, and for what it tells of jobs.
+     * Returns true if this identity is the one of the endpoint of this name; checked for requests sent to it and for
+     * the job status events that it sends.
      */
     public boolean matches(SpiffeId id, String endpoint) {
         return id.equals(requiredId(endpoint));
--- a/src/main/java/olivechute/authorization/SpiffeIdPattern.java
+++ b/src/main/java/olivechute/authorization/SpiffeIdPattern.java
@@ -5,10 +5,10 @@
 import olivechute.identity.SpiffeId;
 
 /**
- * Which SPIFFE IDs a rule is about: one ID ({@code spiffe://td/a/b}), all workloads of a trust domain
- * ({@code spiffe://td}), or a path pattern, in which {@code *} stands for one whole segment and {@code **}, at the end,
- * for one or more. Trust domains hold no pattern: an ID of another domain is judged by another bundle, and a rule is to
- * name whom it trusts.
+ * A pattern of SPIFFE IDs: one ID ({@code spiffe://td/a/b}), all workloads of a trust domain ({@code spiffe://td}), or
+ * a path pattern, in which {@code *} matches one whole segment and {@code **}, at the end, one or more. Trust domains
+ * must not contain wildcards: an ID of another domain is checked against another trust bundle, and a rule must name the
+ * domain that it trusts.
  */
 public final class SpiffeIdPattern {
     private static final String ANY_SEGMENT = "*";
@@ -16,7 +16,7 @@
 
     private final String text;
     private final String trustDomain;
-    private final List<String> segments; // none: the whole trust domain
+    private final List<String> segments; // empty: the whole trust domain
 
     private SpiffeIdPattern(String text, String trustDomain, List<String> segments) {
         this.text = text;
@@ -24,10 +24,10 @@
         this.segments = segments;
     }
 
-    /** Reads a pattern; {@code key} is blamed for one that is none. */
+    /** Parses a pattern; {@code key} is the settings key named in an error. */
     public static SpiffeIdPattern parse(String key, String text) {
         try {
-            // With a letter for each star the rest must be an ID by the standard's letters.
+            // With each star replaced by a letter, the text must be a valid SPIFFE ID.
             SpiffeId id = SpiffeId.parse(text.replace('*', 'x'));
             List<String> segments = id.path().isEmpty()
                     ? List.of()
@@ -36,7 +36,8 @@
             if (text.indexOf('*') >= 0
                     && text.indexOf('*')
                             < "spiffe://".length() + id.trustDomain().length()) {
-                throw new IllegalArgumentException(key + ": a trust domain holds no pattern: '" + text + "'");
+                throw new IllegalArgumentException(
+                        key + ": a trust domain must not contain a wildcard: '" + text + "'");
             }
             for (int i = 0; i < segments.size(); i++) {
                 String s = segments.get(i);
@@ -52,7 +53,7 @@
         }
     }
 
-    /** True if the rule is about this ID. */
+    /** Returns true if this pattern matches the ID. */
     public boolean matches(SpiffeId id) {
         if (!id.trustDomain().equals(trustDomain) || !id.isWorkload()) {
             return false;
--- a/src/main/java/olivechute/authorization/package-info.java
+++ b/src/main/java/olivechute/authorization/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an identity may be: a client of which tenants, a host of which name. Decides on IDs that hold already; does no
- * I/O.
+ * Authorization of identities: which tenants a client may use, and which identity an endpoint must have. Works on
+ * SPIFFE IDs that have already been verified; does no I/O.
  */
 package olivechute.authorization;
--- a/src/main/java/olivechute/grpc/GrpcConnection.java
+++ b/src/main/java/olivechute/grpc/GrpcConnection.java
@@ -33,33 +33,37 @@
 import org.apache.hc.core5.util.ByteArrayBuffer;
 
 /**
- * One side of a gRPC connection, fed bytes: calls that go out, or come in, and the messages and ends of each. What is
- * to be sent waits in {@link #toSend}. Frames, header blocks, messages and what waits are bounded. For one thread at a
- * time.
+ * One side of a gRPC connection over HTTP/2, as a state machine without I/O. The driver passes received bytes to
+ * {@link #feed} and sends {@link #toSend}; calls, messages and stream ends are reported to a {@link Listener}. Frames,
+ * header blocks, messages and pending output are bounded. Not safe for concurrent use.
  */
 public final class GrpcConnection {
     private static final byte[] PREFACE = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final int DEFAULT_WINDOW_BYTES = 65_535; // of a connection and of each stream, until more is told
-    private static final int RECEIVE_WINDOW_BYTES =
-            1 << 20; // of ours: what a peer may send before it hears of more room
+    /** Initial window of the connection and of each stream, RFC 9113. */
+    private static final int DEFAULT_WINDOW_BYTES = 65_535;
+
+    /** Receive window of this side, for the connection and for each stream. */
+    private static final int RECEIVE_WINDOW_BYTES = 1 << 20;
+
     private static final int MAX_MESSAGE_BYTES = 1 << 20;
-    private static final int MAX_HEADER_BLOCK_BYTES = 32 * 1024; // of a header block, encoded
-    private static final int MAX_HEADER_LIST_BYTES = 64 * 1024; // and decoded
+    private static final int MAX_HEADER_BLOCK_BYTES = 32 * 1024; // of an encoded header block
+    private static final int MAX_HEADER_LIST_BYTES = 64 * 1024; // of a decoded header list
     private static final int MAX_STREAMS = 64;
     private static final int MAX_PENDING_BYTES = 4 << 20;
-    private static final int MESSAGE_PREFIX_BYTES = 5; // of a gRPC message: compressed or not, and its length
+    /** Prefix of a gRPC message: one byte for compression, four for the length. */
+    private static final int MESSAGE_PREFIX_BYTES = 5;
 
-    /** What the peer does. */
+    /** Receives the peer's events; called within {@link #feed}. */
     public interface Listener {
-        /** A call came in, or its answer's head. */
+        /** The headers of an incoming call or of a response. */
         void onHeaders(int stream, Map<String, String> headers);
 
-        /** A message, whole. */
+        /** A complete message. */
         void onMessage(int stream, byte[] body);
 
         /**
-         * Nothing more comes on this stream; trailers are empty where the peer sent none, and say so where it broke it
-         * off.
+         * The peer sends no more on this stream. The trailers are empty if it sent none, and hold the key {@code reset}
+         * with the error code if it reset the stream.
          */
         void onEnd(int stream, Map<String, String> trailers);
     }
@@ -72,20 +76,20 @@
     private final Map<Integer, Stream> streams = new TreeMap<>();
     private byte[] in = new byte[2 * (HEADER_BYTES + MAX_PAYLOAD_BYTES)];
     private int bufferedBytes;
-    private int prefaceBytesLeft; // bytes of the client's greeting that a server still waits for
+    private int prefaceBytesLeft; // bytes of the client's connection preface that the server has not received yet
     private int nextStream = 1;
-    private int block; // the stream whose header block goes on, 0 for none
+    private int block; // the stream whose header block is incomplete, 0 for none
     private boolean blockEndsStream;
     private final ByteArrayOutputStream headerBlock = new ByteArrayOutputStream();
-    private long sendWindow = DEFAULT_WINDOW_BYTES; // what we may send on the connection
-    private int initialSendWindow = DEFAULT_WINDOW_BYTES; // and on a new stream
+    private long sendWindow = DEFAULT_WINDOW_BYTES; // bytes that may be sent on the connection
+    private int initialSendWindow = DEFAULT_WINDOW_BYTES; // bytes that may be sent on a new stream
     private int pendingBytes;
 
     private static final class Stream {
         final ByteArrayOutputStream partialMessage = new ByteArrayOutputStream();
         final ByteArrayOutputStream pending = new ByteArrayOutputStream();
-        boolean endPending; // after what waits
-        Map<String, String> trailers; // after that
+        boolean endPending; // the stream ends after the pending bytes
+        Map<String, String> trailers; // sent at the end, null for none
         long sendWindow;
     }
 
@@ -108,17 +112,17 @@
         frame(WINDOW_UPDATE, 0, 0, int32(RECEIVE_WINDOW_BYTES - DEFAULT_WINDOW_BYTES));
     }
 
-    /** The side that calls. */
+    /** Creates the side that makes calls. */
     public static GrpcConnection client(Listener listener) {
         return new GrpcConnection(true, listener);
     }
 
-    /** The side that is called. */
+    /** Creates the side that serves calls. */
     public static GrpcConnection server(Listener listener) {
         return new GrpcConnection(false, listener);
     }
 
-    /** Hands out what is to be sent. */
+    /** Returns and removes the bytes to be sent to the peer. */
     public byte[] toSend() {
         byte[] ready = out.toByteArray();
         out.reset();
@@ -127,7 +131,7 @@
 
     // ---- sending --------------------------------------------------------------------------------------------
 
-    /** Calls a method with one message; returns the stream. {@code metadata} goes along. */
+    /** Calls a method with one request message and this metadata; returns the id of the stream. */
     public int call(String authority, String path, Map<String, String> metadata, byte[] request) throws GrpcException {
         int stream = nextStream;
         nextStream += 2;
@@ -146,7 +150,7 @@
         return stream;
     }
 
-    /** Sends the head of an answer. */
+    /** Sends the headers of a response. */
     public void sendResponseHeaders(int stream) throws GrpcException {
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put(":status", "200");
@@ -169,15 +173,15 @@
         }
     }
 
-    /** Sends a message, as far as the peer has room; the rest follows as it makes some. */
+    /** Sends a message as far as the peer's window allows; the rest follows when the window grows. */
     public void sendMessage(int stream, byte[] body) throws GrpcException {
         Stream s = streams.get(stream);
         if (s == null || s.endPending) {
-            return; // the peer has broken it off
+            return; // the stream was reset or has ended
         }
         pendingBytes += MESSAGE_PREFIX_BYTES + body.length;
         if (pendingBytes > MAX_PENDING_BYTES) {
-            throw new GrpcException("over " + MAX_PENDING_BYTES + " bytes wait for the peer");
+            throw new GrpcException("over " + MAX_PENDING_BYTES + " bytes are pending for the peer");
         }
         s.pending.write(0);
         s.pending.writeBytes(int32(body.length));
@@ -185,7 +189,7 @@
         flush(stream, s);
     }
 
-    /** Says that no more comes from this side, after what waits; with trailers, null for none. */
+    /** Ends the stream from this side after the pending bytes, with these trailers; null for none. */
     public void finish(int stream, Map<String, String> trailers) throws GrpcException {
         Stream s = streams.get(stream);
         if (s != null && !s.endPending) {
@@ -242,13 +246,13 @@
 
     // ---- receiving ------------------------------------------------------------------------------------------
 
-    /** Goes on with what came; a {@link GrpcException} ends the connection. */
+    /** Processes received bytes; a {@link GrpcException} means that the connection must be closed. */
     public void feed(byte[] bytes, int from, int length) throws GrpcException {
         int at = from;
         int end = from + length;
         while (prefaceBytesLeft > 0 && at < end) {
             if (bytes[at++] != PREFACE[PREFACE.length - prefaceBytesLeft--]) {
-                throw new GrpcException("no HTTP/2");
+                throw new GrpcException("the peer did not send the HTTP/2 connection preface");
             }
         }
         while (at < end) {
@@ -259,7 +263,7 @@
             handleFrames();
         }
         if (out.size() > MAX_PENDING_BYTES) {
-            throw new GrpcException("asks for more answers than it reads");
+            throw new GrpcException("the peer requests more responses than it reads");
         }
     }
 
@@ -287,7 +291,7 @@
 
     private void frame(int type, int flags, int stream, ByteBuffer payload) throws GrpcException {
         if (block != 0 && (type != CONTINUATION || stream != block)) {
-            throw new GrpcException("a header block is broken off");
+            throw new GrpcException("a header block is interrupted by another frame");
         }
         switch (type) {
             case DATA -> handleData(flags, stream, payload);
@@ -303,7 +307,7 @@
             }
             case CONTINUATION -> {
                 if (block == 0) {
-                    throw new GrpcException("a header block goes on that has not begun");
+                    throw new GrpcException("a CONTINUATION frame without an open header block");
                 }
                 block(flags, payload);
             }
@@ -322,9 +326,9 @@
                             stream, Map.of("reset", payload.remaining() == 4 ? String.valueOf(payload.getInt()) : "?"));
                 }
             }
-            case GOAWAY -> throw new GrpcException("the peer goes away");
-            case PUSH_PROMISE -> throw new GrpcException("a push that was not asked for");
-            default -> {} // others may be passed over, as the standard says
+            case GOAWAY -> throw new GrpcException("the peer sent GOAWAY");
+            case PUSH_PROMISE -> throw new GrpcException("a push promise that was not requested");
+            default -> {} // unknown frame types are ignored, as RFC 9113 requires
         }
     }
 
@@ -339,7 +343,7 @@
         if ((flags & PADDED) != 0) {
             int pad = payload.hasRemaining() ? payload.get() & 0xff : 1;
             if (payload.remaining() < pad) {
-                throw new GrpcException("more padding than frame");
+                throw new GrpcException("more padding than payload");
             }
             payload.limit(payload.limit() - pad);
         }
@@ -380,12 +384,12 @@
             }
         } catch (HPackException | RuntimeException e) {
             throw new GrpcException(
-                    "headers that cannot be read: " + e.getMessage()); // the library lets some of its own out
+                    "headers that cannot be read: " + e.getMessage()); // the library also throws undeclared exceptions
         }
         headerBlock.reset();
         int stream = block;
         block = 0;
-        // An answer may be a head alone that says how it ended.
+        // A response may consist of trailers only.
         if (client && blockEndsStream) {
             closeStream(stream, headers);
         } else {
@@ -409,7 +413,7 @@
         }
         Stream s = streams.get(stream);
         if (s == null) {
-            return; // of one that was ended meanwhile
+            return; // the stream has ended meanwhile
         }
         removePadding(flags, payload);
         if (length > 0) {
@@ -432,7 +436,7 @@
         while (all.length - at >= MESSAGE_PREFIX_BYTES) {
             int length = ByteBuffer.wrap(all, at + 1, 4).getInt();
             if (all[at] != 0) {
-                throw new GrpcException("a compressed message, which was not agreed");
+                throw new GrpcException("a compressed message, but compression was not negotiated");
             }
             if (length < 0 || length > MAX_MESSAGE_BYTES) {
                 throw new GrpcException(
--- a/src/main/java/olivechute/grpc/GrpcException.java
+++ b/src/main/java/olivechute/grpc/GrpcException.java
@@ -1,6 +1,6 @@
 package olivechute.grpc;
 
-/** The peer does not keep to the protocol, or goes beyond a bound; the connection is over. */
+/** A violation of the protocol by the peer, or of a limit by either side; the connection must be closed. */
 public final class GrpcException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/olivechute/grpc/Http2Frame.java
+++ b/src/main/java/olivechute/grpc/Http2Frame.java
@@ -1,6 +1,6 @@
 package olivechute.grpc;
 
-/** The few frames that are understood, by the numbers of RFC 9113, section 6. */
+/** Types, flags and sizes of the HTTP/2 frames in use, with the numbers of RFC 9113, section 6. */
 final class Http2Frame {
     static final int DATA = 0;
     static final int HEADERS = 1;
@@ -12,15 +12,15 @@
     static final int WINDOW_UPDATE = 8;
     static final int CONTINUATION = 9;
 
-    static final int END_STREAM = 1; // flags
+    static final int END_STREAM = 1; // flags, as those below
     static final int ACK = 1;
     static final int END_HEADERS = 4;
     static final int PADDED = 8;
     static final int PRIORITY = 32;
 
-    static final int INITIAL_WINDOW = 4; // of the settings
-    static final int HEADER_BYTES = 9; // bytes ahead of a payload
-    static final int MAX_PAYLOAD_BYTES = 16_384; // bytes of payload that either side may send without more being agreed
+    static final int INITIAL_WINDOW = 4; // identifier in a SETTINGS frame
+    static final int HEADER_BYTES = 9; // size of the frame header
+    static final int MAX_PAYLOAD_BYTES = 16_384; // default payload limit in bytes for either side
 
     private Http2Frame() {}
 }
--- a/src/main/java/olivechute/grpc/package-info.java
+++ b/src/main/java/olivechute/grpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * As much of gRPC over HTTP/2 as the SPIFFE Workload API takes, as a state machine fed bytes that knows no socket.
- * Header compression is a library's; frames, windows and messages are few enough to be here.
+ * The part of gRPC over HTTP/2 that the SPIFFE Workload API needs, as a state machine without I/O. Header compression
+ * (HPACK) comes from a library; frames, flow control and messages are implemented here.
  */
 package olivechute.grpc;
--- a/src/main/java/olivechute/identity/IdentityRejectedException.java
+++ b/src/main/java/olivechute/identity/IdentityRejectedException.java
@@ -1,50 +1,50 @@
 package olivechute.identity;
 
 /**
- * An identity that does not hold. The reason is for this side's log; its peer learns no more than that it was refused.
+ * Thrown for an identity that is not valid. The reason is for the local log only; the peer learns no more than that it
+ * was rejected.
  */
 public final class IdentityRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong, one word for each kind of fault. */
+    /** The kind of fault. */
     public enum Reason {
-        /** Not a SPIFFE ID by the standard's letters. */
+        /** Not a valid SPIFFE ID under the SPIFFE-ID standard. */
         BAD_ID,
-        /** Not the encoding that it should be. */
+        /** Cannot be decoded or parsed. */
         UNREADABLE,
-        /** No URI among the subject's alternative names, or several. */
+        /** The subject alternative names hold no URI or several; exactly one is required. */
         NOT_ONE_ID,
-        /** A certificate that may sign others shows itself as a workload's. */
+        /** A certificate that may sign others is used as a workload's leaf. */
         SIGNER_AS_LEAF,
-        /** The key may not be used for this. */
+        /** The key usage does not allow this use. */
         WRONG_USAGE,
-        /** A certificate that may not sign vouches for another. */
+        /** A certificate that may not sign has issued another in the chain. */
         UNFIT_SIGNER,
         /** A key or signature that is too weak. */
         WEAK,
-        /** Its time is over. */
+        /** The validity period has ended. */
         EXPIRED,
-        /** Its time has not come. */
+        /** The validity period has not begun. */
         NOT_YET,
-        /** No bundle is held of its trust domain. */
+        /** There is no trust bundle for its trust domain. */
         UNKNOWN_DOMAIN,
-        /** The bundle of its own trust domain does not vouch for it. */
+        /** The trust bundle of its own trust domain does not verify it. */
         NOT_VOUCHED,
-        /** For somebody else. */
+        /** The token is for another audience. */
         WRONG_AUDIENCE,
-        /** More than is read. */
+        /** Larger than the limit for reading. */
         TOO_LARGE
     }
 
     private final Reason reason;
 
-    /** {@code text} goes to a log: it may say what was wrong, and nothing of a key. */
+    /** {@code text} is logged: it describes the fault and must not contain key material. */
     public IdentityRejectedException(Reason reason, String text) {
         super(reason.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-') + ": " + text, null, false, false);
         this.reason = reason;
     }
 
-    /** What is wrong. */
     public Reason reason() {
         return reason;
     }
--- a/src/main/java/olivechute/identity/JwkSets.java
+++ b/src/main/java/olivechute/identity/JwkSets.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import olivechute.identity.IdentityRejectedException.Reason;
 
-/** The keys that sign a trust domain's tokens, out of a JSON Web Key Set as SPIFFE bundles hold them. */
+/** Parses the JWT-SVID verification keys of a trust domain from a JSON Web Key Set in the form of SPIFFE bundles. */
 public final class JwkSets {
     private static final int MAX_BYTES = 256 * 1024;
     private static final int MAX_KEYS = 64;
@@ -18,7 +18,10 @@
 
     private JwkSets() {}
 
-    /** Keys by their ids; those that say they are for something else than tokens, or have no id, are passed over. */
+    /**
+     * Returns the public keys by key id. Keys with another {@code use} than JWT-SVID, private keys and keys without an
+     * id are ignored.
+     */
     public static Map<String, PublicKey> parseKeys(String text) throws IdentityRejectedException {
         if (text.length() > MAX_BYTES) {
             throw new IdentityRejectedException(
@@ -41,7 +44,7 @@
             }
             return keys;
         } catch (ParseException | JOSEException | IllegalArgumentException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no key set");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "not a JSON Web Key Set");
         }
     }
 }
--- a/src/main/java/olivechute/identity/JwtCheck.java
+++ b/src/main/java/olivechute/identity/JwtCheck.java
@@ -17,11 +17,11 @@
 import java.util.Set;
 import olivechute.identity.IdentityRejectedException.Reason;
 
-/** Judges a JWT as the JWT-SVID standard says: for clients behind a proxy that ends their TLS. */
+/** Validates a token by the JWT-SVID standard; used for clients behind a proxy that terminates their TLS. */
 public final class JwtCheck {
     private static final int MAX_TOKEN_BYTES = 8192;
     private static final int MIN_RSA_BITS = 2048;
-    /** Those of the standard and no other: above all neither none nor one whose key is shared. */
+    /** Only the algorithms of the standard; in particular neither {@code none} nor an algorithm with a shared key. */
     private static final Set<JWSAlgorithm> ALGORITHMS = Set.of(
             JWSAlgorithm.RS256,
             JWSAlgorithm.RS384,
@@ -37,12 +37,12 @@
 
     private JwtCheck() {}
 
-    /** An identity that was shown by a token and held, until {@code notAfter}. */
+    /** An identity that was proven by a valid token; it expires at {@code notAfter}. */
     public record JwtSvid(SpiffeId id, Instant notAfter) {}
 
     /**
-     * The identity that a token shows to {@code audience}; a {@link IdentityRejectedException} says why it does not
-     * hold.
+     * Returns the identity of a token for {@code audience}; throws an {@link IdentityRejectedException} with the reason
+     * if the token is not valid at {@code now}.
      */
     public static JwtSvid check(String token, String audience, TrustBundles bundles, Instant now)
             throws IdentityRejectedException {
@@ -64,13 +64,14 @@
             JWTClaimsSet claims = jwt.getJWTClaimsSet();
             SpiffeId id = SpiffeId.parse(claims.getSubject());
             if (!id.isWorkload()) {
-                throw new IdentityRejectedException(Reason.BAD_ID, "a token names a workload: its ID must have a path");
+                throw new IdentityRejectedException(
+                        Reason.BAD_ID, "the subject must name a workload: its ID has no path");
             }
             Instant expiry = checkLifetime(claims, now);
             List<String> audiences = claims.getAudience();
             if (!audiences.contains(audience)) {
                 throw new IdentityRejectedException(
-                        Reason.WRONG_AUDIENCE, "for " + audiences.size() + " others, not for " + audience);
+                        Reason.WRONG_AUDIENCE, "for " + audiences.size() + " other audiences, not for " + audience);
             }
             PublicKey key = bundles.bundleFor(id)
                     .keys()
@@ -79,11 +80,11 @@
                 throw new IdentityRejectedException(
                         Reason.NOT_VOUCHED,
                         "bundle of " + id.trustDomain()
-                                + (key == null ? ": no such key id" : ": the signature is not that key's"));
+                                + (key == null ? ": unknown key id" : ": the signature does not match the key"));
             }
             return new JwtSvid(id, expiry);
         } catch (ParseException | JOSEException | IllegalArgumentException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no signed token");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "not a signed token");
         }
     }
 
@@ -92,14 +93,12 @@
         if (expiry == null || now.isAfter(expiry.toInstant())) {
             throw new IdentityRejectedException(
                     Reason.EXPIRED,
-                    expiry == null
-                            ? "does not say until when it holds"
-                            : "expired at " + expiry.toInstant() + ", it is " + now);
+                    expiry == null ? "has no expiration time" : "expired at " + expiry.toInstant() + ", it is " + now);
         }
         Date notBefore = claims.getNotBeforeTime();
         if (notBefore != null && now.isBefore(notBefore.toInstant())) {
             throw new IdentityRejectedException(
-                    Reason.NOT_YET, "holds from " + notBefore.toInstant() + " on, it is " + now);
+                    Reason.NOT_YET, "valid from " + notBefore.toInstant() + ", it is " + now);
         }
         return expiry.toInstant();
     }
--- a/src/main/java/olivechute/identity/PemReader.java
+++ b/src/main/java/olivechute/identity/PemReader.java
@@ -15,7 +15,10 @@
 import java.util.List;
 import olivechute.identity.IdentityRejectedException.Reason;
 
-/** Certificates out of PEM text, in their order; other blocks and what stands between are passed over. */
+/**
+ * Reads certificates and private keys from PEM text or DER bytes. Certificates keep their order; other PEM blocks and
+ * the text between blocks are ignored.
+ */
 public final class PemReader {
     private static final String BEGIN = "-----BEGIN CERTIFICATE-----";
     private static final String END = "-----END CERTIFICATE-----";
@@ -26,7 +29,10 @@
 
     private PemReader() {}
 
-    /** All certificates of a text, one at least; a {@link IdentityRejectedException} says what is wrong with it. */
+    /**
+     * Returns all certificates of a PEM text, at least one; throws an {@link IdentityRejectedException} if there are
+     * none or one cannot be read.
+     */
     public static List<X509Certificate> certificates(String text) throws IdentityRejectedException {
         if (text.length() > MAX_BYTES) {
             throw new IdentityRejectedException(
@@ -37,7 +43,7 @@
             int end = text.indexOf(END, start);
             if (end < 0) {
                 throw new IdentityRejectedException(
-                        Reason.UNREADABLE, "certificate " + (found.size() + 1) + " has no end");
+                        Reason.UNREADABLE, "certificate " + (found.size() + 1) + " has no END line");
             }
             if (found.size() == MAX_CERTIFICATES) {
                 throw new IdentityRejectedException(Reason.TOO_LARGE, "over " + MAX_CERTIFICATES + " certificates");
@@ -46,17 +52,20 @@
             start = end;
         }
         if (found.isEmpty()) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no certificate in it");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "contains no certificate");
         }
         return found;
     }
 
-    /** The key of a text, in the form PKCS#8 and for this algorithm; nothing of it goes into a message. */
+    /**
+     * Returns the PKCS#8 private key of a PEM text for this algorithm. No part of the key is included in an error
+     * message.
+     */
     public static PrivateKey key(String text, String algorithm) throws IdentityRejectedException {
         int start = text.indexOf(BEGIN_KEY);
         int end = text.indexOf(END_KEY);
         if (text.length() > MAX_BYTES || start < 0 || end < start) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no key in the form PKCS#8");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "contains no PKCS#8 key");
         }
         try {
             return derKey(Base64.getMimeDecoder().decode(text.substring(start + BEGIN_KEY.length(), end)), algorithm);
@@ -65,7 +74,7 @@
         }
     }
 
-    /** The key in these bytes, in the form PKCS#8 and for this algorithm. */
+    /** Returns the private key in these PKCS#8 bytes for this algorithm. */
     public static PrivateKey derKey(byte[] der, String algorithm) throws IdentityRejectedException {
         try {
             return KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(der));
@@ -74,7 +83,7 @@
         }
     }
 
-    /** Certificates that stand one after the other without more, one at least. */
+    /** Returns the certificates of concatenated DER encodings, at least one. */
     public static List<X509Certificate> derCertificates(byte[] der) throws IdentityRejectedException {
         if (der.length > MAX_BYTES) {
             throw new IdentityRejectedException(
@@ -89,7 +98,7 @@
             found.add(certificate(in, found.size() + 1));
         }
         if (found.isEmpty()) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no certificate in it");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "contains no certificate");
         }
         return found;
     }
--- a/src/main/java/olivechute/identity/SpiffeId.java
+++ b/src/main/java/olivechute/identity/SpiffeId.java
@@ -3,18 +3,18 @@
 import olivechute.identity.IdentityRejectedException.Reason;
 
 /**
- * A SPIFFE ID: {@code spiffe://} and a trust domain, then a path, empty or beginning with a slash. Only what the
- * SPIFFE-ID standard allows can be one: nothing is folded, decoded or completed, as two readers might do so
- * differently.
+ * A SPIFFE ID: {@code spiffe://}, a trust domain and a path that is empty or begins with a slash. The text must match
+ * the SPIFFE-ID standard exactly: case is not folded, nothing is percent-decoded or normalized, as two parsers might do
+ * so differently.
  */
 public record SpiffeId(String trustDomain, String path) {
     private static final String SCHEME = "spiffe://";
-    /** Bytes that an ID and a trust domain may take. */
+    /** Maximum length in bytes of an ID and of a trust domain. */
     private static final int MAX_BYTES = 2048;
 
     private static final int MAX_DOMAIN_BYTES = 255;
 
-    /** Reads an ID; a {@link IdentityRejectedException} says what keeps the text from being one. */
+    /** Parses an ID; throws an {@link IdentityRejectedException} with the reason if the text is not valid. */
     public static SpiffeId parse(String text) throws IdentityRejectedException {
         if (text == null || text.isEmpty()) {
             throw invalid("empty");
@@ -32,7 +32,7 @@
         return new SpiffeId(trustDomain(text.substring(SCHEME.length(), end)), path);
     }
 
-    /** The text as a trust domain's name, which it must be. */
+    /** Returns the text if it is a valid trust domain name; throws an {@link IdentityRejectedException} if not. */
     public static String trustDomain(String name) throws IdentityRejectedException {
         if (name.isEmpty() || name.length() > MAX_DOMAIN_BYTES) {
             throw invalid("trust domain of " + name.length() + " bytes, 1 to " + MAX_DOMAIN_BYTES + " allowed");
@@ -73,7 +73,7 @@
             }
         }
         if (onlyDots) {
-            throw invalid("a path segment of dots");
+            throw invalid("a path segment of dots only");
         }
     }
 
@@ -81,7 +81,7 @@
         return new IdentityRejectedException(Reason.BAD_ID, text);
     }
 
-    /** True if it names a workload rather than a whole trust domain. */
+    /** Returns true if this ID names a workload rather than a whole trust domain. */
     public boolean isWorkload() {
         return !path.isEmpty();
     }
--- a/src/main/java/olivechute/identity/SvidManager.java
+++ b/src/main/java/olivechute/identity/SvidManager.java
@@ -10,50 +10,51 @@
 import olivechute.identity.IdentityRejectedException.Reason;
 
 /**
- * Which identity and which bundles are in force, out of what a source offers from time to time. What does not hold
- * changes nothing: the last that did stays until it expires, so that a helper which writes rubbish, or nothing any
- * more, ends no service before its time. Does no I/O; offers come from one thread, questions from any.
+ * Holds the active identity and trust bundles, replaced by the offers of an SVID source. An invalid offer changes
+ * nothing: the last valid identity stays active until it expires, so that an agent that writes invalid data, or stops
+ * writing, does not interrupt service earlier. Does no I/O. Offers must come from one thread; the state may be read
+ * from any.
  */
 public final class SvidManager {
     private final String trustDomain;
     private volatile State state = new State(null, TrustBundles.EMPTY);
 
-    /** Both at one moment: an identity goes with the bundles that it came with. */
+    /** The active identity, null if there is none, and the trust bundles that were offered with it. */
     public record State(OwnIdentity own, TrustBundles bundles) {
-        /** True if there is an identity, and it holds at this moment. */
+        /** Returns true if there is an identity and it has not expired at this time. */
         public boolean hasValidIdentity(Instant now) {
             return own != null && !now.isAfter(own.svid().notAfter());
         }
     }
 
-    /** What became of an offer. */
+    /** The result of an offer. */
     public enum OfferResult {
-        /** In force from now on. */
+        /** The offer is active from now on. */
         APPLIED,
-        /** In force already. */
+        /** The same identity and bundles were active already. */
         UNCHANGED
     }
 
-    /** For the identity of a workload of this trust domain. */
+    /** Creates a manager for a workload of this trust domain, without an identity yet. */
     public SvidManager(String trustDomain) throws IdentityRejectedException {
         this.trustDomain = SpiffeId.trustDomain(trustDomain);
     }
 
-    /** What is in force, whether it still holds or not. */
+    /** Returns the active identity and bundles; the identity may have expired. */
     public State state() {
         return state;
     }
 
     /**
-     * What a source offers: our document, its leaf first, the leaf's key, and all bundles to judge others by from then
-     * on.
+     * An offer of an SVID source: the node's certificate chain, leaf first, the leaf's private key, and all trust
+     * bundles that replace the current ones.
      */
     public record Offer(List<X509Certificate> chain, PrivateKey key, List<TrustBundle> bundles) {}
 
     /**
-     * Takes a document, its key and the authorities of its trust domain, all as PEM, if they hold together at this
-     * moment; a {@link IdentityRejectedException} says why they do not, and leaves all as it was. What is held of other
-     * domains stays.
+     * Applies a certificate chain, its key and the authorities of its trust domain, all as PEM, if they are valid
+     * together at this time; otherwise throws an {@link IdentityRejectedException} and changes nothing. The bundles of
+     * other trust domains stay.
      */
     public OfferResult offer(String chain, String key, String authorities, Instant now)
             throws IdentityRejectedException {
@@ -65,8 +66,8 @@
     }
 
     /**
-     * Takes an offer as a whole, if it holds together at this moment; a {@link IdentityRejectedException} leaves all as
-     * it was.
+     * Applies an offer as a whole if it is valid at this time; otherwise throws an {@link IdentityRejectedException}
+     * and changes nothing.
      */
     public OfferResult offer(Offer offer, Instant now) throws IdentityRejectedException {
         State previous = state;
@@ -76,7 +77,8 @@
         }
         X509Svid svid = X509Check.check(offer.chain, bundles, now);
         if (!svid.id().trustDomain().equals(trustDomain)) {
-            throw new IdentityRejectedException(Reason.BAD_ID, svid.id() + " is not of trust domain " + trustDomain);
+            throw new IdentityRejectedException(
+                    Reason.BAD_ID, svid.id() + " does not belong to trust domain " + trustDomain);
         }
         checkKeyMatches(offer.key, offer.chain.get(0));
         boolean sameIdentity = previous.own != null
@@ -89,7 +91,7 @@
         return OfferResult.APPLIED;
     }
 
-    /** Takes the authorities of a trust domain that ours is federated with. */
+    /** Replaces the authorities, as PEM, of a federated trust domain. */
     public OfferResult federate(String domain, String authorities) throws IdentityRejectedException {
         TrustBundles bundles = state.bundles.with(
                 new TrustBundle(SpiffeId.trustDomain(domain), PemReader.certificates(authorities), Map.of()));
@@ -104,7 +106,10 @@
         return java.util.Set.copyOf(one.all()).equals(java.util.Set.copyOf(other.all()));
     }
 
-    /** Signs and verifies once: a key of another document would fail at each handshake. */
+    /**
+     * Checks that the key belongs to the leaf by signing and verifying once; a key of another certificate would fail at
+     * each handshake.
+     */
     private static void checkKeyMatches(PrivateKey key, X509Certificate leaf) throws IdentityRejectedException {
         String algorithm =
                 switch (key.getAlgorithm()) {
@@ -120,11 +125,11 @@
             signature.initVerify(leaf.getPublicKey());
             signature.update((byte) 1);
             if (!signature.verify(signed)) {
-                throw new IdentityRejectedException(Reason.UNREADABLE, "the key is not that of the document");
+                throw new IdentityRejectedException(Reason.UNREADABLE, "the key does not belong to the certificate");
             }
         } catch (GeneralSecurityException e) {
             throw new IdentityRejectedException(
-                    Reason.UNREADABLE, "the key is not that of the document: " + e.getMessage());
+                    Reason.UNREADABLE, "the key does not belong to the certificate: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/olivechute/identity/TrustBundle.java
+++ b/src/main/java/olivechute/identity/TrustBundle.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What vouches for one trust domain: authorities that sign X.509 documents, and keys by their ids that sign JWT
- * documents.
+ * The trust bundle of one trust domain: the authorities that sign X.509 SVIDs, and the public keys, by key id, that
+ * verify JWT SVIDs.
  */
 public record TrustBundle(String trustDomain, List<X509Certificate> authorities, Map<String, PublicKey> keys) {
     public TrustBundle {
@@ -17,7 +17,7 @@
         keys = Map.copyOf(keys);
     }
 
-    /** What either vouches for; both are of one trust domain. */
+    /** Returns a bundle with the authorities and keys of both, which must be of the same trust domain. */
     public TrustBundle merge(TrustBundle other) {
         List<X509Certificate> all = new ArrayList<>(authorities);
         all.addAll(other.authorities);
--- a/src/main/java/olivechute/identity/TrustBundles.java
+++ b/src/main/java/olivechute/identity/TrustBundles.java
@@ -6,12 +6,12 @@
 import olivechute.identity.IdentityRejectedException.Reason;
 
 /**
- * The bundles held, one for each trust domain: our own and those of domains we are federated with. An identity is
- * judged by the bundle of its own domain and no other, so that no domain can vouch for another's workloads. Never
- * changes; a change is a new one.
+ * Trust bundles by trust domain: the node's own domain and the federated ones. An identity is checked only against the
+ * bundle of its own domain, so that no domain can issue identities of another. Immutable; a change returns a new
+ * instance.
  */
 public final class TrustBundles {
-    /** None. */
+    /** No bundles. */
     public static final TrustBundles EMPTY = new TrustBundles(Map.of());
 
     private final Map<String, TrustBundle> byDomain;
@@ -20,21 +20,21 @@
         this.byDomain = byDomain;
     }
 
-    /** With this bundle in place of the one held of its trust domain, if any. */
+    /** Returns a copy in which this bundle is added or replaces that of the same trust domain. */
     public TrustBundles with(TrustBundle bundle) {
         Map<String, TrustBundle> next = new HashMap<>(byDomain);
         next.put(bundle.trustDomain(), bundle);
         return new TrustBundles(Map.copyOf(next));
     }
 
-    /** Without the bundle of this trust domain: nobody of it is known any more. */
+    /** Returns a copy without the bundle of this trust domain, whose identities are then rejected. */
     public TrustBundles without(String trustDomain) {
         Map<String, TrustBundle> next = new HashMap<>(byDomain);
         next.remove(trustDomain);
         return new TrustBundles(Map.copyOf(next));
     }
 
-    /** All that are held. */
+    /** Returns all bundles. */
     public Collection<TrustBundle> all() {
         return byDomain.values();
     }
--- a/src/main/java/olivechute/identity/X509Check.java
+++ b/src/main/java/olivechute/identity/X509Check.java
@@ -28,12 +28,11 @@
 import java.util.Set;
 import olivechute.identity.IdentityRejectedException.Reason;
 
-/**
- * Judges a chain of certificates as the X509-SVID standard says, at a moment that is told, against the bundles that are
- * held.
- */
+/** Validates a certificate chain by the X509-SVID standard, at a given time and against the given trust bundles. */
 public final class X509Check {
-    /** Longer chains are not looked at: each certificate is work that a stranger can ask for. */
+    /**
+     * Longer chains are rejected unchecked: an unauthenticated peer could otherwise cause work with each certificate.
+     */
     private static final int MAX_CHAIN_LENGTH = 6;
 
     private static final int MIN_RSA_BITS = 2048;
@@ -49,12 +48,13 @@
     private X509Check() {}
 
     /**
-     * The identity that a chain shows, its leaf first; a {@link IdentityRejectedException} says why it does not hold.
+     * Returns the identity of a chain, given leaf first; throws an {@link IdentityRejectedException} with the reason if
+     * it is not valid.
      */
     public static X509Svid check(List<X509Certificate> chain, TrustBundles bundles, Instant now)
             throws IdentityRejectedException {
         if (chain.isEmpty()) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no certificate");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "the chain has no certificate");
         }
         if (chain.size() > MAX_CHAIN_LENGTH) {
             throw new IdentityRejectedException(
@@ -75,16 +75,16 @@
         return new X509Svid(id, List.copyOf(chain), expiry);
     }
 
-    /** The one ID that a leaf names, whether it holds or not. */
+    /** Returns the single SPIFFE ID of a leaf without checking its validity. */
     public static SpiffeId leafId(X509Certificate leaf) throws IdentityRejectedException {
         List<String> ids = uris(leaf);
         if (ids.size() != 1) {
             throw new IdentityRejectedException(
-                    Reason.NOT_ONE_ID, ids.size() + " URIs among the alternative names, exactly one is needed");
+                    Reason.NOT_ONE_ID, ids.size() + " URIs in the subject alternative names, exactly one is required");
         }
         SpiffeId id = SpiffeId.parse(ids.get(0));
         if (!id.isWorkload()) {
-            throw new IdentityRejectedException(Reason.BAD_ID, "a leaf names a workload: its ID must have a path");
+            throw new IdentityRejectedException(Reason.BAD_ID, "a leaf must name a workload: its ID has no path");
         }
         return id;
     }
@@ -99,7 +99,7 @@
                 }
             }
         } catch (CertificateParsingException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "alternative names: " + e.getMessage());
+            throw new IdentityRejectedException(Reason.UNREADABLE, "subject alternative names: " + e.getMessage());
         }
         return uris;
     }
@@ -108,15 +108,15 @@
         boolean[] usage = leaf.getKeyUsage();
         if (leaf.getBasicConstraints() >= 0 || (usage != null && (usage[KEY_CERT_SIGN] || usage[CRL_SIGN]))) {
             throw new IdentityRejectedException(
-                    Reason.SIGNER_AS_LEAF, "a certificate that may sign others is no workload's");
+                    Reason.SIGNER_AS_LEAF, "a certificate that may sign others is not a workload's leaf");
         }
         if (usage == null || !usage[DIGITAL_SIGNATURE]) {
-            throw new IdentityRejectedException(Reason.WRONG_USAGE, "its key may not make signatures");
+            throw new IdentityRejectedException(Reason.WRONG_USAGE, "the key usage does not allow digital signatures");
         }
         List<String> extended = extendedUsage(leaf);
         if (extended != null && !(extended.contains(SERVER_AUTH_OID) && extended.contains(CLIENT_AUTH_OID))) {
             throw new IdentityRejectedException(
-                    Reason.WRONG_USAGE, "extended usage without both server and client authentication");
+                    Reason.WRONG_USAGE, "extended key usage without both server and client authentication");
         }
     }
 
@@ -124,15 +124,14 @@
         try {
             return leaf.getExtendedKeyUsage();
         } catch (CertificateParsingException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "extended usage: " + e.getMessage());
+            throw new IdentityRejectedException(Reason.UNREADABLE, "extended key usage: " + e.getMessage());
         }
     }
 
     private static void checkSigner(X509Certificate signer, SpiffeId leafId) throws IdentityRejectedException {
         boolean[] usage = signer.getKeyUsage();
         if (signer.getBasicConstraints() < 0 || usage == null || !usage[KEY_CERT_SIGN]) {
-            throw new IdentityRejectedException(
-                    Reason.UNFIT_SIGNER, "a certificate between leaf and bundle that may not sign");
+            throw new IdentityRejectedException(Reason.UNFIT_SIGNER, "an intermediate certificate that may not sign");
         }
         List<String> ids = uris(signer);
         if (ids.size() > 1) {
@@ -153,7 +152,7 @@
                 || key instanceof EdECPublicKey;
         if (!strongKey) {
             throw new IdentityRejectedException(
-                    Reason.WEAK, "a key of " + key.getAlgorithm() + " that is too short or unknown");
+                    Reason.WEAK, "a key of algorithm " + key.getAlgorithm() + " that is too short or not supported");
         }
         String algorithm = certificate.getSigAlgName().toUpperCase(Locale.ROOT);
         if (algorithm.contains("SHA1") || algorithm.contains("MD5") || algorithm.contains("MD2")) {
@@ -161,14 +160,14 @@
         }
     }
 
-    /** When the first of the chain expires; all must hold now. */
+    /** Returns the earliest expiry in the chain; every certificate must be valid at {@code now}. */
     private static Instant checkLifetime(List<X509Certificate> chain, Instant now) throws IdentityRejectedException {
         Instant earliestExpiry = Instant.MAX;
         for (X509Certificate certificate : chain) {
             Instant notBefore = certificate.getNotBefore().toInstant();
             Instant notAfter = certificate.getNotAfter().toInstant();
             if (now.isBefore(notBefore)) {
-                throw new IdentityRejectedException(Reason.NOT_YET, "holds from " + notBefore + " on, it is " + now);
+                throw new IdentityRejectedException(Reason.NOT_YET, "valid from " + notBefore + ", it is " + now);
             }
             if (now.isAfter(notAfter)) {
                 throw new IdentityRejectedException(Reason.EXPIRED, "expired at " + notAfter + ", it is " + now);
@@ -179,8 +178,8 @@
     }
 
     /**
-     * True if an authority's own constraints on names let all of a chain be. The platform's validator takes no
-     * authority that has any, but looks at constraints where a certificate is selected by them.
+     * Returns true if the chain satisfies the authority's own name constraints. The JDK's path validator does not
+     * accept a trust anchor with name constraints, but {@link X509CertSelector} evaluates them.
      */
     private static boolean satisfiesNameConstraints(X509Certificate authority, List<X509Certificate> chain)
             throws IdentityRejectedException {
@@ -188,12 +187,16 @@
         if (wrapped == null) {
             return true;
         }
-        int lengthOctets = wrapped[1] >= 0 ? 0 : wrapped[1] & 0x7f; // DER: tag, length in one octet or in so many more
+        int lengthOctets = wrapped[1] >= 0
+                ? 0
+                : wrapped[1]
+                        & 0x7f; // DER: a tag, then the length in one octet or in the number of octets that it gives
         X509CertSelector selector = new X509CertSelector();
         try {
             selector.setNameConstraints(Arrays.copyOfRange(wrapped, 2 + lengthOctets, wrapped.length));
         } catch (IOException e) {
-            throw new IdentityRejectedException(Reason.NOT_VOUCHED, "an authority's name constraints cannot be read");
+            throw new IdentityRejectedException(
+                    Reason.NOT_VOUCHED, "the name constraints of an authority cannot be parsed");
         }
         return chain.stream().allMatch(selector::match);
     }
@@ -212,11 +215,11 @@
             throw new IdentityRejectedException(
                     Reason.NOT_VOUCHED,
                     "the bundle of " + bundle.trustDomain()
-                            + " has no authority that holds now and may vouch for this name");
+                            + " has no currently valid authority whose name constraints allow this chain");
         }
         try {
             PKIXParameters parameters = new PKIXParameters(anchors);
-            parameters.setRevocationEnabled(false); // SVIDs live shortly instead
+            parameters.setRevocationEnabled(false); // SVIDs are short-lived instead
             parameters.setDate(Date.from(now));
             CertPath path = CertificateFactory.getInstance("X.509").generateCertPath(chain);
             CertPathValidator.getInstance("PKIX").validate(path, parameters);
@@ -224,7 +227,7 @@
             throw new IdentityRejectedException(
                     Reason.NOT_VOUCHED, "bundle of " + bundle.trustDomain() + ": " + e.getMessage());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this platform has no PKIX", e);
+            throw new IllegalStateException("PKIX is not available on this platform", e);
         }
     }
 }
--- a/src/main/java/olivechute/identity/X509Svid.java
+++ b/src/main/java/olivechute/identity/X509Svid.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * An identity that was shown by a certificate and held; from {@code notAfter} on it holds no more. The leaf comes
- * first.
+ * An identity that was proven by a valid certificate chain, leaf first. It is not valid after {@code notAfter}, the
+ * earliest expiry in the chain.
  */
 public record X509Svid(SpiffeId id, List<X509Certificate> chain, Instant notAfter) {}
--- a/src/main/java/olivechute/security/IdentityManager.java
+++ b/src/main/java/olivechute/security/IdentityManager.java
@@ -15,19 +15,20 @@
 import org.tinylog.Logger;
 
 /**
- * The identity in force and the TLS context made of it. What a source brings takes effect for the next handshake, and
- * connections that are open are judged again under it.
+ * Holds the node's own identity and the TLS context built from it. An accepted offer of the SVID source applies from
+ * the next handshake on; open connections check their peers against the new bundles. {@code onOffer} and
+ * {@code onFailure} run on the source's thread, the getters on any.
  */
-@SuppressWarnings("ReferenceEquality") // the identity in force is one object
+@SuppressWarnings("ReferenceEquality") // identities are compared by reference to detect a replacement
 final class IdentityManager implements SvidListener {
     private final SvidManager svidManager;
     private final boolean allowTls12;
     private final Supplier<Instant> clock;
     private volatile ActiveIdentity active;
-    private volatile String lastFailure; // said last, not to be said at each look
-    private Instant lastExpiryWarning; // the moment that was told of last; one thread's
+    private volatile String lastFailure; // last logged reason, so that a repeated failure is logged once
+    private Instant lastExpiryWarning; // last logged expiry threshold; used by one thread only
 
-    /** Our identity, the context made of it, and since when it is in force. */
+    /** The node's identity, the TLS context built from it, and the time from which it is active. */
     record ActiveIdentity(OwnIdentity identity, TlsContext context, Instant since) {}
 
     IdentityManager(String trustDomain, boolean lenient, Supplier<Instant> clock) throws IdentityRejectedException {
@@ -48,15 +49,17 @@
         return svidManager.state().bundles();
     }
 
-    /** Ours, if it holds; without one there is no handshake. */
+    /**
+     * Returns the node's own identity; fails if there is none or if it has expired, as no handshake is possible then.
+     */
     ActiveIdentity active() throws IOException {
         ActiveIdentity current = active;
         if (current == null) {
-            throw new IOException("no identity of our own yet");
+            throw new IOException("this node has no identity yet");
         }
         if (clock.get().isAfter(current.identity.svid().notAfter())) {
-            throw new IOException(
-                    "our own identity expired at " + current.identity.svid().notAfter());
+            throw new IOException("the identity of this node expired at "
+                    + current.identity.svid().notAfter());
         }
         return current;
     }
@@ -76,7 +79,7 @@
                     clock.get());
         }
         Logger.info(
-                "identity {} until {}, with bundles of {}",
+                "identity {} active until {}, trust bundles of {}",
                 identity.svid().id(),
                 identity.svid().notAfter(),
                 bundles().all().stream()
@@ -93,16 +96,16 @@
             Logger.warn(
                     "identity not renewed, {}: {}",
                     current == null
-                            ? "none is in force"
-                            : "the last one is in force until "
+                            ? "no identity is active"
+                            : "the current one is valid until "
                                     + current.identity.svid().notAfter(),
                     reason);
         }
     }
 
     /**
-     * Says in time that an identity runs out: once when a third of its time with us is left, once when it is over. True
-     * when it says so. For one thread.
+     * Logs that the identity is about to expire: once when a third of the time since it became active is left, and once
+     * when it has expired. Returns true if it logged. Must be called from one thread only.
      */
     boolean warnOfExpiry() {
         ActiveIdentity current = active;
@@ -119,9 +122,9 @@
         }
         lastExpiryWarning = reached;
         if (reached.equals(expiry)) {
-            Logger.error("our own identity expired at {}: no new connection until it is renewed", expiry);
+            Logger.error("the identity of this node expired at {}: no new connections until it is renewed", expiry);
         } else {
-            Logger.warn("our own identity expires at {} and is not renewed yet", expiry);
+            Logger.warn("the identity of this node expires at {} and has not been renewed yet", expiry);
         }
         return true;
     }
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -21,22 +21,28 @@
 import olivechute.svid.WorkloadApiSvidSource;
 import olivechute.upstream.Connector;
 
-/** Identities for both sides of a node, as the operators' settings say. */
+/**
+ * Applies the identity settings to both sides of a node: authenticates downstream connections and requests, and
+ * connects to upstream endpoints over TLS.
+ */
 public final class NodeSecurity {
     private static final String SCHEME = "Bearer ";
     private static final String AUTHORIZATION = "Authorization";
 
     private final IdentitySettings settings;
     private final IdentityManager identities;
-    /** One for each side: hosts that come back together must not wait behind clients, nor clients behind them. */
+    /**
+     * Handshake permits, separate for each side: endpoints that reconnect together must not wait behind clients, nor
+     * clients behind endpoints.
+     */
     private final Semaphore acceptPermits;
 
     private final Semaphore dialPermits;
     private final TokenVerifier tokens = new TokenVerifier();
     private volatile Rules rules;
-    private WorkloadApiSvidSource workloadApiSource; // null where the source is another
+    private WorkloadApiSvidSource workloadApiSource; // null if the SVID source is a folder
 
-    /** Under this clock, which may step either way. */
+    /** Creates the identities and permits from the settings. {@code clock} may step forward or back. */
     public NodeSecurity(IdentitySettings settings, Supplier<Instant> clock) {
         this.settings = settings;
         this.rules = settings.rules();
@@ -50,7 +56,7 @@
         }
     }
 
-    /** Asks the source for the first time, and has it go on from then. */
+    /** Starts the SVID source. A folder is read once before this returns, and then polled. */
     public void start() {
         IdentitySettings.Source source = settings.source();
         if (source.kind() == Kind.FOLDER) {
@@ -69,29 +75,32 @@
         }
     }
 
-    /** Other rules from now on, for connections that are open too. */
+    /** Replaces the rules; they apply at once, also to open connections. */
     public void rules(Rules next) {
         rules = next;
     }
 
-    /** Tells in the log of an identity that runs out; to be called now and then, on one thread. */
+    /**
+     * Logs an identity that is about to expire, and has the Workload API called again then. The node calls this
+     * periodically on its event loop.
+     */
     public void warnOfExpiry() {
         if (identities.warnOfExpiry() && workloadApiSource != null) {
-            workloadApiSource.reconnect(); // it is connected, or seems to be, and yet has not renewed what is due
+            workloadApiSource.reconnect(); // connected, or apparently so, but the renewal that is due has not arrived
         }
     }
 
-    /** To upstream hosts, each of which must be who its name asks for. */
+    /** Connects to upstream endpoints over TLS; each must have the identity that the rules require of its name. */
     public Connector connector() {
         return host -> TlsConnection.client(identities, dialPermits, host, peer -> {
             if (!rules.endpointIdentities().matches(peer.id(), host)) {
-                throw new IOException("host " + host + " must be "
+                throw new IOException("endpoint " + host + " must be "
                         + rules.endpointIdentities().requiredId(host) + ", is " + peer.id());
             }
         });
     }
 
-    /** At the platform's address. */
+    /** Returns the authenticator of the platform's listen address. */
     public PeerIdentity.Authenticator platformAuthenticator() {
         return settings.downstream().mode() == Mode.ONLY
                 ? tlsAuthenticator()
@@ -100,7 +109,7 @@
                         : PeerIdentity.Authenticator.PLAINTEXT;
     }
 
-    /** At an address where TLS is spoken. */
+    /** Returns the authenticator of a TLS listen address. */
     public PeerIdentity.Authenticator tlsAuthenticator() {
         return new PeerIdentity.Authenticator() {
             @Override
@@ -120,7 +129,7 @@
                 if (!now.clientAuthorization().isClient(peer.id())
                         && !now.endpointIdentities().isEndpoint(peer.id())
                         && !isProxy(now, peer.id())) {
-                    String reason = "no rule is about " + peer.id();
+                    String reason = "no rule matches " + peer.id();
                     RejectionLog.log(link.socket().getRemoteSocketAddress(), reason);
                     throw new IOException(reason);
                 }
@@ -129,7 +138,7 @@
         };
     }
 
-    /** A connection that goes no further, as we cannot say who we are. */
+    /** A connection that fails when it is initialized, as this node has no valid identity to present. */
     private static final class RejectedConnection extends Connection {
         private final IOException reason;
 
@@ -149,7 +158,7 @@
         return rules.trustedProxies().stream().anyMatch(p -> p.matches(id));
     }
 
-    /** Somebody whose identity is known by its connection. */
+    /** A peer that was authenticated by the certificate of its TLS connection. */
     private final class AuthenticatedPeer implements PeerIdentity {
         private final TlsConnection connection;
         private final SpiffeId id;
@@ -179,7 +188,7 @@
         if (rules.clientAuthorization().allows(id, tenant)) {
             return null;
         }
-        RejectionLog.log(id, "no rule lets it hand in jobs of tenant " + tenant);
+        RejectionLog.log(id, "no rule allows it to submit jobs of tenant " + tenant);
         return new PeerIdentity.Rejection(403, "X-Org: not a tenant of this identity");
     }
 
@@ -205,8 +214,8 @@
     }
 
     /**
-     * Behind a proxy of our own that ends TLS: whoever comes shows a token with each job, and no host can be told from
-     * another.
+     * Authenticates plaintext connections from a trusted proxy that terminates TLS: each request must carry a token,
+     * and endpoints cannot be told apart by their connection.
      */
     private final class TokenAuthenticator implements PeerIdentity.Authenticator, PeerIdentity {
         @Override
--- a/src/main/java/olivechute/security/RejectionLog.java
+++ b/src/main/java/olivechute/security/RejectionLog.java
@@ -3,10 +3,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.tinylog.Logger;
 
-/** Log lines on peers that were refused, so many a second: who is refused may come as often as it likes. */
+/**
+ * Rate-limited log of rejected peers: a rejected peer may reconnect as often as it likes and must not flood the log.
+ * Safe for use by any thread.
+ */
 final class RejectionLog {
     private static final int MAX_LINES_PER_SECOND = 20;
-    /** The second in the upper half, the lines logged in it in the lower. */
+    /** The current second in the upper 32 bits, the number of lines logged in it in the lower 32. */
     private static final AtomicLong LOGGED = new AtomicLong();
 
     private static final AtomicLong SUPPRESSED = new AtomicLong();
@@ -14,7 +17,8 @@
     private RejectionLog() {}
 
     /**
-     * Says who was refused and why, unless much was said this second; how many were passed over is said with the next.
+     * Logs which peer was rejected and why, unless the limit of this second is reached. The next line then gives the
+     * number of suppressed ones.
      */
     static void log(Object subject, String reason) {
         long second = System.nanoTime() / 1_000_000_000L;
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -20,18 +20,20 @@
 import olivechute.tls.TlsStateMachine;
 
 /**
- * A connection in TLS: the driver of a {@link TlsStateMachine}. One thread shakes hands and then reads, others may
- * write. The machine is guarded by itself; what it has to send leaves in its order under {@code writing}, and a reader
- * takes that only when it has something to send, so that it waits for no peer that does not read.
+ * A blocking TLS connection that drives a {@link TlsStateMachine}. One thread performs the handshake and then reads;
+ * others may write. The state machine is guarded by its own monitor. Its output is sent in order under
+ * {@code writeLock}; the reader takes that lock only when there is output, so that it does not block on a peer that
+ * does not read.
  */
 @SuppressWarnings({"ReferenceEquality", "ByteBufferBackingArray"
-}) // identity of the one message under way; the buffers are allocated on the heap here
+}) // states are compared by reference to detect a change; the buffers are allocated on the heap here
 final class TlsConnection extends Connection {
-    /** Head and body up to this size leave as one record. */
+    /** A head and a body of up to this many bytes together are sent as one TLS record. */
     private static final int MAX_JOINED_BYTES = 16 * 1024;
 
     /**
-     * Settles with whom a connection is to be, once that is known; an {@link IOException} says why not with this one.
+     * Checks whether a connection may be used with its authenticated peer; throws an {@link IOException} with the
+     * reason if not.
      */
     interface PeerCheck {
         void check(X509Svid peer) throws IOException;
@@ -47,9 +49,9 @@
     private final Semaphore handshakePermits;
     private final PeerCheck peerCheck;
     private final Object writeLock = new Object();
-    private ByteBuffer plaintext = ByteBuffer.allocate(0); // the reader's
-    private final int acceptTimeoutMillis; // 0 for one that is dialled
-    private volatile SvidManager.State checkedState; // under which the peer held last
+    private ByteBuffer plaintext = ByteBuffer.allocate(0); // used by the reading thread only
+    private final int acceptTimeoutMillis; // 0 for an outgoing connection
+    private volatile SvidManager.State checkedState; // the state against which the peer was last accepted
     private volatile boolean peerRejected;
 
     private TlsConnection(
@@ -69,7 +71,7 @@
         this.peerCheck = wanted;
     }
 
-    /** For a connection that was accepted; its handshake must be over after so long. */
+    /** Wraps an accepted connection, whose handshake must complete within this time. */
     static TlsConnection server(
             SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
             throws IOException {
@@ -78,7 +80,9 @@
                 channel, identities, own, own.context().server(), handshakePermits, handshakeTimeoutMillis, peer -> {});
     }
 
-    /** For one to be dialled; sessions are resumed with the peer of the same name only. */
+    /**
+     * Creates a connection to be connected to the named peer. Sessions are resumed only with a peer of the same name.
+     */
     static TlsConnection client(
             IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
             throws IOException {
@@ -87,7 +91,7 @@
                 SocketChannel.open(), identities, own, own.context().client(name, 1), handshakePermits, 0, peerCheck);
     }
 
-    /** Dials and shakes hands, all within this time. */
+    /** Connects and performs the handshake, both within this time. */
     @Override
     public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
@@ -115,7 +119,7 @@
                     ByteBuffer buffer = stateMachine.receiveBuffer();
                     int n = TimedReads.read(in, buffer.array(), buffer.position(), buffer.remaining());
                     if (n < 0) {
-                        throw new EOFException("ended within the handshake");
+                        throw new EOFException("connection closed during the handshake");
                     }
                     buffer.position(buffer.position() + n);
                 }
@@ -138,7 +142,7 @@
         return (int) left;
     }
 
-    /** One step of a handshake, among as many at once as the gate lets through. */
+    /** Performs one step of the handshake once a permit is free, which bounds how many run at once. */
     private void advanceWithPermit(long deadlineNanos, int timeoutMillis) throws IOException {
         try {
             if (!handshakePermits.tryAcquire(remainingMillis(deadlineNanos, timeoutMillis), TimeUnit.MILLISECONDS)) {
@@ -154,7 +158,7 @@
         }
     }
 
-    /** Has the machine go on, and sends what it has to say, also where that is an alert and the end. */
+    /** Advances the state machine and sends its output, also a final alert when it has failed. */
     private void advance() throws IOException {
         boolean hasOutput;
         TlsException failure = null;
@@ -174,7 +178,7 @@
         }
     }
 
-    /** Has the machine say something, and sends it behind all that was to be sent before. */
+    /** Has the state machine produce output and sends it after all earlier output. */
     private void send(TlsAction action) throws IOException {
         synchronized (writeLock) {
             ByteBuffer out;
@@ -190,25 +194,26 @@
         }
     }
 
-    /** Who the peer is; to be asked once the handshake is over. */
+    /** Returns the peer's identity; valid only after the handshake. */
     X509Svid peer() {
         return stateMachine.peer();
     }
 
-    /** True if our own identity, under which this connection was made, has run out. */
+    /** Returns true if the node's identity under which this connection was made has expired. */
     boolean isOwnIdentityExpired() {
         return identities.now().isAfter(ownIdentity.identity().svid().notAfter());
     }
 
     /**
-     * False once the peer's identity or ours has run out, or the bundles in force vouch for it no more. Bundles are
-     * looked at when they have changed; a withdrawn peer stays so.
+     * Returns false once the peer's identity or this node's has expired, or once the current trust bundles no longer
+     * accept the peer. The chain is checked again only when the bundles have changed; a peer that was rejected stays
+     * rejected.
      */
     @Override
     public boolean isPeerIdentityValid() {
         SvidManager.State checked = checkedState;
         if (checked == null) {
-            return true; // its handshake is under way, and has its own time
+            return true; // the handshake is in progress and has its own timeout
         }
         Instant now = identities.now();
         if (peerRejected
@@ -225,7 +230,7 @@
                 peerRejected = true;
                 RejectionLog.log(
                         socket().getRemoteSocketAddress(),
-                        stateMachine.peer().id() + " holds no more: " + e.getMessage());
+                        stateMachine.peer().id() + " is no longer valid: " + e.getMessage());
                 return false;
             }
         }
@@ -256,7 +261,7 @@
                         ? super.read(stateMachine.receiveBuffer())
                         : super.readAvailable(stateMachine.receiveBuffer());
                 if (n < 0) {
-                    throw new EOFException("ended without a word of leave");
+                    throw new EOFException("connection closed without a TLS close_notify");
                 }
                 if (n == 0 && !blocking) {
                     return 0;
--- a/src/main/java/olivechute/security/TokenVerifier.java
+++ b/src/main/java/olivechute/security/TokenVerifier.java
@@ -8,7 +8,10 @@
 import olivechute.identity.JwtCheck.JwtSvid;
 import olivechute.identity.TrustBundles;
 
-/** Judges tokens, and remembers those that held: a client shows one many times, and a signature is work. */
+/**
+ * Verifies JWT-SVIDs and caches the valid ones: a client sends the same token many times, and verifying a signature is
+ * expensive. Safe for use by any thread.
+ */
 final class TokenVerifier {
     private static final int MAX_CACHED_TOKENS = 512;
 
@@ -23,7 +26,7 @@
 
     private record CachedToken(JwtSvid svid, String audience, TrustBundles bundles, Instant checkedAt) {}
 
-    /** The identity that a token shows at this moment, under these bundles. */
+    /** Returns the identity of a token, verified at this time against these bundles. */
     JwtSvid check(String token, String audience, TrustBundles bundles, Instant now) throws IdentityRejectedException {
         CachedToken cached;
         synchronized (cache) {
--- a/src/main/java/olivechute/security/package-info.java
+++ b/src/main/java/olivechute/security/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections between identities: what ties TLS, the documents in force and the rules on who may be what to the sides
- * of a node. Loaded only where the operators' settings turn identities on.
+ * Identity-based security of a node: connects TLS, the active SVIDs and trust bundles, and the authorization rules to
+ * the downstream and upstream sides. Loaded only if the operator's settings enable identities.
  */
 package olivechute.security;
--- a/src/main/java/olivechute/svid/FolderSvidSource.java
+++ b/src/main/java/olivechute/svid/FolderSvidSource.java
@@ -24,10 +24,10 @@
 import olivechute.net.Threads;
 
 /**
- * A folder of files that a helper tool replaces: {@code svid.pem}, {@code svid_key.pem}, {@code bundle.pem}, and where
- * there are any {@code bundle.jwks} and {@code federated/DOMAIN.pem} and {@code .jwks}. Looked at from time to time, as
- * a folder whose link is swapped tells no watcher. Files may be replaced one by one: what does not go together yet is
- * refused and looked at again.
+ * Reads SVIDs from a folder whose files an external agent replaces: {@code svid.pem}, {@code svid_key.pem},
+ * {@code bundle.pem}, and optionally {@code bundle.jwks}, {@code federated/DOMAIN.pem} and
+ * {@code federated/DOMAIN.jwks}. The folder is polled, as a file watcher does not notice a replaced symbolic link.
+ * Files may be replaced one by one: an inconsistent set is rejected and read again at the next poll.
  */
 public final class FolderSvidSource {
     private static final long MAX_FILE_BYTES = 256 * 1024;
@@ -35,15 +35,15 @@
 
     private final Path folder;
     private final String trustDomain;
-    private Map<String, String> appliedStamps = Map.of(); // what was looked at last, by the files' stamps
+    private Map<String, String> appliedStamps = Map.of(); // stamps by file name of the last accepted offer
 
-    /** {@code folder} may be a link, and may not be there yet. */
+    /** {@code folder} may be a symbolic link and need not exist yet. */
     public FolderSvidSource(Path folder, String trustDomain) {
         this.folder = folder;
         this.trustDomain = trustDomain;
     }
 
-    /** Looks every so often, on a thread of its own that ends with the program. */
+    /** Polls the folder at this interval on a thread of its own, which runs until the process ends. */
     public void start(SvidListener listener, Duration interval) {
         Threads.start("svid-folder", () -> {
             try {
@@ -57,7 +57,10 @@
         });
     }
 
-    /** Looks once; what has not changed since it was taken is no news. */
+    /**
+     * Reads the folder once and passes the result to the listener; does nothing if no file has changed since the last
+     * accepted offer.
+     */
     public synchronized void poll(SvidListener listener) {
         try {
             Path directory = folder.toRealPath();
@@ -66,7 +69,7 @@
                 return;
             }
             Offer offer = read(directory);
-            // Swapped or written to while it was read: the next look sees it whole.
+            // If the folder was replaced or written to during the read, the next poll reads it again.
             if (folder.toRealPath().equals(directory) && fileStamps(directory).equals(stamps)) {
                 listener.onOffer(offer);
                 appliedStamps = stamps;
@@ -74,7 +77,7 @@
         } catch (IdentityRejectedException e) {
             listener.onFailure(folder + ": " + e.getMessage());
         } catch (IOException e) {
-            listener.onFailure(folder + ": cannot read: " + e);
+            listener.onFailure(folder + ": cannot be read: " + e);
         }
     }
 
@@ -101,7 +104,7 @@
                 for (Path other : others) {
                     files.add(other);
                     if (files.size() > MAX_FILES) {
-                        throw new IOException("over " + MAX_FILES + " files");
+                        throw new IOException("more than " + MAX_FILES + " files");
                     }
                 }
             }
--- a/src/main/java/olivechute/svid/SvidListener.java
+++ b/src/main/java/olivechute/svid/SvidListener.java
@@ -3,11 +3,14 @@
 import olivechute.identity.IdentityRejectedException;
 import olivechute.identity.SvidManager.Offer;
 
-/** Takes what a source brings; called by the source's thread. */
+/** Receives the offers and failures of an SVID source; called on the source's thread. */
 public interface SvidListener {
-    /** Something new is there; a {@link IdentityRejectedException} says why it is not taken. */
+    /**
+     * The source offers an identity and trust bundles; throws an {@link IdentityRejectedException} if the offer is
+     * rejected.
+     */
     void onOffer(Offer offer) throws IdentityRejectedException;
 
-    /** The source brings nothing, or nothing that can be read; the reason is for the log. */
+    /** The source could not be read, or its data was rejected; the reason is for the log. */
     void onFailure(String reason);
 }
--- a/src/main/java/olivechute/svid/WorkloadApiMessages.java
+++ b/src/main/java/olivechute/svid/WorkloadApiMessages.java
@@ -18,13 +18,16 @@
 import olivechute.identity.SvidManager.Offer;
 import olivechute.identity.TrustBundle;
 
-/** Reads the messages of the SPIFFE Workload API that a node takes, by the numbers of its public definition. */
+/**
+ * Parses the SPIFFE Workload API responses that a node receives, by the protobuf field numbers of the public
+ * definition.
+ */
 public final class WorkloadApiMessages {
-    /** The call for our documents. */
+    /** The method that streams the node's X.509 SVIDs and trust bundles. */
     public static final String FETCH_X509 = "/SpiffeWorkloadAPI/FetchX509SVID";
-    /** The call for the keys that sign tokens. */
+    /** The method that streams the keys that verify JWT SVIDs. */
     public static final String FETCH_JWT_BUNDLES = "/SpiffeWorkloadAPI/FetchJWTBundles";
-    /** What each call must carry, so that no browser can be made to ask. */
+    /** Metadata required on each call, so that a browser cannot be made to call the API. */
     public static final Map<String, String> METADATA = Map.of("workload.spiffe.io", "true");
 
     private static final int SVIDS = 1; // of X509SVIDResponse
@@ -39,10 +42,10 @@
 
     private WorkloadApiMessages() {}
 
-    /** A part with a number, in its bytes. */
+    /** A length-delimited field of a message. */
     private record Field(int number, byte[] bytes) {}
 
-    /** The parts of a message that have a length; others are passed over. */
+    /** Returns the length-delimited fields of a message; other fields are skipped. */
     private static List<Field> parseFields(byte[] message) throws IdentityRejectedException {
         List<Field> fields = new ArrayList<>();
         try {
@@ -55,7 +58,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no message of the workload API: " + e.getMessage());
+            throw new IdentityRejectedException(Reason.UNREADABLE, "not a Workload API message: " + e.getMessage());
         }
         return fields;
     }
@@ -68,7 +71,9 @@
         return found;
     }
 
-    /** Our document of this hint, or the first where the hint is empty, and the bundles that go with it. */
+    /**
+     * Returns the SVID with this hint, or the first one if the hint is empty, and the trust bundles of the response.
+     */
     public static Offer parseX509Response(byte[] message, String hint) throws IdentityRejectedException {
         List<Field> response = parseFields(message);
         for (Field field : response) {
@@ -93,10 +98,13 @@
             return new Offer(chain, key, bundles);
         }
         throw new IdentityRejectedException(
-                Reason.UNREADABLE, hint.isEmpty() ? "no identity for us" : "no identity with the hint " + hint);
+                Reason.UNREADABLE,
+                hint.isEmpty()
+                        ? "the response contains no identity"
+                        : "the response contains no identity with the hint " + hint);
     }
 
-    /** The keys that sign tokens, by trust domain. */
+    /** Returns the keys that verify JWT SVIDs, by trust domain and key id. */
     public static Map<String, Map<String, PublicKey>> parseJwtBundlesResponse(byte[] message)
             throws IdentityRejectedException {
         Map<String, Map<String, PublicKey>> keys = new HashMap<>();
@@ -107,7 +115,7 @@
         return keys;
     }
 
-    /** A map from trust domains, with or without their scheme, to bytes. */
+    /** Parses a map field from trust domains, with or without their scheme, to bytes. */
     private static Map<String, byte[]> parseDomainMap(List<Field> fields, int number) throws IdentityRejectedException {
         Map<String, byte[]> map = new HashMap<>();
         for (Field field : fields) {
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -22,15 +22,15 @@
 import olivechute.net.Threads;
 
 /**
- * The SPIFFE Workload API as a source: one connection to an agent on this machine, whose streams bring each renewal as
- * it is made. When it ends, or says what is no message, it is dialled again after a while.
+ * Receives SVIDs from the SPIFFE Workload API over one connection to a local agent, whose streams deliver each renewal.
+ * When the connection ends or violates the protocol, it is opened again after a backoff.
  */
-@SuppressWarnings("WaitNotInLoop") // the wait stands in the loop of the caller, which reads the state anew
+@SuppressWarnings("WaitNotInLoop") // the caller waits in a loop that reads the state again
 public final class WorkloadApiSvidSource {
     private static final long MIN_RETRY_DELAY_MS = 250; // ms
     private static final long MAX_RETRY_DELAY_MS = 30_000;
     private static final int READ_BUFFER_BYTES = 16 * 1024;
-    private static final byte[] EMPTY_REQUEST = new byte[0]; // a request of no fields
+    private static final byte[] EMPTY_REQUEST = new byte[0]; // a request without fields
 
     private final SocketAddress address;
     private final String hint;
@@ -39,7 +39,7 @@
     private SocketChannel channel; // guarded by this
     private boolean reconnectRequested; // guarded by this
 
-    /** {@code tokens}: the keys that sign them are asked for too. */
+    /** {@code fetchJwtBundles}: the keys that verify JWT SVIDs are fetched too. */
     public WorkloadApiSvidSource(SocketAddress address, String hint, boolean tokens, RandomGenerator random) {
         this.address = address;
         this.hint = hint;
@@ -47,7 +47,7 @@
         this.backoff = new Backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, random);
     }
 
-    /** Stays connected, on a thread of its own that ends with the program. */
+    /** Keeps a connection open on a thread of its own, which runs until the process ends. */
     public void start(SvidListener listener) {
         Threads.start("svid-workload-api", () -> {
             try {
@@ -57,7 +57,7 @@
                     } catch (IOException e) {
                         listener.onFailure("workload API at " + address + ": "
                                 + (e instanceof AsynchronousCloseException
-                                        ? "asked anew, as a renewal is due"
+                                        ? "reconnecting, as a renewal is due"
                                         : e.getMessage()));
                     } catch (GrpcException e) {
                         listener.onFailure("workload API at " + address + ": " + e.getMessage());
@@ -72,7 +72,10 @@
         });
     }
 
-    /** Dials anew at once: what is connected has not brought what was due. */
+    /**
+     * Reconnects at once; called when the current connection has not delivered a renewal that is due. Safe to call on
+     * any thread.
+     */
     public synchronized void reconnect() {
         reconnectRequested = true;
         notifyAll();
@@ -92,7 +95,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            channel = null; // it is of no use either way
+            channel = null; // the channel is discarded either way
         }
         channel = null;
     }
@@ -104,14 +107,14 @@
         return channel;
     }
 
-    /** One connection, from its dialling to its end. */
+    /** One connection, from connecting until it ends. */
     private final class Session implements GrpcConnection.Listener {
         private final SvidListener listener;
         private final GrpcConnection connection = GrpcConnection.client(this);
         private int x509Stream;
         private Offer offer;
         private Map<String, Map<String, PublicKey>> keys = Map.of();
-        private String endReason; // why it is over
+        private String endReason; // why the connection is over, null while it is open
 
         Session(SvidListener sink) {
             this.listener = sink;
@@ -137,7 +140,7 @@
                 }
                 int n = dialled.read(room.clear());
                 if (n < 0) {
-                    throw new EOFException("ended");
+                    throw new EOFException("connection closed by the agent");
                 }
                 connection.feed(room.array(), 0, n);
             }
@@ -147,7 +150,7 @@
         @Override
         public void onHeaders(int stream, Map<String, String> headers) {
             if (!"200".equals(headers.get(":status"))) {
-                endReason = "answered " + headers.get(":status");
+                endReason = "HTTP status " + headers.get(":status");
             }
         }
 
@@ -164,7 +167,8 @@
                     backoff.reset();
                 }
             } catch (IdentityRejectedException e) {
-                listener.onFailure("workload API at " + address + ": " + e.getMessage()); // the next one may be better
+                listener.onFailure(
+                        "workload API at " + address + ": " + e.getMessage()); // a later message may be valid
             }
         }
 
@@ -176,7 +180,7 @@
             if (stream == x509Stream) {
                 endReason = status.strip();
             } else {
-                listener.onFailure("workload API at " + address + ", keys for tokens: " + status.strip());
+                listener.onFailure("workload API at " + address + ", JWT bundles: " + status.strip());
             }
         }
     }
--- a/src/main/java/olivechute/svid/package-info.java
+++ b/src/main/java/olivechute/svid/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Where a node's own documents and the bundles come from: a folder that a helper tool writes to, or the SPIFFE Workload
- * API. What they bring is judged elsewhere.
+ * Sources of a node's own SVIDs and trust bundles: a folder that an external agent writes to, or the SPIFFE Workload
+ * API. The data is validated by the listener.
  */
 package olivechute.svid;
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -15,7 +15,7 @@
 import org.bouncycastle.asn1.x509.KeyPurposeId;
 import org.bouncycastle.asn1.x509.KeyUsage;
 
-/** A certificate authority of a trust domain: its root, or one that the root signed. */
+/** A certificate authority of a trust domain: the root or an intermediate below it. For development and tests. */
 public final class CertificateAuthority {
     static final List<KeyPurposeId> SERVER_AND_CLIENT_AUTH =
             List.of(KeyPurposeId.id_kp_serverAuth, KeyPurposeId.id_kp_clientAuth);
@@ -24,7 +24,8 @@
     private final String trustDomain;
     private final KeyPair keys;
     private final X509Certificate certificate;
-    private final List<X509Certificate> issuerChain; // up to the root, which is left out
+    /** This authority's certificate and those up to the root, without the root. */
+    private final List<X509Certificate> issuerChain;
 
     private CertificateAuthority(
             String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> above) {
@@ -34,10 +35,10 @@
         this.issuerChain = above;
     }
 
-    /** A workload's document: its chain, the leaf first and the root left out, and its key. */
+    /** An issued SVID: the certificate chain, leaf first and without the root, and the private key of the leaf. */
     public record Issued(List<X509Certificate> chain, PrivateKey key) {}
 
-    /** A new root that holds from one moment to another. */
+    /** Creates a root with a new key that is valid within these times. */
     public static CertificateAuthority root(String trustDomain, Instant from, Instant to) {
         return root(trustDomain, authorityContent(trustDomain, "root", CertificateBuilder.newEcKeyPair(), from, to));
     }
@@ -52,7 +53,7 @@
                 List.of());
     }
 
-    /** One that this one signs. */
+    /** Creates an intermediate authority with a new key, signed by this one. */
     public CertificateAuthority intermediate(Instant from, Instant to) {
         KeyPair next = CertificateBuilder.newEcKeyPair();
         return subordinate(next, authorityContent(trustDomain, "intermediate", next, from, to));
@@ -77,7 +78,7 @@
                 null);
     }
 
-    /** What a workload's certificate says when it is right. */
+    /** The content of a valid workload certificate. */
     static Content leafContent(String id, Instant from, Instant to) {
         return new Content(
                 "O=workload",
@@ -96,7 +97,7 @@
                 X500Name.getInstance(certificate.getSubjectX500Principal().getEncoded()), keys.getPrivate(), ALGORITHM);
     }
 
-    /** A document for a workload, with a key of its own. */
+    /** Issues an SVID with a new key to a workload. */
     public Issued issue(SpiffeId id, Instant from, Instant to) {
         return issue(leafContent(id.toString(), from, to));
     }
@@ -111,12 +112,12 @@
         return new Issued(List.copyOf(chain), leaf.keys().getPrivate());
     }
 
-    /** What vouches for what this one issues, if it is the root. */
+    /** Returns the trust bundle that verifies certificates issued below this authority, if it is the root. */
     public TrustBundle bundle() {
         return new TrustBundle(trustDomain, List.of(certificate), Map.of());
     }
 
-    /** Its own certificate. */
+    /** Returns this authority's certificate. */
     public X509Certificate certificate() {
         return certificate;
     }
--- a/src/main/java/olivechute/testca/CertificateBuilder.java
+++ b/src/main/java/olivechute/testca/CertificateBuilder.java
@@ -28,18 +28,19 @@
 import org.bouncycastle.operator.OperatorCreationException;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** Makes certificates of any content, right or wrong. */
+/** Builds and signs certificates of any content, including invalid ones for tests. */
 final class CertificateBuilder {
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private CertificateBuilder() {}
 
-    /** Who signs: a name and a key. */
+    /** The issuer's name, its key and the signature algorithm. */
     record Signer(X500Name name, PrivateKey key, String algorithm) {}
 
     /**
-     * What a certificate is to say. {@code usage} is of {@link KeyUsage}, 0 for none; {@code extended} may be null;
-     * {@code permitted} is a URI host that those below are constrained to, null for any.
+     * The content of a certificate. {@code usage} holds the bits of {@link KeyUsage}, 0 for none; {@code extended} may
+     * be null; {@code permitted} is the URI host to which the name constraints restrict certificates below, null for no
+     * constraint.
      */
     record Content(
             String subject,
@@ -80,7 +81,7 @@
         }
     }
 
-    /** A key on the curve P-256. */
+    /** Generates a key pair on the curve P-256. */
     static KeyPair newEcKeyPair() {
         try {
             KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -15,8 +15,11 @@
 import org.bouncycastle.asn1.x509.KeyPurposeId;
 import org.bouncycastle.asn1.x509.KeyUsage;
 
-/** Documents that must be refused, each for one reason. They are of the trust domain that {@link Ground} sets up. */
-@SuppressWarnings("ImmutableEnumChecker") // the functions hold no state
+/**
+ * Invalid certificate chains that must be rejected, each for one reason. They claim identities in the trust domain of a
+ * {@link ForgeryContext}.
+ */
+@SuppressWarnings("ImmutableEnumChecker") // the functions are stateless
 public enum ForgedIdentity {
     SELF_SIGNED(Reason.NOT_VOUCHED, g -> selfSigned(g.leaf())),
     OTHER_ROOT_SAME_NAME(
@@ -99,7 +102,7 @@
         Content change(Content content);
     }
 
-    /** A trust domain to forge in: its root, the time it is, and the ID that forgeries claim. */
+    /** The trust domain of a forgery: its root, the current time and the ID that forgeries claim. */
     public static final class ForgeryContext {
         private final String domain;
         private final CertificateAuthority root;
@@ -108,7 +111,7 @@
         private final Instant to;
         private final String id;
 
-        /** For a root of this trust domain, at this moment. */
+        /** Creates a context with this root of the trust domain at this time. */
         public ForgeryContext(String domain, CertificateAuthority root, Instant now) {
             this.domain = domain;
             this.root = root;
@@ -151,12 +154,12 @@
                 "SHA256withECDSA");
     }
 
-    /** Why it must be refused. */
+    /** Returns the reason for which this forgery must be rejected. */
     public Reason reason() {
         return reason;
     }
 
-    /** Makes one. */
+    /** Creates a forgery of this kind. */
     public Issued make(ForgeryContext ground) {
         return make.make(ground);
     }
--- a/src/main/java/olivechute/testca/PemWriter.java
+++ b/src/main/java/olivechute/testca/PemWriter.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Certificates and keys as PEM files, each replaced in one step, so that a reader sees the old one or the new one. */
+/**
+ * Writes certificates and keys as PEM files. Each file is replaced atomically, so that a reader sees either the old or
+ * the new content.
+ */
 final class PemWriter {
     private static final int COLUMNS = 64;
     private static final byte[] LINE_END = {'\n'};
@@ -41,7 +44,7 @@
         return block("PRIVATE KEY", key.getEncoded());
     }
 
-    /** A key in the form PKCS#8, which only its owner may read. */
+    /** Writes a PKCS#8 key to a file that only its owner may read. */
     static void write(Path file, PrivateKey key) throws IOException {
         replaceFile(file, text(key));
     }
--- a/src/main/java/olivechute/testca/TestCaCommand.java
+++ b/src/main/java/olivechute/testca/TestCaCommand.java
@@ -19,61 +19,65 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code issuer}: a development trust domain in a folder: its bundle, and for each workload a document with its key.
+ * The {@code issuer} command: writes a development trust domain to a folder, with its trust bundle and, for each
+ * workload, an SVID with its key.
  */
 @Command(
         name = "issuer",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Writes a trust domain for development: a root, an intermediate, a document for each ID, and a node's settings.",
+                "Writes a trust domain for development: a root, an intermediate, an SVID for each ID, and a node's settings.",
         footer = {
-            "Each ID's folder is named by its path, with dashes for slashes. The root's key is not kept: another call makes "
-                    + "another domain of the same name.",
+            "Each ID's folder is named after its path, with dashes for slashes. The root's key is not kept: another call creates "
+                    + "a different trust domain of the same name.",
             "Exit status: 0 written, 1 not written, 2 wrong call."
         })
 public final class TestCaCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--dir", required = true, paramLabel = "DIR", description = "Where to; made if it is not there.")
+    @Option(
+            names = "--dir",
+            required = true,
+            paramLabel = "DIR",
+            description = "Target folder; created if it does not exist.")
     private Path dir;
 
     @Option(
             names = "--trust-domain",
             defaultValue = "dev.example",
             paramLabel = "NAME",
-            description = "The domain (${DEFAULT-VALUE}).")
+            description = "The trust domain (${DEFAULT-VALUE}).")
     private String trustDomain;
 
-    @Option(names = "--path", paramLabel = "PATH", description = "A workload's path, as /node; may be given again.")
+    @Option(names = "--path", paramLabel = "PATH", description = "A workload's path, such as /node; may be repeated.")
     private List<String> paths = new ArrayList<>(List.of("/node", "/sign-worker", "/client"));
 
     @Option(
             names = "--hours",
             defaultValue = "24",
             paramLabel = "N",
-            description = "How long documents hold (${DEFAULT-VALUE}).")
+            description = "Lifetime of the SVIDs in hours (${DEFAULT-VALUE}).")
     private int hours;
 
     @Option(
             names = "--forge",
             paramLabel = "KIND",
-            description =
-                    "Beside these a document that must be refused, in the folder forged: ${COMPLETION-CANDIDATES}.")
+            description = "Also writes an SVID that must be rejected, to the folder forged: ${COMPLETION-CANDIDATES}.")
     private ForgedIdentity forgery;
 
     @Option(
             names = "--serve",
             paramLabel = "unix:PATH|tcp://ADDRESS:PORT",
-            description = "Beside this be the agent of the first ID: serve "
-                    + "the Workload API there until the end, and renew at half of the time that documents hold.")
+            description = "Also acts as the agent of the first ID: serves "
+                    + "the Workload API there until stopped, and renews the SVID at half of its lifetime.")
     private String serve;
 
     @Option(
             names = "--life",
             paramLabel = "SECONDS",
-            description = "With --serve: how long documents hold, in place of --hours.")
+            description = "With --serve: lifetime of the SVIDs in seconds, instead of --hours.")
     private int lifetimeSeconds;
 
     @Override
@@ -111,12 +115,15 @@
         } catch (IdentityRejectedException e) {
             throw new ParameterException(spec.commandLine(), "--trust-domain, --path: " + e.getMessage());
         } catch (IOException e) {
-            spec.commandLine().getErr().println("--dir: cannot write: " + e.getMessage());
+            spec.commandLine().getErr().println("--dir: cannot be written: " + e.getMessage());
             return 1;
         }
     }
 
-    /** A node that speaks TLS beside its plain address, where any workload of the domain is a client of any tenant. */
+    /**
+     * Returns the settings of a node with a TLS address beside its plain one, where any workload of the trust domain is
+     * a client of any tenant.
+     */
     private String settings(SpiffeId node) {
         return """
             # Written by the issuer, for development. deploy/olivechute.conf tells of each key.
--- a/src/main/java/olivechute/testca/TokenIssuer.java
+++ b/src/main/java/olivechute/testca/TokenIssuer.java
@@ -17,17 +17,17 @@
 import java.util.Date;
 import java.util.List;
 
-/** Makes a trust domain's tokens, and the key set that vouches for them. */
+/** Issues JWT-SVIDs of a trust domain, and the key set that verifies them. For development and tests. */
 public final class TokenIssuer {
     private final KeyPair keys = CertificateBuilder.newEcKeyPair();
     private final String keyId;
 
-    /** With a key of its own under this id. */
+    /** Creates an issuer with a new key of this id. */
     public TokenIssuer(String keyId) {
         this.keyId = keyId;
     }
 
-    /** A token that shows this identity to these audiences until then. */
+    /** Issues a token of this identity for these audiences with this expiration time. */
     public String token(String id, List<String> audiences, Instant until) {
         try {
             SignedJWT jwt = new SignedJWT(
@@ -44,7 +44,7 @@
         }
     }
 
-    /** The key set, as a bundle holds it. */
+    /** Returns the key set in the form of a SPIFFE bundle. */
     public String keySet() {
         return new JWKSet(new ECKey.Builder(Curve.P_256, (ECPublicKey) keys.getPublic())
                         .keyID(keyId)
--- a/src/main/java/olivechute/testca/TrustDirectory.java
+++ b/src/main/java/olivechute/testca/TrustDirectory.java
@@ -7,18 +7,20 @@
 import java.util.List;
 
 /**
- * A workload's documents in a folder, as helper tools write them and nodes read them: each file is replaced in one
- * step.
+ * Writes a workload's SVID and trust bundles to a folder in the form that nodes read. Each file is replaced atomically.
  */
 public final class TrustDirectory {
     private final Path folder;
 
-    /** Made if it is not there. */
+    /** Creates the folder if it does not exist. */
     public TrustDirectory(Path folder) throws IOException {
         this.folder = Files.createDirectories(folder);
     }
 
-    /** The key goes first: whoever reads in between finds a key that is not that of the document, and looks again. */
+    /**
+     * Writes the key before the chain: a reader in between finds a key that does not belong to the certificate, rejects
+     * both and reads again.
+     */
     public TrustDirectory svid(CertificateAuthority.Issued issued) throws IOException {
         if (issued.key() != null) {
             PemWriter.write(folder.resolve("svid_key.pem"), issued.key());
@@ -27,19 +29,19 @@
         return this;
     }
 
-    /** The authorities of the workload's own domain. */
+    /** Writes the authorities of the workload's own trust domain. */
     public TrustDirectory bundle(List<X509Certificate> authorities) throws IOException {
         PemWriter.write(folder.resolve("bundle.pem"), authorities);
         return this;
     }
 
-    /** The authorities of a domain that the workload's is federated with. */
+    /** Writes the authorities of a federated trust domain. */
     public TrustDirectory federated(String domain, List<X509Certificate> authorities) throws IOException {
         PemWriter.write(Files.createDirectories(folder.resolve("federated")).resolve(domain + ".pem"), authorities);
         return this;
     }
 
-    /** The keys of the workload's own domain that sign tokens, as a key set. */
+    /** Writes the key set that verifies the tokens of the workload's own trust domain. */
     public TrustDirectory keys(String jwks) throws IOException {
         PemWriter.replaceFile(folder.resolve("bundle.jwks"), jwks);
         return this;
--- a/src/main/java/olivechute/testca/WorkloadApiResponses.java
+++ b/src/main/java/olivechute/testca/WorkloadApiResponses.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages of the SPIFFE Workload API as an agent sends them, by the numbers of its public definition. */
+/**
+ * Encodes SPIFFE Workload API responses as an agent sends them, by the protobuf field numbers of the public definition.
+ */
 public final class WorkloadApiResponses {
     private WorkloadApiResponses() {}
 
@@ -29,7 +31,10 @@
         }
     }
 
-    /** One identity's documents: {@code bundle} is of its own domain, {@code federated} by the names of others. */
+    /**
+     * Encodes an X.509 SVID response with one identity. {@code bundle} holds the authorities of its own trust domain,
+     * {@code federated} those of others by name.
+     */
     public static byte[] x509Response(
             String id,
             CertificateAuthority.Issued issued,
@@ -51,7 +56,7 @@
         });
     }
 
-    /** Key sets by the names of trust domains. */
+    /** Encodes a JWT bundles response from key sets by trust domain name. */
     public static byte[] jwtBundlesResponse(Map<String, String> keySets) {
         return message(out -> {
             for (Map.Entry<String, String> each : keySets.entrySet()) {
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -22,9 +22,9 @@
 import olivechute.svid.WorkloadApiMessages;
 
 /**
- * A stand-in of the agent that serves the SPIFFE Workload API on a Unix or loopback socket: each call gets what was
- * published last and whatever is published from then on. It can be told to turn calls away, to say nothing or to hang
- * up.
+ * A test double of the agent that serves the SPIFFE Workload API on a Unix or loopback socket. Each call receives the
+ * message published last and all later ones. For tests of faults it can reject calls, leave them unanswered or close
+ * its connections.
  */
 public final class WorkloadApiServer implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
@@ -34,17 +34,17 @@
     private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
     private final Map<String, byte[]> published = new ConcurrentHashMap<>();
     private final AtomicInteger calls = new AtomicInteger();
-    private volatile int rejectStatus; // of gRPC, that calls end with; 0 for none
+    private volatile int rejectStatus; // gRPC status with which calls are rejected; 0 for none
     private volatile boolean silent;
 
-    /** At this path, which must not be there yet. */
+    /** Listens on a Unix socket at this path, which must not exist yet. */
     public WorkloadApiServer(Path path) throws IOException {
         this.path = path;
         server = ServerSocketChannel.open(StandardProtocolFamily.UNIX).bind(UnixDomainSocketAddress.of(path));
         start();
     }
 
-    /** At this port of the loopback address, any free one for 0. */
+    /** Listens on this port of the loopback address; 0 takes any free port. */
     public WorkloadApiServer(int port) throws IOException {
         this.path = null;
         server = ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
@@ -65,33 +65,36 @@
         });
     }
 
-    /** Where it listens. */
+    /** Returns the address of the listening socket. */
     public SocketAddress address() throws IOException {
         return server.getLocalAddress();
     }
 
-    /** Calls that came in. */
+    /** Returns the number of calls received so far. */
     public int calls() {
         return calls.get();
     }
 
-    /** Sends this to all who called this method, and to who calls it from now on. */
+    /** Sends this message on all open calls of this method, and on each later call. */
     public void publish(String method, byte[] message) {
         published.put(method, message);
         sessions.forEach(s -> s.publish(method, message));
     }
 
-    /** Calls end at once with this status of gRPC, 7 for a caller who is nobody; 0 serves them again. */
+    /**
+     * Rejects calls at once with this gRPC status, such as 7 (permission denied) for an unknown caller; 0 serves them
+     * again.
+     */
     public void rejectCalls(int grpcStatus) {
         rejectStatus = grpcStatus;
     }
 
-    /** Takes calls and says nothing. */
+    /** Leaves calls unanswered while {@code on} is true. */
     public void silent(boolean on) {
         silent = on;
     }
 
-    /** Ends all connections. */
+    /** Closes all connections. */
     public void closeConnections() throws IOException {
         for (Session each : sessions) {
             each.channel.close();
@@ -110,8 +113,7 @@
     private final class Session implements GrpcConnection.Listener {
         private final SocketChannel channel;
         private final GrpcConnection connection = GrpcConnection.server(this); // guarded by this
-        private final Map<Integer, String> methodByStream =
-                new HashMap<>(); // guarded by this: methods by their streams
+        private final Map<Integer, String> methodByStream = new HashMap<>(); // guarded by this; method names by stream
 
         Session(SocketChannel channel) {
             this.channel = channel;
@@ -127,7 +129,7 @@
                     }
                 }
             } catch (IOException | GrpcException e) {
-                return; // the caller's to notice
+                return; // the client notices that the connection has ended
             } finally {
                 sessions.remove(this);
             }
@@ -180,7 +182,7 @@
 
         @Override
         public void onMessage(int stream, byte[] body) {
-            // requests have no fields
+            // requests have no fields, so there is nothing to read
         }
 
         @Override
--- a/src/main/java/olivechute/testca/package-info.java
+++ b/src/main/java/olivechute/testca/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A stand-in of an identity issuer: a trust domain's root, an intermediate, workloads' documents and deliberate
- * forgeries. For development and tests; it keeps its keys in files and has no part in a node.
+ * A certificate authority for development and tests: the root of a trust domain, an intermediate, SVIDs of workloads,
+ * and deliberate forgeries. It keeps keys in files and is not part of a node.
  */
 package olivechute.testca;
--- a/src/main/java/olivechute/tls/TlsContext.java
+++ b/src/main/java/olivechute/tls/TlsContext.java
@@ -26,12 +26,12 @@
 import olivechute.identity.X509Svid;
 
 /**
- * One identity of our own and the sessions that were made under it. When the identity is renewed, a new context takes
- * its place and the old sessions with it. Bundles and moment are asked for at each handshake, a resumed one too: there
- * the platform asks nobody, so the peer's chain of the first is judged again.
+ * TLS configuration and session cache of one identity of this node. A renewed identity gets a new context, so the
+ * sessions of the old one are not resumed. Bundles and time are read at each handshake. In a resumed handshake the JDK
+ * calls no trust manager, so the peer's chain from the original handshake is checked again.
  */
 public final class TlsContext {
-    /** Both versions that are spoken; the older one only where the settings say so. */
+    /** The protocol versions; TLS 1.2 only if the settings allow it. */
     private static final String[] TLS_1_3_ONLY = {"TLSv1.3"};
 
     private static final String[] TLS_1_3_AND_1_2 = {"TLSv1.3", "TLSv1.2"};
@@ -43,7 +43,10 @@
     private final Supplier<Instant> clock;
     private final AtomicLong chainChecks = new AtomicLong();
 
-    /** {@code chain} and {@code key} are our own, the leaf first; {@code lenient} lets TLS 1.2 in beside 1.3. */
+    /**
+     * {@code chain}, leaf first, and {@code key} are this node's own; {@code allowTls12} allows TLS 1.2 in addition to
+     * 1.3.
+     */
     public TlsContext(
             List<X509Certificate> chain,
             PrivateKey key,
@@ -60,13 +63,13 @@
                     new TrustManager[] {new SvidTrustManager()},
                     new SecureRandom());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this platform has no TLS", e);
+            throw new IllegalStateException("TLS is not available on this platform", e);
         }
         context.getClientSessionContext().setSessionCacheSize(SESSION_CACHE_SIZE);
         context.getServerSessionContext().setSessionCacheSize(SESSION_CACHE_SIZE);
     }
 
-    /** For a connection that was accepted; the client must show an identity. */
+    /** Returns the state machine of an accepted connection; the client must present a certificate. */
     public TlsStateMachine server() {
         SSLEngine engine = context.createSSLEngine();
         engine.setUseClientMode(false);
@@ -75,7 +78,10 @@
         return new TlsStateMachine(engine, this);
     }
 
-    /** For one that is dialled; sessions are kept by the peer's name, and resumed with the same name only. */
+    /**
+     * Returns the state machine of an outgoing connection. Sessions are cached by the peer's name and resumed only with
+     * the same name.
+     */
     public TlsStateMachine client(String peer, int port) {
         SSLEngine engine = context.createSSLEngine(peer, port);
         engine.setUseClientMode(true);
@@ -83,17 +89,23 @@
         return new TlsStateMachine(engine, this);
     }
 
-    /** For blocking sockets of the platform's, as stand-ins use them: a resumed session is not judged again there. */
+    /**
+     * Returns the context for blocking JDK sockets, as test doubles use it; there a resumed session is not checked
+     * again.
+     */
     public SSLContext sslContext() {
         return context;
     }
 
-    /** Full handshakes in which a peer's chain was judged, whatever came out: a resumed one has none. */
+    /**
+     * Returns the number of peer chains checked in full handshakes, whatever the result; a resumed handshake does not
+     * count.
+     */
     public long chainChecks() {
         return chainChecks.get();
     }
 
-    /** The peer's identity in a session, as it is judged now. */
+    /** Checks the peer's chain in a session against the current bundles and time and returns its identity. */
     X509Svid checkPeer(SSLSession session) throws IdentityRejectedException, SSLPeerUnverifiedException {
         List<X509Certificate> chain = new ArrayList<>();
         for (Certificate each : session.getPeerCertificates()) {
@@ -111,7 +123,7 @@
         }
     }
 
-    /** Asks our own judgement of either side; names of hosts play no part in it. */
+    /** Checks the peer's chain by the X509-SVID standard on either side; host names are not checked. */
     private final class SvidTrustManager extends X509ExtendedTrustManager {
         @Override
         public void checkClientTrusted(X509Certificate[] chain, String kind, SSLEngine engine)
@@ -149,11 +161,11 @@
 
         @Override
         public X509Certificate[] getAcceptedIssuers() {
-            return new X509Certificate[0]; // says nothing of whom we trust to who is not known yet
+            return new X509Certificate[0]; // does not reveal the trusted authorities to an unauthenticated peer
         }
     }
 
-    /** The one key that we have, for whoever asks. */
+    /** Presents the node's only key and chain to any peer. */
     private static final class SvidKeyManager extends X509ExtendedKeyManager {
         private static final String ALIAS = "svid";
 
--- a/src/main/java/olivechute/tls/TlsException.java
+++ b/src/main/java/olivechute/tls/TlsException.java
@@ -1,7 +1,8 @@
 package olivechute.tls;
 
 /**
- * A connection that cannot go on; its peer gets what {@link TlsStateMachine#toSend} still holds, an alert at the most.
+ * A fatal TLS fault: the connection cannot continue. The driver still sends what {@link TlsStateMachine#toSend} holds,
+ * which is at most an alert.
  */
 public final class TlsException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/olivechute/tls/TlsStateMachine.java
+++ b/src/main/java/olivechute/tls/TlsStateMachine.java
@@ -10,28 +10,31 @@
 import olivechute.identity.X509Svid;
 
 /**
- * One side of a TLS connection, fed bytes. Its driver reads into {@link #room}, has {@link #work} make something of it,
- * sends {@link #toSend} and takes {@link #received}; {@link #send} makes plain bytes ready to be sent. Nothing is
- * received or sent before the peer's identity holds. Buffers are bounded by the protocol's records. For one thread at a
- * time.
+ * One side of a TLS connection, as a state machine without I/O. The driver reads from the network into
+ * {@link #receiveBuffer}, calls {@link #advance}, sends {@link #toSend} and takes plaintext from {@link #received};
+ * {@link #send} encrypts plaintext. No plaintext is received or sent before the peer's identity has been verified.
+ * Buffers are bounded by the record size of the protocol. Not safe for concurrent use.
  */
 public final class TlsStateMachine {
     private static final byte HANDSHAKE_RECORD = 22;
-    /** Records of a handshake that a peer may send: more than any needs, fewer than would keep a core busy. */
+    /** Records that a peer may send in a handshake: more than any handshake needs, too few to keep a core busy. */
     private static final int MAX_HANDSHAKE_RECORDS = 64;
 
-    /** What a buffer holds at first: ordinary messages, and all of a handshake but certificates. */
+    /**
+     * Initial size of a buffer in bytes: enough for ordinary messages, and for all of a handshake except certificates.
+     */
     private static final int INITIAL_BUFFER_BYTES = 2048;
     /**
-     * The platform writes no record to less than a whole one's room: each thread has that once, not each connection.
+     * Output buffer for one record. The JDK requires room for a record of maximum size; the buffer is kept per thread
+     * rather than per connection to save memory.
      */
     private static final ThreadLocal<ByteBuffer> RECORD_BUFFER = new ThreadLocal<>();
 
     private final SSLEngine engine;
     private final TlsContext context;
-    private ByteBuffer inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // from the peer, to be written to
-    private ByteBuffer outbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // for the peer, to be written to
-    private ByteBuffer plaintext = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // from the peer, to be written to
+    private ByteBuffer inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // encrypted, from the peer; in write mode
+    private ByteBuffer outbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // encrypted, for the peer; in write mode
+    private ByteBuffer plaintext = ByteBuffer.allocate(INITIAL_BUFFER_BYTES); // decrypted, from the peer; in write mode
     private boolean handshakeStarted;
     private boolean firstByteChecked;
     private boolean closed;
@@ -43,19 +46,19 @@
         this.context = context;
     }
 
-    /** Where the peer's bytes are to be read to. */
+    /** Returns the buffer into which the driver reads the peer's bytes. */
     public ByteBuffer receiveBuffer() {
         return inbound;
     }
 
-    /** True if bytes can be read; if not, what is received is to be taken first. */
+    /** Returns true if the receive buffer has space; if not, the driver must first take {@link #received}. */
     public boolean hasReceiveSpace() {
         return inbound.hasRemaining();
     }
 
     /**
-     * Goes on as far as it can with what was read to {@link #room}. A {@link TlsException} ends the connection, once
-     * what is to be sent is sent.
+     * Processes the bytes in {@link #receiveBuffer} as far as possible. After a {@link TlsException} the driver must
+     * send {@link #toSend} and close the connection.
      */
     public void advance() throws TlsException {
         try {
@@ -66,11 +69,11 @@
                     firstByteChecked = true;
                     if (inbound.get(0) != HANDSHAKE_RECORD) {
                         closed = true;
-                        throw new TlsException("no TLS: its first byte is " + (inbound.get(0) & 0xff));
+                        throw new TlsException("not TLS: the first byte is " + (inbound.get(0) & 0xff));
                     }
                 }
                 while (step()) {
-                    // one record or one task after the other
+                    // each step handles one record or one delegated task
                 }
             } finally {
                 inbound.compact();
@@ -78,7 +81,8 @@
                     inbound = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
                 } else if (!inbound.hasRemaining()) {
                     inbound = enlarge(
-                            inbound, engine.getSession().getPacketBufferSize()); // the rest of a record is to come
+                            inbound,
+                            engine.getSession().getPacketBufferSize()); // the rest of a record is still to come
                 }
             }
         } catch (SSLException e) {
@@ -103,14 +107,14 @@
         }
     }
 
-    /** One record or task; false if there is nothing to go on with. */
+    /** Handles one record or delegated task; returns false if no progress is possible. */
     private boolean step() throws SSLException, TlsException {
         HandshakeStatus status = engine.getHandshakeStatus();
         switch (status) {
             case NEED_TASK -> {
                 Runnable task = engine.getDelegatedTask();
                 if (task != null) {
-                    task.run(); // on the connection's own thread: it has nothing else to do until then
+                    task.run(); // on the connection's own thread, which cannot proceed without it
                 }
                 return true;
             }
@@ -131,11 +135,11 @@
             result = engine.unwrap(inbound, plaintext);
         }
         if (result.getStatus() == Status.BUFFER_OVERFLOW || result.getStatus() == Status.BUFFER_UNDERFLOW) {
-            return false; // what is received must be taken, or more must come
+            return false; // plaintext must be taken first, or more bytes must arrive
         }
         if (peer == null && ++handshakeRecords > MAX_HANDSHAKE_RECORDS) {
             closed = true;
-            throw new TlsException("over " + MAX_HANDSHAKE_RECORDS + " records of a handshake");
+            throw new TlsException("over " + MAX_HANDSHAKE_RECORDS + " records in a handshake");
         }
         checkPeerIfFinished(result);
         if (result.getStatus() == Status.CLOSED) {
@@ -151,7 +155,7 @@
         return result.getStatus() == Status.OK && (result.bytesProduced() > 0 || result.bytesConsumed() > 0);
     }
 
-    /** Has the engine write one record, and adds it to what is to be sent. */
+    /** Has the engine write one record and appends it to the output. */
     private SSLEngineResult wrapRecord(ByteBuffer from) throws SSLException {
         int maxRecordBytes = engine.getSession().getPacketBufferSize();
         ByteBuffer record = RECORD_BUFFER.get();
@@ -175,8 +179,8 @@
     }
 
     /**
-     * At the end of each handshake the peer's identity is judged, whether the platform asked for it or took it from a
-     * former session.
+     * At the end of each handshake, checks the peer's identity, also in a resumed session, where the JDK does not check
+     * it.
      */
     private void checkPeerIfFinished(SSLEngineResult result) throws TlsException, SSLException {
         if (result.getHandshakeStatus() != HandshakeStatus.FINISHED) {
@@ -193,7 +197,7 @@
         }
     }
 
-    /** What the engine still has to say to a peer that is let go. */
+    /** Writes the engine's remaining output, such as an alert, before the connection ends. */
     private void wrapAlerts() {
         try {
             while (engine.getHandshakeStatus() == HandshakeStatus.NEED_WRAP
@@ -201,14 +205,14 @@
                 // an alert takes one record
             }
         } catch (SSLException e) {
-            return; // nothing more to say
+            return; // no more output can be produced
         }
     }
 
-    /** Makes plain bytes ready to be sent, all of them; only once {@link #open}. */
+    /** Encrypts all of these bytes for sending; allowed only while {@link #isOpen}. */
     public void send(ByteBuffer bytes) throws TlsException {
         if (!isOpen()) {
-            throw new TlsException("not open");
+            throw new TlsException("the connection is not open");
         }
         try {
             while (bytes.hasRemaining()) {
@@ -220,26 +224,26 @@
         }
     }
 
-    /** Says that no more will come from this side. */
+    /** Closes the outbound side with a close_notify alert. */
     public void closeOutbound() {
         engine.closeOutbound();
         closed = true;
         wrapAlerts();
     }
 
-    /** True if something is to be sent. */
+    /** Returns true if there is output to send. */
     public boolean hasToSend() {
         return outbound.position() > 0;
     }
 
-    /** Hands out what is to be sent to the peer, which the driver must send or copy before it goes on. */
+    /** Returns and removes the output for the peer, which the driver must send or copy before the next call. */
     public ByteBuffer toSend() {
         ByteBuffer ready = ByteBuffer.wrap(outbound.array(), 0, outbound.position());
         outbound = outbound.position() == 0 ? outbound : ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
         return ready;
     }
 
-    /** Hands out what the peer said, in plain bytes; empty until its identity holds. */
+    /** Returns and removes the received plaintext; empty until the peer's identity has been verified. */
     public ByteBuffer received() {
         if (peer == null || plaintext.position() == 0) {
             return ByteBuffer.allocate(0);
@@ -249,17 +253,19 @@
         return ready;
     }
 
-    /** True from the end of the handshake, its identity judged, to the connection's end. */
+    /**
+     * Returns true from the end of the handshake, with the peer's identity verified, until the connection is closed.
+     */
     public boolean isOpen() {
         return peer != null && !closed;
     }
 
-    /** True once nothing more is read. */
+    /** Returns true once no more input is processed. */
     public boolean closed() {
         return closed;
     }
 
-    /** Who the peer is, null until that is settled. */
+    /** Returns the peer's identity, null until it has been verified. */
     public X509Svid peer() {
         return peer;
     }
--- a/src/main/java/olivechute/tls/package-info.java
+++ b/src/main/java/olivechute/tls/package-info.java
@@ -1,5 +1,5 @@
 /**
- * TLS with SPIFFE identities on both sides: what a connection's bytes mean, as a state machine that knows no socket,
- * and the contexts that it takes its keys and its judgement from. Not loaded by a node that speaks plain TCP.
+ * TLS with SPIFFE identities on both sides: a state machine that processes a connection's bytes and does no I/O, and
+ * the contexts that provide its keys and check its peers. Not loaded by a node that uses plain TCP only.
  */
 package olivechute.tls;
--- a/src/test/java/olivechute/authorization/AuthorizationTest.java
+++ b/src/test/java/olivechute/authorization/AuthorizationTest.java
@@ -17,7 +17,7 @@
 import olivechute.identity.SpiffeId;
 import org.junit.jupiter.api.Test;
 
-/** Who may be a client of whom, and who a host of which name. */
+/** Rules on which identity may be a client of which tenants, and which must be the endpoint of a given name. */
 class AuthorizationTest {
     private static SpiffeId id(String text) throws IdentityRejectedException {
         return SpiffeId.parse(text);
@@ -50,10 +50,10 @@
             {"spiffe://td/A", "spiffe://td/a"}
         };
         for (String[] pair : yes) {
-            assertTrue(matches(pair[0], pair[1]), pair[0] + " is about " + pair[1]);
+            assertTrue(matches(pair[0], pair[1]), pair[0] + " matches " + pair[1]);
         }
         for (String[] pair : no) {
-            assertFalse(matches(pair[0], pair[1]), pair[0] + " is not about " + pair[1]);
+            assertFalse(matches(pair[0], pair[1]), pair[0] + " does not match " + pair[1]);
         }
     }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Against the same rule as a regular expression, over short paths of few letters. */
+    /** Compares patterns with equivalent regular expressions over short paths of few letters. */
     @Property(tries = 3000, seed = "20261201")
     void patternsAgreeWithEquivalentRegularExpressions(@ForAll @LongRange(max = 1L << 40) long seed)
             throws IdentityRejectedException {
--- a/src/test/java/olivechute/grpc/GrpcConnectionTest.java
+++ b/src/test/java/olivechute/grpc/GrpcConnectionTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Two sides whose bytes are carried in pieces, and frames that no peer should send. */
+/** Connects a client and a server and transfers their bytes in chunks, and feeds frames that a peer must not send. */
 class GrpcConnectionTest {
-    /** What a side heard, in order. */
+    /** Records the events of one side in order. */
     private static final class RecordingListener implements GrpcConnection.Listener {
         private final List<String> events = new ArrayList<>();
         private final List<byte[]> messages = new ArrayList<>();
@@ -80,11 +80,11 @@
         assertEquals(List.of("headers 200", "message 0", "message 1", "ended {grpc-status=0}"), atClient.events);
     }
 
-    /** Beyond any window, and in pieces of any size: all of it comes, once and in order. */
+    /** Messages larger than the windows, transferred in chunks of random size, arrive complete, once and in order. */
     @Property(tries = 30, seed = "20261201")
     void largeMessagesArriveIntact(@ForAll @LongRange(max = 1L << 30) long seed) throws GrpcException {
         Random random = new Random(seed);
-        atClient = new RecordingListener(); // each try is a connection of its own
+        atClient = new RecordingListener(); // each try uses a new connection
         atServer = new RecordingListener();
         client = GrpcConnection.client(atClient);
         server = GrpcConnection.server(atServer);
@@ -107,9 +107,7 @@
         assertTrue(atClient.events.get(6).startsWith("ended"));
     }
 
-    /**
-     * Frames as hexadecimal digits, fed to a caller with one call out: the connection ends by the declared exception.
-     */
+    /** Frames in hexadecimal, fed to a client with one open call, end the connection with the declared exception. */
     @ParameterizedTest
     @CsvSource({
         "00400100 0000000001, a frame of",
@@ -117,15 +115,15 @@
         "000005 00 00 00000001 0000200001, a message of 2097153 bytes",
         "000005 00 00 00000001 00ffffffff, a message of 4294967295 bytes",
         "000001 01 04 00000003 88, headers on stream 3",
-        "000001 01 00 00000001 88 000000 06 00 00000000, broken off",
-        "000001 09 04 00000001 88, goes on that has not begun",
+        "000001 01 00 00000001 88 000000 06 00 00000000, interrupted by another frame",
+        "000001 09 04 00000001 88, without an open header block",
         "000001 01 04 00000001 ff, headers that cannot be read",
-        "000001 01 0c 00000001 05, more padding than frame",
+        "000001 01 0c 00000001 05, more padding than payload",
         "000001 01 24 00000001 05, too short",
         "000002 08 00 00000001 0005, too short",
         "000006 04 00 00000000 0004ffffffff, a window over",
         "000004 05 04 00000001 00000002, a push",
-        "000008 07 00 00000000 0000000000000000, goes away",
+        "000008 07 00 00000000 0000000000000000, sent GOAWAY",
     })
     void invalidFramesEndTheConnection(String frames, String expected) throws GrpcException {
         client.call("localhost", "/S/M", Map.of(), new byte[0]);
@@ -142,7 +140,7 @@
         assertThrows(GrpcException.class, () -> server.feed(plain, 0, plain.length));
     }
 
-    /** Rubbish behind a sound beginning: no exception but the declared one, no buffer beyond its bound. */
+    /** Random frames with a valid frame header throw only the declared exception and exceed no buffer bound. */
     @Property(tries = 2000, seed = "20261201")
     void randomFramesThrowOnlyGrpcException(@ForAll @LongRange(max = 1L << 40) long seed) {
         Random random = new Random(seed);
--- a/src/test/java/olivechute/identity/JwtCheckTest.java
+++ b/src/test/java/olivechute/identity/JwtCheckTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tokens: what is right holds, each forgery is refused for its reason. */
+/** JWT-SVID validation: valid tokens are accepted, and each forged one is rejected for its own reason. */
 public class JwtCheckTest {
     private static final Instant NOW = Instant.parse("2026-12-01T12:00:00Z");
     private static final String ID = "spiffe://td/client";
@@ -120,7 +120,7 @@
         assertRejected(Reason.BAD_ID, ec(claims().subject(null)));
         assertRejected(Reason.BAD_ID, ec(claims().subject("spiffe://td")));
         assertRejected(Reason.UNKNOWN_DOMAIN, ec(claims().subject("spiffe://nowhere/c")));
-        assertRejected(Reason.NOT_VOUCHED, ec(claims().subject("spiffe://other/c"))); // another domain's key id
+        assertRejected(Reason.NOT_VOUCHED, ec(claims().subject("spiffe://other/c"))); // key id of another trust domain
         assertRejected(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256), claims(), own));
         assertRejected(Reason.NOT_VOUCHED, signed(new JWSHeader.Builder(JWSAlgorithm.ES256).keyID("r"), claims(), own));
         assertRejected(
--- a/src/test/java/olivechute/identity/SpiffeIdTest.java
+++ b/src/test/java/olivechute/identity/SpiffeIdTest.java
@@ -14,7 +14,7 @@
 import olivechute.identity.IdentityRejectedException.Reason;
 import org.junit.jupiter.api.Test;
 
-/** IDs against the standard's letters, by table, by a pattern that says the same in another way, and by rubbish. */
+/** SPIFFE IDs against the SPIFFE-ID standard: by a table, by an equivalent regular expression, and with random text. */
 class SpiffeIdTest {
     private static final Pattern STANDARD =
             Pattern.compile("spiffe://[a-z0-9._-]{1,255}(/(?!\\.{1,2}(/|$))[a-zA-Z0-9._-]+)*");
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Texts near the border of what is allowed: read exactly where the pattern fits. */
+    /** Random texts that are nearly valid are parsed if and only if they match the regular expression. */
     @Property(tries = 3000, seed = "20261201")
     void parsesExactlyTheIdsThatTheStandardAllows(@ForAll @LongRange(max = 1L << 40) long seed) {
         Random random = new Random(seed);
@@ -93,7 +93,7 @@
         assertEquals(allowed, read, text.toString());
     }
 
-    /** No text makes a token's reader throw anything but the refusal. */
+    /** No token text makes the validation throw any other exception. */
     @Property(tries = 2000, seed = "20261201")
     void randomTokensThrowOnlyIdentityRejectedException(@ForAll @StringLength(max = 300) String randomText) {
         for (String token : new String[] {
--- a/src/test/java/olivechute/svid/SvidFuzzTest.java
+++ b/src/test/java/olivechute/svid/SvidFuzzTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Documents, key sets and messages with bytes changed, cut or doubled: no exception but the declared one, and never
- * another identity.
+ * Certificates, key sets and messages with bytes changed, removed or duplicated: only the declared exception is thrown,
+ * and no other identity is accepted.
  */
 class SvidFuzzTest {
     private static final String ID = "spiffe://td/node";
@@ -63,7 +63,7 @@
         return all.toByteArray();
     }
 
-    /** A few bytes changed, or a piece cut out or put in twice. */
+    /** Changes a few bytes, and at times removes or duplicates a part. */
     private static byte[] corrupt(byte[] valid, Random random) {
         byte[] bytes = valid.clone();
         for (int n = random.nextInt(4); n >= 0; n--) {
--- a/src/test/java/olivechute/testca/ForgeryTest.java
+++ b/src/test/java/olivechute/testca/ForgeryTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What is right holds, and each forgery is refused, for its own reason and for no other. */
+/** Valid certificate chains are accepted, and each forged one is rejected for its own reason and no other. */
 public class ForgeryTest {
     private static final Instant NOW = Instant.parse("2026-12-01T12:00:00Z");
     private static final Duration HOUR = Duration.ofHours(1);
@@ -82,7 +82,10 @@
                 theirs);
     }
 
-    /** The forgery outside of its signer's constraints is refused for these alone: inside, all else alike, it holds. */
+    /**
+     * A chain is rejected only for violating the name constraints of its intermediate: the same chain within the
+     * constraints is accepted.
+     */
     @Test
     public void intermediateNameConstraintsAreEnforced() throws Exception {
         java.security.KeyPair keys = CertificateBuilder.newEcKeyPair();
@@ -101,7 +104,7 @@
         }
     }
 
-    /** The platform's validator passes over what an authority constrains itself to; ours does not. */
+    /** The JDK's path validator ignores the name constraints of a trust anchor; {@link X509Check} must enforce them. */
     @Test
     public void rootNameConstraintsAreEnforced() throws Exception {
         for (String host : new String[] {DOMAIN, "elsewhere.example"}) {
@@ -121,7 +124,7 @@
         }
     }
 
-    /** A clock that steps, and a bundle that changes, show at the next look: nothing is remembered between two. */
+    /** A clock step or a changed bundle takes effect at the next check: no result is cached between checks. */
     @Test
     public void eachCheckUsesCurrentTimeAndBundles() throws Exception {
         SpiffeId id = SpiffeId.parse("spiffe://" + DOMAIN + "/w");
@@ -141,7 +144,7 @@
         assertEquals(rejectionReason(issued, bundles.with(next.bundle()), NOW), Reason.NOT_VOUCHED);
     }
 
-    /** A root that has expired vouches for nobody, though the platform would not ask. */
+    /** An expired root must not verify any chain; the JDK does not check the validity period of a trust anchor. */
     @Test
     public void expiredAuthorityIsNotATrustAnchor() throws Exception {
         CertificateAuthority old = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.minusSeconds(1));
--- a/src/test/java/olivechute/testca/SvidManagerTest.java
+++ b/src/test/java/olivechute/testca/SvidManagerTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a source offers: what holds is in force at once, what does not changes nothing. */
+/** Offers of an SVID source: a valid offer is active at once, an invalid one changes nothing. */
 public class SvidManagerTest {
     private static final Instant NOW = Instant.parse("2026-12-01T12:00:00Z");
     private static final Duration HOUR = Duration.ofHours(1);
@@ -115,7 +115,8 @@
     }
 
     /**
-     * A bundle that rolls over: both authorities for a while, then the new one alone, with a document that it signed.
+     * Rotation of an authority: the bundle first holds both authorities, then only the new one, with an SVID that it
+     * signed.
      */
     @Test
     public void bundleRotationAcceptsBothAuthoritiesDuringOverlap() throws Exception {
--- a/src/test/java/olivechute/tls/TlsStateMachineTest.java
+++ b/src/test/java/olivechute/tls/TlsStateMachineTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Two machines whose bytes are carried from one to the other in pieces of any size. */
-@SuppressWarnings("IdentityHashMapUsage") // machines are told apart by identity
+/** Connects two TLS state machines and transfers their bytes in chunks of random size. */
+@SuppressWarnings("IdentityHashMapUsage") // state machines are compared by reference
 public class TlsStateMachineTest {
     private static final String DOMAIN = "dala.example";
     private static final Duration HOUR = Duration.ofHours(1);
@@ -50,10 +50,7 @@
         return root.issue(SpiffeId.parse("spiffe://" + DOMAIN + path), now.minusSeconds(60), now.plusSeconds(60));
     }
 
-    /**
-     * Carries what each has to say to the other until neither has any more; the first fault ends it once all is
-     * carried.
-     */
+    /** Transfers the output of each side to the other until neither has any; then throws the first failure, if any. */
     private void exchange(TlsStateMachine one, TlsStateMachine other) throws TlsException {
         TlsException failure = null;
         ByteArrayOutputStream toOne = new ByteArrayOutputStream();
@@ -125,7 +122,8 @@
     }
 
     /**
-     * The second connection to a peer makes no chain travel, yet the identity it stands for is judged as it is then.
+     * A resumed session transfers no certificate chain; the peer's identity must still be checked against the current
+     * bundles and time.
      */
     @Test
     public void resumedSessionIsCheckedAgainstCurrentBundlesAndTime() throws Exception {
@@ -165,14 +163,14 @@
         return java.util.Arrays.stream(ForgedIdentity.values())
                 .filter(f -> f != ForgedIdentity.EMPTY_CHAIN
                         && f != ForgedIdentity.SHORT_RSA
-                        && f != ForgedIdentity.SIGNED_WITH_SHA1) // the JDK sends none
+                        && f != ForgedIdentity.SIGNED_WITH_SHA1) // the JDK does not send these
                 .map(f -> new Object[] {f})
                 .toArray(Object[][]::new);
     }
 
     /**
-     * Refused on either side; the log learns why, the forger gets an alert and not a byte of what the other would have
-     * said.
+     * A forged identity is rejected on either side: the local exception has the reason, and the forging peer receives
+     * an alert but no application data.
      */
     @Test(dataProvider = "forgeries")
     public void forgedIdentityReceivesOnlyAnAlert(ForgedIdentity forgery) throws Exception {
@@ -194,14 +192,14 @@
         TlsStateMachine node = context(issue("/node"), false).server();
         node.receiveBuffer().put((byte) 'P');
         String told = expectThrows(TlsException.class, node::advance).getMessage();
-        assertEquals(told, "no TLS: its first byte is 80");
+        assertEquals(told, "not TLS: the first byte is 80");
         assertTrue(node.closed());
         assertEquals(node.toSend().remaining(), 0);
     }
 
     /**
-     * Rubbish after a right beginning: the connection ends by the one exception that is declared, and says nothing but
-     * alerts.
+     * Random bytes after a valid record header end the connection with the declared exception; nothing but alerts is
+     * sent.
      */
     @Test
     public void randomBytesOnlyEndTheConnection() throws Exception {
