--- a/src/main/java/olivechute/Main.java
+++ b/src/main/java/olivechute/Main.java
@@ -6,13 +6,16 @@
 import olivechute.simulator.SimulatorAdapter;
 
 /**
- * Where the program starts: {@code serve} and {@code benchlink} without more, as the platform calls them, begin at
- * once; any other call goes through {@link RootCommand}.
+ * Entry point of the program. {@code serve} and {@code benchlink} without further arguments, as the platform calls
+ * them, start directly and load no command-line library; every other call goes through {@link RootCommand}.
  */
 public final class Main {
     private Main() {}
 
-    /** Runs the named part; exits with 2 on a wrong call, 1 on a bad line or configuration, 0 at the end of input. */
+    /**
+     * Runs the named command; exits with 2 on a wrong call, 1 on an invalid input line or configuration, and 0 at the
+     * end of input.
+     */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         switch (command) {
--- a/src/main/java/olivechute/config/Address.java
+++ b/src/main/java/olivechute/config/Address.java
@@ -4,11 +4,11 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code HOST:PORT}, where the host is a literal address: nothing here may wait for a name service. */
+/** Parses {@code HOST:PORT}. The host must be a literal IP address, as nothing here may block on name resolution. */
 public final class Address {
     private Address() {}
 
-    /** The address that a text holds; {@code key} is blamed if it holds none. */
+    /** Returns the parsed address; an {@link InvalidValueException} names {@code key} if the text is none. */
     public static InetSocketAddress parse(String key, String text) {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
--- a/src/main/java/olivechute/config/ConfigurationFile.java
+++ b/src/main/java/olivechute/config/ConfigurationFile.java
@@ -6,14 +6,17 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Reads a file of the operators, whose disk may fail for a moment. */
+/** Reads configuration files, retrying transient disk errors. Blocks the calling thread. */
 final class ConfigurationFile {
     private static final long RETRY_DURATION_NANOS = 1_000_000_000;
     private static final long RETRY_INTERVAL_MILLIS = 50;
 
     private ConfigurationFile() {}
 
-    /** All of its bytes; a read that fails is tried again for a second, unless the file is not there or not ours. */
+    /**
+     * Returns all bytes of the file. A failed read is retried for a second, unless the file does not exist or access is
+     * denied.
+     */
     static byte[] read(Path file) throws IOException {
         long deadlineNanos = System.nanoTime() + RETRY_DURATION_NANOS;
         for (; ; ) {
--- a/src/main/java/olivechute/config/EndpointListDecoder.java
+++ b/src/main/java/olivechute/config/EndpointListDecoder.java
@@ -7,7 +7,7 @@
 import olivechute.proxy.EndpointListUpdate;
 import olivechute.proxy.ResolvedEndpoint;
 
-/** Decodes discovery's list, whether it comes from discovery or, as last held, from the configuration. */
+/** Decodes an endpoint list from JSON: an answer of discovery, or the initial list in the node's configuration. */
 public final class EndpointListDecoder {
     private EndpointListDecoder() {}
 
@@ -26,7 +26,7 @@
                     LoadBalancerSettingsDecoder.state(element),
                     element.numberOr("weight", 1),
                     element.integerOr("since_ms", 0) * 1000);
-            Address.parse("address", element.text("address")); // a list with a bad one is no list
+            Address.parse("address", element.text("address")); // an invalid address rejects the whole list
             endpoints.add(new ResolvedEndpoint(info, element.text("address")));
         }
         return new EndpointListUpdate(json.integer("index"), json.flag("snapshot"), endpoints);
--- a/src/main/java/olivechute/config/HoconObject.java
+++ b/src/main/java/olivechute/config/HoconObject.java
@@ -18,12 +18,12 @@
 import java.util.function.Function;
 
 /**
- * An object of the operators' settings file, with readers that note what is wrong and go on with the default, so that
- * one look tells all faults. What is read is known; {@link #close} notes every other key, and the known one nearest to
- * it.
+ * An object of the operator settings file. A reader method that finds an invalid value records an error and returns the
+ * default, so that one pass finds all errors. Each key that is read counts as known; {@link #rejectUnknownKeys} reports
+ * every other key, with the most similar known one.
  */
 public final class HoconObject {
-    private static final int MAX_TYPO_DISTANCE = 4; // single letters that a name may be off to be taken for a slip
+    private static final int MAX_TYPO_DISTANCE = 4; // largest edit distance at which a known key is suggested
 
     private final String path;
     private final ConfigObject object;
@@ -36,11 +36,11 @@
         this.errors = errors;
     }
 
-    /** Reads a text; what is wrong with it, and with what is read from it, goes to {@code faults}. */
+    /** Parses a HOCON text; errors in it, and in what is read from it later, are added to {@code errors}. */
     public static HoconObject parse(String text, List<String> errors) {
         ConfigObject root = ConfigFactory.empty().root();
         try {
-            // Neither the environment nor another file or address has a part in it: what is checked is what is there.
+            // Neither environment variables nor included files or URLs are resolved: the text is checked as it stands.
             ConfigParseOptions options = ConfigParseOptions.defaults().setIncluder(new RejectingIncluder());
             root = ConfigFactory.parseString(text, options)
                     .resolve(ConfigResolveOptions.noSystem())
@@ -55,7 +55,7 @@
         return path.isEmpty() ? name : path + "." + name;
     }
 
-    /** Notes a fault of a key of this object. */
+    /** Records an error of a key of this object, with its line number. */
     public void addError(String name, String message) {
         ConfigValue value = object.get(name);
         String line = value == null || value.origin().lineNumber() < 0
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A text; the fallback where the key is absent or wrong. */
+    /** Returns a string, or the default if the key is absent or invalid. */
     public String text(String name, String defaultValue) {
         ConfigValue value = value(name);
         if (value != null && value.valueType() != ConfigValueType.STRING) {
@@ -95,7 +95,7 @@
         return value == null ? defaultValue : (String) value.unwrapped();
     }
 
-    /** A text that must be there. */
+    /** Returns a required string; a missing one is recorded as an error. */
     public String requiredText(String name) {
         if (!has(name)) {
             addError(name, "missing, must be text");
@@ -107,7 +107,10 @@
         return read(name, defaultValue, "true or false", c -> c.getBoolean(name));
     }
 
-    /** A whole number within these bounds; a wrong one is noted, and the default taken. */
+    /**
+     * Returns an integer from {@code min} to {@code max}; if it is out of range, records an error and returns the
+     * default.
+     */
     public int integer(String name, int defaultValue, int min, int max) {
         int value = read(name, defaultValue, "a whole number", c -> c.getInt(name));
         if (value < min || value > max) {
@@ -117,7 +120,7 @@
         return value;
     }
 
-    /** A number, of which parts may be given. */
+    /** Returns a number from {@code min} to {@code max}, which may have a fraction. */
     public double number(String name, double defaultValue, double min, double max) {
         double value = read(name, defaultValue, "a number", c -> c.getDouble(name));
         if (!(value >= min && value <= max)) {
@@ -127,12 +130,12 @@
         return value;
     }
 
-    /** The names of all keys that are there, where they are the operator's own. */
+    /** Returns all keys present, for objects whose keys the operator chooses. */
     public List<String> names() {
         return List.copyOf(new TreeSet<>(object.keySet()));
     }
 
-    /** A duration with its unit, as {@code 2s} or {@code 250ms}. */
+    /** Returns a duration written with its unit, such as {@code 2s} or {@code 250ms}. */
     public Duration duration(String name, Duration defaultValue, Duration min, Duration max) {
         ConfigValue value = value(name);
         if (value != null && value.valueType() != ConfigValueType.STRING) {
@@ -148,7 +151,7 @@
         return duration;
     }
 
-    /** One of some words, written in small letters with dashes. */
+    /** Returns the enum constant for a keyword, written in lower case with dashes. */
     public <E extends Enum<E>> E keyword(String name, E defaultValue) {
         String text = text(name, keyword(defaultValue));
         List<String> keywords = new ArrayList<>();
@@ -170,7 +173,7 @@
         return read(name, List.of(), "a list of texts", c -> List.copyOf(c.getStringList(name)));
     }
 
-    /** What a text stands for, by a reader that blames the key itself; null where it stands for nothing. */
+    /** Converts the value of a key by a function that names the key in its exception; returns null if that fails. */
     public <T> T convert(String name, Function<String, T> reader) {
         try {
             return reader.apply(key(name));
@@ -180,7 +183,7 @@
         }
     }
 
-    /** The object of a key, an empty one where it is absent. */
+    /** Returns the object of a key, an empty one if it is absent. */
     public HoconObject node(String name) {
         ConfigValue value = value(name);
         if (value != null && !(value instanceof ConfigObject)) {
@@ -192,7 +195,7 @@
                 errors);
     }
 
-    /** The objects of a list. */
+    /** Returns the objects of an array. */
     public List<HoconObject> nodes(String name) {
         List<? extends ConfigObject> objects = read(name, List.of(), "a list of objects", c -> c.getObjectList(name));
         List<HoconObject> nodes = new ArrayList<>();
@@ -202,7 +205,7 @@
         return nodes;
     }
 
-    /** All keys have been asked for: whatever else is there is none. */
+    /** Records an error for each key that was not read; called after all known keys have been. */
     public void rejectUnknownKeys() {
         for (String name : new TreeSet<>(object.keySet())) {
             if (!knownKeys.contains(name)) {
@@ -218,7 +221,10 @@
         }
     }
 
-    /** Letters to put in, take out or change to make one of the other (Levenshtein). */
+    /**
+     * Returns the Levenshtein distance: the insertions, deletions and substitutions that turn one string into the
+     * other.
+     */
     static int editDistance(String first, String second) {
         int[] distances = new int[second.length() + 1];
         for (int j = 0; j < distances.length; j++) {
--- a/src/main/java/olivechute/config/IdentitySettings.java
+++ b/src/main/java/olivechute/config/IdentitySettings.java
@@ -12,21 +12,24 @@
 import olivechute.identity.IdentityRejectedException;
 import olivechute.identity.SpiffeId;
 
-/** The operators' settings under {@code identity}: who we are, where that comes from, and who may be what. */
-@SuppressWarnings("ReferenceEquality") // the same object or both absent
+/**
+ * Operator settings under {@code identity}: the node's own SPIFFE identity, where its SVIDs and trust bundles come
+ * from, and which identities clients and endpoints may have.
+ */
+@SuppressWarnings("ReferenceEquality") // compares for the same object or both null
 public record IdentitySettings(
         String trustDomain, Source source, Tls tls, Downstream downstream, boolean upstreamTls, Rules rules) {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
-    /** Where documents and bundles come from. */
+    /** Source of SVIDs and trust bundles. */
     public enum Kind {
         FOLDER,
         WORKLOAD_API
     }
 
     /**
-     * {@code folder} or {@code socket} is null where the kind needs none; {@code address} is the other form of a
-     * socket.
+     * {@code folder} is null for a Workload API source, {@code socketPath} and {@code socketAddress} for a folder; a
+     * Workload API socket is either a Unix path or a loopback TCP address.
      */
     public record Source(
             Kind kind,
@@ -37,13 +40,14 @@
             String svidHint) {}
 
     /**
-     * {@code lenient}: TLS 1.2 beside 1.3; {@code atOnce}: handshakes that may compute at the same time, on either
-     * side.
+     * TLS options: {@code allowTls12} accepts TLS 1.2 beside 1.3, and {@code maxConcurrentHandshakes} bounds the
+     * handshakes that may compute at the same time, separately for downstream and upstream.
      */
     public record Tls(boolean allowTls12, int maxConcurrentHandshakes, Duration downstreamHandshakeTimeout) {}
 
     /**
-     * Which listeners there are: all plain, the platform's address in TLS, or TLS beside it on an address of its own.
+     * Which downstream listeners exist: plaintext only, TLS on the platform's address, or TLS on a separate address
+     * beside it.
      */
     public enum Mode {
         OFF,
@@ -51,12 +55,13 @@
         BESIDE
     }
 
-    /** {@code listen} is null but for {@link Mode#BESIDE}. */
+    /** {@code tlsListen} is null except for {@link Mode#BESIDE}. */
     public record Downstream(Mode mode, InetSocketAddress tlsListen) {}
 
     /**
-     * Who may be what, which a reload may change. {@code audience} is null where tokens are not taken; {@code proxies}
-     * are who may hand them on, {@code plain} lets them in on a plain listener.
+     * Authorization rules, which a reload may change. {@code audience} is null if JWT-SVIDs are not accepted;
+     * {@code trustedProxies} may forward them, and {@code allowPlaintextProxies} accepts forwarded ones on a plaintext
+     * listener.
      */
     public record Rules(
             ClientAuthorization clientAuthorization,
@@ -65,7 +70,7 @@
             List<SpiffeIdPattern> trustedProxies,
             boolean allowPlaintextProxies) {}
 
-    /** Reads them; null where they are off. Faults are noted in the file's. */
+    /** Reads the settings; returns null if identities are off. Errors are added to the file's error list. */
     static IdentitySettings read(HoconObject object) {
         boolean enabled = object.flag("enabled", false);
         String domain = enabled ? object.requiredText("trust_domain") : object.text("trust_domain", "");
@@ -201,7 +206,7 @@
                 plain);
     }
 
-    /** What is on and what is off, and by which key. */
+    /** Describes for operators where identities are used, and which key turns each use off. */
     String describe() {
         String clients =
                 switch (downstream.mode) {
@@ -215,7 +220,7 @@
                 + (rules.audience == null ? "off, as jwt.audience is not given" : "for " + rules.audience);
     }
 
-    /** The keys whose values differ from another's but cannot change while a node runs. */
+    /** Returns the keys whose values differ but cannot change while a node runs. */
     static List<String> restartRequiredKeys(IdentitySettings now, IdentitySettings before) {
         if (now == null || before == null) {
             return now == before ? List.of() : List.of("identity.enabled");
--- a/src/main/java/olivechute/config/InvalidValueException.java
+++ b/src/main/java/olivechute/config/InvalidValueException.java
@@ -1,6 +1,6 @@
 package olivechute.config;
 
-/** A value that is missing or wrong; the message begins with its key. */
+/** Thrown for a missing or invalid configuration value; the message begins with its key. */
 public class InvalidValueException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/olivechute/config/JsonFields.java
+++ b/src/main/java/olivechute/config/JsonFields.java
@@ -11,9 +11,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object with readers that name the field when it is missing or its type is wrong. */
+/**
+ * A parsed JSON object whose accessors throw an {@link InvalidValueException} with the field's name if it is missing or
+ * has the wrong type.
+ */
 public final class JsonFields {
-    /** Shallow: the reader calls itself, and on a thread with a small stack a deep text would overflow it. */
+    /**
+     * The nesting limit is low because parsing is recursive: on a thread with a small stack, deeply nested text would
+     * overflow it.
+     */
     private static final JsonFactory JSON = JsonFactory.builder()
             .streamReadConstraints(
                     StreamReadConstraints.builder().maxNestingDepth(32).build())
@@ -36,12 +42,12 @@
                 name + "." + field + ": " + (has(field) ? "must be " : "missing, must be ") + expected);
     }
 
-    /** For a word that is none of those that the field may hold. */
+    /** Returns the exception for a keyword that the field does not allow. */
     public InvalidValueException unknownValue(String field) {
         return new InvalidValueException(name + "." + field + ": unknown word " + text(field));
     }
 
-    /** A string; an {@link InvalidValueException} names the field if it is missing or of another type. */
+    /** Returns a string; an {@link InvalidValueException} names the field if it is missing or of another type. */
     public String text(String field) {
         if (fields.get(field) instanceof String s) {
             return s;
@@ -53,7 +59,7 @@
         return has(field) ? text(field) : defaultValue;
     }
 
-    /** A number; an {@link InvalidValueException} names the field if it is missing or of another type. */
+    /** Returns a number; an {@link InvalidValueException} names the field if it is missing or of another type. */
     public double number(String field) {
         if (fields.get(field) instanceof Number v) {
             return v.doubleValue();
@@ -65,7 +71,7 @@
         return has(field) ? number(field) : defaultValue;
     }
 
-    /** A number from 0 to {@code most}; 0 where it is not told. */
+    /** Returns a number from 0 to {@code max}; 0 if the field is missing. */
     public double fraction(String field, double max) {
         double value = numberOr(field, 0);
         if (value >= 0 && value <= max) {
@@ -74,7 +80,7 @@
         throw invalid(field, "from 0 to " + max);
     }
 
-    /** A whole number; an {@link InvalidValueException} names the field if it is missing or of another type. */
+    /** Returns an integer; an {@link InvalidValueException} names the field if it is missing or of another type. */
     public long integer(String field) {
         if (fields.get(field) instanceof Long v) {
             return v;
@@ -97,7 +103,7 @@
         return has(field) ? micros(field) : defaultValue;
     }
 
-    /** True or false, false if missing; an {@link InvalidValueException} names a field of another type. */
+    /** Returns a boolean, false if missing; an {@link InvalidValueException} names a field of another type. */
     public boolean flag(String field) {
         Object v = fields.get(field);
         if (v == null || v instanceof Boolean) {
@@ -106,7 +112,7 @@
         throw invalid(field, "true or false");
     }
 
-    /** An array, empty if missing; an {@link InvalidValueException} names a field of another type. */
+    /** Returns an array, empty if missing; an {@link InvalidValueException} names a field of another type. */
     public List<Object> list(String field) {
         Object v = fields.get(field);
         if (v == null) {
@@ -118,7 +124,7 @@
         throw invalid(field, "an array");
     }
 
-    /** An object, empty if missing; an {@link InvalidValueException} names a field of another type. */
+    /** Returns an object, empty if missing; an {@link InvalidValueException} names a field of another type. */
     public JsonFields node(String field) {
         Object v = fields.get(field);
         if (v == null) {
@@ -130,7 +136,9 @@
         throw invalid(field, "an object");
     }
 
-    /** An array of objects, empty if missing; an {@link InvalidValueException} names a field of another type. */
+    /**
+     * Returns an array of objects, empty if missing; an {@link InvalidValueException} names a field of another type.
+     */
     public List<JsonFields> nodes(String field) {
         List<JsonFields> nodes = new ArrayList<>();
         for (Object v : list(field)) {
@@ -147,12 +155,12 @@
         return new JsonFields(name, (Map<String, Object>) v);
     }
 
-    /** A reader of the JSON in part of an array, under the same bounds as all that is read here. */
+    /** Creates a JSON parser for part of an array, with the same nesting limit as all JSON that is read here. */
     public static JsonParser createParser(byte[] text, int from, int length) throws IOException {
         return JSON.createParser(text, from, length);
     }
 
-    /** The object that is all of a text; {@code name} stands for it in messages. */
+    /** Parses a text that is a single JSON object; {@code name} stands for it in error messages. */
     public static JsonFields parse(String name, byte[] text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -166,7 +174,7 @@
         }
     }
 
-    /** The bare value of a field, null where it is absent. */
+    /** Returns the unchecked value of a field, or null if it is absent. */
     public Object get(String field) {
         return fields.get(field);
     }
--- a/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
+++ b/src/main/java/olivechute/config/LoadBalancerSettingsDecoder.java
@@ -14,11 +14,14 @@
 import olivechute.loadbalancing.TailObjective;
 import olivechute.loadbalancing.Tenant;
 
-/** Decodes the settings, shared by the node's configuration and the simulator's first message. */
+/**
+ * Decodes the load balancer settings from JSON, for the node's configuration and for the simulator's first message.
+ * Durations are seconds in JSON and microseconds in the result.
+ */
 public final class LoadBalancerSettingsDecoder {
     private LoadBalancerSettingsDecoder() {}
 
-    /** Decodes what an instance is told at its start; absent keys get the defaults given here. */
+    /** Decodes all settings; absent keys get the defaults given here. */
     public static LoadBalancerSettings settings(JsonFields json) {
         return new LoadBalancerSettings(
                 classes(json),
@@ -36,7 +39,7 @@
                 json.node("clients").flag("marks_retry"));
     }
 
-    /** Reads each part on its own, so that a fault in one hides none in another. */
+    /** Returns one reader for each section, so that an error in one section does not hide errors in another. */
     static List<Runnable> sectionReaders(JsonFields json) {
         List<Runnable> readers = new ArrayList<>(List.of(
                 () -> json.textOr("az", ""),
@@ -161,7 +164,7 @@
         return new TailObjective(mix.fraction("tail_part", 1), mix.fraction("tail_miss", 1));
     }
 
-    /** What a list's entry says of its worker. */
+    /** Returns the state of an endpoint list's entry. */
     public static EndpointState state(JsonFields endpoint) {
         return switch (endpoint.text("status")) {
             case "active" -> EndpointState.ACTIVE;
--- a/src/main/java/olivechute/config/LoadReportFields.java
+++ b/src/main/java/olivechute/config/LoadReportFields.java
@@ -4,9 +4,12 @@
 import java.util.function.ToDoubleFunction;
 import olivechute.loadbalancing.LoadReport;
 
-/** Which values of a load report mean what, as the settings say. */
+/**
+ * Maps the values of a load report, as endpoints send them, to {@link LoadReport}. The names of the fields that hold
+ * free slots and free memory come from the settings and are empty if there is none.
+ */
 public record LoadReportFields(List<Object> names, String freeSlotsField, String freeMemoryField) {
-    /** Reads from the settings which value of a report means what. */
+    /** Reads the field names from the settings. */
     public static LoadReportFields of(JsonFields settings) {
         JsonFields domain = settings.node("domain");
         List<Object> names = settings.node("report").list("fields");
@@ -25,14 +28,14 @@
         return !freeSlotsField.isEmpty();
     }
 
-    /** A report whose values come in the order of the names; an empty one tells nothing. */
+    /** Returns the report for values in the order of the configured names; empty values mean no report. */
     public LoadReport fromRow(List<Object> values) {
         return values.isEmpty()
                 ? LoadReport.NONE
                 : fromValues(name -> LoadBalancerSettingsDecoder.numberAt(values, names.indexOf(name), Double.NaN));
     }
 
-    /** The report with one more value, where its name means something. */
+    /** Returns the report with one value replaced; a field without a meaning is ignored. */
     public LoadReport withValue(LoadReport report, String name, double value) {
         boolean isFreeSlots = name.equals(freeSlotsField);
         boolean isFreeMemory = name.equals(freeMemoryField);
@@ -47,7 +50,7 @@
                         isServiceTime ? value : report.serviceTimeMs());
     }
 
-    /** A report whose values are looked up by name; NaN for what was not told. */
+    /** Builds a report from a lookup by field name, which returns NaN for a missing value. */
     public LoadReport fromValues(ToDoubleFunction<String> values) {
         return new LoadReport(
                 values.applyAsDouble(freeSlotsField),
--- a/src/main/java/olivechute/config/LogSettings.java
+++ b/src/main/java/olivechute/config/LogSettings.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 
 /**
- * How the log is written: {@code OLIVECHUTE_LOG} is {@code text} or {@code json}, {@code OLIVECHUTE_LOG_LEVEL} one of
- * the logger's levels. To be settled before the first line is logged.
+ * Log format and level from the environment: {@code OLIVECHUTE_LOG} is {@code text} or {@code json},
+ * {@code OLIVECHUTE_LOG_LEVEL} one of the logger's levels. Must be applied before the first line is logged.
  */
 public enum LogSettings {
     TEXT,
     JSON;
 
-    /** The variable that names the form. */
+    /** The environment variable for the log format. */
     public static final String FORMAT_VARIABLE = "OLIVECHUTE_LOG";
-    /** The variable that names the least level. */
+    /** The environment variable for the lowest level that is logged. */
     public static final String LEVEL_VARIABLE = "OLIVECHUTE_LOG_LEVEL";
 
     private static final String LEVELS = "trace|debug|info|warn|error|off";
 
-    /** Sets the log up as the environment says, as text at the level of the built-in settings where it says nothing. */
+    /** Configures the logger from the environment; the default is text at the level of the built-in settings. */
     public static void apply(Map<String, String> environment) {
         String format = environment.getOrDefault(FORMAT_VARIABLE, "");
         if (!format.isEmpty()) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** The form of that name; {@code key} is blamed if there is none. */
+    /** Returns the format with this name; an {@link InvalidValueException} names {@code key} if there is none. */
     public static LogSettings parse(String key, String name) {
         for (LogSettings format : values()) {
             if (format.name().toLowerCase(Locale.ROOT).equals(name)) {
@@ -44,7 +44,7 @@
         throw new InvalidValueException(key + ": must be text or json, not '" + name + "'");
     }
 
-    /** Has what is logged from now on written so. */
+    /** Sets the writer for everything that is logged from now on. */
     private void apply() {
         if (this == JSON) {
             System.setProperty("tinylog.writer", "json lines");
--- a/src/main/java/olivechute/config/MetricsSettings.java
+++ b/src/main/java/olivechute/config/MetricsSettings.java
@@ -4,17 +4,19 @@
 import java.util.Map;
 
 /**
- * Where a node under a supervisor sends what it counts, and the name of the version that it was started as, empty for
- * none.
+ * Metrics reporting of a node that runs under a supervisor: where metrics are sent, and the name of the version that
+ * the node was started as, empty for none.
  */
 public record MetricsSettings(InetSocketAddress supervisorAddress, String version) {
-    /** The variables that tell. */
+    /** Environment variables that hold the settings. */
     static final String ADDRESS_VARIABLE = "OLIVECHUTE_FIGURES";
 
     static final String VERSION_VARIABLE = "OLIVECHUTE_VERSION";
     private static final int MAX_VERSION_LENGTH = 100;
 
-    /** Null where the environment names no supervisor; a {@link InvalidValueException} names the faulty variable. */
+    /**
+     * Returns null if the environment names no supervisor; an {@link InvalidValueException} names the faulty variable.
+     */
     static MetricsSettings read(Map<String, String> environment) {
         String address = environment.getOrDefault(ADDRESS_VARIABLE, "");
         if (address.isEmpty()) {
--- a/src/main/java/olivechute/config/NodeConfig.java
+++ b/src/main/java/olivechute/config/NodeConfig.java
@@ -17,12 +17,12 @@
 import org.tinylog.Logger;
 
 /**
- * All that a node is told: the file named by {@code LB_CONFIG}, and {@code LB_NAME}, {@code LB_LISTEN} and
- * {@code LB_DISCOVERY}, which override it; and, where {@code OLIVECHUTE_SETTINGS} names one, the operators' own file.
- * Read, checked and given defaults here and nowhere else. {@code identity} is null where identities are off,
- * {@code figures} where no supervisor is named.
+ * Configuration of a node: the JSON file named by {@code LB_CONFIG}; {@code LB_NAME}, {@code LB_LISTEN} and
+ * {@code LB_DISCOVERY}, which override it; and the operator settings file, if {@code OLIVECHUTE_SETTINGS} names one.
+ * All configuration is read, checked and given defaults here. {@code identity} is null if identities are off,
+ * {@code metrics} if no supervisor is configured; {@code connectTimeoutUs} is in microseconds.
  */
-@SuppressWarnings("ReferenceEquality") // the same object or both absent
+@SuppressWarnings("ReferenceEquality") // compares for the same object or both null
 public record NodeConfig(
         String name,
         InetSocketAddress listenAddress,
@@ -36,30 +36,30 @@
         long connectTimeoutUs,
         IdentitySettings identity,
         MetricsSettings metrics) {
-    /** The environment's variable that names the configuration's file. */
+    /** The environment variable that names the configuration file. */
     public static final String FILE_VARIABLE = "LB_CONFIG";
-    /** Descriptors kept for files, the listener and discovery. */
+    /** File descriptors reserved for files, the listener and discovery. */
     public static final int RESERVED_DESCRIPTORS = 64;
-    /**
-     * Memory that the process takes without connections, in KiB: measured 44 MB, and what the heap grows under load.
-     */
+    /** Memory of the process without connections, in KiB: 44 MB measured, plus heap growth under load. */
     private static final int BASE_MEMORY_KIB = 72 * 1024;
     /**
-     * What a connection adds, nearly all of it its thread's stack: measured 69 with the flags in deploy/, 110 without.
+     * Memory of a connection in KiB, nearly all of it its thread's stack: 69 measured with the flags in deploy/, 110
+     * without.
      */
     private static final int CONNECTION_MEMORY_KIB = 130;
     /**
-     * The same with identities: TLS's classes, and for each connection its engine and session; measured 25 MB, and 94
-     * to 125 KiB in all.
+     * Memory of the process with identities, in KiB. TLS classes add 25 MB (measured); each connection takes 94 to 125
+     * KiB in all, with its TLS engine and session.
      */
     private static final int TLS_BASE_MEMORY_KIB = BASE_MEMORY_KIB + 25 * 1024;
 
     private static final int TLS_CONNECTION_MEMORY_KIB = 160;
     /**
-     * However little memory is told: with fewer a node cannot serve at all, and what is told may be more than it takes.
+     * Connections accepted however low the memory limit is: with fewer a node cannot serve at all, and the limit may be
+     * higher than what the process takes.
      */
     public static final int MIN_CONNECTIONS = 48;
-    /** Names in the messages of the load balancer's checks, and the keys on the wire that they come from. */
+    /** Field names in the error messages of the load balancer's checks, and the JSON keys that the values come from. */
     private static final String[][] SETTINGS_KEYS = {
         {"limits.maxAttempts", "ceilings.try_limit"},
         {"limits.maxRetryAfterUs", "ceilings.max_retry_after"},
@@ -86,14 +86,14 @@
         {"overQuotaWeight", "over_share_worth"},
     };
 
-    /** Reads the configuration that the environment names; a {@link InvalidValueException} names the faulty key. */
+    /** Loads the configuration that the environment names; an {@link InvalidValueException} names the invalid key. */
     public static NodeConfig load(Map<String, String> environment) {
         return read(readFile(environment), environment);
     }
 
     /**
-     * Reads it again while the node runs. The environment still holds what it held at the start, so the discovery that
-     * a replaced file names must come before the one that the environment names.
+     * Reloads the configuration of a running node. The environment is still that of the start, so a discovery address
+     * in the replaced file takes precedence over {@code LB_DISCOVERY}.
      */
     public static NodeConfig reload(Map<String, String> environment) {
         JsonFields config = readFile(environment);
@@ -104,7 +104,7 @@
         return read(config, variables);
     }
 
-    /** The keys whose values differ from another configuration's but cannot change while the node runs. */
+    /** Returns the keys whose values differ from the running configuration but cannot change while the node runs. */
     public List<String> restartRequiredKeys(NodeConfig running) {
         List<String> keys = new ArrayList<>();
         note(keys, "name", name, running.name);
@@ -143,10 +143,7 @@
         }
     }
 
-    /**
-     * All that is wrong with what the environment names, a line for each, beginning with its key; empty if a node would
-     * start.
-     */
+    /** Returns all configuration errors, one line each, beginning with the key; empty if a node would start. */
     public static List<String> validate(Map<String, String> environment) {
         JsonFields config;
         try {
@@ -165,7 +162,7 @@
             note(errors, () -> {
                 List<Runnable> sections = LoadBalancerSettingsDecoder.sectionReaders(config.node("settings"));
                 for (int i = 0; i < sections.size(); i++) {
-                    note(errors, sections.get(i)); // some add the parts that they are made of
+                    note(errors, sections.get(i)); // a reader may add further readers to the list
                 }
             });
         }
@@ -175,12 +172,15 @@
             OperatorSettingsFile.read(environment, operatorErrors);
             errors.addAll(operatorErrors);
         }
-        // What only shows where parts meet, or stands above them.
+        // Errors that show only across sections or in the top-level object.
         note(errors, () -> read(config, environment));
         return List.copyOf(errors);
     }
 
-    /** Whether a node under this environment would use identities, where, and if not why; its configuration holds. */
+    /**
+     * Describes whether and where a node in this environment would use identities, or why not. The configuration must
+     * be valid.
+     */
     public static String describeIdentity(Map<String, String> environment) {
         if (!OperatorSettingsFile.isConfigured(environment)) {
             return "identities: off, as neither --settings nor " + OperatorSettingsFile.VARIABLE + " names a file";
@@ -226,7 +226,10 @@
                 : new EndpointListUpdate(0, true, List.of());
     }
 
-    /** As many as both limits bear; a memory limit too small for that is logged, and the node starts all the same. */
+    /**
+     * Returns the number of connections that both limits allow. If the memory limit is too small for
+     * {@link #MIN_CONNECTIONS}, this is logged and the node starts anyway.
+     */
     private static int maxConnections(JsonFields limits, boolean withIdentity) {
         int sockets =
                 checkRange("limits.sockets", limits.integerOr("sockets", 1024), RESERVED_DESCRIPTORS + 16, 1 << 20);
@@ -235,7 +238,10 @@
                 ? (memoryMb * 1024L - TLS_BASE_MEMORY_KIB) / TLS_CONNECTION_MEMORY_KIB
                 : (memoryMb * 1024L - BASE_MEMORY_KIB) / CONNECTION_MEMORY_KIB;
         if (memoryBound < MIN_CONNECTIONS) {
-            Logger.warn("limits.memory_mb: {} bears few connections, {} are kept", memoryMb, MIN_CONNECTIONS);
+            Logger.warn(
+                    "limits.memory_mb: {} is enough for only a few connections, {} are accepted",
+                    memoryMb,
+                    MIN_CONNECTIONS);
         }
         return (int) Math.min(sockets - RESERVED_DESCRIPTORS, Math.max(MIN_CONNECTIONS, memoryBound));
     }
@@ -248,7 +254,7 @@
         }
     }
 
-    /** The module's checks name its own fields; the key that was read is the wire's. */
+    /** Replaces the load balancer's field name at the start of an error message by the JSON key that was read. */
     private static String wireKey(String message) {
         String text = message;
         for (String[] name : SETTINGS_KEYS) {
@@ -263,7 +269,7 @@
         return value != null && !value.isEmpty() ? value : config.text(key);
     }
 
-    /** The seed is hexadecimal text; without one, every start draws another. */
+    /** Reads the seed, hexadecimal text; without one each start uses another. */
     private static long seed(JsonFields config) {
         try {
             return config.has("seed") ? Long.parseUnsignedLong(config.text("seed"), 16) : System.nanoTime();
--- a/src/main/java/olivechute/config/OperatorSettingsFile.java
+++ b/src/main/java/olivechute/config/OperatorSettingsFile.java
@@ -11,23 +11,23 @@
 import java.util.Map;
 
 /**
- * The operators' own settings: a HOCON file that {@code OLIVECHUTE_SETTINGS} names. The platform's configuration comes
- * first and needs none of it; without the variable nothing here is loaded, not even the library that reads it.
+ * The operator settings: a HOCON file named by {@code OLIVECHUTE_SETTINGS}. The platform's configuration does not need
+ * it; without the variable neither this code nor the HOCON library is loaded.
  */
 final class OperatorSettingsFile {
-    /** The variable that names the file. */
+    /** The environment variable that names the file. */
     static final String VARIABLE = "OLIVECHUTE_SETTINGS";
 
     private static final int MAX_BYTES = 256 * 1024;
 
     private OperatorSettingsFile() {}
 
-    /** True if the environment names a file. */
+    /** Returns whether the environment names a file. */
     static boolean isConfigured(Map<String, String> environment) {
         return !environment.getOrDefault(VARIABLE, "").isEmpty();
     }
 
-    /** Reads the file; null where identities are off. What is wrong goes to {@code faults}, a line for each. */
+    /** Reads the file; returns null if identities are off. Errors are added to {@code errors}, one line each. */
     static IdentitySettings read(Map<String, String> environment, List<String> errors) {
         String file = environment.get(VARIABLE);
         try {
@@ -51,7 +51,7 @@
         return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
     }
 
-    /** Reads the file where one is named; a {@link InvalidValueException} names the first faulty key. */
+    /** Reads the file if one is named; an {@link InvalidValueException} holds the first error. */
     static IdentitySettings load(Map<String, String> environment) {
         List<String> errors = new ArrayList<>();
         IdentitySettings identity = isConfigured(environment) ? read(environment, errors) : null;
--- a/src/main/java/olivechute/config/RejectingIncluder.java
+++ b/src/main/java/olivechute/config/RejectingIncluder.java
@@ -11,9 +11,9 @@
 import java.net.URL;
 
 /**
- * Refuses every include of a settings text: what is checked is what is there, and no file of the machine and no address
- * has a part in it. The library asks the plain interface only for an include without a kind; of file, url and classpath
- * it asks the others.
+ * Rejects every include in a settings file, so that the text is checked as it stands and no other file or URL is read.
+ * The HOCON library calls {@link ConfigIncluder} only for an include without a kind, and the other interfaces for file,
+ * url and classpath.
  */
 public final class RejectingIncluder
         implements ConfigIncluder, ConfigIncluderFile, ConfigIncluderURL, ConfigIncluderClasspath {
@@ -24,7 +24,7 @@
 
     @Override
     public ConfigObject include(ConfigIncludeContext context, String location) {
-        throw new ConfigException.Generic("includes no other file: '" + location + "'");
+        throw new ConfigException.Generic("include is not supported: '" + location + "'");
     }
 
     @Override
--- a/src/main/java/olivechute/config/UnreadableFileException.java
+++ b/src/main/java/olivechute/config/UnreadableFileException.java
@@ -1,6 +1,6 @@
 package olivechute.config;
 
-/** A file that is there could not be read, which may pass; what it says is not known. */
+/** Thrown if a file exists but cannot be read, which may be a transient error; its content is unknown. */
 public final class UnreadableFileException extends InvalidValueException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/olivechute/node/ConfigurationReloader.java
+++ b/src/main/java/olivechute/node/ConfigurationReloader.java
@@ -13,36 +13,43 @@
 import org.tinylog.Logger;
 
 /**
- * Reads a running node's configuration again: when SIGHUP asks for it, and when discovery fails while the file is
- * another than the one that was read. The signal may be lost: the virtual machine starts a thread for each and drops it
- * where it gets none, and whoever started the process may have had SIGHUP ignored. A node that misses the move of its
- * discovery would ask the old address for good.
+ * Reloads the configuration of a running node on SIGHUP, and also when a call to discovery fails and the file has
+ * changed since it was loaded. The second path is needed because a SIGHUP can be lost: the JVM starts a thread for each
+ * signal and drops the signal if it gets none, and the process may have been started with SIGHUP ignored. Without it, a
+ * node that misses a change of the discovery address would call the old address forever.
  */
 public final class ConfigurationReloader {
-    /** A change is left to its signal for so long. */
+    /**
+     * How long a changed file waits for its SIGHUP before a failed discovery call triggers the reload, in nanoseconds.
+     */
     private static final long SIGHUP_WAIT_NANOS = 1_000_000_000;
 
     private final Map<String, String> environment;
-    private FileState loadedState; // guarded by this, as the rest
-    private FileState changedState; // of a change that discovery's failures brought to light
+    private FileState loadedState; // guarded by this, as are the fields below
+    private FileState changedState; // state of a changed file first seen after a failed discovery call
     private long changeSeenNanos;
 
-    /** What tells one state of a file from another; no clock is asked, as the wall clock may step. */
+    /**
+     * Attributes that tell two versions of the file apart. Compared for equality only and never with the current time,
+     * as the wall clock may step.
+     */
     private record FileState(FileTime modified, long size, Object fileKey) {}
 
-    /** To be made before the configuration is read for the first time. */
+    /** Must be created before the configuration is loaded for the first time. */
     public ConfigurationReloader(Map<String, String> environment) {
         this.environment = environment;
         this.loadedState = currentFileState();
     }
 
-    /** SIGHUP came. */
+    /** Reloads the configuration after a SIGHUP. */
     public synchronized void onSighup(Node node) {
         loadedState = currentFileState();
         reload(node);
     }
 
-    /** A call to discovery failed. */
+    /**
+     * Called after each failed call to discovery; reloads if the file has been changed for {@link #SIGHUP_WAIT_NANOS}.
+     */
     public synchronized void onDiscoveryFailed(Node node) {
         FileState currentState = currentFileState();
         if (currentState == null || currentState.equals(loadedState)) {
@@ -52,25 +59,27 @@
             changedState = currentState;
             changeSeenNanos = System.nanoTime();
         } else if (System.nanoTime() - changeSeenNanos >= SIGHUP_WAIT_NANOS) {
-            Logger.warn("configuration changed and no SIGHUP came: read again, as discovery fails");
+            Logger.warn("configuration changed without a SIGHUP and calls to discovery fail: reading it again");
             loadedState = currentState;
             reload(node);
         }
     }
 
-    /** A configuration that cannot be used changes nothing but the log; one that cannot be read is tried again. */
+    /**
+     * Applies the new configuration. An invalid one is only logged; one that cannot be read is also tried again later.
+     */
     private void reload(Node node) {
         try {
             node.reload(NodeConfig.reload(environment));
         } catch (UnreadableFileException e) {
-            loadedState = null; // so that a call to discovery that fails finds it changed
+            loadedState = null; // the next failed discovery call then finds the file changed and tries again
             Logger.error("configuration not read: {}", e.getMessage());
         } catch (InvalidValueException e) {
             Logger.error("configuration not changed: {}", e.getMessage());
         }
     }
 
-    /** The file's state; null if it cannot be told. */
+    /** Returns the attributes of the configuration file, or null if they cannot be read. */
     private FileState currentFileState() {
         String file = environment.get(NodeConfig.FILE_VARIABLE);
         try {
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -26,24 +26,33 @@
 import olivechute.upstream.LoadReportHeader;
 import org.tinylog.Logger;
 
-/** A node: its parts, wired together. It listens once it is made, and ends with {@link #drain()}. */
+/**
+ * A load balancer node. The constructor starts the event loop, discovery, the downstream server and metrics reporting,
+ * and returns once the node listens; {@link #drain()} ends it.
+ */
 public final class Node {
     private static final long SWEEP_PERIOD_US = 100_000;
-    /** The part of the heap that the bodies of open streams may take: one in so many. */
+    /** Request bodies of open requests may take this fraction of the heap: one in so many. */
     private static final long BODY_HEAP_DIVISOR = 4;
 
     private static final long IDENTITY_CHECK_PERIOD_US = 1_000_000;
     /**
-     * ms for which a node that ends serves its clients' connections: in a rolling restart theirs may be the only node
-     * up.
+     * How long a draining node keeps serving its clients' existing connections, in ms: in a rolling restart it may be
+     * the only node that those clients can reach.
      */
     private static final long SERVE_AFTER_SIGTERM_MS = 2200;
-    /** After SIGTERM a node has its longest deadline, at most 3 s of it, and 0.7 s; answers leave 0.2 s before. */
+    /**
+     * After SIGTERM a node has its longest request deadline, at most 3 s of it, plus 0.7 s; the last answers are sent
+     * 0.2 s before that ends.
+     */
     private static final long MAX_DRAIN_DEADLINE_US = 3_000_000;
 
     private static final long DRAIN_EXTRA_US = 500_000;
     private static final long QUIET_BEFORE_CLOSE_US = 500_000;
-    /** Of what is left after that, so much is for the last answers to arrive, and so much for the process to end. */
+    /**
+     * Of the 0.2 s that remain, this much is kept for the process to exit and {@link #LAST_ANSWER_RESERVE_US} for the
+     * last answers to reach their clients.
+     */
     private static final long EXIT_RESERVE_US = 100_000;
 
     private static final long LAST_ANSWER_RESERVE_US = 50_000;
@@ -57,17 +66,20 @@
     private final EndpointListWatcher listWatcher;
     private final DownstreamServer server;
     private final RequestDispatcher dispatcher;
-    private final NodeSecurity security; // null where identities are off
-    private final MetricsReporting reporting; // null where no supervisor is named
+    private final NodeSecurity security; // null if identities are off
+    private final MetricsReporting reporting; // null if no supervisor is configured
     private final InetSocketAddress address;
     private InetSocketAddress tlsAddress;
 
-    /** Starts a node; it listens once this returns. */
+    /** Starts a node that reads identity expiry from the system clock. */
     public Node(NodeConfig config) throws IOException {
         this(config, Instant::now);
     }
 
-    /** With a clock for identities that may step; all else runs on the loop's steady one. */
+    /**
+     * Starts a node. {@code clock} is the wall clock that certificate validity is checked against and may step;
+     * everything else uses the event loop's monotonic clock.
+     */
     public Node(NodeConfig config, Supplier<Instant> clock) throws IOException {
         startConfig = config;
         int totalConnections = maxConnections(config);
@@ -100,9 +112,9 @@
                 maxDownstreamConnections);
         loop.post(new ProxyEvent.Task(() -> dispatcher.start(config.initialEndpoints())));
         listWatcher.start();
-        listWatcher.watch(); // answered, if all goes well, while the node rehearses
+        listWatcher.watch(); // the answer normally arrives during the warmup
         int answeredRequests = Warmup.run(config);
-        Logger.debug("rehearsed {} jobs", answeredRequests);
+        Logger.debug("warmup: {} requests answered", answeredRequests);
         loop.runPeriodically(SWEEP_PERIOD_US, pools::sweep);
         loop.runPeriodically(SWEEP_PERIOD_US, server::sweep);
         if (security != null) {
@@ -119,8 +131,8 @@
     }
 
     /**
-     * Each side has writers of its own: clients that do not read hold up theirs, and no upstream request may wait for
-     * that.
+     * Creates the upstream connection pools with writer threads of their own: clients that do not read block the
+     * downstream writers, and no upstream request may wait for that.
      */
     private ConnectionPools pools(NodeConfig config, int maxConnections) throws IOException {
         Connector connector =
@@ -143,13 +155,13 @@
     }
 
     /**
-     * Waits for the first answer of discovery, as the configured list may be of any age. If none comes in time the node
-     * listens all the same and, where discovery is polled, rejects requests until one does.
+     * Waits for the first answer of discovery, as the configured endpoint list may be of any age. If none arrives in
+     * time the node listens anyway and, where discovery is polled, rejects requests until one does.
      */
     private void awaitEndpointList() {
         try {
             if (!listWatcher.awaitFirstAnswer() && !lease.holds(loop.now())) {
-                Logger.warn("discovery has not answered yet: nothing is sent until it does");
+                Logger.warn("discovery has not answered yet: requests are rejected until it does");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -157,15 +169,16 @@
     }
 
     /**
-     * As many as the settings allow, and the system: past its own limit neither dials nor news of what is out would
-     * come through.
+     * Returns the smaller of the configured connection limit and what the process's file descriptor limit allows:
+     * beyond that limit neither upstream connects nor new connections with job status events would succeed.
      */
     private static int maxConnections(NodeConfig config) {
         int systemLimit =
                 Math.max(NodeConfig.MIN_CONNECTIONS, FileDescriptors.limit() - NodeConfig.RESERVED_DESCRIPTORS);
         if (systemLimit < config.maxConnections()) {
             Logger.warn(
-                    "limits.sockets: the system lets this process hold fewer, {} connections are kept", systemLimit);
+                    "limits.sockets: the file descriptor limit allows fewer, at most {} connections are accepted",
+                    systemLimit);
         }
         return Math.min(systemLimit, config.maxConnections());
     }
@@ -183,15 +196,18 @@
         return server.listen(config.listenAddress(), security.platformAuthenticator());
     }
 
-    /** Half of the downstream connections stay free for news: without it no stream would end. */
+    /** Half of the downstream connections stay free for job status events: without them no request would end. */
     private static int maxOpenRequests(int configuredLimit, int downstreamConnections) {
         return Math.min(configuredLimit, Math.max(1, downstreamConnections / 2));
     }
 
-    /** Goes on under another configuration; what is open and all that the decisions know stays. */
+    /**
+     * Applies another configuration. Open requests, connections and the load balancer's state are kept; keys that need
+     * a restart are only logged.
+     */
     public void reload(NodeConfig config) {
         for (String key : config.restartRequiredKeys(startConfig)) {
-            Logger.warn("{}: changed, but cannot change while running; takes a restart", key);
+            Logger.warn("{}: changed, but takes effect only after a restart", key);
         }
         if (security != null && config.identity() != null) {
             security.rules(config.identity().rules());
@@ -205,41 +221,42 @@
         Logger.info("configuration read again");
     }
 
-    /** Has this done after each call to discovery that failed. */
+    /** Registers a task to run after each failed call to discovery. */
     public void onDiscoveryFailure(Runnable task) {
         listWatcher.onCallFailure(task);
     }
 
-    /** Has what is believed of the hosts logged. */
+    /** Logs the load balancer's current view of the endpoints. */
     public void logStatus() {
         loop.post(new ProxyEvent.Task(dispatcher::logStatus));
         Logger.info(listWatcher.describe());
     }
 
-    /** Where it listens. */
+    /** Returns the address of the platform's listener. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Where it listens in TLS beside that; null if it does not. */
+    /** Returns the address of the separate TLS listener, or null if there is none. */
     public InetSocketAddress tlsAddress() {
         return tlsAddress;
     }
 
-    /** Streams that are owed an answer. */
+    /** Returns the number of requests that have not been answered yet. */
     public int unansweredRequests() {
         return server.unansweredRequests();
     }
 
     /**
-     * Returns when every request taken is answered and no connection can bring another, or the drain's time is over. It
-     * keeps listening while answers are owed, as job statuses come on new connections.
+     * Drains the node. Returns when every accepted request is answered and no open connection can bring another, or
+     * when the drain time is over. The node keeps listening while answers are outstanding, as job status events arrive
+     * on new connections.
      */
     public void drain() throws InterruptedException {
         drain(0);
     }
 
-    /** The same, so many microseconds after it was told to. */
+    /** Drains the node, with the drain time counted from a signal that came this many microseconds ago. */
     public void drain(long sinceSignalUs) throws InterruptedException {
         Logger.info("draining");
         long longestDeadlineUs = startConfig.settings().classes().stream()
@@ -252,7 +269,7 @@
         server.markNotReady();
         Thread.sleep(Math.max(0, Math.min(SERVE_AFTER_SIGTERM_MS, longestDeadlineUs / 1000) - sinceSignalUs / 1000));
         server.drain();
-        // News of what is owed comes on new connections: as long as anything is, it listens.
+        // Job status events arrive on new connections: the node listens as long as a request is unanswered.
         while (server.unansweredRequests() > 0
                 || (loop.now() < drainDeadlineUs
                         && (!server.isQuiescent() || loop.now() - server.lastRequestAtUs() < QUIET_BEFORE_CLOSE_US))) {
--- a/src/main/java/olivechute/node/NodeLifecycle.java
+++ b/src/main/java/olivechute/node/NodeLifecycle.java
@@ -10,41 +10,47 @@
 import org.tinylog.Logger;
 
 /**
- * One node from the start of its process to the end. It listens, and may have taken requests, before its start is known
- * to be over: so what the system asks meanwhile waits for that, and the end is arranged before the start begins.
+ * Holds the node of a process from startup to shutdown. The node listens, and may have accepted requests, before its
+ * constructor returns; so signals that arrive meanwhile wait for the start, and the shutdown hook is registered before
+ * the start begins.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // what the task throws is logged by the task
+@SuppressWarnings("FutureReturnValueIgnored") // exceptions of the task are logged by the task
 public final class NodeLifecycle {
-    /** ms for which the end waits for a start that is under way: one that takes longer owes nobody anything. */
+    /**
+     * How long shutdown waits for a start in progress, in ms. A node whose start takes longer owes no client an answer.
+     */
     private static final long START_WAIT_MS = 2000;
 
-    /** Makes a node that listens. */
+    /** Creates a node that listens. */
     public interface NodeFactory {
         Node create() throws IOException;
     }
 
     private final CompletableFuture<Node> startedNode = new CompletableFuture<>();
 
-    /** Starts a node once its end is arranged: {@code atEnd} is given what is to run at the end of the process. */
+    /**
+     * Starts a node after registering the shutdown hook: {@code addShutdownHook} is given the thread that drains the
+     * node.
+     */
     public void start(Consumer<Thread> addShutdownHook, NodeFactory factory) throws IOException {
         try {
             addShutdownHook.accept(new Thread(this::drainOnShutdown, "drain"));
             startedNode.complete(factory.create());
         } finally {
-            startedNode.cancel(false); // nothing if it is complete; else whoever waits goes on without a node
+            startedNode.cancel(false); // no effect if it is complete; otherwise waiting tasks are dropped
         }
     }
 
     /**
-     * Has this done with the node: at once if it has started, else as it does, never if it does not. What it throws is
-     * logged.
+     * Runs a task with the node: at once if it has started, otherwise when it has, and never if the start fails.
+     * Exceptions of the task are logged.
      */
     public void whenStarted(Consumer<Node> task) {
         startedNode.thenAccept(node -> {
             try {
                 task.accept(node);
             } catch (RuntimeException | Error e) {
-                Logger.error(e, "a signal was not acted upon");
+                Logger.error(e, "handling a signal failed");
             }
         });
     }
@@ -55,13 +61,14 @@
             Node node = startedNode.get(START_WAIT_MS, TimeUnit.MILLISECONDS);
             node.drain((System.nanoTime() - shutdownBeganNanos) / 1000);
         } catch (ExecutionException | CancellationException e) {
-            return; // the start has said why it failed: that is its last word, and a supervisor reads it
+            return; // the start has reported its error already, and a supervisor reads the last line of output
         } catch (TimeoutException e) {
-            System.err.println("ends before it has started"); // a logger may not begin at a shutdown
+            System.err.println(
+                    "shutdown before the node has started"); // a logger cannot be initialised during shutdown
         } catch (InterruptedException e) {
-            Logger.warn("drain cut short");
+            Logger.warn("drain interrupted");
         } catch (RuntimeException | Error e) {
-            Logger.error(e, "drain failed"); // the process ends, whatever it owes
+            Logger.error(e, "drain failed"); // the process exits even with requests unanswered
         }
     }
 }
--- a/src/main/java/olivechute/node/ProcessSignals.java
+++ b/src/main/java/olivechute/node/ProcessSignals.java
@@ -4,17 +4,17 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals that a process handles. The platform has no supported way to handle SIGHUP and SIGUSR2:
- * {@code sun.misc.Signal} is the one that the JDK keeps for it (module jdk.unsupported).
+ * Installs handlers for process signals. The Java platform has no supported API for SIGHUP and SIGUSR2;
+ * {@code sun.misc.Signal} is what the JDK keeps for it (module jdk.unsupported).
  */
 final class ProcessSignals {
     private ProcessSignals() {}
 
     /**
-     * Runs the task, on a thread of the system's, each time the process gets the signal.
+     * Runs the task on a JVM signal thread each time the process receives the signal.
      *
-     * @param name of the signal, without SIG
-     * @return whether whoever started the process had it ignore the signal, so that it will not come
+     * @param name name of the signal without SIG
+     * @return whether the process was started with the signal ignored, so that it will not arrive
      */
     static boolean handle(String name, Runnable task) {
         SignalHandler inherited = Signal.handle(new Signal(name), signal -> task.run());
--- a/src/main/java/olivechute/node/Warmup.java
+++ b/src/main/java/olivechute/node/Warmup.java
@@ -16,33 +16,31 @@
 import olivechute.proxy.UpstreamTransport;
 
 /**
- * Runs made-up requests through a dispatcher and a load balancer of their own before the node listens. What they learn
- * is thrown away; what stays is that the code is loaded and compiled.
+ * Sends synthetic requests through a separate dispatcher and load balancer before the node listens, so that the code is
+ * loaded and compiled. Their state is discarded. Runs on the thread that starts the node.
  */
 public final class Warmup implements UpstreamTransport {
     private static final int MAX_REQUESTS = 40;
     private static final int ENDPOINT_COUNT = 8;
     private static final int MAX_OPEN_REQUESTS = 4;
-    /**
-     * It ends after so long, whatever it has played: on a busy machine it must not hold up a node that others wait for.
-     */
+    /** Upper bound of the warmup: on a busy machine it must not delay the start of a node that others wait for. */
     private static final long MAX_DURATION_US = 1_500_000;
 
     private final Queue<UpstreamRequest> sent = new ArrayDeque<>();
     private int answeredRequests;
 
-    /** Returns how many of the jobs were answered. */
+    /** Returns how many requests were answered. */
     public static int run(NodeConfig config) {
         return run(config, MAX_DURATION_US);
     }
 
-    /** Begins no further job after so many microseconds. */
+    /** Sends no further request after so many microseconds; returns how many were answered. */
     public static int run(NodeConfig config, long maxDurationUs) {
         return new Warmup().execute(config, maxDurationUs);
     }
 
     private int execute(NodeConfig config, long maxDurationUs) {
-        EventLoop loop = new EventLoop(); // never started: this thread has its events to itself
+        EventLoop loop = new EventLoop(); // never started, as this thread runs its events
         RequestDispatcher dispatcher =
                 new RequestDispatcher(loop, config.settings(), 1, this, () -> {}, MAX_REQUESTS, Long.MAX_VALUE);
         List<ResolvedEndpoint> endpoints = IntStream.range(0, ENDPOINT_COUNT)
@@ -71,7 +69,7 @@
 
     @Override
     public void onListUpdate(EndpointListUpdate list) {
-        // there is nothing to reach
+        // no endpoint is connected to
     }
 
     @Override
@@ -86,7 +84,7 @@
 
     @Override
     public void suppressIfUnwritten(UpstreamRequest request) {
-        // all of it is written at once
+        // requests are written immediately
     }
 
     @Override
@@ -112,6 +110,6 @@
 
     @Override
     public void closeIdleConnections(String endpoint) {
-        // there are no connections
+        // there are no connections to close
     }
 }
--- a/src/test/java/olivechute/config/NodeConfigTest.java
+++ b/src/test/java/olivechute/config/NodeConfigTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The configuration: its defaults, what overrides it, and the key that each fault is blamed on. */
+/** Tests the node configuration: defaults, overrides by the environment, and the key that each error names. */
 public class NodeConfigTest {
     private static NodeConfig read(Map<String, String> environment, String... changes) throws IOException {
         try (InputStream in = NodeConfigTest.class.getResourceAsStream("/node.json")) {
@@ -45,7 +45,7 @@
         assertEquals(config.seed(), 0x8c1f30d27a5be964L);
     }
 
-    /** An operator mends a file in one go: a fault hides none of the others. */
+    /** An error must not hide the others, so that an operator can correct a file in one pass. */
     @Test
     public void allFaultsAreToldAtOnce() throws IOException {
         Path file = Files.createTempFile("node", ".json");
@@ -81,14 +81,17 @@
         assertEquals(NodeConfig.validate(Map.of("LB_CONFIG", "/nowhere/at.all")).size(), 1);
     }
 
-    /** 960 connections fit the descriptors; their threads' stacks did not fit the memory. */
+    /**
+     * The connection limit must respect memory too: 960 connections fit the descriptors, but their threads' stacks did
+     * not fit the memory.
+     */
     @Test
     public void theTighterOfDescriptorsAndMemoryBoundsTheConnections() throws IOException {
         assertEquals(read(Map.of()).maxConnections(), (192 - 72) * 1024 / 130);
         assertEquals(read(Map.of(), "\"memory_mb\":192", "\"memory_mb\":4096").maxConnections(), 1024 - 64);
     }
 
-    /** Limits under 112 MB stopped the start; a node that serves with few connections is of more use. */
+    /** Memory limits under 112 MB once stopped the start; a node that serves with few connections is of more use. */
     @Test
     public void aSmallMemoryLimitDoesNotStopTheStart() throws IOException {
         for (String memory : new String[] {"32", "64", "96"}) {
--- a/src/test/java/olivechute/config/OperatorFileTest.java
+++ b/src/test/java/olivechute/config/OperatorFileTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' settings: what they say, and which key is blamed for what they should not. */
+/** Tests the operator settings file: what is read from it, and the key that each error names. */
 class OperatorFileTest {
     private static final String GOOD = """
         identity {
@@ -59,7 +59,7 @@
         assertEquals(List.of("identity.enabled"), IdentitySettings.restartRequiredKeys(null, read));
     }
 
-    /** The file that is shipped: off as it stands, and sound once it is turned on. */
+    /** The shipped file has identities off, and is valid once they are turned on. */
     @Test
     void theShippedFileIsOffAndSoundOnceTurnedOn() throws Exception {
         String shipped = Files.readString(Path.of("deploy/olivechute.conf"));
@@ -71,7 +71,7 @@
         assertEquals(List.of(), faults);
     }
 
-    /** Each is one change to a sound file, and the beginning and a part of the one fault that it makes. */
+    /** Each row is one change to a valid file, then the beginning and a part of the one error that it causes. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
