--- a/src/main/java/olivechute/cli/FleetClassLoader.java
+++ b/src/main/java/olivechute/cli/FleetClassLoader.java
@@ -11,18 +11,19 @@
 import java.util.Set;
 
 /**
- * Runs the commands that share a store with the libraries in {@code lib} beside the jar. They are not on the jar's own
- * path, so that a node neither opens nor indexes them. Where there is no such folder, as in tests, the command runs on
- * the path as it is.
+ * Runs the commands that need the shared store with a class loader that adds the libraries in {@code lib} beside the
+ * jar. These libraries are not on the jar's own class path, so that a node neither opens nor indexes them. Without that
+ * folder, as in tests, the command runs on the current class path.
  */
 public final class FleetClassLoader {
     public static final Set<String> COMMANDS = Set.of("store", "supervise", "change");
 
     private FleetClassLoader() {}
 
-    /** Runs a command line; returns the exit status. */
+    /** Runs a command line and returns the exit status. */
     public static int run(String... args) {
-        // The consensus tells each step of its own at the level at which ours tells what an operator wants to see.
+        // The consensus library (Ratis) logs its internal steps at info, the level of this program's messages for
+        // operators.
         System.setProperty(
                 "tinylog.level@org.apache.ratis", System.getProperty("tinylog.level@org.apache.ratis", "warn"));
         try {
@@ -40,7 +41,7 @@
             for (File library : libraries) {
                 urls.add(library.toURI().toURL());
             }
-            // Never closed: the command's threads load from it until the process ends.
+            // Never closed, as the command's threads load classes from it until the process exits.
             URLClassLoader loader = new URLClassLoader(urls.toArray(URL[]::new), ClassLoader.getPlatformClassLoader());
             Thread.currentThread().setContextClassLoader(loader);
             var run = loader.loadClass("olivechute.cli.RootCommand").getDeclaredMethod("run", String[].class);
@@ -50,7 +51,7 @@
             e.getCause().printStackTrace();
             return 1;
         } catch (ReflectiveOperationException | URISyntaxException | MalformedURLException e) {
-            System.err.println("the program's own jar cannot be read: " + e);
+            System.err.println("cannot read the program's jar: " + e);
             return 1;
         }
     }
--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -28,56 +28,59 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code identity show}: what a document says, and whether and why a node would refuse it. */
+/**
+ * The {@code identity} command, which inspects SPIFFE identities: what an SVID holds, and whether and why a node would
+ * reject it.
+ */
 @Command(
         name = "identity",
         mixinStandardHelpOptions = true,
         subcommands = IdentityCommand.Show.class,
-        description = "Looks at SPIFFE identities.")
+        description = "Inspects SPIFFE identities.")
 final class IdentityCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new ParameterException(spec.commandLine(), "identity: needs a command");
+        throw new ParameterException(spec.commandLine(), "identity: a subcommand is required");
     }
 
-    /** {@code identity show}: prints what a document says. */
+    /** {@code identity show}: prints a certificate chain and whether it is valid against a trust bundle. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
             sortOptions = false,
-            description = "Prints what an X.509 document says, and why it would be refused.",
-            footer = "Exit status: 0 it holds, 1 it would be refused or cannot be read, 2 wrong call.")
+            description = "Prints an X.509-SVID, and why it would be rejected.",
+            footer = "Exit status: 0 valid, 1 would be rejected or cannot be read, 2 wrong call.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Parameters(
                 paramLabel = "FILE|ADDRESS",
-                description = "Certificates as PEM, the workload's first, or ADDRESS:PORT of somebody who "
-                        + "shows some in TLS.")
+                description = "Certificate chain as PEM, the workload's first, or ADDRESS:PORT of a TLS peer "
+                        + "that presents one.")
         private String source;
 
         @Option(
                 names = "--bundle",
                 paramLabel = "FILE",
                 required = true,
-                description = "The authorities of the document's trust domain, as PEM.")
+                description = "The CA certificates of the SVID's trust domain, as PEM.")
         private Path bundle;
 
         @Option(
                 names = "--svid",
                 paramLabel = "DIR",
                 description =
-                        "Who we are towards an address: the folder of svid.pem and svid_key.pem; nobody if left out.")
+                        "Client identity for a TLS peer: the folder of svid.pem and svid_key.pem; none if left out.")
         private Path svid;
 
         @Option(
                 names = "--at",
                 paramLabel = "TIME",
-                description = "Judge it at this moment, as 2026-12-01T12:00:00Z; now if left out.")
+                description = "Time at which validity is checked, as 2026-12-01T12:00:00Z; now if left out.")
         private Instant at;
 
         @Override
--- a/src/main/java/olivechute/cli/PeerCertificateProbe.java
+++ b/src/main/java/olivechute/cli/PeerCertificateProbe.java
@@ -15,13 +15,19 @@
 import javax.net.ssl.TrustManager;
 import javax.net.ssl.X509TrustManager;
 
-/** Dials somebody in TLS to see which documents it shows; sends nothing else and trusts nobody. */
+/**
+ * Connects to a TLS peer and records the certificate chain that it presents. It sends no application data and validates
+ * nothing. Blocks the calling thread.
+ */
 final class PeerCertificateProbe {
     private static final int TIMEOUT_MILLIS = 3000;
 
     private PeerCertificateProbe() {}
 
-    /** The certificates that are shown there, whether they hold or not; {@code own} may be null. */
+    /**
+     * Returns the certificates that the peer presents, valid or not; {@code ownIdentity} is the client certificate, or
+     * null.
+     */
     static List<X509Certificate> presentedChain(InetSocketAddress address, KeyStore.PrivateKeyEntry ownIdentity)
             throws IOException {
         RecordingTrustManager trustManager = new RecordingTrustManager();
@@ -37,7 +43,7 @@
                 socket.startHandshake();
             } catch (IOException e) {
                 if (trustManager.chain.isEmpty()) {
-                    throw new IOException(address + ": " + e.getMessage(), e); // else it has shown what we came for
+                    throw new IOException(address + ": " + e.getMessage(), e); // otherwise the chain is known
                 }
             }
             return trustManager.chain;
@@ -61,7 +67,7 @@
 
         @Override
         public void checkClientTrusted(X509Certificate[] certificates, String authType) {
-            throw new IllegalStateException("dials only");
+            throw new IllegalStateException("used for client connections only");
         }
 
         @Override
--- a/src/main/java/olivechute/cli/RootCommand.java
+++ b/src/main/java/olivechute/cli/RootCommand.java
@@ -22,7 +22,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command line in full. {@code serve} as the platform calls it never comes here, and so loads none of it. */
+/**
+ * The root of the command line. The platform's call of {@code serve} does not go through it and loads none of the
+ * command-line library.
+ */
 @Command(
         name = "olivechute",
         mixinStandardHelpOptions = true,
@@ -45,7 +48,7 @@
     @Spec
     private CommandSpec spec;
 
-    /** Runs what the arguments name; returns the exit status. */
+    /** Runs the command named by the arguments and returns the exit status. */
     public static int run(String... args) {
         return new CommandLine(new RootCommand()).execute(args);
     }
@@ -73,16 +76,13 @@
         @Spec
         private CommandSpec spec;
 
-        @Option(
-                names = "--log",
-                paramLabel = "text|json",
-                description = "How the log is written; before OLIVECHUTE_LOG, which says the same.")
+        @Option(names = "--log", paramLabel = "text|json", description = "Log format; overrides OLIVECHUTE_LOG.")
         private String log;
 
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description = "The operators' settings; before OLIVECHUTE_SETTINGS.")
+                description = "The operator settings file; overrides OLIVECHUTE_SETTINGS.")
         private String settings;
 
         @Override
@@ -98,7 +98,7 @@
             }
             setSettingsFile(environment, settings);
             NodeLauncher.launch(environment);
-            Thread.currentThread().join(); // the node's threads go on until a signal
+            Thread.currentThread().join(); // the node's threads run until a signal arrives
             return 0;
         }
     }
@@ -107,7 +107,7 @@
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
-            description = "Reads a configuration as serve would and prints each fault with its key.",
+            description = "Reads a configuration as serve would and prints each error with its key.",
             footer = "Exit status: 0 a node would start, 1 it would not, 2 wrong call.")
     static final class Check implements Callable<Integer> {
         @Spec
@@ -122,7 +122,7 @@
         @Option(
                 names = "--settings",
                 paramLabel = "FILE",
-                description = "The operators' settings; before OLIVECHUTE_SETTINGS.")
+                description = "The operator settings file; overrides OLIVECHUTE_SETTINGS.")
         private String settings;
 
         @Override
@@ -139,11 +139,11 @@
         }
     }
 
-    /** {@code benchlink}: runs the decisions on the simulator's wire. */
+    /** {@code benchlink}: runs the load balancer on the simulator's protocol. */
     @Command(
             name = "benchlink",
             mixinStandardHelpOptions = true,
-            description = "Runs the decisions on the simulator's wire, on standard input and output.")
+            description = "Runs the load balancer on the simulator's protocol, on standard input and output.")
     static final class Bench implements Callable<Integer> {
         @Override
         public Integer call() {
@@ -151,7 +151,7 @@
         }
     }
 
-    /** The version that the jar was built as. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/src/main/java/olivechute/cli/StoreCommand.java
+++ b/src/main/java/olivechute/cli/StoreCommand.java
@@ -15,12 +15,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs one replica of the shared store. */
+/**
+ * The {@code store} command: runs one replica of the shared store, and the rollout controller, which is active on the
+ * replica that leads.
+ */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
         description = "Runs one replica of the shared store.",
-        footer = "Exit status: 0 done, 1 settings that cannot be used or trouble that is told, 2 wrong call.")
+        footer = "Exit status: 0 done, 1 invalid settings or an error that is printed, 2 wrong call.")
 final class StoreCommand implements Callable<Integer> {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
@@ -38,7 +41,8 @@
             Replica replica = new Replica(replicaSettings, this::print);
             replica.start();
             Runtime.getRuntime().addShutdownHook(new Thread(replica::close, "close"));
-            // The driver is a client like any other: that the lead is its own process saves it nothing but a hop.
+            // The controller uses the store as any other client does; running in the leader's process only saves it a
+            // network hop.
             new RolloutController(
                             RatisStore.connect(replicaSettings.region(), replicaSettings.replicas(), REQUEST_TIMEOUT),
                             replica::isLeader,
--- a/src/main/java/olivechute/error/ErrorCode.java
+++ b/src/main/java/olivechute/error/ErrorCode.java
@@ -1,8 +1,8 @@
 package olivechute.error;
 
 /**
- * Each kind of trouble among the processes of a fleet: what it means and what an operator can do. docs/runbook.md holds
- * them as a table.
+ * The error codes of the fleet's processes, each with its cause and the operator's remedy. docs/runbook.md holds them
+ * as a table, and a test compares the two. An error message begins with the name of its code.
  */
 public enum ErrorCode {
     DISK_FULL("the disk takes no more bytes", "free space where the replica's folder lies; it comes back by itself"),
@@ -51,12 +51,12 @@
         this.remedy = remedy;
     }
 
-    /** What happened, as a clause. */
+    /** Returns what happened, as a clause. */
     public String cause() {
         return cause;
     }
 
-    /** What an operator can do, as a clause. */
+    /** Returns what an operator can do, as a clause. */
     public String remedy() {
         return remedy;
     }
--- a/src/main/java/olivechute/error/FleetException.java
+++ b/src/main/java/olivechute/error/FleetException.java
@@ -1,6 +1,9 @@
 package olivechute.error;
 
-/** Trouble among the processes of a fleet. Each names its kind, and its message ends with what an operator can do. */
+/**
+ * Base class of errors among the processes of a fleet. Each has an {@link ErrorCode}, and its message ends with what an
+ * operator can do.
+ */
 public abstract sealed class FleetException extends Exception
         permits StoreException, DiskException, RolloutException, SupervisionException, SettingsException {
     private static final long serialVersionUID = 1;
@@ -14,12 +17,12 @@
         this.subject = subject;
     }
 
-    /** Which kind of trouble. */
+    /** Returns the error code. */
     public ErrorCode code() {
         return code;
     }
 
-    /** What it happened to, without the kind's own words. */
+    /** Returns what the error happened to, without the texts of the error code. */
     public String subject() {
         return subject;
     }
--- a/src/main/java/olivechute/error/RolloutException.java
+++ b/src/main/java/olivechute/error/RolloutException.java
@@ -1,15 +1,15 @@
 package olivechute.error;
 
-/** A change, or an order about one, that cannot be followed. */
+/** A change, or a command about one, that cannot be carried out. */
 public final class RolloutException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** {@code what}: the thing that it happened to and how, as a clause. */
+    /** {@code subject}: what the error happened to and how, as a clause. */
     public RolloutException(ErrorCode code, String subject) {
         this(code, subject, null);
     }
 
-    /** With what lies behind it. */
+    /** As above, with the underlying cause. */
     public RolloutException(ErrorCode code, String subject, Throwable cause) {
         super(code, subject, cause);
     }
--- a/src/main/java/olivechute/error/SettingsException.java
+++ b/src/main/java/olivechute/error/SettingsException.java
@@ -1,15 +1,15 @@
 package olivechute.error;
 
-/** Settings of a shared part that cannot be used. */
+/** Invalid settings of a replica, a supervisor or the rollout controller. */
 public final class SettingsException extends FleetException {
     private static final long serialVersionUID = 1;
 
-    /** {@code what}: the thing that it happened to and how, as a clause. */
+    /** {@code subject}: what the error happened to and how, as a clause. */
     public SettingsException(ErrorCode code, String subject) {
         this(code, subject, null);
     }
 
-    /** With what lies behind it. */
+    /** As above, with the underlying cause. */
     public SettingsException(ErrorCode code, String subject, Throwable cause) {
         super(code, subject, cause);
     }
--- a/src/main/java/olivechute/log/JsonLinesWriter.java
+++ b/src/main/java/olivechute/log/JsonLinesWriter.java
@@ -16,16 +16,16 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes each log entry to standard output as a JSON object on a line of its own: {@code time} (RFC 3339),
- * {@code level}, {@code class}, {@code message}, {@code error} where one was thrown, and each field of
- * {@link RequestLogFields}.
+ * A tinylog writer for {@code OLIVECHUTE_LOG=json}. Writes each log entry to standard output as a JSON object on a line
+ * of its own: {@code time} (RFC 3339), {@code level}, {@code class}, {@code message}, {@code error} with the stack
+ * trace if there is one, and each field of {@link RequestLogFields}. Called on the thread that logs.
  */
 public final class JsonLinesWriter implements Writer {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final OutputStream out;
 
-    /** Made by the logger. */
+    /** Called by tinylog. */
     public JsonLinesWriter(Map<String, String> properties) {
         this(System.out);
     }
@@ -66,7 +66,7 @@
         }
         line.write('\n');
         synchronized (out) {
-            line.writeTo(out); // in one call: lines of several threads must not mix
+            line.writeTo(out); // in one call, so that lines of several threads do not mix
             out.flush();
         }
     }
--- a/src/main/java/olivechute/log/RequestLogFields.java
+++ b/src/main/java/olivechute/log/RequestLogFields.java
@@ -4,22 +4,22 @@
 import org.tinylog.ThreadContext;
 
 /**
- * Log lines about one request, with what they are about in fields of their own where the log is written as JSON:
- * request, endpoint, attempt, outcome and took_us. {@code loganalysis.LogEntry} reads their text form.
+ * Logs events of one request. With the JSON format, their values are also fields of the log line: request, endpoint,
+ * attempt, outcome and took_us. {@code loganalysis.LogEntry} parses the text format.
  */
 public final class RequestLogFields {
     private RequestLogFields() {}
 
-    /** Whether ends of attempts are logged; asked first, as this comes with every one of them. */
+    /** Returns whether ends of attempts are logged. Checked first, as every attempt ends with such a line. */
     public static boolean isEnabled() {
         return Logger.isDebugEnabled();
     }
 
     /**
-     * An attempt ended.
+     * Logs the end of an attempt.
      *
      * @param tookUs microseconds from its send
-     * @param acceptedUs microseconds from its send to its acceptance, negative without one
+     * @param acceptedUs microseconds from its send to its acceptance, negative if it was not accepted
      */
     public static void logAttemptEnd(
             String request, String endpoint, int attempt, String outcome, long tookUs, long acceptedUs) {
@@ -40,7 +40,7 @@
     }
 
     /**
-     * A request was rejected.
+     * Logs the rejection of a request.
      *
      * @param lastOutcome the outcome of its last attempt, or "none"
      * @param tookUs microseconds since it arrived
@@ -51,7 +51,7 @@
         ThreadContext.clear();
     }
 
-    /** A request's deadline came before an answer. */
+    /** Logs a request whose deadline passed without an answer. */
     public static void logUnanswered(String request) {
         ThreadContext.put("request", request);
         Logger.warn("request {} reached its deadline unanswered", request);
@@ -59,7 +59,7 @@
     }
 
     /**
-     * This node closed a client's connection under a request that it had taken and not answered.
+     * Logs that this node closed a client's connection with a request on it that was accepted and not answered.
      *
      * @param ageUs microseconds since the connection was accepted
      */
--- a/src/main/java/olivechute/log/package-info.java
+++ b/src/main/java/olivechute/log/package-info.java
@@ -1,2 +1,2 @@
-/** The log: how it is written, and the fields that lines about a stream carry. */
+/** Logging: the JSON log format and the fields of log lines about a request. */
 package olivechute.log;
--- a/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
+++ b/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
@@ -10,8 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * Counts across the logs of a fleet what no node sees alone: what reaches a shared party from all nodes together in its
- * worst moment, and how often each node paid for what another had learned. Times are microseconds.
+ * Aggregates the logs of a fleet's nodes into counts that no single node can provide: the combined load on a shared
+ * service at its peak, and how often each node met a failure that another had already seen. Used by
+ * {@link LogAnalysisCommand}, on one thread. Times are microseconds.
  */
 final class FleetLogAnalysis {
     private static final long TENTH_SECOND_US = 100_000;
@@ -23,14 +24,14 @@
 
     private final Set<String> nodes = new HashSet<>();
     private final Map<String, Integer> attemptsByOutcome = new TreeMap<>();
-    private final TreeMap<Long, Integer> discoveryCalls = new TreeMap<>(); // by tenth of a second, as the next
+    private final TreeMap<Long, Integer> discoveryCalls = new TreeMap<>(); // by tenth of a second, like the next map
     private final TreeMap<Long, Integer> failedDiscoveryCalls = new TreeMap<>();
-    private final Map<String, Integer> rejectionsByLastOutcome = new TreeMap<>(); // by the last outcome before them
-    private final Map<String, TreeMap<Long, Integer>> connectsByEndpoint = new HashMap<>(); // by host and second
+    private final Map<String, Integer> rejectionsByLastOutcome = new TreeMap<>(); // by outcome of the last attempt
+    private final Map<String, TreeMap<Long, Integer>> connectsByEndpoint = new HashMap<>(); // by endpoint and second
     private final Map<NodeEndpoint, List<LogEntry.AttemptEnded>> attemptEnds = new HashMap<>();
-    private final Map<String, Integer> attemptsByRequest = new HashMap<>(); // by stream
+    private final Map<String, Integer> attemptsByRequest = new HashMap<>(); // by request
     private final Map<String, Long> firstListedUs =
-            new HashMap<>(); // hosts that started lately, by their start, and when first told
+            new HashMap<>(); // endpoints with a start time, by name and start time: when a node first listed them
     private final List<SentAttempt> sentAttempts = new ArrayList<>();
     private int acceptedButTimedOut;
 
@@ -59,22 +60,22 @@
         }
     }
 
-    /** The counts, a line each. */
+    /** Returns the counts, one line each. */
     List<String> report() {
         List<String> lines = new ArrayList<>();
-        lines.add(nodes.size() + " nodes, " + attemptsByRequest.size() + " streams sent on, " + sum(attemptsByOutcome)
-                + " attempts");
+        lines.add(nodes.size() + " nodes, " + attemptsByRequest.size() + " requests sent to endpoints, "
+                + sum(attemptsByOutcome) + " attempts");
         lines.add("attempts by outcome: " + attemptsByOutcome);
-        lines.add("streams by attempts: " + frequencies(attemptsByRequest.values()));
-        lines.add("accepted and never heard of again: " + acceptedButTimedOut);
-        lines.add("refusals by last outcome: " + rejectionsByLastOutcome);
-        lines.add("discovery: asked " + sum(discoveryCalls) + ", worst tenth of a second " + max(discoveryCalls)
+        lines.add("requests by attempts: " + frequencies(attemptsByRequest.values()));
+        lines.add("accepted, then timed out: " + acceptedButTimedOut);
+        lines.add("rejections by last outcome: " + rejectionsByLastOutcome);
+        lines.add("discovery: calls " + sum(discoveryCalls) + ", worst tenth of a second " + max(discoveryCalls)
                 + "; failed " + sum(failedDiscoveryCalls) + ", worst tenth " + max(failedDiscoveryCalls));
         lines.add("dials: "
                 + connectsByEndpoint.values().stream()
                         .mapToInt(FleetLogAnalysis::sum)
                         .sum()
-                + " made, worst second at one host "
+                + " made, worst second at one endpoint "
                 + connectsByEndpoint.values().stream()
                         .mapToInt(FleetLogAnalysis::max)
                         .max()
@@ -86,7 +87,10 @@
         return lines;
     }
 
-    /** What hosts that came up while the logs ran got in the second after the first node heard of them. */
+    /**
+     * Reports the attempts that endpoints which started while the logs ran received in the second after a node first
+     * listed them.
+     */
     private String startedEndpointsLine() {
         int max = 0;
         int total = 0;
@@ -102,15 +106,15 @@
         }
         return String.format(
                 Locale.ROOT,
-                "hosts started: %d, sent to each in its first second %.1f in the mean, %d at most",
+                "endpoints started: %d, attempts in the first second after listing: mean %.1f, at most %d",
                 firstListedUs.size(),
                 firstListedUs.isEmpty() ? 0 : (double) total / firstListedUs.size(),
                 max);
     }
 
     /**
-     * Ends of a kind: how many, at how many hosts, by how many pairs of node and host, and how many the worst pair
-     * paid.
+     * Reports the attempts with these outcomes: how many, at how many endpoints, for how many pairs of node and
+     * endpoint, and the most for one pair and for one endpoint.
      */
     private String failuresLine(String name, Set<String> outcomes) {
         Map<String, Integer> failuresByEndpoint = new HashMap<>();
@@ -126,8 +130,9 @@
                 failuresByEndpoint.merge(e.getKey().endpoint(), failures, Integer::sum);
             }
         }
-        return name + ": " + sum(failuresByEndpoint) + " at " + failuresByEndpoint.size() + " hosts, by " + pairs
-                + " pairs of node and host, worst pair " + maxPerPair + ", worst host " + max(failuresByEndpoint);
+        return name + ": " + sum(failuresByEndpoint) + " at " + failuresByEndpoint.size() + " endpoints, by " + pairs
+                + " pairs of node and endpoint, worst pair " + maxPerPair + ", worst endpoint "
+                + max(failuresByEndpoint);
     }
 
     private static Map<Integer, Integer> frequencies(Iterable<Integer> values) {
--- a/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
+++ b/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Counts across a fleet's logs, from the logs alone. */
+/** The {@code count} command: prints counts across the logs of a fleet's nodes. */
 @Command(
         name = "count",
         mixinStandardHelpOptions = true,
@@ -23,7 +23,7 @@
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FOLDER", description = "Where the logs are.")
+    @Parameters(paramLabel = "FOLDER", description = "The folder of the logs.")
     private Path folder;
 
     @Override
@@ -40,14 +40,14 @@
             return 1;
         }
         if (files == 0) {
-            spec.commandLine().getErr().println("FOLDER: no file NODE.log in it");
+            spec.commandLine().getErr().println("FOLDER: contains no file NODE.log");
             return 1;
         }
         analysis.report().forEach(spec.commandLine().getOut()::println);
         return 0;
     }
 
-    /** A log may end in the middle of a line, or of a character: what was written so far counts. */
+    /** Reads one log. It may end in the middle of a line or of a character: the complete lines count. */
     private static void read(FleetLogAnalysis analysis, Path log) throws IOException {
         String node = log.getFileName().toString().replaceFirst("\\.log$", "");
         try (Stream<String> lines = Files.lines(log, StandardCharsets.ISO_8859_1)) {
--- a/src/main/java/olivechute/loganalysis/LogEntry.java
+++ b/src/main/java/olivechute/loganalysis/LogEntry.java
@@ -4,13 +4,13 @@
 import java.util.regex.Pattern;
 
 /**
- * What a line of a node's log at debug tells, as {@code serve} writes it in text form; anything ahead of the time of
- * day is passed over. Times are microseconds, {@code at} since midnight.
+ * A parsed line of a node's debug log in text format; anything before the time of day is skipped. Times are
+ * microseconds, {@code atUs} since midnight.
  */
 sealed interface LogEntry {
     long atUs();
 
-    /** An upstream request ended; {@code accepted} is negative where the host never took it. */
+    /** An attempt ended. {@code acceptedAfterUs} is negative if the endpoint did not accept it. */
     record AttemptEnded(long atUs, String request, String endpoint, String outcome, long tookUs, long acceptedAfterUs)
             implements LogEntry {
         long sentAtUs() {
@@ -18,13 +18,13 @@
         }
     }
 
-    /** A stream was refused; {@code last} is the outcome of its last upstream request. */
+    /** A request was rejected. {@code lastOutcome} is the outcome of its last attempt. */
     record RequestRejected(long atUs, String lastOutcome) implements LogEntry {}
 
     /** A connection to an endpoint was made. */
     record EndpointConnected(long atUs, String endpoint) implements LogEntry {}
 
-    /** A host as a list had it; {@code started} is Unix time in microseconds, 0 for long ago. */
+    /** An endpoint in an endpoint list. {@code startedUs} is Unix time in microseconds, 0 for long ago. */
     record EndpointListed(long atUs, String endpoint, String state, long startedUs) implements LogEntry {}
 
     /** A call to discovery was answered. */
@@ -33,7 +33,7 @@
     /** A call to discovery failed. */
     record DiscoveryCallFailed(long atUs) implements LogEntry {}
 
-    /** The line's content; null for one that counts nothing. */
+    /** Parses a line; returns null for one that is not counted. */
     static LogEntry parse(String line) {
         Matcher matcher = Form.LINE.matcher(line);
         if (!matcher.find()) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * How the lines read that {@code log.RequestLogFields}, {@code proxy.RequestDispatcher}, {@code upstream} and
-     * {@code discovery} write.
+     * Patterns of the lines written by {@code log.RequestLogFields}, {@code proxy.RequestDispatcher}, {@code upstream}
+     * and {@code discovery}.
      */
     final class Form {
         static final Pattern LINE = Pattern.compile("(\\d\\d):(\\d\\d):(\\d\\d)\\.(\\d{3}) [A-Z]+ +\\w+ (.*)");
--- a/src/test/java/olivechute/error/ErrorCodeTableTest.java
+++ b/src/test/java/olivechute/error/ErrorCodeTableTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The operators' table of errors says what the code says, and each error says what its kind says. */
+/** Tests that the runbook's error table matches the codes, and that each message holds the texts of its code. */
 class ErrorCodeTableTest {
     @Test
     void theRunbookTableMatchesTheCodes() throws IOException {
--- a/src/test/java/olivechute/error/Runbook.java
+++ b/src/test/java/olivechute/error/Runbook.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The rows of codes in the operators' page, by the section that they stand in. */
+/** Reads the error table rows of docs/runbook.md, by the section that they are in. */
 public final class Runbook {
     private static final Path PAGE = Path.of("docs/runbook.md");
     private static final String SECTION = "## ";
@@ -14,12 +14,12 @@
 
     private Runbook() {}
 
-    /** The rows of one section. */
+    /** Returns the rows of one section. */
     public static List<String> rowsOf(String section) throws IOException {
         return rows(section, true);
     }
 
-    /** The rows of all other sections. */
+    /** Returns the rows of all other sections. */
     public static List<String> rowsOutside(String section) throws IOException {
         return rows(section, false);
     }
--- a/src/test/java/olivechute/log/JsonLinesWriterTest.java
+++ b/src/test/java/olivechute/log/JsonLinesWriterTest.java
@@ -13,7 +13,7 @@
 import org.tinylog.core.LogEntry;
 import org.tinylog.runtime.PreciseTimestamp;
 
-/** Log lines as JSON, one a line whatever the message holds, with the fields of a stream beside it. */
+/** Tests that a log entry is one line of JSON whatever the message holds, with the fields of its request. */
 public class JsonLinesWriterTest {
     @Test
     public void anEntryIsOneLineWithItsStreamsFields() throws Exception {
--- a/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
+++ b/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A log of two nodes written by hand, and what is to be counted in it. */
+/** Checks every line of the report on hand-written logs of two nodes. */
 public class FleetLogAnalysisTest {
     private static final List<String> N0 = List.of(
             "2.480 00:00:10.000 DEBUG EndpointListWatcher discovery /10.2.0.1:8500: asked from -1",
@@ -37,17 +37,17 @@
         assertEquals(
                 analysis.report(),
                 List.of(
-                        "2 nodes, 4 streams sent on, 5 attempts",
+                        "2 nodes, 4 requests sent to endpoints, 5 attempts",
                         "attempts by outcome: {ACCEPT_TIMEOUT=1, CONNECT_FAILED=1, ERROR=1, OK=1, TIMEOUT=1}",
-                        "streams by attempts: {1=3, 2=1}",
-                        "accepted and never heard of again: 1",
-                        "refusals by last outcome: {CONNECT_FAILED=1, none=1}",
-                        "discovery: asked 3, worst tenth of a second 2; failed 1, worst tenth 1",
-                        "dials: 2 made, worst second at one host 2",
-                        "hosts started: 1, sent to each in its first second 3.0 in the mean, 3 at most",
-                        "errors: 1 at 1 hosts, by 1 pairs of node and host, worst pair 1, worst host 1",
-                        "silences: 1 at 1 hosts, by 1 pairs of node and host, worst pair 1, worst host 1",
-                        "failed dials: 1 at 1 hosts, by 1 pairs of node and host, worst pair 1, worst host 1"));
+                        "requests by attempts: {1=3, 2=1}",
+                        "accepted, then timed out: 1",
+                        "rejections by last outcome: {CONNECT_FAILED=1, none=1}",
+                        "discovery: calls 3, worst tenth of a second 2; failed 1, worst tenth 1",
+                        "dials: 2 made, worst second at one endpoint 2",
+                        "endpoints started: 1, attempts in the first second after listing: mean 3.0, at most 3",
+                        "errors: 1 at 1 endpoints, by 1 pairs of node and endpoint, worst pair 1, worst endpoint 1",
+                        "silences: 1 at 1 endpoints, by 1 pairs of node and endpoint, worst pair 1, worst endpoint 1",
+                        "failed dials: 1 at 1 endpoints, by 1 pairs of node and endpoint, worst pair 1, worst endpoint 1"));
     }
 
     @Test
