--- a/src/main/java/olivechute/benchmark/AllocationProfile.java
+++ b/src/main/java/olivechute/benchmark/AllocationProfile.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a request allocates, by class: the whole heap, dead objects too, before and after. */
+/** Prints what a request allocates by class, from heap histograms, dead objects included, before and after a run. */
 final class AllocationProfile {
     private static final int MAX_CLASSES = 40;
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /** What came since, less what a look takes. */
+    /** Returns the allocations since {@code before}, less those of taking a histogram. */
     private static long[] used(long[] after, long[] before, long[] first) {
         long[] b = before == null ? new long[2] : before;
         long[] f = first == null ? new long[2] : first;
--- a/src/main/java/olivechute/benchmark/BenchmarkCommand.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkCommand.java
@@ -16,12 +16,15 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** {@code cost}: counts, times or profiles what a request costs a node, and holds the counts against a record. */
+/**
+ * The {@code cost} command: counts, times or profiles what a request costs a node, and compares the counts with a
+ * record.
+ */
 @Command(
         name = "cost",
         mixinStandardHelpOptions = true,
         sortOptions = false,
-        description = "Counts what a request costs a node, between stand-ins on loopback.",
+        description = "Counts what a request costs a node, with simulated clients and endpoints on loopback.",
         footer = "Exit status: 0 within the record, 1 over it or not measured, 2 wrong call.")
 public final class BenchmarkCommand implements Callable<Integer> {
     private static final int MAX_RECOUNTS = 3;
@@ -29,16 +32,19 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--scenario", paramLabel = "KEY", description = "Only this one; may be given again.")
+    @Option(names = "--scenario", paramLabel = "KEY", description = "Run only this scenario; may be repeated.")
     private List<String> keys = new ArrayList<>();
 
-    @Option(names = "--jar", paramLabel = "JAR", description = "Measure the node of this jar rather than of this one.")
+    @Option(
+            names = "--jar",
+            paramLabel = "JAR",
+            description = "Measure the node of this jar instead of the running one.")
     private Path jar;
 
     @Option(
             names = "--against",
             paramLabel = "JAR",
-            description = "With --timed: a former jar, run in turn, in plain TCP.")
+            description = "With --timed: a baseline jar, run alternately, in plain TCP.")
     private Path against;
 
     @Option(names = "--record", paramLabel = "FILE", description = "Write the counts to this file.")
@@ -47,49 +53,56 @@
     @Option(names = "--check", paramLabel = "FILE", description = "Fail where a count grew past this record.")
     private Path check;
 
-    @Option(names = "--spread", paramLabel = "RUNS", description = "Count so many times and print the least and most.")
+    @Option(
+            names = "--spread",
+            paramLabel = "RUNS",
+            description = "Count this many times and print minimum and maximum.")
     private int spread;
 
-    @Option(names = "--timed", description = "CPU and added delay a request, on one pinned core, rather than counts.")
+    @Option(
+            names = "--timed",
+            description = "Measure CPU and added latency per request on one pinned core, instead of counts.")
     private boolean timed;
 
-    @Option(names = "--calls", description = "System calls by kind, by strace, rather than counts.")
+    @Option(names = "--calls", description = "Count system calls by name with strace, instead of counts.")
     private boolean calls;
 
-    @Option(names = "--classes", description = "What is allocated, by class, rather than counts.")
+    @Option(names = "--classes", description = "Print allocations by class, instead of counts.")
     private boolean classes;
 
-    @Option(names = "--epsilon", description = "Check the bytes against a heap that is never collected.")
+    @Option(
+            names = "--epsilon",
+            description = "Compare the allocated bytes with those of a run without garbage collection.")
     private boolean epsilon;
 
     @Option(
             names = "--connections",
             paramLabel = "N",
-            description = "What N idle connections take in resident memory, rather than counts.")
+            description = "Measure the resident memory of N idle connections, instead of counts.")
     private int connections;
 
     @Option(
             names = "--handshakes",
             paramLabel = "N",
             description =
-                    "CPU of N TLS handshakes, full and resumed, of both sides in one process, rather than counts.")
+                    "Measure the CPU of N TLS handshakes, full and resumed, both sides in one process, instead of counts.")
     private int handshakes;
 
-    @Option(names = "--tls", description = "In TLS under identities on both sides, at clients and at sign workers.")
+    @Option(names = "--tls", description = "Use TLS with identities on both sides, towards clients and sign workers.")
     private boolean tls;
 
     @Option(
             names = "--dials",
             paramLabel = "N",
             description =
-                    "CPU and delay of N connections each with one answer: plain, a full handshake, a resumed one.")
+                    "Measure CPU and latency of N connections with one request each: plain, full and resumed TLS handshakes.")
     private int dials;
 
     @Option(
             names = "--rotations",
             paramLabel = "N",
             description =
-                    "Replaces all documents and their authority N times under load; fails where a job was lost or ran twice.")
+                    "Replace all SVIDs and their CA N times under load; fails if a request was lost or ran twice.")
     private int rotations;
 
     @Option(
@@ -174,7 +187,8 @@
         out.println(Table.heading());
         for (Scenario s : scenarios) {
             Counts counts = CountingBenchmark.count(subject, s);
-            // Whatever disturbs a count adds to it, so the least of several is the true one; what grew stays in all.
+            // Disturbances only add to a count, so the minimum of several runs is the true one; a real increase stays
+            // in all.
             for (int i = 0;
                     i < MAX_RECOUNTS
                             && recorded != null
--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -12,19 +12,22 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** A node between its stand-ins, ready to run one scenario again and again. */
+/**
+ * A node process with simulated clients, endpoints and discovery, set up to run one scenario repeatedly. Driven by one
+ * thread.
+ */
 final class BenchmarkRig implements AutoCloseable {
-    /** Connections held at the bound that {@link Scenario#sockets} leaves: descriptors less 64, less a quarter. */
+    /** Open connections at the node's limit for {@link Scenario#SHED}: its descriptors less 64, less a quarter. */
     private static final int SHED_BOUND = (Scenario.SHED.maxSockets() - 64) * 3 / 4;
 
-    /** The first looks at a node load classes; what a look takes is the same from then on. */
+    /** The first usage queries load classes in the node; from then on each costs the same. */
     private static final int WARMUP_USAGE_READS = 4;
 
     private static final int WARMUP_REQUESTS = 200;
 
     /**
-     * Over two of the decision module's intervals of 500 ms: its periodic work has run after requests, and its classes
-     * are loaded.
+     * More than two of the load balancer's intervals of 500 ms: its periodic work has then run after requests, and its
+     * classes are loaded.
      */
     private static final long PERIODIC_WORK_MILLIS = 1100;
 
@@ -37,7 +40,10 @@
     private final Deque<BlockingHttpConnection> openConnections = new ArrayDeque<>();
     private final ExecutorService executor = Executors.newCachedThreadPool();
 
-    /** What a run of requests showed. */
+    /**
+     * The measurements of one run. {@code meanEndpointTimeUs} is the time per request spent in the simulated endpoints,
+     * in microseconds.
+     */
     record Run(int requests, Usage usage, long upstreamConnects, Histogram latenciesUs, double meanEndpointTimeUs) {}
 
     BenchmarkRig(NodeUnderTest subject, Mode mode, int core, Scenario scenario) throws IOException {
@@ -66,7 +72,7 @@
         }
     }
 
-    /** Another connection of a client's. */
+    /** Opens another client connection. */
     BlockingHttpConnection openConnection() throws IOException {
         return connectionFactory.client(node.address());
     }
@@ -79,7 +85,10 @@
         return node;
     }
 
-    /** Runs so many requests, or connections, and tells what they used; {@code objects} too where asked. */
+    /**
+     * Runs this many requests, or connections, and returns their measurements; counts allocated objects if
+     * {@code countObjects}.
+     */
     Run run(int requests, boolean countObjects) throws IOException, InterruptedException {
         for (int i = 0; i < WARMUP_USAGE_READS; i++) {
             node.usage(countObjects);
@@ -99,10 +108,15 @@
                 (double) (hosts.endpointTimeUs() - endpointTimeBeforeUs) / requests);
     }
 
-    /** Before counting: every class is loaded, every buffer has its size. */
+    /** Warms the node up before counting, so that all classes are loaded and all buffers have their size. */
     void warmUp() throws IOException, InterruptedException {
         if (scenario.rejectionsPerRequest() > 0) {
-            drive(clients.get(0), WARMUP_REQUESTS, newHistogram(), true, false); // each host that turns away rests
+            drive(
+                    clients.get(0),
+                    WARMUP_REQUESTS,
+                    newHistogram(),
+                    true,
+                    false); // puts every endpoint in backoff after its rejection
             drive(2);
         } else {
             drive(scenario.requests() / 2, newHistogram(), usesTls());
@@ -111,7 +125,7 @@
         }
     }
 
-    /** Runs so many without looking. */
+    /** Runs this many requests without measuring. */
     void drive(int requests) throws IOException, InterruptedException {
         drive(requests, newHistogram(), false);
     }
@@ -158,7 +172,7 @@
         }
     }
 
-    /** One connection, until the node has ended it or the one that it sheds for it. */
+    /** Opens one connection and waits until the node has ended it, or ended the one that it sheds for it. */
     private void connectAndAwaitClose() throws IOException {
         BlockingHttpConnection wire = openConnection();
         if (scenario == Scenario.SHED) {
--- a/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -9,10 +9,11 @@
 import java.util.Locale;
 
 /**
- * One HTTP/1.1 connection as a stand-in drives it: blocking, one message at a time, with a length or without a body.
+ * One blocking HTTP/1.1 connection of a simulated client or endpoint: one message at a time, with a Content-Length or
+ * without a body.
  */
 final class BlockingHttpConnection implements AutoCloseable {
-    /** Asks a node whether it is ready. */
+    /** A readiness request to a node. */
     static final byte[] READINESS_REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: n\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
 
@@ -24,9 +25,9 @@
     private int readPosition;
     private int readLimit;
 
-    /** A message: its start line and fields as they came, and how many bytes of body followed. */
+    /** A message: its start line and fields as received, and the length of its body. */
     record Message(String head, int bodyLength) {
-        /** The text of a field, null without one. */
+        /** Returns the value of a field, or null if it is absent. */
         String field(String name) {
             String key = "\r\n" + name.toLowerCase(Locale.ROOT) + ":";
             int at = head.toLowerCase(Locale.ROOT).indexOf(key);
@@ -38,7 +39,7 @@
                     .strip();
         }
 
-        /** The status of an answer. */
+        /** Returns the status code of a response. */
         int status() {
             return Integer.parseInt(head.substring(9, 12));
         }
@@ -65,7 +66,7 @@
         socket.getOutputStream().write(bytes, at, length);
     }
 
-    /** The next message whole; null if the connection ended between two. */
+    /** Reads the next message to its end; returns null if the connection ended between two messages. */
     Message read() throws IOException {
         int end = headEnd();
         if (end < 0) {
@@ -91,12 +92,12 @@
         return socket;
     }
 
-    /** Says that no more will come. */
+    /** Closes the sending direction. */
     void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** True once the other side has ended the connection; waits for it. */
+    /** Waits for the next byte; returns true if the peer has ended the connection instead. */
     boolean awaitEnd() throws IOException {
         try {
             return in.read() < 0;
@@ -105,7 +106,7 @@
         }
     }
 
-    /** Where the blank line begins; negative if the connection ended between two messages. */
+    /** Returns the offset at which the blank line begins; negative if the connection ended between two messages. */
     private int headEnd() throws IOException {
         if (readPosition == readLimit && !refill()) {
             return -1;
--- a/src/main/java/olivechute/benchmark/CallTrace.java
+++ b/src/main/java/olivechute/benchmark/CallTrace.java
@@ -8,9 +8,9 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** System calls by kind, as {@code strace -f -c} counts them while it is attached to the node. */
+/** Counts a node's system calls by name, with {@code strace -f -c} attached to its process. */
 final class CallTrace {
-    /** Kinds under this many a request are those of the node's own ticks. */
+    /** System calls rarer than this per request come from the node's periodic work and are not printed. */
     private static final double MIN_CALLS_PER_REQUEST = 0.02;
 
     private static final int WARMUP_RUNS = 8;
@@ -27,7 +27,7 @@
             Path table = Files.createTempFile("calls", ".txt");
             try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, -1, s)) {
                 for (int i = 0; i < WARMUP_RUNS; i++) {
-                    rig.warmUp(); // until what is compiled is compiled: the compiler's own calls are no request's
+                    rig.warmUp(); // until compilation is over: the compiler's system calls belong to no request
                 }
                 Process tracer = new ProcessBuilder(
                                 "strace",
@@ -49,7 +49,7 @@
                         .waitFor();
                 if (!tracer.waitFor(10, TimeUnit.SECONDS)) {
                     tracer.destroyForcibly();
-                    throw new IOException("strace did not end");
+                    throw new IOException("strace: did not exit");
                 }
             }
             print(s, n, Files.readAllLines(table));
@@ -61,7 +61,7 @@
         for (int i = 0; i < 500; i++) {
             for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
                 if (line.startsWith("TracerPid:") && !line.endsWith("\t0")) {
-                    Thread.sleep(200); // the other threads follow one by one
+                    Thread.sleep(200); // the other threads are attached one by one
                     return;
                 }
             }
--- a/src/main/java/olivechute/benchmark/ConnectBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ConnectBenchmark.java
@@ -7,7 +7,7 @@
 import javax.net.ssl.SSLSocket;
 import org.HdrHistogram.Histogram;
 
-/** What a connection costs with one answer on it: the node's CPU, and the time from dialling to that answer. */
+/** Measures the node's CPU for a connection with one request, and the time from connecting to the answer. */
 final class ConnectBenchmark {
     private static final int WARMUP_CONNECTIONS = 300;
 
@@ -50,7 +50,9 @@
             long startNanos = System.nanoTime();
             try (BlockingHttpConnection wire = rig.openConnection()) {
                 if (!rig.usesTls()) {
-                    wire.write(BlockingHttpConnection.READINESS_REQUEST); // in TLS that is part of dialling
+                    wire.write(
+                            BlockingHttpConnection
+                                    .READINESS_REQUEST); // with TLS this is part of opening the connection
                     wire.read();
                 }
                 latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
--- a/src/main/java/olivechute/benchmark/ConnectionFactory.java
+++ b/src/main/java/olivechute/benchmark/ConnectionFactory.java
@@ -6,9 +6,9 @@
 import java.net.ServerSocket;
 import java.nio.file.Path;
 
-/** How the stand-ins of a rig connect with its node. */
+/** Opens the connections between the simulated clients and endpoints and the measured node. */
 interface ConnectionFactory extends AutoCloseable {
-    /** In plain TCP. */
+    /** Connections in plain TCP. */
     ConnectionFactory PLAINTEXT = new ConnectionFactory() {
         @Override
         public BlockingHttpConnection client(InetSocketAddress node) throws IOException {
@@ -38,16 +38,16 @@
 
     int BACKLOG = 512;
 
-    /** A client's connection. */
+    /** Opens a client's connection to the node. */
     BlockingHttpConnection client(InetSocketAddress node) throws IOException;
 
-    /** A sign worker's, for news. */
+    /** Opens an endpoint's connection to the node, for job status events. */
     BlockingHttpConnection endpoint(InetSocketAddress node) throws IOException;
 
-    /** Where a sign worker takes jobs. */
+    /** Opens the socket on which an endpoint accepts requests. */
     ServerSocket listener() throws IOException;
 
-    /** The operators' settings of the node, null for none. */
+    /** Returns the node's operator settings file, or null for none. */
     Path settings();
 
     @Override
--- a/src/main/java/olivechute/benchmark/CopyAgent.java
+++ b/src/main/java/olivechute/benchmark/CopyAgent.java
@@ -11,9 +11,9 @@
 import org.objectweb.asm.Opcodes;
 
 /**
- * A Java agent that sends the calls by which the node's classes and its JSON reader copy bytes through
- * {@link CopyCounter}, and every store of one byte. What the platform copies inside of other calls, as for a new
- * String, is not seen; it shows among the allocations.
+ * A Java agent that redirects the calls by which the node's classes and its JSON parser copy bytes to
+ * {@link CopyCounter}, and every store of one byte. Copies inside other platform calls, such as creating a String, are
+ * not seen; they show among the allocations.
  */
 public final class CopyAgent implements ClassFileTransformer {
     private static final String COUNTER = "olivechute/benchmark/CopyCounter";
@@ -21,7 +21,8 @@
     private static final String CHANNEL = "java/nio/channels/SocketChannel";
     private static final String BUFFER = "java/nio/ByteBuffer";
     /**
-     * Calls that copy: owner, name and descriptor, and the receiver's type that goes first in the counter's, if any.
+     * Calls that copy: owner, name and descriptor, and the type of the receiver that becomes the counter method's first
+     * parameter, if any.
      */
     private static final Map<String, String> CALLS = Map.ofEntries(
             Map.entry("java/lang/System.arraycopy(Ljava/lang/Object;ILjava/lang/Object;II)V", ""),
@@ -45,7 +46,7 @@
 
     CopyAgent() {}
 
-    /** Called by the virtual machine ahead of the program. */
+    /** Called by the JVM before the program's main method. */
     public static void premain(String arguments, Instrumentation instrumentation) {
         instrumentation.addTransformer(new CopyAgent());
     }
--- a/src/main/java/olivechute/benchmark/CopyCounter.java
+++ b/src/main/java/olivechute/benchmark/CopyCounter.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Takes the place of the calls that copy bytes, where {@link CopyAgent} has rewritten them, and counts what is copied.
- * The stand-ins' bodies have the high bit set in every byte and heads have it in none, so each byte tells what it is.
+ * Replaces the calls that copy bytes, where {@link CopyAgent} has rewritten them, and counts the copied bytes. Its
+ * public methods are called by rewritten code on any thread, under the names of the original calls. All bytes of the
+ * simulated bodies have the high bit set and those of heads do not, which tells the two apart.
  */
 public final class CopyCounter {
     private static final AtomicLong COPIES = new AtomicLong();
@@ -21,7 +22,7 @@
 
     private CopyCounter() {}
 
-    /** Copies, bytes of body in them and other bytes, since the start. */
+    /** Returns the copies, and the body bytes and other bytes in them, since the start. */
     static String totals() {
         return COPIES.get() + " " + BODY_BYTES.get() + " " + OTHER_BYTES.get();
     }
--- a/src/main/java/olivechute/benchmark/CostRecord.java
+++ b/src/main/java/olivechute/benchmark/CostRecord.java
@@ -14,7 +14,10 @@
 import olivechute.config.InvalidValueException;
 import olivechute.config.JsonFields;
 
-/** The counts that no scenario may outgrow, as a JSON file: an object for each scenario, a number for each count. */
+/**
+ * The recorded counts that no scenario may exceed, as a JSON file: an object for each scenario, a number for each
+ * count.
+ */
 record CostRecord(Map<Scenario, Counts> counts) {
     static CostRecord read(Path file) throws IOException {
         Map<Scenario, Counts> counts = new EnumMap<>(Scenario.class);
@@ -51,7 +54,10 @@
         }
     }
 
-    /** A line for each count of a scenario that outgrew what is recorded, its margin counted in, or if nothing is. */
+    /**
+     * Returns a line for each count of a scenario that exceeds the recorded value by more than its margin, or one line
+     * if nothing is recorded.
+     */
     List<String> violations(Scenario scenario, Counts measured) {
         Counts recorded = counts.get(scenario);
         if (recorded == null) {
--- a/src/main/java/olivechute/benchmark/CountingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/CountingBenchmark.java
@@ -10,7 +10,7 @@
         return Counts.of(scenario, run(subject, Mode.ALLOCATIONS, scenario), run(subject, Mode.COPIES, scenario));
     }
 
-    /** Bytes allocated a request where nothing is ever collected, to hold against the usual figure. */
+    /** Returns the bytes allocated per request by a run without garbage collection, to check the normal count. */
     static double bytesWithoutCollector(NodeUnderTest subject, Scenario scenario)
             throws IOException, InterruptedException {
         BenchmarkRig.Run run = run(subject, Mode.EPSILON, scenario);
@@ -23,7 +23,7 @@
             rig.warmUp();
             BenchmarkRig.Run run = rig.run(scenario.requests(), mode == Mode.ALLOCATIONS);
             if (mode == Mode.ALLOCATIONS && run.usage().collections() > 0) {
-                throw new IOException(scenario.key() + ": something was collected, so the count of bytes is void");
+                throw new IOException(scenario.key() + ": a garbage collection ran, so the count of bytes is invalid");
             }
             return run;
         }
--- a/src/main/java/olivechute/benchmark/Counts.java
+++ b/src/main/java/olivechute/benchmark/Counts.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * What is counted for one request of a scenario, or one connection; the same on every machine but for chance in timing.
+ * The counts for one request, or one connection, of a scenario; the same on every machine except for chance in timing.
  */
 record Counts(double[] values) {
     /** The counts, in the order of {@link #values}. */
@@ -16,15 +16,15 @@
         READS("reads", 0.05, 0.3, true),
         /** Write calls. */
         WRITES("writes", 0.02, 0.1, false),
-        /** Times that a thread gave up the core to wait, for its peer or for another thread. */
+        /** Voluntary context switches: a thread waited for its peer or for another thread. */
         WAITS("waits", 0.3, 2, true),
-        /** Connections dialled to upstream hosts. */
+        /** Connections opened to upstream endpoints. */
         DIALS("dials", 0, 0.1, true),
         /** How often each byte of the body is copied. */
         BODY_COPIES("body-copies", 0.01, 0.02, false),
-        /** Other bytes copied: heads, answers, news. */
+        /** Other bytes copied: heads, answers, job status events. */
         HEAD_COPIED("head-copied", 0.03, 32, false),
-        /** Single copies made. */
+        /** Copy operations. */
         COPIES("copies", 0.05, 2, true);
 
         private final String key;
@@ -32,7 +32,10 @@
         private final double absoluteMargin;
         private final boolean timingDependent;
 
-        /** {@code part} and {@code least} are the margin; {@code moved}: chance in timing moves this count. */
+        /**
+         * The margin is the larger of {@code relativeMargin} and {@code absoluteMargin}; {@code timingDependent} counts
+         * vary with chance in timing.
+         */
         Count(String key, double relativeMargin, double absoluteMargin, boolean timingDependent) {
             this.key = key;
             this.relativeMargin = relativeMargin;
@@ -40,12 +43,12 @@
             this.timingDependent = timingDependent;
         }
 
-        /** The name in tables and records. */
+        /** Returns the name in tables and records. */
         String key() {
             return key;
         }
 
-        /** The most that may be seen of this scenario where so much is recorded. */
+        /** Returns the largest count that passes for a scenario with this recorded value. */
         double bound(Scenario scenario, double recorded) {
             return recorded
                     + Math.max(absoluteMargin, relativeMargin * recorded)
@@ -53,7 +56,7 @@
         }
     }
 
-    /** Reads what runs used, one for its allocations and one for its copies. */
+    /** Computes the counts from two runs, one that measured allocations and one that measured copies. */
     static Counts of(Scenario scenario, BenchmarkRig.Run allocating, BenchmarkRig.Run copying) {
         double n = allocating.requests();
         double m = copying.requests();
@@ -75,14 +78,14 @@
         return values[count.ordinal()];
     }
 
-    /** The larger of each. */
+    /** Returns the maximum of each count. */
     Counts max(Counts other) {
         double[] result = values.clone();
         Arrays.setAll(result, i -> Math.max(values[i], other.values[i]));
         return new Counts(result);
     }
 
-    /** The smaller of each. */
+    /** Returns the minimum of each count. */
     Counts min(Counts other) {
         double[] result = values.clone();
         Arrays.setAll(result, i -> Math.min(values[i], other.values[i]));
--- a/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
+++ b/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
@@ -17,7 +17,10 @@
 import olivechute.tls.TlsException;
 import olivechute.tls.TlsStateMachine;
 
-/** CPU and heap of handshakes between two machines in memory: what a connection costs beyond its sockets. */
+/**
+ * Measures CPU and heap allocation of TLS handshakes between two state machines in memory: what TLS costs a connection
+ * beyond its sockets. Runs on the calling thread.
+ */
 final class HandshakeBenchmark {
     private static final String DOMAIN = "cost.example";
     private static final int WARMUP_HANDSHAKES = 200;
@@ -37,10 +40,11 @@
             root = CertificateAuthority.root(DOMAIN, now.minusSeconds(60), now.plus(Duration.ofHours(1)));
             TlsContext server = context("/node");
             TlsContext client = context("/client");
-            // A dialler that knows no session yet makes a full handshake; a name for each keeps them apart.
+            // A client without a cached session makes a full handshake; a distinct peer name for each keeps sessions
+            // apart.
             measure("full", handshakes, i -> client.client("h" + i, 1), server::server);
             measure("resumed", handshakes, i -> client.client("h", 1), server::server);
-            out.printf(Locale.ROOT, "chains judged: %d%n", client.chainChecks() + server.chainChecks());
+            out.printf(Locale.ROOT, "certificate chains verified: %d%n", client.chainChecks() + server.chainChecks());
             out.flush();
         } catch (TlsException | IdentityRejectedException e) {
             throw new IOException(e.getMessage(), e);
@@ -85,11 +89,11 @@
 
     private static void handshake(TlsStateMachine client, TlsStateMachine server) throws TlsException {
         while (transferBoth(client, server)) {
-            // until neither has anything more to say, tickets included
+            // until neither side has data left to send, session tickets included
         }
     }
 
-    /** Both directions, whether or not the first had anything to say. */
+    /** Transfers data in both directions; the second is never skipped. */
     private static boolean transferBoth(TlsStateMachine client, TlsStateMachine server) throws TlsException {
         boolean fromClient = transfer(client, server);
         boolean fromServer = transfer(server, client);
--- a/src/main/java/olivechute/benchmark/Listener.java
+++ b/src/main/java/olivechute/benchmark/Listener.java
@@ -9,13 +9,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import olivechute.net.Threads;
 
-/** A stand-in's listening socket on a loopback address of the system's choice, with a thread for each connection. */
+/**
+ * The listening socket of a simulated endpoint or discovery service, on a free loopback port, with a thread for each
+ * connection.
+ */
 final class Listener implements AutoCloseable {
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicLong acceptedConnections = new AtomicLong();
 
-    /** What a stand-in does with one connection, from its first byte to its end. */
+    /** Handles one connection from its first byte to its end. */
     interface ConnectionHandler {
         void serve(BlockingHttpConnection wire) throws IOException, InterruptedException;
     }
@@ -50,12 +53,12 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** As discovery and the configuration write it. */
+    /** Returns the address as discovery and the configuration write it. */
     String addressText() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
-    /** Connections accepted so far. */
+    /** Returns the number of connections accepted so far. */
     long acceptedConnections() {
         return acceptedConnections.get();
     }
--- a/src/main/java/olivechute/benchmark/Mode.java
+++ b/src/main/java/olivechute/benchmark/Mode.java
@@ -2,16 +2,18 @@
 
 import java.util.List;
 
-/** What a run of the node is for: one that counts is slower than one that is timed, so each has flags of its own. */
-@SuppressWarnings("ImmutableEnumChecker") // the list is made by List.of
+/**
+ * The purpose of a run, which decides the JVM flags of the node: a run that counts is slower than one that is timed.
+ */
+@SuppressWarnings("ImmutableEnumChecker") // the list is immutable, created by List.of
 enum Mode {
-    /** Allocations and objects: each goes straight into a young generation that no run fills. */
+    /** Allocated bytes and objects: each allocation goes directly into a young generation that no run fills. */
     ALLOCATIONS("-Xms1100m", "-Xmx1100m", "-Xmn1000m", "-XX:+UseSerialGC", "-XX:-UseTLAB"),
-    /** The same without any collector, to check the former. */
+    /** Allocated bytes without any garbage collector, to check {@link #ALLOCATIONS}. */
     EPSILON("-Xms1100m", "-Xmx1100m", "-XX:+UnlockExperimentalVMOptions", "-XX:+UseEpsilonGC", "-XX:-UseTLAB"),
-    /** Copies, by an agent. */
+    /** Copied bytes, counted by {@link CopyAgent}. */
     COPIES("-Xmx256m", "-XX:+UseSerialGC"),
-    /** System calls, CPU and delay: flags as in service. */
+    /** System calls, CPU and latency, with the flags used in service. */
     SERVICE("-Xmx64m", "-XX:+UseSerialGC");
 
     private final List<String> flags;
--- a/src/main/java/olivechute/benchmark/NodeProbe.java
+++ b/src/main/java/olivechute/benchmark/NodeProbe.java
@@ -17,17 +17,17 @@
 import javax.management.ObjectName;
 
 /**
- * Runs in the measured process: starts the node, then answers each line on standard input with what the process has
- * used since its start. Without thread-local buffers the young generation's top is the sum of all that was allocated,
- * by threads that have ended too, as long as nothing is collected.
+ * Main class of the measured process: starts the node, then answers each line on standard input with the resources that
+ * the process has used since its start. Without thread-local allocation buffers, the fill level of the young generation
+ * is the sum of all allocations, those of ended threads included, as long as there is no garbage collection.
  */
 public final class NodeProbe {
-    /** What begins each answer, apart from the node's own log. */
+    /** Prefix that tells answers from the node's log lines. */
     static final String ANSWER_PREFIX = "@cost ";
 
     private NodeProbe() {}
 
-    /** Starts {@code serve} of whatever jar comes first on the class path, and answers until the input ends. */
+    /** Starts {@code serve} of the first jar on the class path, and answers until the input ends. */
     public static void main(String[] args) throws Exception {
         MemoryPoolMXBean eden = ManagementFactory.getMemoryPoolMXBeans().stream()
                 .filter(p -> p.getName().contains("Eden") || p.getName().contains("Epsilon"))
@@ -63,7 +63,7 @@
         return kernelCounter(Path.of("/proc/self/io"), key);
     }
 
-    /** How often threads that still run gave the core up to wait. */
+    /** Returns the voluntary context switches of the threads that still run. */
     private static long voluntarySwitches() {
         long sum = 0;
         try (DirectoryStream<Path> tasks = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
@@ -76,7 +76,7 @@
         return sum;
     }
 
-    /** A figure of one of the kernel's files; 0 where that is gone. */
+    /** Returns a value from one of the kernel's files, or 0 if the file no longer exists. */
     static long kernelCounter(Path file, String key) {
         try {
             for (String line : Files.readAllLines(file, StandardCharsets.US_ASCII)) {
--- a/src/main/java/olivechute/benchmark/NodeProcess.java
+++ b/src/main/java/olivechute/benchmark/NodeProcess.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A node of any jar in a process of its own, asked for what it has used over its standard input and output. */
+/**
+ * The measured node in a process of its own. It is queried for its resource usage over standard input and output, see
+ * {@link NodeProbe}.
+ */
 final class NodeProcess implements AutoCloseable {
     private static final String CONFIG = """
         {"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
@@ -38,7 +41,7 @@
     private final Path config;
     private final InetSocketAddress address;
 
-    /** Starts the node of {@code jar}; {@code core} pins it, negative leaves it free; {@code settings} may be null. */
+    /** Starts the node of {@code jar}. {@code core} pins it to a core unless negative; {@code settings} may be null. */
     NodeProcess(Path jar, Mode mode, int core, int sockets, String discovery, String known, Path settings)
             throws IOException {
         Path benchmarkJar = ownJar();
@@ -76,7 +79,7 @@
                 Integer.parseInt(addressText.substring(addressText.lastIndexOf(':') + 1)));
     }
 
-    /** The jar that this program runs from. */
+    /** Returns the jar that this program runs from. */
     static Path ownJar() throws IOException {
         String path = System.getProperty("java.class.path");
         if (!path.endsWith(".jar")) {
@@ -93,7 +96,7 @@
             }
             seen.append(line).append('\n');
         }
-        throw new IOException("the node ended: " + seen);
+        throw new IOException("the node exited: " + seen);
     }
 
     InetSocketAddress address() {
@@ -104,7 +107,7 @@
         return process.pid();
     }
 
-    /** What it has used so far; {@code objects} costs a walk through the heap. */
+    /** Returns the resources used so far; {@code objects} requires a walk through the heap. */
     Usage usage(boolean objects) throws IOException {
         stdin.println("usage");
         String[] f = await(NodeProbe.ANSWER_PREFIX)
@@ -122,19 +125,19 @@
         return new Usage(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7], v[8], count);
     }
 
-    /** Its resident memory in KiB, seen from outside: a look from within would add to it. */
+    /** Returns its resident memory in KiB, read from outside the process: a query from within would add to it. */
     long residentKib() throws IOException {
         return NodeProbe.kernelCounter(Path.of("/proc/" + process.pid() + "/status"), "VmRSS");
     }
 
-    /** Threads that it has now. */
+    /** Returns its current number of threads. */
     int threads() throws IOException {
         try (var tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return (int) tasks.count();
         }
     }
 
-    /** Instances and bytes by class, of all that was ever allocated; one line a class. */
+    /** Returns one line for each class, with the instances and bytes ever allocated. */
     List<String> classHistogram() throws IOException {
         stdin.println("classes");
         List<String> lines = new ArrayList<>();
--- a/src/main/java/olivechute/benchmark/NodeUnderTest.java
+++ b/src/main/java/olivechute/benchmark/NodeUnderTest.java
@@ -2,9 +2,9 @@
 
 import java.nio.file.Path;
 
-/** What is measured: the node of a jar, in plain TCP or in TLS under identities on both sides. */
+/** The measured node: its jar, and whether it uses plain TCP or TLS with identities on both sides. */
 record NodeUnderTest(Path jar, boolean tls) {
-    /** How the stand-ins round it connect. */
+    /** Returns how the simulated clients and endpoints connect to it. */
     ConnectionFactory connectionFactory() throws java.io.IOException {
         return tls ? new TestTrustDomain() : ConnectionFactory.PLAINTEXT;
     }
--- a/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Resident memory of connections that have had an answer and stand idle, each with its thread. */
+/** Measures the resident memory of idle connections that have received an answer, each with its thread. */
 final class ResidentMemoryBenchmark {
-    /** Opened before the first look: what the first few load is no connection's. */
+    /** Connections opened before the first measurement, as classes loaded by the first few belong to no connection. */
     private static final int WARMUP_CONNECTIONS = 50;
 
     private final PrintWriter out;
@@ -17,7 +17,10 @@
         this.out = out;
     }
 
-    /** Opens so many and prints what each takes, and how many the node still holds: it sheds what is over its bound. */
+    /**
+     * Opens this many connections and prints the memory of each and the node's thread count, which shows how many it
+     * still holds: it sheds those over its limit.
+     */
     void run(NodeUnderTest subject, int connections) throws IOException {
         List<BlockingHttpConnection> openConnections = new ArrayList<>();
         try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, -1, Scenario.SILENT)) {
--- a/src/main/java/olivechute/benchmark/RotationBenchmark.java
+++ b/src/main/java/olivechute/benchmark/RotationBenchmark.java
@@ -13,16 +13,16 @@
 import olivechute.tls.TlsContext;
 
 /**
- * Load while every document and the authority behind them is replaced, again and again: a new authority beside the old,
- * new documents by it, the old one withdrawn. Clients that find their connection ended between two requests send again
- * once, as the protocol has it.
+ * Sends load while all SVIDs and the CA behind them are replaced repeatedly: a new CA is added to the trust bundle, new
+ * SVIDs are issued by it, the old CA is removed. Clients that find their connection ended between two requests send the
+ * request again once, as the protocol requires.
  */
 final class RotationBenchmark {
     private static final int CLIENTS = 16;
     private static final int ENDPOINT_COUNT = 24;
     /**
-     * The node's folder is looked at every 50 ms, which is the time that a helper tool needs to leave between the
-     * steps.
+     * The node polls its SVID folder every 50 ms; a tool that rotates certificates must leave at least that time
+     * between the steps.
      */
     private static final long STEP_MILLIS = 250;
 
@@ -38,7 +38,7 @@
         this.out = out;
     }
 
-    /** Prints what became of all jobs; true if each was answered and none ran twice. */
+    /** Prints the outcome of all requests; returns true if each was answered and none ran twice. */
     boolean run(Path jar, int rotations) throws IOException, InterruptedException {
         try (TestTrustDomain trust = new TestTrustDomain();
                 StandInEndpoints endpoints = new StandInEndpoints(trust, ENDPOINT_COUNT, 0, false);
@@ -66,8 +66,8 @@
             long duplicateRuns = endpoints.acceptedRequests() - endpoints.distinctRequests();
             out.printf(
                     Locale.ROOT,
-                    "%d rotations: %d served, %d refused, %d sent again on a new connection, %d lost, %d ran twice,"
-                            + " %d dialled%n",
+                    "%d rotations: %d served, %d rejected, %d resent on a new connection, %d lost, %d ran twice,"
+                            + " %d connections opened%n",
                     rotations,
                     served.get(),
                     rejected.get(),
@@ -95,7 +95,7 @@
                     wire.write(request);
                     BlockingHttpConnection.Message answer = wire.read();
                     if (answer == null) {
-                        throw new IOException("ended");
+                        throw new IOException("connection ended");
                     }
                     count(answer);
                     break;
@@ -132,7 +132,7 @@
                 wire.close();
             }
         } catch (IOException e) {
-            return; // it was of no more use
+            return; // the connection is no longer needed
         }
     }
 
--- a/src/main/java/olivechute/benchmark/Scenario.java
+++ b/src/main/java/olivechute/benchmark/Scenario.java
@@ -2,21 +2,21 @@
 
 import java.util.Arrays;
 
-/** What is sent through the node: each is one way that requests or connections come in service. */
+/** The benchmark scenarios: each is one way in which requests or connections arrive in service. */
 enum Scenario {
     BODY_1K("1k", "a body of 1 KiB", 1024),
     BODY_64K("64k", "a body of 64 KiB, written at once", 64 * 1024),
     PIECES("64k-pieces", "64 KiB in pieces of 256 bytes, a write each", 64 * 1024),
     CHUNKED("chunked", "4 KiB in chunks of 512 bytes", 4096),
     HEAD_OCTETS("head-octets", "a head in single bytes", 1024),
-    REFUSED("refused", "a request that is refused at once", 1024),
-    TURNED_AWAY("turned-away", "one that is turned away twice before it is served", 1024),
+    REFUSED("refused", "a request that the node rejects at once", 1024),
+    TURNED_AWAY("turned-away", "a request that endpoints reject twice before it is served", 1024),
     PARALLEL("64-clients", "a body of 1 KiB on 64 connections at once", 1024),
-    NEWS_ON_NEW("news-on-new", "news on a new connection each", 1024),
-    SILENT("silent", "a connection opened and closed without a word", 0),
-    SHED("shed", "a connection that is shed at the bound", 0);
+    NEWS_ON_NEW("news-on-new", "job status events on a new connection each", 1024),
+    SILENT("silent", "a connection opened and closed without data", 0),
+    SHED("shed", "a connection shed at the connection limit", 0);
 
-    /** Hosts enough that those resting after they turned a job away are never all. */
+    /** Enough endpoints that those in backoff after a rejection are never all of them. */
     private static final int MANY_ENDPOINTS = 24;
 
     private final String key;
@@ -29,7 +29,7 @@
         this.body = body;
     }
 
-    /** The name in tables and records. */
+    /** Returns the name in tables and records. */
     String key() {
         return key;
     }
@@ -38,7 +38,7 @@
         return description;
     }
 
-    /** Bytes of body a request. */
+    /** Returns the body length of a request in bytes. */
     int body() {
         return body;
     }
@@ -63,17 +63,19 @@
         return this == SILENT || this == SHED;
     }
 
-    /** True where the host has the request in the end. */
+    /** Returns whether an endpoint accepts the request in the end. */
     boolean reachesEndpoint() {
         return this != REFUSED && !connectionsOnly();
     }
 
-    /** Descriptors that the node is told it may hold: few where its bound is to be met. */
+    /**
+     * Returns the descriptor limit in the node's configuration: low for the scenario that reaches the connection limit.
+     */
     int maxSockets() {
         return this == SHED ? 160 : 1024;
     }
 
-    /** Requests in all for a short run. */
+    /** Returns the total number of requests of a short run. */
     int requests() {
         return switch (this) {
             case BODY_64K, PIECES, HEAD_OCTETS -> 100;
@@ -83,14 +85,17 @@
         };
     }
 
-    /** By how much chance moves its counts over those of others, as 20 runs of each showed; see docs/cost-design.md. */
+    /**
+     * Returns by how much more chance moves this scenario's counts than those of others, as 20 runs of each showed; see
+     * docs/cost-design.md.
+     */
     double marginFactor() {
         return switch (this) {
             case BODY_64K -> 2;
-            case PIECES -> 4; // how many pieces are read at once
+            case PIECES -> 4; // depends on how many pieces are read at once
             case PARALLEL -> 5;
             case HEAD_OCTETS -> 8;
-            case TURNED_AWAY -> 35; // how long a job is held until a host has rested
+            case TURNED_AWAY -> 35; // depends on how long a request is queued until an endpoint's backoff ends
             default -> 1;
         };
     }
--- a/src/main/java/olivechute/benchmark/StandInClient.java
+++ b/src/main/java/olivechute/benchmark/StandInClient.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** One client with a connection that it keeps: sends one request and waits for its answer, again and again. */
+/** A simulated client with a persistent connection, which sends one request at a time and waits for its answer. */
 final class StandInClient implements AutoCloseable {
     private static final AtomicLong IDS = new AtomicLong(0x1000_0000_0000L);
     private static final int PIECE_BYTES = 256;
     private static final int CHUNK_BYTES = 512;
-    /** Between pieces: the node should read each by itself, as from a slow client. */
+    /** Pause between pieces, so that the node reads each by itself, as from a slow client. */
     private static final long GAP_NANOS = 30_000;
 
     private final Scenario scenario;
@@ -24,13 +24,13 @@
         this.scenario = scenario;
         this.wire = connectionFactory.client(node);
         this.body = new byte[scenario.body()];
-        Arrays.fill(body, (byte) 0xb5); // the high bit tells body from head, see CopyCounter
+        Arrays.fill(body, (byte) 0xb5); // the high bit tells body bytes from others, see CopyCounter
     }
 
     /**
-     * Sends one request and waits for its answer; its whole time goes into {@code times}, in microseconds. A
-     * {@code plain} one is never turned away, and one for {@code warming} up may be refused: the first handshakes take
-     * long.
+     * Sends one request, waits for its answer and records the time between in {@code latenciesUs}. With
+     * {@code skipRejections} no endpoint rejects it; with {@code warmup} the node may reject it, as the first
+     * handshakes take long.
      */
     void request(Histogram latenciesUs, boolean skipRejections, boolean warmup) throws IOException {
         byte[] head = head(
@@ -43,7 +43,8 @@
         latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
         int expectedStatus = scenario == Scenario.REFUSED ? 503 : 200;
         if (answer == null || (answer.status() != expectedStatus && !warmup)) {
-            throw new IOException(scenario.key() + ": answered " + (answer == null ? "nothing" : answer.head()));
+            throw new IOException(
+                    scenario.key() + ": unexpected answer: " + (answer == null ? "nothing" : answer.head()));
         }
     }
 
--- a/src/main/java/olivechute/benchmark/StandInDiscovery.java
+++ b/src/main/java/olivechute/benchmark/StandInDiscovery.java
@@ -8,8 +8,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in of discovery whose list never changes: a call for the whole list has it, a watch has nothing new when its
- * wait is over.
+ * A simulated discovery service whose list never changes: a poll returns the full list, a watch returns an empty update
+ * after its wait.
  */
 final class StandInDiscovery implements AutoCloseable {
     private static final Pattern WAIT = Pattern.compile("timeout_ms=([0-9]+)");
--- a/src/main/java/olivechute/benchmark/StandInEndpoints.java
+++ b/src/main/java/olivechute/benchmark/StandInEndpoints.java
@@ -12,14 +12,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stand-ins of sign workers, named w0, w1 and so on. Each takes a job with 202 and tells at once that it has started
- * and is done, from the thread that took it, so that one request runs through the node at a time for each client.
+ * Simulated endpoints (sign workers), named w0, w1 and so on. Each accepts a request with 202 and sends its job status
+ * events, started and done, at once from the thread that accepted it, so that for each client one request at a time
+ * passes through the node.
  */
 final class StandInEndpoints implements AutoCloseable {
-    /** In the target of requests that are turned away first. */
+    /** Part of the target of requests that are rejected first. */
     static final String REJECTION_MARKER = "user=turned";
 
-    /** How often news are told at most, as the protocol has it. */
+    /** The most times that a job status event is sent, as the protocol requires. */
     private static final int MAX_SEND_ATTEMPTS = 10;
 
     private static final byte[] ACCEPTED_RESPONSE = text("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
@@ -39,7 +40,8 @@
     private volatile InetSocketAddress nodeAddress;
 
     /**
-     * {@code turnsAway}: how often each job is turned away first; {@code newsOnNew}: a new connection for each news.
+     * {@code rejectionsPerRequest}: how often each request is rejected first; {@code newConnectionPerStatusEvent}: use
+     * a new connection for each job status event.
      */
     StandInEndpoints(
             ConnectionFactory connectionFactory,
@@ -60,12 +62,12 @@
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** Where news go. */
+    /** Sets the address that job status events are sent to. */
     void nodeAddress(InetSocketAddress address) {
         nodeAddress = address;
     }
 
-    /** The hosts as discovery lists them. */
+    /** Returns the endpoints as JSON elements of discovery's list. */
     String entries() {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < listeners.size(); i++) {
@@ -79,32 +81,32 @@
         return entries.toString();
     }
 
-    /** Connections that the node dialled. */
+    /** Returns the number of connections that the node opened. */
     long acceptedConnections() {
         return listeners.stream().mapToLong(Listener::acceptedConnections).sum();
     }
 
-    /** Jobs taken, each as often as it came. */
+    /** Returns the requests accepted, each as often as it arrived. */
     long acceptedRequests() {
         return acceptedRequests.get();
     }
 
-    /** Jobs taken, each once. */
+    /** Returns the distinct requests accepted. */
     long distinctRequests() {
         return requestIds.size();
     }
 
-    /** Microseconds that requests spent here, from their reading to the word that they are done. */
+    /** Returns the time that requests spent here in microseconds, from reading one to sending its done event. */
     long endpointTimeUs() {
         return endpointTimeNanos.get() / 1000;
     }
 
-    /** Waits until one more job is told of in full. */
+    /** Waits until all status events of one more request are sent. */
     void awaitRequestReported() throws InterruptedException {
         reportedRequests.acquire();
     }
 
-    /** All that was told so far is settled. */
+    /** Forgets the requests reported so far. */
     void reportedRequests() {
         reportedRequests.drainPermits();
     }
@@ -152,7 +154,8 @@
     }
 
     /**
-     * Tells it on a connection, a new one for null or where that has ended, until there is an answer; returns the last.
+     * Sends a status event on a connection until it is answered, on a new one if the argument is null or has ended;
+     * returns the last one used.
      */
     private BlockingHttpConnection sendStatusEvent(BlockingHttpConnection existing, byte[] event) throws IOException {
         BlockingHttpConnection wire = existing;
@@ -163,7 +166,7 @@
                 if (wire.read() != null) {
                     return wire;
                 }
-                throw new IOException("news not answered");
+                throw new IOException("job status event not answered");
             } catch (IOException e) {
                 if (attempt == MAX_SEND_ATTEMPTS) {
                     throw e;
--- a/src/main/java/olivechute/benchmark/Table.java
+++ b/src/main/java/olivechute/benchmark/Table.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import olivechute.benchmark.Counts.Count;
 
-/** Counts as lines of text. */
+/** Formats counts as a text table. */
 final class Table {
     private Table() {}
 
--- a/src/main/java/olivechute/benchmark/TestTrustDomain.java
+++ b/src/main/java/olivechute/benchmark/TestTrustDomain.java
@@ -24,8 +24,8 @@
 import olivechute.tls.TlsContext;
 
 /**
- * A trust domain for a node and its stand-ins, which speak TLS by the platform's own sockets; its authority can be
- * replaced.
+ * A trust domain for a node and its simulated clients and endpoints, which use the JDK's TLS sockets. Its CA can be
+ * replaced while they run.
  */
 final class TestTrustDomain implements ConnectionFactory {
     static final String DOMAIN = "cost.example";
@@ -61,7 +61,7 @@
         return CertificateAuthority.root(DOMAIN, now.minusSeconds(60), now.plus(HOUR));
     }
 
-    /** Has another authority vouch beside the one that does. */
+    /** Creates another CA and trusts it beside the current one; returns the previous CA. */
     CertificateAuthority addAuthority() throws IOException {
         CertificateAuthority before = root;
         root = authority();
@@ -69,7 +69,7 @@
         return before;
     }
 
-    /** Has only the latest one vouch. */
+    /** Trusts only the latest CA. */
     void removeOldAuthority() throws IOException {
         trust(List.of(root.certificate()));
     }
@@ -79,7 +79,7 @@
         bundles = TrustBundles.EMPTY.with(new TrustBundle(DOMAIN, authorities, Map.of()));
     }
 
-    /** New documents for all, by the latest authority. */
+    /** Issues new SVIDs for all parties by the latest CA. */
     void renewSvids() throws IOException {
         node.svid(issue("/node"));
         client = context("/client");
@@ -100,7 +100,7 @@
         return new TlsContext(own.chain(), own.key(), false, () -> bundles, Instant::now);
     }
 
-    /** The document that clients have now, to tell whether it was renewed. */
+    /** Returns the clients' TLS context; another object after each renewal. */
     TlsContext client() {
         return client;
     }
@@ -111,7 +111,10 @@
         return new BlockingHttpConnection(socket);
     }
 
-    /** Its first message comes at once: a connection that says nothing for 2 s is let go, its handshake included. */
+    /**
+     * The first request is sent at once: a connection that sends nothing for 2 s, its handshake included, is closed by
+     * the node.
+     */
     @Override
     public BlockingHttpConnection client(InetSocketAddress at) throws IOException {
         BlockingHttpConnection wire = connect(client, at);
@@ -127,7 +130,7 @@
         return connect(endpoint, at);
     }
 
-    /** Each connection is accepted under the document of its moment. */
+    /** Each connection is accepted with the SVID that is current at that moment. */
     @Override
     public ServerSocket listener() throws IOException {
         return new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress()) {
--- a/src/main/java/olivechute/benchmark/TimingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/TimingBenchmark.java
@@ -7,7 +7,10 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 
-/** CPU a request and the delay that a node adds, of one jar or of two in turn, each pinned to one core. */
+/**
+ * Measures the CPU per request and the latency that a node adds, for one jar or alternately for two, each pinned to one
+ * core.
+ */
 final class TimingBenchmark {
     private final PrintWriter out;
     private final int core;
@@ -21,7 +24,7 @@
         this.rounds = rounds;
     }
 
-    /** Prints a line for each scenario, jar and round: timings spread, so no round is left out. */
+    /** Prints a line for each scenario, jar and round: timings vary, so no round is left out. */
     void run(List<Scenario> scenarios, NodeUnderTest subject, NodeUnderTest against)
             throws IOException, InterruptedException {
         out.printf(
--- a/src/main/java/olivechute/benchmark/Usage.java
+++ b/src/main/java/olivechute/benchmark/Usage.java
@@ -1,8 +1,9 @@
 package olivechute.benchmark;
 
 /**
- * What a node's process had used at one moment, or between two. Bytes allocated, collections, CPU in microseconds, read
- * and write calls, times a thread gave up the core, copies, body and other bytes copied, objects.
+ * Resources used by a node's process up to a moment, or between two: bytes allocated, garbage collections, CPU in
+ * microseconds, read and write calls, voluntary context switches, copy operations, body and other bytes copied, objects
+ * allocated.
  */
 record Usage(
         long allocatedBytes,
@@ -15,7 +16,7 @@
         long bodyBytesCopied,
         long otherBytesCopied,
         long objects) {
-    /** What was used since another moment, less what looking itself uses. */
+    /** Returns the usage since {@code before}, less the cost of the measurement itself. */
     Usage since(Usage before, Usage measurementCost) {
         return minus(before).minus(measurementCost);
     }
--- a/src/main/java/olivechute/benchmark/package-info.java
+++ b/src/main/java/olivechute/benchmark/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a request costs a node: a rig of stand-in clients, upstream hosts and discovery on loopback round a node in a
- * process of its own, whose allocations, system calls and copies it counts. {@code serve} loads nothing of it.
+ * Benchmarks of what a request costs a node: simulated clients, endpoints and discovery on loopback around a node in a
+ * process of its own, whose allocations, system calls and copies are counted. {@code serve} loads none of it.
  */
 package olivechute.benchmark;
--- a/src/test/java/olivechute/benchmark/CopyAgentTest.java
+++ b/src/test/java/olivechute/benchmark/CopyAgentTest.java
@@ -9,13 +9,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The agent's count: each way to copy that it knows is seen, body told from head, and the code does what it did. */
+/**
+ * Tests the copy agent: each supported way of copying is counted, body bytes apart from others, and the rewritten code
+ * behaves as before.
+ */
 @SuppressWarnings("MutablePublicArray") // the array is written by the test alone
 public class CopyAgentTest {
-    /** Bytes of body and of head in turn; not in the counted class, whose own start would be counted. */
+    /** Body and other bytes alternating. Not in the counted class, whose static initializer would be counted. */
     public static final byte[] MIXED = {(byte) 0xb5, 'h', (byte) 0xb5, 'd', (byte) 0xb5};
 
-    /** Copies 3 body bytes and 2 others each time, by the ways named. */
+    /** Copies 3 body bytes and 2 other bytes in the named way. */
     public static final class Copies {
         private Copies() {}
 
@@ -72,7 +75,9 @@
     @Test
     public void whatIsNotTheNodesIsLeftAlone() {
         assertEquals(new CopyAgent().transform(null, "java/util/ArrayList", null, null, new byte[0]), null);
-        assertEquals(new CopyAgent().transform(null, "olivechute/benchmark/HttpWire", null, null, new byte[0]), null);
+        assertEquals(
+                new CopyAgent().transform(null, "olivechute/benchmark/BlockingHttpConnection", null, null, new byte[0]),
+                null);
     }
 
     private static long[] totals() {
@@ -81,7 +86,7 @@
                 .toArray();
     }
 
-    /** The class above as the agent rewrites it, under the name of a class that is counted. */
+    /** Returns the class above as the agent rewrites it, under the name of a class that is counted. */
     private static Class<?> rewrittenClass() throws IOException {
         String name = Copies.class.getName();
         byte[] code;
--- a/src/test/java/olivechute/benchmark/CostRecordTest.java
+++ b/src/test/java/olivechute/benchmark/CostRecordTest.java
@@ -12,7 +12,7 @@
 import olivechute.benchmark.Counts.Count;
 import org.testng.annotations.Test;
 
-/** The gate: what is let through, and how it names what grew. */
+/** Tests the comparison with recorded counts: which increases pass, and how a failure names the count. */
 public class CostRecordTest {
     private static Counts counts(Count raised, double by) {
         double[] values = new double[Count.values().length];
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Written calls and copies of a body are the same in every run: one more of either must not pass. */
+    /** Write calls and body copies are the same in every run: one more of either must fail. */
     @Test
     public void aSingleCallOrCopyMoreIsOverTheMargin() {
         for (Scenario scenario : Scenario.values()) {
