--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -13,9 +13,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A toy to try nodes with: for the node at 127.0.0.1:7070 discovery on 127.0.0.1:8500, whose list never changes, and one sign worker on
- * 127.0.0.1:7171 that "runs" every job for 200 ms and reports to that node; for a second node the same at ports one higher, and so on.
- * Start it with {@code java example/ToyServer.java [NODES]}.
+ * A toy server for trying out nodes. For the node at 127.0.0.1:7070 it runs discovery on 127.0.0.1:8500, whose list
+ * never changes, and one sign worker on 127.0.0.1:7171, which "runs" every job for 200 ms and reports to that node;
+ * for a second node the same at ports one higher, and so on. Start it with {@code java example/ToyServer.java
+ * [NODES]}.
  */
 public final class ToyServer {
     private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/example/fleet/Load.java
+++ b/example/fleet/Load.java
@@ -7,7 +7,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Sends twelve jobs a second to each of four nodes from 127.0.0.1:7070 up, and says every ten seconds how they ended, until it is ended. */
+/**
+ * Sends twelve jobs a second to each of four nodes, the first at 127.0.0.1:7070, and prints every ten seconds how
+ * many jobs got which answer, until it is stopped.
+ */
 public final class Load {
     private static final int NODES = 4;
     private static final int EACH_MILLIS = 1000 / 12 / NODES;
--- a/src/test/c/faultshim.c
+++ b/src/test/c/faultshim.c
@@ -1,10 +1,11 @@
 /*
- * Makes system calls of one process fail, as Linux documents that they may, and steps its wall clock. Loaded with
- * LD_PRELOAD into processes that a test starts. Rates and the step lie in a file that the test maps and changes while
- * the process runs (FAULTSHIM_CONTROL); what the test must know goes to FAULTSHIM_LOG, a line each:
- *   MICROSECONDS END PORT BYTES    the process ended an accepted connection, so many bytes unanswered
+ * Fault injection for one process: makes system calls fail as Linux documents that they may, and shifts the wall clock.
+ * Loaded with LD_PRELOAD into processes that a test starts. The fault rates and the clock offset are in a file that the
+ * test maps and changes while the process runs (FAULTSHIM_CONTROL). Events that the test needs are appended to
+ * FAULTSHIM_LOG, one line each:
+ *   MICROSECONDS END PORT BYTES    the process closed an accepted connection with that many bytes unanswered
  *   MICROSECONDS BROKE PORT 0      this library broke a connection
- * PORT is the peer's. Times are on the monotonic clock, which is never touched.
+ * PORT is the peer's. Times are on the monotonic clock, which is never changed. Rates are calls per million.
  */
 #define _GNU_SOURCE
 #include <arpa/inet.h>
@@ -28,7 +29,7 @@
 
 #define MAX_FDS 4096
 #define MILLION 1000000
-#define MAX_HOLD_UP_US 120000
+#define MAX_DELAY_US 120000
 
 struct control {
     volatile int64_t clock_offset_ns;
@@ -40,12 +41,12 @@
     volatile int32_t short_write;
     volatile int32_t poll_interrupted;
     volatile int32_t connection_breaks;
-    volatile int32_t held_up;
-    volatile int32_t file_fails;
-    volatile int32_t injected[10]; /* how often each of the above happened, in this order */
+    volatile int32_t delayed_io;
+    volatile int32_t file_read_fails;
+    volatile int32_t injected[10]; /* how often each of the faults above was injected, in this order */
 };
 
-enum kind { UNKNOWN, ACCEPTED, DIALLED, FILE_READ };
+enum kind { UNKNOWN, ACCEPTED, CONNECTED, FILE_READ };
 
 struct descriptor {
     volatile int kind;
@@ -55,8 +56,8 @@
     volatile int broken;
 };
 
-static struct control no_faults;
-static struct control *control = &no_faults;
+static struct control default_control;
+static struct control *control = &default_control;
 static struct descriptor descriptors[MAX_FDS];
 static int log_fd = -1;
 static uint64_t seed = 1;
@@ -82,7 +83,7 @@
     return z ^ (z >> 31);
 }
 
-static int happens(volatile int32_t *rate) {
+static int draw_fault(volatile int32_t *rate) {
     if (*rate <= 0 || (int32_t) (next_random() % MILLION) >= *rate) {
         return 0;
     }
@@ -90,7 +91,7 @@
     return 1;
 }
 
-static void resolve(void) {
+static void resolve_symbols(void) {
     if (real_close != NULL) {
         return;
     }
@@ -109,11 +110,11 @@
 }
 
 __attribute__((constructor)) static void start(void) {
-    resolve();
+    resolve_symbols();
     const char *path = getenv("FAULTSHIM_CONTROL");
     const char *log = getenv("FAULTSHIM_LOG");
-    const char *number = getenv("FAULTSHIM_SEED");
-    seed = number == NULL ? 1 : strtoull(number, NULL, 10);
+    const char *seed_text = getenv("FAULTSHIM_SEED");
+    seed = seed_text == NULL ? 1 : strtoull(seed_text, NULL, 10);
     if (log != NULL) {
         log_fd = open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     }
@@ -129,7 +130,7 @@
     }
 }
 
-static void record(const char *what, int port, int bytes) {
+static void log_event(const char *event, int port, int bytes) {
     if (log_fd < 0) {
         return;
     }
@@ -137,7 +138,7 @@
     real_clock_gettime(CLOCK_MONOTONIC, &now);
     char line[96];
     int n = snprintf(line, sizeof line, "%lld %s %d %d\n",
-                     (long long) now.tv_sec * MILLION + now.tv_nsec / 1000, what, port, bytes);
+                     (long long) now.tv_sec * MILLION + now.tv_nsec / 1000, event, port, bytes);
     real_write(log_fd, line, n);
 }
 
@@ -153,148 +154,148 @@
     }
 }
 
-static void on_end(int fd) {
+static void log_connection_end(int fd) {
     struct descriptor *d = tracked(fd);
     if (d != NULL && d->kind == ACCEPTED && !d->ended) {
         d->ended = 1;
-        record("END", d->port, d->unanswered);
+        log_event("END", d->port, d->unanswered);
     }
 }
 
 __attribute__((destructor)) static void stop(void) {
     for (int fd = 0; fd < MAX_FDS; fd++) {
-        on_end(fd);
+        log_connection_end(fd);
     }
 }
 
-static void hold_up(void) {
-    if (happens(&control->held_up)) {
-        usleep(next_random() % MAX_HOLD_UP_US);
+static void maybe_delay(void) {
+    if (draw_fault(&control->delayed_io)) {
+        usleep(next_random() % MAX_DELAY_US);
     }
 }
 
-static int fails(int count, const int *errors) {
+static int fail_with(int count, const int *errors) {
     errno = errors[next_random() % count];
     return -1;
 }
 
-/* 1 if the call is to fail with errno as it is set now. */
-static int read_fails(struct descriptor *d, int fd) {
+/* Returns 1 if the call must fail, with errno set. */
+static int inject_read_fault(struct descriptor *d, int fd) {
     static const int broken[] = {ETIMEDOUT, EHOSTUNREACH, ECONNRESET};
     if (d->broken) {
         errno = ETIMEDOUT;
         return 1;
     }
-    if (happens(&control->read_interrupted)) {
+    if (draw_fault(&control->read_interrupted)) {
         errno = EINTR;
         return 1;
     }
-    if (happens(&control->connection_breaks)) {
+    if (draw_fault(&control->connection_breaks)) {
         d->broken = 1;
-        record("BROKE", d->port, 0);
+        log_event("BROKE", d->port, 0);
         real_shutdown(fd, SHUT_RDWR);
-        fails(3, broken);
+        fail_with(3, broken);
         return 1;
     }
     return 0;
 }
 
-static void on_read(struct descriptor *d, ssize_t n) {
+static void count_unanswered(struct descriptor *d, ssize_t n) {
     if (n > 0) {
         __atomic_add_fetch(&d->unanswered, (int) n, __ATOMIC_RELAXED);
     }
 }
 
-ssize_t read(int fd, void *into, size_t length) {
-    resolve();
+ssize_t read(int fd, void *buffer, size_t length) {
+    resolve_symbols();
     struct descriptor *d = tracked(fd);
     if (d == NULL) {
-        return real_read(fd, into, length);
+        return real_read(fd, buffer, length);
     }
     if (d->kind == FILE_READ) {
-        if (happens(&control->file_fails)) {
+        if (draw_fault(&control->file_read_fails)) {
             errno = EIO;
             return -1;
         }
-        return real_read(fd, into, length);
+        return real_read(fd, buffer, length);
     }
-    if (read_fails(d, fd)) {
+    if (inject_read_fault(d, fd)) {
         return -1;
     }
-    size_t some = length > 1 && happens(&control->short_read) ? 1 + next_random() % (length - 1) : length;
-    ssize_t n = real_read(fd, into, some);
-    on_read(d, n);
-    hold_up();
+    size_t limit = length > 1 && draw_fault(&control->short_read) ? 1 + next_random() % (length - 1) : length;
+    ssize_t n = real_read(fd, buffer, limit);
+    count_unanswered(d, n);
+    maybe_delay();
     return n;
 }
 
-ssize_t recv(int fd, void *into, size_t length, int flags) {
+ssize_t recv(int fd, void *buffer, size_t length, int flags) {
     static ssize_t (*real_recv)(int, void *, size_t, int);
     if (real_recv == NULL) {
         real_recv = dlsym(RTLD_NEXT, "recv");
     }
-    resolve();
+    resolve_symbols();
     struct descriptor *d = tracked(fd);
-    if (d != NULL && d->kind != FILE_READ && read_fails(d, fd)) {
+    if (d != NULL && d->kind != FILE_READ && inject_read_fault(d, fd)) {
         return -1;
     }
-    ssize_t n = real_recv(fd, into, length, flags);
+    ssize_t n = real_recv(fd, buffer, length, flags);
     if (d != NULL && !(flags & MSG_PEEK)) {
-        on_read(d, n);
+        count_unanswered(d, n);
     }
     return n;
 }
 
-ssize_t readv(int fd, const struct iovec *parts, int count) {
-    resolve();
+ssize_t readv(int fd, const struct iovec *vectors, int count) {
+    resolve_symbols();
     struct descriptor *d = tracked(fd);
-    if (d != NULL && d->kind != FILE_READ && read_fails(d, fd)) {
+    if (d != NULL && d->kind != FILE_READ && inject_read_fault(d, fd)) {
         return -1;
     }
-    ssize_t n = real_readv(fd, parts, count);
+    ssize_t n = real_readv(fd, vectors, count);
     if (d != NULL) {
-        on_read(d, n);
+        count_unanswered(d, n);
     }
     return n;
 }
 
-static int write_fails(struct descriptor *d) {
+static int inject_write_fault(struct descriptor *d) {
     if (d->broken) {
         errno = EPIPE;
         return 1;
     }
-    hold_up();
+    maybe_delay();
     return 0;
 }
 
 ssize_t write(int fd, const void *from, size_t length) {
-    resolve();
+    resolve_symbols();
     struct descriptor *d = tracked(fd);
     if (d == NULL || d->kind == FILE_READ) {
         return real_write(fd, from, length);
     }
-    if (write_fails(d)) {
+    if (inject_write_fault(d)) {
         return -1;
     }
-    size_t some = length > 1 && happens(&control->short_write) ? 1 + next_random() % (length - 1) : length;
-    ssize_t n = real_write(fd, from, some);
+    size_t limit = length > 1 && draw_fault(&control->short_write) ? 1 + next_random() % (length - 1) : length;
+    ssize_t n = real_write(fd, from, limit);
     if (n > 0) {
         d->unanswered = 0;
     }
     return n;
 }
 
-ssize_t writev(int fd, const struct iovec *parts, int count) {
-    resolve();
+ssize_t writev(int fd, const struct iovec *vectors, int count) {
+    resolve_symbols();
     struct descriptor *d = tracked(fd);
     if (d == NULL || d->kind == FILE_READ) {
-        return real_writev(fd, parts, count);
+        return real_writev(fd, vectors, count);
     }
-    if (write_fails(d)) {
+    if (inject_write_fault(d)) {
         return -1;
     }
-    int some = count > 1 && happens(&control->short_write) ? 1 : count;
-    ssize_t n = real_writev(fd, parts, some);
+    int limit = count > 1 && draw_fault(&control->short_write) ? 1 : count;
+    ssize_t n = real_writev(fd, vectors, limit);
     if (n > 0) {
         d->unanswered = 0;
     }
@@ -310,9 +311,9 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     static const int errors[] = {ECONNABORTED, ENFILE, EMFILE, ENOBUFS, ENOMEM, ENETUNREACH, EHOSTUNREACH, EINTR};
-    resolve();
-    if (happens(&control->accept_fails)) {
-        return fails(8, errors);
+    resolve_symbols();
+    if (draw_fault(&control->accept_fails)) {
+        return fail_with(8, errors);
     }
     int accepted = real_accept(fd, address, length);
     if (accepted >= 0) {
@@ -327,29 +328,29 @@
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static const int errors[] = {EADDRNOTAVAIL, ENETUNREACH, EHOSTUNREACH, ECONNREFUSED};
-    resolve();
+    resolve_symbols();
     if (address->sa_family != AF_INET && address->sa_family != AF_INET6) {
         return real_connect(fd, address, length);
     }
-    if (happens(&control->connect_fails)) {
-        return fails(4, errors);
+    if (draw_fault(&control->connect_fails)) {
+        return fail_with(4, errors);
     }
-    track(fd, DIALLED, port_of(address));
+    track(fd, CONNECTED, port_of(address));
     return real_connect(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
     static const int errors[] = {ENFILE, EMFILE, ENOBUFS, ENOMEM};
-    resolve();
-    if ((domain == AF_INET || domain == AF_INET6) && happens(&control->socket_fails)) {
-        return fails(4, errors);
+    resolve_symbols();
+    if ((domain == AF_INET || domain == AF_INET6) && draw_fault(&control->socket_fails)) {
+        return fail_with(4, errors);
     }
     return real_socket(domain, type, protocol);
 }
 
 int poll(struct pollfd *fds, nfds_t count, int timeout) {
-    resolve();
-    if (happens(&control->poll_interrupted)) {
+    resolve_symbols();
+    if (draw_fault(&control->poll_interrupted)) {
         errno = EINTR;
         return -1;
     }
@@ -357,33 +358,33 @@
 }
 
 int shutdown(int fd, int how) {
-    resolve();
+    resolve_symbols();
     if (how != SHUT_RD) {
-        on_end(fd);
+        log_connection_end(fd);
     }
     return real_shutdown(fd, how);
 }
 
-static void forget(int fd) {
+static void untrack(int fd) {
     if (tracked(fd) != NULL) {
-        on_end(fd);
+        log_connection_end(fd);
         descriptors[fd].kind = UNKNOWN;
     }
 }
 
 int close(int fd) {
-    resolve();
-    forget(fd);
+    resolve_symbols();
+    untrack(fd);
     return real_close(fd);
 }
 
 int dup2(int from, int to) {
-    resolve();
-    forget(to);
+    resolve_symbols();
+    untrack(to);
     return real_dup2(from, to);
 }
 
-static void on_open(int fd, const char *path) {
+static void track_json_file(int fd, const char *path) {
     size_t length = strlen(path);
     if (length > 5 && strcmp(path + length - 5, ".json") == 0) {
         track(fd, FILE_READ, 0);
@@ -395,29 +396,29 @@
     if (real_open64 == NULL) {
         real_open64 = dlsym(RTLD_NEXT, "open64");
     }
-    va_list more;
-    va_start(more, flags);
-    mode_t mode = va_arg(more, mode_t);
-    va_end(more);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
     int fd = real_open64(path, flags, mode);
     if (fd >= 0) {
-        on_open(fd, path);
+        track_json_file(fd, path);
     }
     return fd;
 }
 
-static int64_t offset_of(clockid_t clock) {
+static int64_t clock_offset(clockid_t clock) {
     return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE ? control->clock_offset_ns : 0;
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    resolve();
+    resolve_symbols();
     int result = real_clock_gettime(clock, now);
-    int64_t offset = offset_of(clock);
+    int64_t offset = clock_offset(clock);
     if (result == 0 && offset != 0) {
-        int64_t all = (int64_t) now->tv_sec * 1000000000LL + now->tv_nsec + offset;
-        now->tv_sec = all / 1000000000LL;
-        now->tv_nsec = all % 1000000000LL;
+        int64_t total_ns = (int64_t) now->tv_sec * 1000000000LL + now->tv_nsec + offset;
+        now->tv_sec = total_ns / 1000000000LL;
+        now->tv_nsec = total_ns % 1000000000LL;
     }
     return result;
 }
--- a/src/test/java/olivechute/ClientDisconnectTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -23,13 +23,13 @@
 import org.testng.annotations.Test;
 
 /**
- * What a client sends behind a request that waits, and when it leaves there: seen at once, and nothing done for it
- * after.
+ * Tests what a client sends behind a request that is being processed, and clients that disconnect at that point: the
+ * disconnect is detected promptly, and nothing is done for the client afterwards.
  */
 public class ClientDisconnectTest extends DownstreamServerTestBase {
     private static final long DISCONNECT_DETECTION_MILLIS =
-            100; // a client that left this long ago has gone; how often it is looked at: LookTest
-    private static final int FLOOD_BYTES = 1 << 20; // more than is kept of what comes behind a request
+            100; // upper bound for detecting a disconnect; LookTest covers how often connections are checked
+    private static final int FLOOD_BYTES = 1 << 20; // more than a connection buffers behind a request
 
     private static byte[] jobRequests(String... ids) {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -39,16 +39,19 @@
         return all.toByteArray();
     }
 
-    /** While the stream is unanswered: nothing but the look at the client can show it. */
+    /**
+     * Waits for the disconnect event while the request is unanswered, when only the periodic check of the connection
+     * can detect it.
+     */
     private void awaitDisconnect(ProxyEvent.RequestArrived request) throws InterruptedException {
         ProxyEvent.ClientDisconnected e = disconnects.poll(2, TimeUnit.SECONDS);
-        assertTrue(e != null && e.client() == request.client(), "not seen to have gone");
+        assertTrue(e != null && e.client() == request.client(), "the disconnect was not detected");
         assertFalse(request.client().isPresent());
     }
 
     /**
-     * Its connection was not read while a request behind it waited: the client was not seen to go, and its next request
-     * was taken.
+     * Regression test: the connection was not read while a pipelined request waited, so the disconnect went undetected
+     * and the next request was forwarded.
      */
     @Test
     public void disconnectWithPipelinedRequestsIsDetectedAndNoneIsForwarded() throws Exception {
@@ -62,7 +65,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** The same where what is behind is only the beginning of a request. */
+    /** As above, where only the beginning of a request is pipelined. */
     @Test
     public void disconnectWithPartialPipelinedRequestIsDetected() throws Exception {
         listen(Connection::new);
@@ -82,7 +85,7 @@
         for (String id : List.of("t1", "t2")) {
             ProxyEvent.RequestArrived e = awaitRequest();
             assertEquals(e.request().id(), id);
-            Thread.sleep(60); // three looks
+            Thread.sleep(60); // three checks of the connection
             assertEquals(arrivedRequests.size(), 0);
             sendResult(e, id);
             assertEquals(statusAndBody(client.receive()), "200 " + id);
@@ -93,8 +96,8 @@
     }
 
     /**
-     * More than one message behind a request: that gets its answer, whole, and the connection ends without taking the
-     * rest.
+     * When more than one message arrives behind a request, the request gets its complete response and the connection is
+     * closed without accepting the rest.
      */
     @Test
     public void excessPipelinedDataIsDiscardedAndTheRequestIsAnswered() throws Exception {
@@ -104,13 +107,14 @@
         flood.socket.setReceiveBufferSize(4096);
         ProxyEvent.RequestArrived first = awaitRequest();
         byte[] job = jobRequests("t3");
-        int sent = job.length; // t1 is as long
+        int sent = job.length; // the request t1 has the same length
         for (int behind = 0; behind < FLOOD_BYTES; behind += job.length) {
             flood.send(job);
             sent += job.length;
         }
         int allBytes = sent;
-        await(() -> bytesRead.get() == allBytes); // an answer before the first look behind it would let one be taken
+        await(() -> bytesRead.get()
+                == allBytes); // a response before the first read behind it would let one request be accepted
         assertTrue(first.client().isPresent());
         TestClient other = connect().send(jobRequests("other"));
         sendResult(awaitRequest(), "ok");
@@ -123,7 +127,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** Counts the bytes that the node has read, from all connections together. */
+    /** Counts the bytes that the node has read from all connections. */
     private static final class CountingConnection extends Connection {
         private final AtomicInteger bytesRead;
 
@@ -148,7 +152,7 @@
         }
     }
 
-    /** Each write on a connection tells that it begins, and waits. */
+    /** Starts the server with connections that signal the start of each write and then block until released. */
     private void listenWithBlockedWrites(CountDownLatch writeStarted, CountDownLatch release) throws Exception {
         listen(channel -> new ObservedConnection(channel) {
             @Override
@@ -160,8 +164,8 @@
     }
 
     /**
-     * The same behind requests that this node answers itself, where no stream is under way: the connection ends with
-     * their answers.
+     * As above behind requests that the node answers itself, where no request is forwarded: the connection is closed
+     * after their responses.
      */
     @Test
     public void excessDataAfterLocalReplyClosesTheConnection() throws Exception {
@@ -178,7 +182,7 @@
                 return;
             }
         });
-        Thread.sleep(50); // longer than a look at the client is put off
+        Thread.sleep(50); // longer than a check of the connection is postponed
         go.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
@@ -188,7 +192,10 @@
         await(server::isQuiescent);
     }
 
-    /** It sends much, reads nothing and goes: what it holds is given back, and nothing of it is taken. */
+    /**
+     * The client sends a lot, reads nothing and disconnects: its resources are released, and none of its data is
+     * accepted.
+     */
     @Test
     public void floodFollowedByDisconnectReleasesAllResources() throws Exception {
         listen(Connection::new);
@@ -201,7 +208,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** What waits behind the last answer is not taken, and does not cut that answer off. */
+    /** Data pipelined behind the last response is not accepted and does not truncate that response. */
     @Test
     public void finalResponseIsCompleteDespitePipelinedData() throws Exception {
         listen(Connection::new);
@@ -220,8 +227,8 @@
     }
 
     /**
-     * The same where the node has not read what is behind: it closed over that, and the reset took what was left of the
-     * answer along.
+     * As above, where the node has not read the pipelined data. It used to close the connection with unread data, and
+     * the resulting reset discarded the rest of the response.
      */
     @Test
     public void finalResponseIsCompleteDespiteUnreadData() throws Exception {
@@ -255,7 +262,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** An answer that its client no longer waits for ends in nothing: no stream is owed, none is left. */
+    /** A response to a client that has disconnected is dropped, and the request no longer counts as unanswered. */
     @Test
     public void disconnectDuringResponseReleasesTheRequest() throws Exception {
         CountDownLatch writes = new CountDownLatch(1);
@@ -265,7 +272,8 @@
         ProxyEvent.RequestArrived first = awaitRequest();
         Threads.start("answer", () -> sendResult(first, "x".repeat(60_000)));
         assertTrue(writes.await(2, TimeUnit.SECONDS));
-        assertEquals(server.unansweredRequests(), 1); // handed over, not written: still owed
+        assertEquals(
+                server.unansweredRequests(), 1); // handed to the writer but not written: still counts as unanswered
         client.close();
         Thread.sleep(DISCONNECT_DETECTION_MILLIS);
         go.countDown();
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -17,21 +17,24 @@
 import olivechute.net.WriterThreads;
 import org.testng.annotations.Test;
 
-/** No connection is closed under a request that the node has read, whatever the node decides at that moment. */
+/**
+ * Tests that no connection is closed once the node has read a request from it, whatever the node decides at that
+ * moment.
+ */
 public class ConnectionCloseTest extends DownstreamServerTestBase {
     private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
-    /** After so long a message that does not end, and a connection that never carried one, are given up. */
+    /** Time after which an incomplete message, or a connection that never carried one, is given up. */
     private static final int STALL_TIMEOUT_MILLIS = 2000;
 
     private static final int THREAD_DELAY_MILLIS = 900;
-    /** After so long a connection that carries nothing may go for a newcomer. */
+    /** Time after which an idle connection may be evicted in favour of a new one. */
     private static final int EVICTABLE_AFTER_MILLIS = 150;
 
     private static final String LARGE_RESULT = "x".repeat(40_000);
 
     private final CountDownLatch neverReleased = new CountDownLatch(1);
 
-    /** Holds up the thread that took the request, after the request has gone to the event loop. */
+    /** Delays the thread that read the request after it has passed the request to the event loop. */
     private void delayRequestThreads() {
         onRequest = () -> loop.defer(() -> awaitLatch(neverReleased, THREAD_DELAY_MILLIS));
     }
@@ -94,7 +97,7 @@
         assertAnsweredOrUnread(client);
     }
 
-    /** A request that the node did not read may find its connection ended; one that it read has its answer. */
+    /** A request that the node did not read may find its connection closed; one that it read must be answered. */
     private void assertAnsweredOrUnread(TestClient client) throws Exception {
         var request = arrivedRequests.poll(THREAD_DELAY_MILLIS + 500, TimeUnit.MILLISECONDS);
         if (request != null) {
@@ -105,7 +108,9 @@
         }
     }
 
-    /** Holds each connection's reader from the moment at which it has read what comes after so many reads. */
+    /**
+     * Starts the server so that the reader of each connection blocks after its read number {@code reads} has returned.
+     */
     private void listenBlockingAfterRead(int reads, CountDownLatch readDone, CountDownLatch release, int maxConnections)
             throws IOException {
         listen(
@@ -134,7 +139,7 @@
         client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertTrue(has.await(2, TimeUnit.SECONDS));
         server.drain();
-        Thread.sleep(300); // several sweeps
+        Thread.sleep(300); // several sweep intervals
         go.countDown();
         sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
@@ -152,7 +157,7 @@
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
         client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertTrue(has.await(2, TimeUnit.SECONDS));
-        connect(); // beyond the bound: somebody has to go
+        connect(); // above the connection limit, so a connection has to be evicted
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
         go.countDown();
         sendResult(awaitRequest(), "ok");
@@ -234,7 +239,10 @@
         assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
-    /** Starts as a thread does where the system grants none, until so many were refused. */
+    /**
+     * Returns threads whose start fails, as when the system allows no more threads, until the given number of starts
+     * has failed.
+     */
     private static ConnectionThreads failingThreads(AtomicInteger failuresLeft) {
         return new ConnectionThreads(task -> new Thread(task) {
             @Override
@@ -248,7 +256,10 @@
         });
     }
 
-    /** The second answer may wait for a client that does not read, as the first fills half of the send buffer. */
+    /**
+     * Returns a client that has received one large result and awaits a second, whose write may block because the first
+     * fills half of the send buffer.
+     */
     private TestClient clientAwaitingSecondLargeResult() throws Exception {
         TestClient client = connect()
                 .send(TestClient.jobRequest("verify", "t1", 5000))
--- a/src/test/java/olivechute/DelayedNodeTest.java
+++ b/src/test/java/olivechute/DelayedNodeTest.java
@@ -18,10 +18,10 @@
 import olivechute.proxy.ProxyEvent;
 import org.testng.annotations.Test;
 
-/** A node that gets too little of its core is late itself: that must not be held against its clients. */
+/** Tests a node that is delayed for lack of processor time: this must not be held against its clients. */
 public class DelayedNodeTest extends NodeTestBase {
     private static final long SWEEP_INTERVAL_US = 20_000;
-    private static final int DELAY_MILLIS = 900; // beyond what a client that does not read is given
+    private static final int DELAY_MILLIS = 900; // longer than a client that does not read is tolerated
 
     private InetSocketAddress startServer(EventLoop loop, java.util.function.Consumer<ProxyEvent.RequestArrived> opened)
             throws Exception {
@@ -54,7 +54,8 @@
     }
 
     /**
-     * The thread that has to write comes to it late. The connection was closed under the answer, and the request lost.
+     * Regression test: when the writing thread was delayed, the connection was closed before the response was written,
+     * and the request was lost.
      */
     @Test
     public void delayedResponseIsStillWritten() throws Exception {
@@ -69,7 +70,7 @@
         }
     }
 
-    /** One that does read nothing is still let go, counted from when its answer began to be written. */
+    /** A client that reads nothing is still disconnected; the time counts from when the write of its response began. */
     @Test
     public void clientThatReadsNothingIsDisconnected() throws Exception {
         EventLoop loop = new EventLoop();
--- a/src/test/java/olivechute/DownstreamServerTestBase.java
+++ b/src/test/java/olivechute/DownstreamServerTestBase.java
@@ -26,8 +26,8 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * A front alone on real sockets: the test takes its streams, answers them when it wants, and may hold its connections
- * at a gate.
+ * Base class of tests of a downstream server on real sockets without a node: the test receives its requests, answers
+ * them when it wants, and may block its connections.
  */
 abstract class DownstreamServerTestBase extends NodeTestBase {
     private static final long SWEEP_INTERVAL_US = 20_000;
@@ -38,7 +38,7 @@
     InetSocketAddress serverAddress;
     BlockingQueue<ProxyEvent.RequestArrived> arrivedRequests;
     BlockingQueue<ProxyEvent.ClientDisconnected> disconnects;
-    /** Run on the event loop with each request that arrives. */
+    /** Runs on the event loop for each request that arrives. */
     volatile Runnable onRequest;
 
     @BeforeMethod
@@ -98,7 +98,7 @@
     ProxyEvent.RequestArrived awaitRequest() throws InterruptedException {
         ProxyEvent.RequestArrived e = arrivedRequests.poll(3, TimeUnit.SECONDS);
         if (e == null) {
-            throw new AssertionError("no stream came");
+            throw new AssertionError("no request arrived");
         }
         return e;
     }
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A link that does something before it reads, after it read, or before it writes. */
+    /** A connection with hooks before each read, after each read and before each write. */
     static class ObservedConnection extends Connection {
         ObservedConnection(SocketChannel channel) {
             super(channel);
--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -11,14 +11,14 @@
 import org.testng.annotations.Test;
 
 /**
- * A real process that never hears of its new configuration: the virtual machine drops a signal for which it gets no
- * thread, which the shell's {@code trap} forces here for every SIGHUP. Discovery moves, and a server drains.
+ * Tests a real process that misses the signal to reload its configuration: the virtual machine drops a signal for which
+ * it gets no thread, which the shell's {@code trap} forces here for every SIGHUP. Discovery moves, and a server drains.
  */
 public class LostSignalProcessTest extends NodeProcessTestBase {
     private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
     private static final byte[] NO_RESPONSE = null;
 
-    /** How the discovery at the old address ends: closed, refusing, or without a word. */
+    /** How discovery at the old address fails: closed, answering 503, or not answering. */
     @DataProvider
     public Object[][] discoveryFailures() {
         return new Object[][] {{true, null}, {false, UNAVAILABLE_RESPONSE}, {false, NO_RESPONSE}};
--- a/src/test/java/olivechute/NoDelayTest.java
+++ b/src/test/java/olivechute/NoDelayTest.java
@@ -30,11 +30,11 @@
 import olivechute.upstream.LoadReportHeader;
 import org.testng.annotations.Test;
 
-/** What is written leaves at once: on no socket of the node's is there a first byte before TCP_NODELAY is set. */
+/** Tests that written data is sent at once: no socket of the node sends a first byte before TCP_NODELAY is set. */
 public class NoDelayTest extends DownstreamServerTestBase {
     private final Queue<Boolean> noDelayAtWrite = new ConcurrentLinkedQueue<>();
 
-    /** Asks the system itself at each write. */
+    /** Returns a connection that reads the socket option from the system at each write. */
     private Connection recordingConnection(SocketChannel channel) {
         return new ObservedConnection(channel) {
             @Override
--- a/src/test/java/olivechute/NodeMetricsTest.java
+++ b/src/test/java/olivechute/NodeMetricsTest.java
@@ -19,7 +19,7 @@
 import olivechute.node.Node;
 import org.testng.annotations.Test;
 
-/** A whole node under a supervisor: what it reports is what its clients saw. */
+/** Tests that the metrics which a node reports to its supervisor match what its clients observed. */
 public class NodeMetricsTest extends NodeTestBase {
     private static final int JOBS = 120;
     private static final long SEED = 11;
@@ -58,7 +58,7 @@
                         1,
                         Integer::sum);
             }
-            // One whose client leaves, and one under a live id, which is no stream.
+            // One job whose client disconnects, and one with an id already in use, which is not counted as a request.
             host.handler = r -> ACCEPTED;
             int before = host.requests().size();
             TestClient leaves = connectClient().send(TestClient.jobRequest("verify", "left", 5000));
@@ -96,7 +96,9 @@
             }
             observed.put("left", 1);
             assertEquals(reported, observed, "seed " + SEED);
-            assertTrue(observed.containsKey("pay 502") && observed.containsKey("sign 200"), "too plain: " + observed);
+            assertTrue(
+                    observed.containsKey("pay 502") && observed.containsKey("sign 200"),
+                    "too little variety: " + observed);
             assertEquals(taken, JOBS + 1);
             assertEquals(last.getRulesBroken(), 0);
             assertEquals(last.getDelayCount(), DelayBuckets.BUCKET_COUNT);
--- a/src/test/java/olivechute/NodeProcessLifecycleTest.java
+++ b/src/test/java/olivechute/NodeProcessLifecycleTest.java
@@ -15,11 +15,14 @@
 import olivechute.node.NodeLifecycle;
 import org.testng.annotations.Test;
 
-/** The end of a process that comes at any moment of its start, and what the system asks meanwhile. */
+/** Tests a shutdown at any moment of a process's start, and signals that arrive meanwhile. */
 public class NodeProcessLifecycleTest extends NodeTestBase {
     private final AtomicReference<Thread> shutdownHook = new AtomicReference<>();
 
-    /** The end was arranged only once the node listened: a request taken before that was lost. */
+    /**
+     * Regression test: the shutdown hook was installed only once the node listened, and a request accepted before that
+     * was lost.
+     */
     @Test
     public void shutdownDuringStartLosesNoRequest() throws Exception {
         TestServer host = startServer(null);
@@ -31,7 +34,7 @@
         Threads.start("start", () -> {
             try {
                 life.start(shutdownHook::set, () -> {
-                    assertNotNull(shutdownHook.get()); // arranged before it listens
+                    assertNotNull(shutdownHook.get()); // installed before the node listens
                     start(endpointEntry("s1", host, "active", 0));
                     listens.countDown();
                     DownstreamServerTestBase.awaitLatch(go);
@@ -41,15 +44,15 @@
                 throw new IllegalStateException(e);
             }
         });
-        life.whenStarted(n -> asked.incrementAndGet()); // SIGHUP: while it starts
+        life.whenStarted(n -> asked.incrementAndGet()); // SIGHUP during the start
         assertTrue(listens.await(5, TimeUnit.SECONDS));
         TestClient client = connectClient().send(TestClient.jobRequest("sign", "t1", 5000));
         shutdownHook.get().start(); // SIGTERM
-        life.whenStarted(n -> asked.incrementAndGet()); // and SIGHUP once more
+        life.whenStarted(n -> asked.incrementAndGet()); // a second SIGHUP
         assertFalse(hasEnded(100));
         go.countDown();
         assertEquals(statusAndBody(client.receive()), "200 ok");
-        assertFalse(hasEnded(500)); // it drains, as one that has long started does
+        assertFalse(hasEnded(500)); // it drains like a node that has been running for a while
         assertTrue(hasEnded(4000));
         assertEquals(asked.get(), 2);
     }
--- a/src/test/java/olivechute/NodeProcessTest.java
+++ b/src/test/java/olivechute/NodeProcessTest.java
@@ -10,12 +10,15 @@
 import olivechute.rig.ProcessSpec;
 import org.testng.annotations.Test;
 
-/** A node as a process of its own: what the system does to it. */
+/** Tests a node process under limits and signals of the operating system. */
 public class NodeProcessTest extends NodeProcessTestBase {
     private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
-    private static final int FILE_DESCRIPTOR_LIMIT = 200; // the system's, where the settings say 1024
+    private static final int FILE_DESCRIPTOR_LIMIT = 200; // limit of the system; the settings say 1024
 
-    /** Starts one with so many descriptors that last knew this host; discovery is down. */
+    /**
+     * Starts a node with this limit of file descriptors whose configuration lists this endpoint, while discovery is
+     * down.
+     */
     private void startWithoutDiscovery(int descriptors, String known) throws Exception {
         TestServer down = startServer(r -> null);
         down.close();
@@ -25,7 +28,8 @@
     }
 
     /**
-     * The settings allow more than the system: newcomers, news, readiness and dials have their part of what there is.
+     * The settings allow more descriptors than the system does: new clients, status events, readiness requests and
+     * upstream connections still get their share of them.
      */
     @Test
     public void idleClientsDoNotExhaustDescriptors() throws Exception {
@@ -47,8 +51,8 @@
     }
 
     /**
-     * Each signal once more than needed, all at once: what is under way is answered, and the process ends as one that
-     * was told to.
+     * Each signal is sent once more than needed, all at once: open requests are answered, and the process exits as one
+     * that was asked to terminate.
      */
     @Test
     public void simultaneousRepeatedSignalsLoseNoRequest() throws Exception {
@@ -64,7 +68,10 @@
         assertEquals(program.awaitExit(Duration.ofSeconds(6)), 143);
     }
 
-    /** The end, which is arranged first, logged after it: a supervisor then took the refused settings for a crash. */
+    /**
+     * Regression test: the shutdown hook, which is installed first, logged after the reason, and a supervisor took the
+     * rejected settings for a crash.
+     */
     @Test
     public void startFailureReasonIsTheLastOutput() throws Exception {
         Path file = Files.writeString(Files.createTempFile("node", ".json"), "{}");
--- a/src/test/java/olivechute/NodeProcessTestBase.java
+++ b/src/test/java/olivechute/NodeProcessTestBase.java
@@ -11,7 +11,7 @@
 import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestProcess;
 
-/** A node as a process of its own, between parties of the test's. */
+/** Base class of tests that run a node as a separate process between clients and servers of the test. */
 abstract class NodeProcessTestBase extends NodeTestBase {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(20);
@@ -21,12 +21,12 @@
     InetSocketAddress nodeAddress;
     private int jobCount;
 
-    /** Starts one with this configuration and so many descriptors; returns once it listens. */
+    /** Starts a node with this configuration and this limit of file descriptors; returns once it listens. */
     void startProcess(int fileDescriptorLimit, Path configuration) {
         startProcess("ulimit -n " + fileDescriptorLimit, configuration);
     }
 
-    /** The same once the shell has done something else first. */
+    /** As above, after the shell has run {@code shellPrefix}. */
     void startProcess(String shellPrefix, Path configuration) {
         program = TestProcess.start(ProcessSpec.command(
                         "node",
@@ -46,7 +46,7 @@
         nodeAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(line.group(1)));
     }
 
-    /** Has it read its configuration again. */
+    /** Makes the node reload its configuration (SIGHUP). */
     void sendHangupSignal() throws Exception {
         new ProcessBuilder("/bin/kill", "-HUP", String.valueOf(program.pid()))
                 .start()
@@ -59,7 +59,7 @@
         return client;
     }
 
-    /** The answer to a new job, on a connection of its own. */
+    /** Returns the response to a new job on a new connection. */
     String runJob() throws Exception {
         try (TestClient client = new TestClient(nodeAddress)) {
             return statusAndBody(client.exchange(TestClient.jobRequest("verify", "t" + jobCount++, 3000)));
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Sends jobs until one gets an answer that begins so; refusals may come at once, so there is a pause between two.
+     * Sends jobs until a response begins with {@code expectedPrefix}; rejections may come at once, so there is a pause
+     * between two jobs.
      */
     void awaitAnswer(String expectedPrefix) throws Exception {
         long end = System.nanoTime() + ANSWER_TIMEOUT.toNanos();
@@ -79,7 +80,7 @@
         assertTrue(answer.startsWith(expectedPrefix), answer);
     }
 
-    /** A host that takes a job and tells the process of its end from a connection of its own. */
+    /** Returns a handler that accepts each job and reports it as done to the process on a new connection. */
     TestServer.ResponseHandler acceptAndReportToProcess(String endpoint, String result) {
         return request -> {
             String id = request.headers().get("X-Txn");
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -30,16 +30,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rules on real sockets, one test each: a node between test-made clients, upstream hosts and discovery. */
+/**
+ * Tests the main rules of a node on real sockets, one test each, between test clients, upstream servers and discovery.
+ */
 @SuppressWarnings({"ReferenceEquality", "ModifiedButNotUsed", "EmptyCatch"
 }) // identity is what is checked; collections hold connections open; a closed socket is expected
 public class NodeTest extends NodeTestBase {
-    /** Jobs are held for 4 s until a host has room. */
+    /**
+     * Raises the latency objective of class verify, so that jobs are queued for up to 4 s until a server has capacity.
+     */
     private static String withLongLatencyObjective(String text) {
         return text.replaceFirst("(\"name\":\"verify\".*?\"goal_time\":)0.15", "$1" + 4);
     }
 
-    // ---- one final answer ---------------------------------------------------------------------------------
+    // ---- one final response -------------------------------------------------------------------------------
 
     @Test
     public void aJobIsPassedOnUnchangedAndItsResultIsTheAnswer() throws Exception {
@@ -53,7 +57,10 @@
         assertTrue(r.headers().get("X-Remaining").matches("[0-9]+u"));
     }
 
-    /** Callers see a request through even when the word of its end overtakes the 202, repeats, or is not for it. */
+    /**
+     * A request completes correctly even when its final status event overtakes the 202, is repeated, or belongs to
+     * another request.
+     */
     @Test
     public void newsEarlyRepeatedUnknownOrFromAnotherHostChangeNoAnswer() throws Exception {
         TestServer host = startServer(r -> {
@@ -86,7 +93,7 @@
         assertEquals(host.requests().get(1).method() + host.requests().get(1).target(), "DELETE/jobs/t1");
     }
 
-    /** Refused at once, with honest advice, and not held back until the client's time is over. */
+    /** Rejected at once with a realistic Retry-After, and not held until the client's deadline. */
     @Test
     public void aRefusalLeavesAtOnceAndSaysWhenRoomIsLikely() throws Exception {
         start();
@@ -136,7 +143,8 @@
         String returned = "\"state\":\"returned\"";
         String failed = "\"state\":\"failed\"";
         return new Object[][] {
-            // class, the reply of every host (null: hang up), its news, upstream requests, the answer's status
+            // class, response of every server (empty: closes the connection), its status event, upstream requests,
+            // status of the final response
             {"verify", ACCEPTED, failed, 3, 503}, {"sign", ACCEPTED, lost, 3, 503}, {"pay", ACCEPTED, failed, 1, 502},
             {"pay", ACCEPTED, lost, 1, 502}, {"pay", ACCEPTED, returned, 3, 503}, {"pay", REJECTED, null, 3, 503},
             {"pay", ERROR, null, 1, 502}, {"verify", ERROR, null, 3, 503}, {"pay", TestServer.HANG_UP, null, 1, 502},
@@ -144,7 +152,9 @@
         };
     }
 
-    /** At most three, never two at once, and only where the class allows a repeat of what may have run. */
+    /**
+     * At most three attempts, never two at once, and only if the class allows repeating an attempt that may have run.
+     */
     @Test(dataProvider = "outcomes")
     public void aFailedUpstreamRequestIsRepeatedAsItsClassAllows(
             String kind, byte[] reply, String news, int requests, int status) throws Exception {
@@ -178,7 +188,10 @@
         }
     }
 
-    /** One silent connection held its job until the deadline, and made the decisions take its host for overrun. */
+    /**
+     * Regression test: one silent connection held its job until the deadline, and the load balancer took its server for
+     * overloaded.
+     */
     @Test
     public void aJobThatIsNotAcceptedGoesToAnotherHost() throws Exception {
         TestServer silent =
@@ -199,7 +212,8 @@
     }
 
     /**
-     * zone+vast: the word that gave a job up never reached its host, and the job went to another: two copies at once.
+     * Regression test (simulated scenario zone+vast): a cancellation never reached the server, and the job was sent to
+     * another one: two copies ran at once.
      */
     @Test
     public void aJobWhoseHostCannotBeToldThatItIsGivenUpGoesToNoOther() throws Exception {
@@ -222,8 +236,8 @@
     }
 
     /**
-     * join+vast: the first job on a new connection was given up while its host shook hands, and ran there after all,
-     * beside its repeat.
+     * Regression test (simulated scenario join+vast): the first job on a new connection was cancelled during its
+     * server's handshake, and ran there after all beside its retry.
      */
     @Test
     public void aHostMayShakeHandsBeforeItTakesTheFirstJobOfAConnection() throws Exception {
@@ -231,10 +245,12 @@
         TestServer host = startServer(r -> {
             if ("last".equals(r.headers().get("X-Txn"))) {
                 slow.countDown();
-                Thread.sleep(350); // more than such a host takes on a connection that is up, less than that and a dial
+                Thread.sleep(
+                        350); // longer than such a server takes on an established connection, shorter than that plus a
+                // connect
             }
             Threads.start("news", () -> sendStatusEvents(r.headers().get("X-Txn"), "s1", doneEvent("ok")));
-            return MessageWriter.response(202, new byte[0], false); // so that each has a connection of its own
+            return MessageWriter.response(202, new byte[0], false); // so that each request uses a new connection
         });
         start(endpointEntry("s1", host, "active", 0));
         TestClient client = connectClient();
@@ -251,8 +267,8 @@
     }
 
     /**
-     * Takes a job at once and does it once the other has one too: an unheard host gets one at a time, so a second goes
-     * there.
+     * Accepts a job at once and completes it once the other server has one too: an endpoint without any response yet
+     * gets one job at a time, so a second one goes to the other.
      */
     private TestServer.ResponseHandler acceptAndReportAfterOther(String from, TestServer other) {
         return request -> {
@@ -274,7 +290,10 @@
                 .toList());
     }
 
-    /** wide: hosts took every job of one class and none of another, and were tried with both again and again. */
+    /**
+     * Regression test (simulated scenario wide): servers accepted every job of one class and none of another, and both
+     * classes were sent to them again and again.
+     */
     @Test
     public void aClassThatAHostLeavesUnacceptedGoesElsewhere() throws Exception {
         TestServer deaf = startServer(r -> r.method().equals("DELETE")
@@ -292,10 +311,13 @@
         }
         long tried =
                 deaf.requests().stream().filter(r -> r.path().equals("/sign")).count();
-        assertTrue(tried <= 3, tried + " jobs of the class that it does not take");
+        assertTrue(tried <= 3, tried + " jobs of the class that it does not accept");
     }
 
-    /** wide+reset+stale: kept connections that broke at their next request made the node leave their hosts alone. */
+    /**
+     * Regression test (simulated scenario wide+reset+stale): kept-alive connections that broke at their next request
+     * made the node exclude their servers.
+     */
     @Test
     public void keptConnectionsThatBreakCostTheirJobsNothing() throws Exception {
         AtomicInteger come = new AtomicInteger();
@@ -308,14 +330,15 @@
         for (int i = 0; i < 20; i++) {
             assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t" + i, 5000))), "200 ok");
             Thread.sleep(
-                    40); // a connection is left alone for a moment after an answer: let it be the kept one that breaks
+                    40); // a connection is not reused right after a response: wait, so that the kept one is used and
+            // breaks
         }
         assertTrue(host.requests().size() > 25, host.requests().size() + " requests");
-        // Each break would have been a rest of the only host, longer each time: far more than this in all.
+        // Each break would have excluded the only server for a longer time, which adds up to far more than this.
         assertTrue(System.nanoTime() - before < 10_000_000_000L);
     }
 
-    /** What a node rehearses before it listens is all answered, and nothing of it is left. */
+    /** All warm-up requests that a node runs before it listens are answered, and none remains. */
     @Test
     public void theRehearsalEndsAndLeavesNothing() throws Exception {
         discovery = startServer(r -> endpointListResponse(1, false));
@@ -323,14 +346,14 @@
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
         assertEquals(Warmup.run(config, 60_000_000), 40);
-        assertEquals(Warmup.run(config, 0), 1); // out of time at once: what has begun ends, no more begins
+        assertEquals(Warmup.run(config, 0), 1); // no time left: requests that have begun complete, no more begin
         start();
         assertEquals(node.unansweredRequests(), 0);
     }
 
     // ---- discovery ----------------------------------------------------------------------------------------
 
-    /** One answer may not drop the whole fleet: it is asked for once more. */
+    /** A single response may not remove the whole fleet: the list is requested once more. */
     @Test
     public void anEmptyListIsAskedForOnceMore() throws Exception {
         TestServer one = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -385,7 +408,7 @@
         assertEquals(leaving.requests().size(), 1);
     }
 
-    /** The settings' figure, as in the file, and the waits in milliseconds that it leaves. */
+    /** The value of ask_every in s, as in the settings file, and the resulting range of poll timeouts in ms. */
     @DataProvider
     public Object[][] pollIntervals() {
         return new Object[][] {{"10.0", 2000, 3000}, {"1.0", 400, 600}};
@@ -424,14 +447,16 @@
         await(() -> discovery.received.size() == 5);
         assertTrue(discovery.received.get(1).receivedAtMs() - answered.get(0) < 200);
         assertTrue(discovery.received.get(2).receivedAtMs() - answered.get(1) < 200);
-        assertEquals(discovery.requests().get(0).target(), "/registry/instances"); // nothing known: all of it
+        assertEquals(
+                discovery.requests().get(0).target(),
+                "/registry/instances"); // no list known: requests the complete list
         assertTrue(discovery.requests().get(4).target().contains("since=7&"));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
     }
 
     /**
-     * The old address says nothing until it closes, and the environment still names it: neither may keep the node from
-     * the new one, whose versions may be lower. What is open stays open.
+     * The old address sends nothing until it closes, and the environment still names it: neither may keep the node from
+     * the new one, whose index may be lower. Open requests stay open.
      */
     @Test
     public void aReloadMovesTheWatchAtOnceAndLeavesStreamsAlone() throws Exception {
@@ -462,7 +487,10 @@
         assertEquals(statusAndBody(busy.receive()), "200 old");
     }
 
-    /** A cold host bears little: the node sends it no more than its part of the budget, whatever it reports. */
+    /**
+     * A server in slow start has little capacity: the node sends it no more than its part of the budget, whatever it
+     * reports.
+     */
     @Test
     public void aColdHostIsNotPushedOver() throws Exception {
         TestServer cold = startServer(acceptAndReport("s1", "\"state\":\"started\""));
@@ -487,16 +515,16 @@
                             .exchange(TestClient.jobRequest("verify", "t" + i, 5000))
                             .status(),
                     200);
-            Thread.sleep(50); // the news may overtake the 202, which frees the connection
+            Thread.sleep(50); // the status event may overtake the 202, which makes the connection reusable
         }
         assertEquals(host.connectionCount.get(), 1);
         long idleFrom = System.nanoTime();
         await(() -> host.idleCloses.get() == 1);
         long idle = (System.nanoTime() - idleFrom) / 1_000_000;
-        assertTrue(idle > 600 && idle < 1400, idle + " ms idle, the host closes at 1500: " + host);
+        assertTrue(idle > 600 && idle < 1400, idle + " ms idle, the server closes at 1500: " + host);
     }
 
-    /** A machine cut off in between answers neither the request nor the word that gives it up. */
+    /** A partitioned server answers neither the request nor its cancellation. */
     @Test
     public void connectionsToASilentHostAreGivenBack() throws Exception {
         TestServer host = startServer(r -> {
@@ -516,11 +544,15 @@
         assertEquals(host.openConnections.get(), 0);
     }
 
-    /** The node's own bound on streams: refused at once, with the module's advice. */
+    /**
+     * Above the node's own limit of open requests, requests are rejected at once with the load balancer's Retry-After.
+     */
     @Test
     public void streamsOverTheBoundAreRefused() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
-        startWith(80, endpointEntry("s1", host, "active", 0)); // twelve downstream connections, six streams
+        startWith(
+                80,
+                endpointEntry("s1", host, "active", 0)); // leaves twelve downstream connections and six open requests
         List<TestClient> clients = new ArrayList<>();
         for (int i = 0; i < 7; i++) {
             clients.add(connectClient().send(TestClient.jobRequest("verify", "t" + i, 3000)));
@@ -528,10 +560,10 @@
         }
         long before = System.nanoTime();
         HttpResponse refused = clients.get(6).receive();
-        assertTrue(System.nanoTime() - before < 150_000_000L); // the module would hold it for longer
+        assertTrue(System.nanoTime() - before < 150_000_000L); // the load balancer would queue it for longer
         assertEquals(refused.status(), 503);
         assertTrue(Double.parseDouble(refused.headers().get("Retry-After")) > 0);
-        sendStatusEvents("t0", "s1", doneEvent("ok")); // news still get through
+        sendStatusEvents("t0", "s1", doneEvent("ok")); // status events are still accepted
         assertEquals(statusAndBody(clients.get(0).receive()), "200 ok");
     }
 
@@ -548,8 +580,8 @@
     }
 
     /**
-     * A request behind one that is held waits its turn, and a second attempt sends the first's body, not what came
-     * since.
+     * A pipelined request waits for the one before it, and a second attempt sends the first request's body, not data
+     * that arrived later.
      */
     @Test
     public void aPipelinedRequestWaitsAndLeavesTheBodyBeforeItAlone() throws Exception {
@@ -587,10 +619,10 @@
     }
 
     /**
-     * Large answers that nobody reads: their clients are given up, and no other waits for them meanwhile. A host here
-     * tells no start, so it gets one job at a time, and each client has one out: five at most. There are hosts enough
-     * for more, also while some are left alone, and jobs are held for longer than a small one may take: none is refused
-     * for want of room, however late a host is heard.
+     * Clients that do not read their large responses are disconnected and delay no other client. A server here reports
+     * no start, so it gets one job at a time, and each client has one open: five at most. There are enough servers for
+     * more, even while some are excluded, and jobs are queued for longer than a small one may take, so that none is
+     * rejected for lack of capacity, however late a server's events arrive.
      */
     @Test
     public void clientsThatStopReadingHoldUpNobodyElse() throws Exception {
@@ -621,7 +653,8 @@
                     0);
         }
         startWith(NodeTest::withLongLatencyObjective, 1024, hosts);
-        // The decisions let a host have more as it serves: a cold one is soon full, and cold code serves too slowly.
+        // The load balancer raises a server's limit as it serves: one in slow start is soon full, and code that is
+        // not compiled yet serves too slowly.
         for (int i = 0; i < 300; i++) {
             connectClient().exchange(TestClient.jobRequest("verify", "warm" + i, 5000));
         }
@@ -630,11 +663,11 @@
             TestClient client = connectClient();
             client.socket.setReceiveBufferSize(4096);
             deaf.add(client);
-            for (int i = 0; i < 40; i++) { // far more than the buffers between hold
+            for (int i = 0; i < 40; i++) { // far more than the socket buffers hold
                 client.send(TestClient.jobRequest("verify", "big-" + c + "-" + i, 5000));
             }
         }
-        await(() -> held.size() == 4); // the fullest that it gets, and so each time
+        await(() -> held.size() == 4); // the maximum load of this test, reached in every run
         long slowest = 0;
         for (int i = 0; i < 60; i++) {
             long before = System.nanoTime();
@@ -649,8 +682,8 @@
     }
 
     /**
-     * What goes to a host by a timer is not written by those who wait for clients that read nothing: there may be many
-     * of these.
+     * A cancellation that is sent by a timer is not written by threads that block on clients which read nothing: there
+     * may be many of those.
      */
     @Test
     public void theWordThatGivesAJobUpDoesNotWaitForClientsThatStopReading() throws Exception {
@@ -680,36 +713,34 @@
                     0);
         }
         startWith(NodeTest::withLongLatencyObjective, 1024, hosts);
-        for (int c = 0; c < 40; c++) { // given up three at a time, each after 0.5 s
+        for (int c = 0; c < 40; c++) { // disconnected three at a time, each after 0.5 s
             TestClient deaf = connectClient();
             deaf.socket.setReceiveBufferSize(4096);
             for (int i = 0; i < 8; i++) {
                 deaf.send(TestClient.jobRequest("verify", "big-" + c + "-" + i, 5000));
             }
         }
-        for (int before = 0; before < 40 || before < bigs.get(); ) { // until their answers take no more
+        for (int before = 0; before < 40 || before < bigs.get(); ) { // until no more responses can be written
             before = bigs.get();
             Thread.sleep(100);
         }
-        for (int i = 0;
-                i < 10 && out.isEmpty();
-                i++) { // again only where a machine that stalls let none come to a host
+        for (int i = 0; i < 10 && out.isEmpty(); i++) { // repeated only if a stalled machine let none reach a server
             List<TestClient> late = new ArrayList<>();
             for (int j = 0; j < 6; j++) {
                 late.add(connectClient().send(TestClient.jobRequest("verify", "late-" + i + "-" + j, 500)));
             }
             for (TestClient client : late) {
-                assertTrue(client.receive().status() >= 502); // 503, or 502 from a node that was itself late
+                assertTrue(client.receive().status() >= 502); // 503, or 502 if the node itself was delayed
             }
         }
         assertFalse(out.isEmpty());
         for (long end = System.nanoTime() + 1_000_000_000L; System.nanoTime() < end && !told.containsAll(out); ) {
             Thread.sleep(10);
         }
-        assertTrue(told.containsAll(out), out + " but told " + told);
+        assertTrue(told.containsAll(out), out + " but cancelled " + told);
     }
 
-    /** A process that came back does not answer on the connections of the one before. */
+    /** After a restart a server does not answer on connections to its previous process. */
     @Test
     public void connectionsToTheProcessBeforeARestartAreNotReused() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -736,10 +767,10 @@
         assertEquals(host.connectionCount.get(), 2);
     }
 
-    /** At the bound, a connection between requests makes room for a new one. */
+    /** At the connection limit an idle connection is evicted in favour of a new one. */
     @Test
     public void atTheDescriptorLimitIdleConnectionsAreShedFirst() throws Exception {
-        startWith(80); // twelve for the downstream side
+        startWith(80); // leaves twelve descriptors for downstream connections
         Set<TestClient> idle = new HashSet<>();
         for (int i = 0; i < 30; i++) {
             TestClient c = connectClient();
@@ -758,7 +789,7 @@
 
             }
         }
-        assertTrue(ended >= 18, ended + " of 30 shed");
+        assertTrue(ended >= 18, ended + " of 30 closed");
     }
 
     // ---- bad input ----------------------------------------------------------------------------------------
@@ -803,7 +834,8 @@
         start(endpointEntry("s1", host, "active", 0));
         TestClient bad = connectClient();
         assertEquals(bad.exchange(bytes.getBytes(StandardCharsets.ISO_8859_1)).status(), status);
-        assertTrue(bad.isClosedByServer()); // it keeps no connection: by the hundred they would fill the bound
+        assertTrue(bad.isClosedByServer()); // the connection is closed: hundreds of them would exhaust the connection
+        // limit
         assertEquals(
                 connectClient()
                         .exchange(TestClient.jobRequest("verify", "t1", 5000))
@@ -812,7 +844,7 @@
         assertEquals(host.requests().size(), 1);
     }
 
-    /** A tenant that the settings do not name, or none, is no fault of the message: its job runs like any other. */
+    /** An unknown or missing tenant is not an error: its job runs like any other. */
     @Test
     public void anUnknownTenantIsServed() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -827,7 +859,10 @@
                 "200 ok");
     }
 
-    /** Silence and half a request hold a thread each; one that waits for an answer or has had one may stay. */
+    /**
+     * A silent client and a partial request each occupy a thread and are closed; a connection that awaits a response or
+     * has had one may stay.
+     */
     @Test
     public void silentAndHalfRequestsEndWithinThreeSeconds() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
@@ -859,7 +894,7 @@
         assertEquals(statusAndBody(busy.receive()), "200 ok");
     }
 
-    /** Who sends all of a body before it reads must still find the answer, not a reset in its place. */
+    /** A client that sends its whole body before it reads must still receive the response, not a reset. */
     @Test
     public void aRejectedBodyIsReadOnSoThatItsAnswerArrives() throws Exception {
         start();
@@ -868,7 +903,10 @@
         assertEquals(client.exchange(new byte[8 << 20]).status(), 413);
     }
 
-    /** The decisions take the longest wait they saw for the usual one: a client's own word must not stretch it. */
+    /**
+     * The load balancer takes the longest wait that it has seen for the usual one, so a client's own deadline must not
+     * extend it.
+     */
     @Test
     public void noClientWaitsLongerThanItsClassAllows() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -880,7 +918,7 @@
                 <= 5_000_000);
     }
 
-    /** Late news of the first would be taken for news of the second. */
+    /** A late status event of the first request would be attributed to the second. */
     @Test
     public void anIdThatWasSentUpstreamIsNotTakenAgainSoon() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -894,11 +932,11 @@
         assertEquals(host.requests().size(), 1);
     }
 
-    /** Hundreds that say nothing or stay for nothing: streams, news and new clients come through all the same. */
+    /** Hundreds of silent or incomplete connections do not keep out requests, status events and new clients. */
     @Test
     public void aCrowdOfUselessConnectionsKeepsNobodyOut() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
-        startWith(80, endpointEntry("s1", host, "active", 0)); // twelve for the downstream side
+        startWith(80, endpointEntry("s1", host, "active", 0)); // leaves twelve descriptors for downstream connections
         for (int i = 0; i < 3; i++) {
             TestClient busy = connectClient().send(TestClient.jobRequest("verify", "t" + i, 5000));
             await(() -> node.unansweredRequests() == 1);
@@ -910,7 +948,7 @@
         }
     }
 
-    // ---- the end ------------------------------------------------------------------------------------------
+    // ---- shutdown -----------------------------------------------------------------------------------------
 
     @Test
     public void aNodeThatEndsAnswersWhatItHasAndWhatStillComes() throws Exception {
@@ -925,7 +963,7 @@
                 String id = r.headers().get("X-Txn");
                 Threads.start("work", () -> {
                     if (id.equals("t3")) {
-                        return; // never done
+                        return; // never completes
                     }
                     try {
                         assertTrue(!id.equals("t1") || go.await(8, TimeUnit.SECONDS));
@@ -965,17 +1003,18 @@
                 throw new IllegalStateException(e);
             }
         });
-        // In a rolling restart this may be the only node up: kept connections serve on for a while.
+        // In a rolling restart this may be the only node that is up, so kept-alive connections are served for a
+        // while.
         assertEquals(statusAndBody(idle.exchange(TestClient.jobRequest("verify", "t4", 5000))), "200 ok");
         TestClient late = connectClient().send(TestClient.jobRequest("pay", "t3", 5000));
         assertTrue(idle.isClosedByServer());
         TestClient fresh = connectClient();
-        Thread.sleep(250); // connected, its first request still on its way
+        Thread.sleep(250); // connected, its first request not yet sent
         assertEquals(statusAndBody(fresh.exchange(TestClient.jobRequest("verify", "t2", 5000))), "200 ok");
-        assertEquals(late.receive().status(), 502); // in time for the end, not for its client
-        assertEquals(busy.receive().status(), 502); // what was taken before is answered by then too
+        assertEquals(late.receive().status(), 502); // answered in time for the shutdown, before its client's deadline
+        assertEquals(busy.receive().status(), 502); // requests accepted earlier are answered by then too
         assertNull(busy.receive());
-        assertTrue(System.nanoTime() - before < 3_700_000_000L); // SIGKILL may come from here on
+        assertTrue(System.nanoTime() - before < 3_700_000_000L); // SIGKILL may follow from here on
         assertTrue(drained.await(2, TimeUnit.SECONDS));
         go.countDown();
     }
--- a/src/test/java/olivechute/NodeTestBase.java
+++ b/src/test/java/olivechute/NodeTestBase.java
@@ -20,7 +20,7 @@
 import olivechute.node.Node;
 import org.testng.annotations.AfterMethod;
 
-/** A node between test-made clients, upstream hosts and discovery, and what tests ask of them. */
+/** Base class of tests of a node between test clients, upstream servers and discovery, with helpers for them. */
 abstract class NodeTestBase {
     static final byte[] ACCEPTED = MessageWriter.response(202, new byte[0], true);
     static final byte[] REJECTED = MessageWriter.response(503, new byte[0], true, "X-Turned-Away", "1");
@@ -64,12 +64,17 @@
                 true);
     }
 
-    /** What a discovery says that answers a node's first call, with nothing new, and from then on so. */
+    /**
+     * Returns a discovery handler that answers the node's first request with no changes and delegates later ones to
+     * {@code next}.
+     */
     TestServer.ResponseHandler emptyUpdateThen(TestServer.ResponseHandler next) {
         return r -> discovery.requests().size() == 1 ? endpointListResponse(1, false) : next.respond(r);
     }
 
-    /** Starts a node that last knew these hosts; discovery knows of nothing newer unless it was set before. */
+    /**
+     * Starts a node whose configuration lists these endpoints; discovery reports no changes unless it was set before.
+     */
     void start(String... knownEndpoints) throws IOException {
         startWith(1024, knownEndpoints);
     }
@@ -78,7 +83,7 @@
         startWith(text -> text, sockets, knownEndpoints);
     }
 
-    /** The same, with its settings changed as a text. */
+    /** As above, with the text of its configuration changed by {@code settings}. */
     void startWith(UnaryOperator<String> settings, int sockets, String... knownEndpoints) throws IOException {
         if (discovery == null || !resources.contains(discovery)) {
             discovery = startServer(r -> endpointListResponse(1, false));
@@ -99,7 +104,10 @@
         }
     }
 
-    /** A host that takes a job and tells this of it afterwards, each from a connection of its own. */
+    /**
+     * Returns a handler that accepts each job and then sends these status events for it, each job's on a connection of
+     * its own.
+     */
     TestServer.ResponseHandler acceptAndReport(String endpoint, String... events) {
         return request -> {
             Threads.start("news", () -> sendStatusEvents(request.headers().get("X-Txn"), endpoint, events));
@@ -132,8 +140,8 @@
     }
 
     /**
-     * Waits until a party has exactly so many requests; where it does not, the failure tells which came, and on how
-     * many connections.
+     * Waits until a server has received exactly {@code count} requests; on failure the message lists the requests and
+     * the number of connections.
      */
     static void awaitRequests(TestServer server, int count) throws InterruptedException {
         for (int i = 0; i < 300 && server.received.size() != count; i++) {
--- a/src/test/java/olivechute/PackageDependencyTest.java
+++ b/src/test/java/olivechute/PackageDependencyTest.java
@@ -12,7 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Dependencies point downward only, and what decides knows no I/O, no clock and no chance of its own. */
+/**
+ * Tests the dependencies between packages: they point to lower layers only, and the deterministic packages use no I/O,
+ * no clock and no random source of their own.
+ */
 public class PackageDependencyTest {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -54,7 +57,7 @@
             "cli",
             "loganalysis");
 
-    /** What carries a change through a fleet, and what no node loads. */
+    /** Packages that carry out changes of a fleet and that no node loads. */
     private static final String[] FLEET_PACKAGES = {
         packagePattern("error"),
         packagePattern("store"),
@@ -63,7 +66,10 @@
         packagePattern("supervisor")
     };
 
-    /** The store without its replicas, as their messages and those who run them are no part of what it decides. */
+    /**
+     * Packages with deterministic logic. Of the store only the top package is included, as the replica messages and the
+     * code that runs replicas take no part in its decisions.
+     */
     private static final String[] DETERMINISTIC_PACKAGES = {
         packagePattern("loadbalancing"),
         packagePattern("endpointlist"),
@@ -75,7 +81,7 @@
         "olivechute.store"
     };
 
-    /** Each package, and those of ours that it may know. */
+    /** Each package with the packages of this project on which it may depend. */
     @DataProvider
     public Object[][] layers() {
         return new Object[][] {
@@ -181,7 +187,7 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.nio.file..", "java.nio.channels..")
                 .check(CLASSES);
-        // MemoryStore lets its callers wait, as the replicated one does.
+        // MemoryStore blocks its callers, as the replicated store does.
         noClasses()
                 .that()
                 .resideInAnyPackage(DETERMINISTIC_PACKAGES)
@@ -198,7 +204,7 @@
                 .check(CLASSES);
     }
 
-    /** What a node does not need it does not load: only the command line may name these. */
+    /** A node does not load what it does not need: only the command line may depend on these packages. */
     @Test
     public void servingCodeDoesNotDependOnTools() {
         String[] tools = Stream.concat(
@@ -231,7 +237,7 @@
                 .check(CLASSES);
     }
 
-    /** Of what carries a change only the commands know the command line. */
+    /** Of the fleet packages only the command classes depend on the command line. */
     @Test
     public void onlyCommandsOfFleetPackagesDependOnTheCommandLine() {
         noClasses()
@@ -251,7 +257,8 @@
     }
 
     /**
-     * The way to the supervisor is the node's own business: nothing beneath it may load the messages' library for that.
+     * Only the node and the command line report to the supervisor: no lower layer may load the messages' library for
+     * it.
      */
     @Test
     public void onlyTheNodeDependsOnMetricsReporting() {
--- a/src/test/java/olivechute/PushedEndpointListTest.java
+++ b/src/test/java/olivechute/PushedEndpointListTest.java
@@ -10,7 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A node whose lists are pushed to an agent on its own machine: what the agent has counts as told, watch or no watch.
+ * Tests a node whose endpoint lists are pushed to an agent on its own machine: the agent's list applies even while the
+ * node's watch fails.
  */
 public class PushedEndpointListTest extends NodeTestBase {
     private void startPushed(String... known) throws Exception {
@@ -21,7 +22,7 @@
         Files.delete(file);
     }
 
-    /** The list that the node last had is old; nobody tells the node to ask. */
+    /** The node's configured list is outdated, and nothing prompts the node to request a new one. */
     @Test
     public void agentListAppliesFromStartAndFollowsUpdates() throws Exception {
         TestServer old = startServer(acceptAndReport("s1", doneEvent("old")));
@@ -44,7 +45,7 @@
         assertEquals(old.requests().size() + host.requests().size(), 0);
     }
 
-    /** Its watch falls silent on an open connection; how soon it is asked again is {@code WatchTimeoutsTest}'s. */
+    /** The watch falls silent on an open connection; {@code WatchTimeoutsTest} covers how soon it is retried. */
     @Test
     public void silentWatchIsRetriedOnANewConnection() throws Exception {
         TestServer old = startServer(acceptAndReport("s1", doneEvent("old")));
--- a/src/test/java/olivechute/RecordedEncodings.java
+++ b/src/test/java/olivechute/RecordedEncodings.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * The bytes that an earlier build left on disks and in the store, from stored-forms.txt: a name and its bytes in
- * hexadecimal digits on each line. Every later build must read them, and write the same ones.
+ * Encodings that an earlier build wrote to disk and to the store, from stored-forms.txt: one name with its bytes in
+ * hexadecimal on each line. Every later build must read them and write the same bytes.
  */
 public final class RecordedEncodings {
     private static final Map<String, byte[]> RECORDED = load();
@@ -31,7 +31,7 @@
         return encodings;
     }
 
-    /** The bytes that the earlier build wrote under this name. */
+    /** Returns the bytes that the earlier build wrote under this name. */
     public static byte[] recorded(String name) {
         byte[] bytes = RECORDED.get(name);
         if (bytes == null) {
@@ -40,7 +40,7 @@
         return bytes.clone();
     }
 
-    /** That this build writes what the earlier one wrote. */
+    /** Asserts that this build writes the same bytes as the earlier one. */
     public static void assertWritten(String name, byte[] written) {
         byte[] recorded = RECORDED.getOrDefault(name, new byte[0]);
         assertEquals(
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -27,8 +27,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Identities on real sockets: who is let in, who is spoken with, and what becomes of that as identities run out or
- * change.
+ * Tests identities on real sockets: which peers are accepted and connected to, and what happens when identities expire
+ * or change.
  */
 public class SecureNodeTest extends SecureNodeTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
@@ -36,7 +36,7 @@
     private static final int JOBS = 200;
     private static final int BATCH_SIZE = 2;
 
-    // ---- who may be what ------------------------------------------------------------------------------------
+    // ---- authorization --------------------------------------------------------------------------------------
 
     @Test
     public void aJobGoesThroughUnderIdentitiesOnBothSides() throws Exception {
@@ -48,7 +48,7 @@
         }
         assertEquals(host.requests().get(0).headers().get("Idempotency-Key"), "key-t0");
         await(() -> host.received.size() == 3);
-        assertTrue(host.connectionCount.get() <= 3, host.connectionCount.get() + " dialled");
+        assertTrue(host.connectionCount.get() <= 3, host.connectionCount.get() + " connections");
     }
 
     @Test
@@ -74,7 +74,7 @@
         assertEquals(sendStatusEventAs(workloadContext("/stranger"), "t1", "s1", doneEvent("x")), 0);
     }
 
-    /** Nothing of the job was written, so that even one that may not be repeated goes on to another host. */
+    /** No byte of the job was written, so even a job that may not be repeated is sent to another server. */
     @Test
     public void aHostWithAnotherIdentityCouldNotBeConnectedTo() throws Exception {
         TestServer thief = secureServer("s7", r -> ACCEPTED);
@@ -97,12 +97,14 @@
         AtomicInteger refused = new AtomicInteger();
         TestServer host = secureServer(right, r -> {
             if (refused.get() > 0) {
-                return null; // a word that gives the job up: this test takes long to accept it
+                return null; // a cancellation, as this test takes long to accept the job
             }
             String id = r.headers().get("X-Txn");
             assertEquals(sendStatusEventAs(wrong, id, "s1", doneEvent("forged")), 403);
             assertEquals(sendStatusEventAs(workloadContext("/client/acme"), id, "s1", doneEvent("forged")), 403);
-            assertEquals(sendStatusEventAs(wrong, id, "s2", doneEvent("forged")), 204); // its own name, yet not its job
+            assertEquals(
+                    sendStatusEventAs(wrong, id, "s2", doneEvent("forged")),
+                    204); // its own endpoint name, but not its job
             refused.incrementAndGet();
             assertEquals(sendStatusEventAs(right, id, "s1", doneEvent("signed")), 204);
             return ACCEPTED;
@@ -132,7 +134,7 @@
         assertEquals(client.exchange(TestClient.jobRequest("sign", "t2", 5000)).status(), 403);
     }
 
-    // ---- who never gets so far ------------------------------------------------------------------------------
+    // ---- failed handshakes ----------------------------------------------------------------------------------
 
     @DataProvider
     public Object[][] invalidHandshakes() {
@@ -144,7 +146,10 @@
         };
     }
 
-    /** Plain text, half a handshake, silence and rubbish: a close in time, with an alert at the most. */
+    /**
+     * Plain text, half a handshake, silence and invalid bytes: the connection is closed in time, with at most a TLS
+     * alert.
+     */
     @Test(dataProvider = "invalidHandshakes")
     public void nonTlsConnectionIsClosedInTime(String said) throws Exception {
         startSecure(SETTINGS, endpointEntry("s1", secureWorker("s1", "signed"), "active", 0));
@@ -177,8 +182,9 @@
             ForgedIdentity.EXPIRED,
             ForgedIdentity.SERVER_ONLY
         };
-        for (ForgedIdentity kind :
-                List.of(ForgedIdentity.SELF_SIGNED, ForgedIdentity.TWO_URIS)) { // a third attempt finds the honest one
+        for (ForgedIdentity kind : List.of(
+                ForgedIdentity.SELF_SIGNED,
+                ForgedIdentity.TWO_URIS)) { // two forgers: the third attempt reaches the honest server
             TlsContext forged = context(kind.make(new ForgedIdentity.ForgeryContext(DOMAIN, root, startTime)));
             TestServer forger = secureServer(forged, r -> ACCEPTED);
             forgers.add(forger);
@@ -203,8 +209,8 @@
     }
 
     /**
-     * It takes the connection and says nothing: not connected within the dial time-out, long before a job's time is
-     * over.
+     * The server accepts the connection and sends nothing: this counts as a failed connect within the dial timeout,
+     * long before the job's deadline.
      */
     @Test
     public void missingHandshakeIsAConnectFailure() throws Exception {
@@ -224,7 +230,7 @@
         assertTrue(awaitCloseNanos(1_500) >= 150_000_000L);
     }
 
-    /** Nanoseconds until the node closes a connection that says nothing; fails after so many milliseconds. */
+    /** Returns the time in ns until the node closes a silent connection; fails after {@code millis} ms. */
     private long awaitCloseNanos(int millis) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(node.address(), 1000);
@@ -235,10 +241,11 @@
         }
     }
 
-    // ---- what runs out --------------------------------------------------------------------------------------
+    // ---- expiry ---------------------------------------------------------------------------------------------
 
     /**
-     * A client's identity runs out during its job: that ends with its one answer, and nothing new comes in after it.
+     * A client's identity expires during its job: the job completes with its one response, and no new request is
+     * accepted afterwards.
      */
     @Test
     public void aJobOutlivesItsClientsIdentityAndTheNextOneDoesNotEnter() throws Exception {
@@ -264,7 +271,7 @@
         assertEquals(host.requests().size(), 1);
     }
 
-    /** True if a connection takes no more: it ends, or says 403 and then ends. */
+    /** Returns true if the connection accepts no more requests: it ends, or answers 403 and then ends. */
     private static boolean isRejectedOn(TestClient client, byte[] message) throws Exception {
         try {
             HttpResponse answer = client.exchange(message);
@@ -275,7 +282,8 @@
     }
 
     /**
-     * Ours is not renewed in time: open jobs end as they should, no new connection is made, and all goes on once it is.
+     * The node's own identity is not renewed in time: open jobs complete, no new connection is made, and service
+     * resumes once it is renewed.
      */
     @Test
     public void withoutAnIdentityOfOurOwnNothingNewIsSpokenUntilItIsRenewed() throws Exception {
@@ -292,7 +300,7 @@
                 204);
         clockOffset = Duration.ofSeconds(31);
         assertEquals(sendStatusEventAs(worker, "t1", "s1", doneEvent("signed")), 0);
-        awaitCloseNanos(1_500); // at once: there is no handshake to wait for
+        awaitCloseNanos(1_500); // closed at once: there is no handshake to wait for
         nodeTrustDirectory.svid(issue("/node", HOUR));
         await(() -> isEventAccepted(worker, "t1", doneEvent("signed")));
         assertEquals(statusAndBody(client.receive()), "200 signed");
@@ -309,7 +317,10 @@
         }
     }
 
-    /** The clock steps forward and back: what it made invalid for a while is valid again, nothing is remembered. */
+    /**
+     * The clock steps forward and back: identities that were invalid for a while are valid again, and no rejection is
+     * cached.
+     */
     @Test
     public void aClockThatStepsForwardAndBackLeavesNothingBehind() throws Exception {
         TestServer host = secureWorker("s1", "signed");
@@ -332,7 +343,7 @@
         assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("pay", "t1", 5000))), "200 signed");
         TestServer second = first.replaceWith(r -> ACCEPTED, tlsWrapper(workloadContext("/sign-worker/s9")));
         resources.add(second);
-        // Where the first job took long its host counts as overloaded, and is sent nothing for a second.
+        // If the first job took long, its server counts as overloaded and gets no request for a second.
         for (int i = 2; i < 12 && second.connectionCount.get() == 0; i++) {
             assertEquals(
                     client.exchange(TestClient.jobRequest("pay", "t" + i, 2500)).status(), 503);
@@ -341,7 +352,7 @@
         assertTrue(second.connectionCount.get() > 0);
     }
 
-    /** What waits behind a request is read in TLS too, so that the client's leave is seen there at once. */
+    /** Data pipelined behind a request is read over TLS too, so that a disconnect is detected there promptly. */
     @Test
     public void aClientThatLeavesBehindPipelinedRequestsIsSeenTo() throws Exception {
         TestServer host =
@@ -360,12 +371,12 @@
                 host.requests().stream().filter(r -> r.method().equals("POST")).count(), 1);
     }
 
-    // ---- what is replaced under load ------------------------------------------------------------------------
+    // ---- rotation under load --------------------------------------------------------------------------------
 
     /**
-     * With 200 jobs in flight the bundle rolls over to a second authority, all parties are issued anew by it, and the
-     * first is withdrawn: none is lost, none runs twice, and nothing new goes over a connection that the withdrawn one
-     * vouched for.
+     * With 200 jobs in flight the trust bundle is rotated to a second authority, all identities are reissued by it, and
+     * the first authority is withdrawn: no job is lost, none runs twice, and no new request uses a connection that was
+     * authenticated by the withdrawn authority.
      */
     @Test
     public void jobsInFlightSurviveAuthorityRotation() throws Exception {
@@ -376,7 +387,9 @@
         BlockingQueue<Integer> told = new LinkedBlockingQueue<>();
         TlsContext[] worker = {workloadContext("/sign-worker/pool")};
         List<String> known = new ArrayList<>();
-        for (int h = 0; h < HOSTS; h++) { // more than jobs: one that was not heard of yet gets one at a time
+        for (int h = 0;
+                h < HOSTS;
+                h++) { // more than jobs, as an endpoint without any response yet gets one job at a time
             String name = "s" + h;
             known.add(endpointEntry(
                     name,
@@ -399,7 +412,8 @@
         for (int i = 0; i < JOBS; i++) {
             clients.add(client(acme).send(TestClient.jobRequest("sign", "t" + i, 50_000)));
             int sent = i + 1;
-            if (sent % BATCH_SIZE == 0) { // each is three handshakes, one of which the time to accept a job is for
+            if (sent % BATCH_SIZE
+                    == 0) { // each job takes three handshakes, one of them within the time to accept the job
                 await(() -> started.size() == sent);
             }
         }
@@ -410,9 +424,8 @@
         worker[0] = workloadContext("/sign-worker/pool");
         TrustBundles onlySecond = TrustBundles.EMPTY.with(second.bundle());
         TlsContext withoutFirst = context(issue("/client/acme", HOUR), () -> onlySecond);
-        // The folder is read at any moment, and a node that has the new bundle may yet show its old certificate: nobody
-        // who tells of a
-        // job would take that once the first authority is withdrawn.
+        // The directory is polled, and a node that has the new bundle may still present its old certificate, which
+        // servers that report a job would not accept once the first authority is withdrawn.
         await(() -> accepts(withoutFirst));
         trust(second);
         await(() -> !accepts(acme));
@@ -456,7 +469,7 @@
         }
     }
 
-    /** What a helper writes badly, or not at all any more, ends nothing before its time. */
+    /** Invalid or missing files in the directory do not invalidate the last valid identity before it expires. */
     @Test
     public void rubbishInTheFolderLeavesTheLastIdentityInForce() throws Exception {
         TestServer host = secureWorker("s1", "signed");
@@ -464,7 +477,7 @@
         TlsContext acme = workloadContext("/client/acme");
         java.nio.file.Files.writeString(folder.resolve("svid.pem"), "rubbish");
         java.nio.file.Files.delete(folder.resolve("bundle.pem"));
-        Thread.sleep(150); // three looks of the source
+        Thread.sleep(150); // three polls of the source
         assertEquals(statusAndBody(client(acme).exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
         assertNull(node.tlsAddress());
     }
--- a/src/test/java/olivechute/SecureNodeTestBase.java
+++ b/src/test/java/olivechute/SecureNodeTestBase.java
@@ -26,11 +26,14 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A node with identities, its documents in a folder, and parties that speak TLS by the platform's own sockets. */
+/**
+ * Base class of tests of a node with identities: its certificates lie in a directory, and clients and servers use the
+ * TLS sockets of the Java platform.
+ */
 abstract class SecureNodeTestBase extends NodeTestBase {
     static final String DOMAIN = "dala.example";
     private static final Duration HOUR = Duration.ofHours(1);
-    /** {@code FOLDER} is put in; tests add to it. */
+    /** Template of the settings; {@code SOURCE} and {@code EXTRA} are replaced by tests. */
     static final String SETTINGS = """
         identity {
           enabled = true
@@ -47,16 +50,16 @@
         }
         """;
 
-    private static boolean warmedUp; // a node of this process has shaken hands on both sides
+    private static boolean warmedUp; // a node of this process has completed handshakes on both sides
 
     Instant startTime;
-    volatile Duration clockOffset; // by which the node's clock for identities is off the system's
+    volatile Duration clockOffset; // offset of the node's clock for identities from the system clock
     CertificateAuthority root;
-    volatile TrustBundles bundles; // of all parties but the node
+    volatile TrustBundles bundles; // trusted by all clients and servers except the node
     Path folder;
     TrustDirectory nodeTrustDirectory;
     Path settings;
-    int deadlineSeconds; // s, of all classes
+    int deadlineSeconds; // s, for all classes
 
     @BeforeMethod
     public void setUpTrust() throws Exception {
@@ -72,9 +75,9 @@
     }
 
     /**
-     * A process's first handshakes load and compile what they need, which on a busy machine takes longer than a host
-     * has to accept a job. That is the virtual machine's time and no test's subject: a node of its own spends it on
-     * jobs that may fail, until one is done.
+     * The first handshakes of a process load and compile classes, which on a busy machine takes longer than a server
+     * has to accept a job. As this is not what the tests are about, a separate node runs jobs that may fail until one
+     * succeeds.
      */
     private void warmedUp() throws Exception {
         if (warmedUp) {
@@ -85,7 +88,7 @@
             warmedUp = statusAndBody(client("/client/acme").exchange(TestClient.jobRequest("sign", "warm" + i, 5000)))
                     .equals("200 warm");
         }
-        assertTrue(warmedUp, "not one of ten jobs was done");
+        assertTrue(warmedUp, "none of ten jobs was done");
         closeResources();
         Files.delete(settings);
     }
@@ -121,12 +124,12 @@
         return context(issued, () -> bundles);
     }
 
-    /** Judges others by these bundles. */
+    /** Creates a context that verifies peers with these bundles. */
     TlsContext context(CertificateAuthority.Issued issued, Supplier<TrustBundles> trusted) {
         return new TlsContext(issued.chain(), issued.key(), false, trusted, this::now);
     }
 
-    /** A workload that holds for an hour. */
+    /** Creates a context with an identity that is valid for one hour. */
     TlsContext workloadContext(String path) throws Exception {
         return context(issue(path, HOUR));
     }
@@ -138,14 +141,14 @@
         nodeTrustDirectory.bundle(all);
     }
 
-    /** A host in TLS under this identity. */
+    /** Starts a TLS server with this identity. */
     TestServer secureServer(TlsContext identity, TestServer.ResponseHandler answer) throws IOException {
         TestServer peer = new TestServer(answer, tlsWrapper(identity));
         resources.add(peer);
         return peer;
     }
 
-    /** TLS under this identity; who dials must show one. */
+    /** Wraps accepted connections in TLS with this identity and requires a client certificate. */
     static TestServer.SocketWrapper tlsWrapper(TlsContext identity) {
         return accepted -> {
             SSLSocket socket = (SSLSocket)
@@ -170,7 +173,10 @@
         return client(workloadContext(path));
     }
 
-    /** Tells of a job as a host under this identity would; the status of each answer, 0 for an end without one. */
+    /**
+     * Sends a status event as a server with this identity; returns the status of the response, or 0 if the connection
+     * ended without one.
+     */
     int sendStatusEventAs(TlsContext identity, String id, String endpoint, String event) throws Exception {
         try (TestClient client = client(identity)) {
             var answer = client.exchange(TestClient.statusEventRequest(id, endpoint, event));
@@ -180,7 +186,7 @@
         }
     }
 
-    /** A host's answer: takes a job and tells of it under this identity. */
+    /** Returns a handler that accepts each job and sends these status events with this identity. */
     TestServer.ResponseHandler acceptAndReportAs(TlsContext identity, String endpoint, String... events) {
         return request -> {
             String id = request.headers().get("X-Txn");
@@ -197,13 +203,13 @@
         };
     }
 
-    /** A host of this name that does every job. */
+    /** Starts a server of this name that completes every job. */
     TestServer secureWorker(String name, String result) throws Exception {
         TlsContext identity = workloadContext("/sign-worker/" + name);
         return secureServer(identity, acceptAndReportAs(identity, name, "\"state\":\"started\"", doneEvent(result)));
     }
 
-    /** Starts a node under these settings. */
+    /** Starts a node with these settings. */
     void startSecure(String settingsTemplate, String... knownEndpoints) throws IOException {
         discovery = startServer(r -> endpointListResponse(1, false));
         Path file = writeConfig(discovery, 1024, knownEndpoints);
--- a/src/test/java/olivechute/ShutdownTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -27,13 +27,13 @@
 import org.testng.annotations.Test;
 
 /**
- * How connections and the node end: what was taken is answered, what comes to the end is served or left to its client,
- * never sent on.
+ * Tests the shutdown of connections and of the node: accepted requests are answered; requests that arrive during the
+ * shutdown are served or left to the client to retry, never forwarded and lost.
  */
 public class ShutdownTest extends DownstreamServerTestBase {
     private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
 
-    /** The bytes lie unread when the node looks for connections between requests to end: that one is none of them. */
+    /** The bytes are still unread when the node looks for idle connections to close, so this connection is not idle. */
     @Test
     public void unreadRequestIsServedDuringDrain() throws Exception {
         CountDownLatch waits = new CountDownLatch(1);
@@ -65,7 +65,9 @@
         assertNull(client.receive());
     }
 
-    /** The reader has a request in hand as the node ends its connection; one more crosses the end. */
+    /**
+     * The reader has just read a request when the node closes its connection; another request arrives during the close.
+     */
     @Test
     public void readRequestIsServedAndCrossingRequestIsNotForwarded() throws Exception {
         CountDownLatch read = new CountDownLatch(2);
@@ -84,7 +86,7 @@
         client.send(TestClient.jobRequest("sign", "t1", 5000));
         assertTrue(read.await(2, TimeUnit.SECONDS));
         server.drain();
-        Thread.sleep(300); // several sweeps
+        Thread.sleep(300); // several sweep intervals
         client.send(TestClient.jobRequest("sign", "t2", 5000));
         go.countDown();
         sendResult(awaitRequest(), "ok");
@@ -98,8 +100,8 @@
     }
 
     /**
-     * What crosses the end of a resting connection stays unread, and the answer before it arrives whole, though its
-     * client has not read it yet.
+     * Data that arrives while an idle connection closes stays unread, and the previous response arrives complete even
+     * though its client has not read it yet.
      */
     @Test
     public void idleConnectionClosesWithoutReadingCrossingRequests() throws Exception {
@@ -128,7 +130,10 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** Half a request has come when nothing else is owed: the node is not at rest, and answers it once it is whole. */
+    /**
+     * When half a request has arrived and nothing else is unanswered, the node is not idle, and it answers the request
+     * once it is complete.
+     */
     @Test
     public void drainWaitsForPartialRequestAndItsStatusEvents() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -139,18 +144,21 @@
         TestClient client = connectClient();
         assertNotNull(client.exchange(READINESS_REQUEST));
         byte[] job = TestClient.jobRequest("sign", "t1", 5000);
-        // Before the node ends what rests, 2.2 s after it was told to, and yet so late that this half is not given up,
-        // after 2 s, before then.
+        // This is before the node closes idle connections, 2.2 s after drain was requested, and late enough that the
+        // partial request is not given up, after 2 s, before then.
         Thread.sleep(Math.max(0, 1500 - (System.nanoTime() - from) / 1_000_000));
         client.send(Arrays.copyOf(job, 30));
-        // Longer than the node waits once nobody sends here any more: it ended with this half taken and lost.
+        // Longer than the node waits once clients stop sending. It used to shut down with this partial request read
+        // and lost.
         assertFalse(drained.await(Math.max(0, 2800 - (System.nanoTime() - from) / 1_000_000), TimeUnit.MILLISECONDS));
         client.send(Arrays.copyOfRange(job, 30, job.length));
         assertEquals(statusAndBody(client.receive()), "200 ok");
         assertTrue(drained.await(1500, TimeUnit.MILLISECONDS));
     }
 
-    /** An answer that is not out holds up the end, and so does its arrival; after that the node lets nobody in. */
+    /**
+     * An unsent response delays the shutdown, as does its arrival; after the shutdown the node accepts no connections.
+     */
     @Test
     public void drainedNodeRefusesConnections() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -161,7 +169,7 @@
         CountDownLatch drained = new CountDownLatch(1);
         drain(drained);
         try (TestClient late = new TestClient(node.address())) {
-            throw new AssertionError("let in");
+            throw new AssertionError("the connection was accepted");
         } catch (ConnectException refused) {
             assertEquals(drained.getCount(), 0);
         }
@@ -176,18 +184,18 @@
         }
     }
 
-    // ---- letting in ------------------------------------------------------------------------------------------
+    // ---- accepting connections --------------------------------------------------------------------------------
 
     /**
-     * A door that breaks lost its connection's descriptor, and a fault that is no IOException ended the listening for
-     * good.
+     * Regression test: a failing connection factory leaked the descriptor of its connection, and a failure that is no
+     * IOException stopped the listener permanently.
      */
     @Test
     public void connectionFactoryFailureKeepsListeningAndLeaksNoDescriptor() throws Exception {
         AtomicBoolean broken = new AtomicBoolean(true);
         listen(channel -> {
             if (broken.getAndSet(false)) {
-                throw new IllegalStateException("broken door");
+                throw new IllegalStateException("broken connection factory");
             }
             return new Connection(channel);
         });
@@ -201,7 +209,7 @@
         listen(channel -> {
             int n = left.getAndDecrement();
             if (n == 0) {
-                throw new StackOverflowError("of one newcomer");
+                throw new StackOverflowError("for one connection");
             }
             if (n == -1) {
                 throw new UncheckedIOException(new IOException("Software caused connection abort"));
@@ -210,7 +218,7 @@
         });
         TestClient resting = connect();
         assertEquals(resting.exchange(READINESS_REQUEST).status(), 200);
-        Thread.sleep(150); // its answer has arrived: it may go where room is needed
+        Thread.sleep(150); // its response has arrived, so it may be evicted at the connection limit
         assertTrue(connect().isClosedByServer());
         assertTrue(connect().isClosedByServer());
         assertEquals(connect().exchange(READINESS_REQUEST).status(), 200);
--- a/src/test/java/olivechute/StaleEndpointListProcessTest.java
+++ b/src/test/java/olivechute/StaleEndpointListProcessTest.java
@@ -12,20 +12,20 @@
 import org.testng.annotations.Test;
 
 /**
- * The incident of 2026-12-02 with a real process: it is killed and started anew, and its discovery is moved by SIGHUP,
- * while discovery can be reached and tells it nothing. Servers drain meanwhile.
+ * Reproduces the incident of 2026-12-02 with a real process: it is killed and restarted, and its discovery is moved by
+ * SIGHUP, while discovery is reachable but returns no list. Servers drain meanwhile.
  */
 public class StaleEndpointListProcessTest extends NodeProcessTestBase {
     private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
     private static final byte[] NO_RESPONSE = null;
 
-    /** What discovery says while it tells nothing. */
+    /** Responses of discovery that contain no endpoint list. */
     @DataProvider
     public Object[][] unhelpfulResponses() {
         return new Object[][] {{UNAVAILABLE_RESPONSE}, {NO_RESPONSE}};
     }
 
-    /** Nothing reaches a server that may have begun to drain. */
+    /** Asserts that no request reaches a server that may have begun to drain. */
     private void assertReceivesNoRequests(TestServer server) throws Exception {
         int before = server.requests().size();
         for (int i = 0; i < 3; i++) {
@@ -48,7 +48,7 @@
         startProcess(1024, file);
         assertEquals(runJob(), "200 first");
 
-        // Killed and started anew with the list that it had at first: by now the only server on it drains.
+        // Kills and restarts the node with its initial list; by now the only server on it is draining.
         tells.set(false);
         program.kill();
         startProcess(1024, file);
@@ -60,7 +60,7 @@
         awaitAnswer("200 second");
         assertEquals(first.requests().size(), 1);
 
-        // Moved to an address that tells nothing either; the server that is left begins to drain.
+        // Moves discovery to an address that returns no list either; the remaining server begins to drain.
         TestServer moved = startServer(r -> nothing);
         Path replaced = writeConfig(moved, 1024);
         Files.move(replaced, file, StandardCopyOption.REPLACE_EXISTING);
--- a/src/test/java/olivechute/StaleEndpointListTest.java
+++ b/src/test/java/olivechute/StaleEndpointListTest.java
@@ -10,8 +10,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A node whose list may be out of date, before a discovery that can be reached: whatever became of the calls, a server
- * that began to drain since then gets nothing. The order is forced by what discovery answers, and when.
+ * Tests a node whose endpoint list may be outdated while discovery is reachable: whatever happens to its requests to
+ * discovery, a server that has begun to drain since then gets no requests. The order of events is forced by the content
+ * and time of discovery's responses.
  */
 public class StaleEndpointListTest extends NodeTestBase {
     private static final int AWAIT_TIMEOUT_MILLIS = 20_000;
@@ -30,8 +31,8 @@
     }
 
     /**
-     * The list of a configuration may be of any age: the server on it has been draining for long, and discovery has not
-     * answered yet.
+     * The list of a configuration may be of any age: its server has been draining for a long time, and discovery has
+     * not answered yet.
      */
     @Test
     public void newNodeSendsNothingBeforeDiscoveryAnswers() throws Exception {
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Discovery refuses each call from the second on, and then the server drains. {@code ask_every} bounds the list's
-     * age here.
+     * Discovery answers 503 from the second request on, and then the server drains. {@code ask_every} bounds the age of
+     * the list here.
      */
     @Test
     public void nodeWithExpiredListSendsNothing() throws Exception {
--- a/src/test/java/olivechute/TestClient.java
+++ b/src/test/java/olivechute/TestClient.java
@@ -9,7 +9,7 @@
 import olivechute.http.MessageWriter;
 import olivechute.http.ResponseParser;
 
-/** One downstream connection as a test drives it. */
+/** A client connection to a node, driven by a test over a blocking socket. */
 final class TestClient implements AutoCloseable {
     final Socket socket;
     private final ResponseParser parser = new ResponseParser();
@@ -18,7 +18,7 @@
         this(address, new Socket());
     }
 
-    /** On a socket that is not connected yet and may speak TLS. */
+    /** Connects over the given unconnected socket, which may be a TLS socket. */
     TestClient(InetSocketAddress address, Socket socket) throws IOException {
         this.socket = socket;
         socket.connect(address, 1000);
@@ -56,7 +56,7 @@
         return this;
     }
 
-    /** The next answer; null if the connection ended without one. */
+    /** Returns the next response, or null if the connection was closed without one. */
     HttpResponse receive() throws IOException, HttpException {
         byte[] buffer = new byte[1];
         while (!parser.isComplete()) {
@@ -72,7 +72,7 @@
         return send(request).receive();
     }
 
-    /** True once the node has closed this connection. */
+    /** Blocks until the node closes this connection; returns false if it sends a byte instead. */
     boolean isClosedByServer() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
--- a/src/test/java/olivechute/TestServer.java
+++ b/src/test/java/olivechute/TestServer.java
@@ -16,7 +16,10 @@
 import olivechute.http.RequestParser;
 import olivechute.net.Threads;
 
-/** A party on a loopback socket that answers each request as a test says; null says nothing, NO_BYTES hangs up. */
+/**
+ * A server on a loopback socket that answers each request as the test says: a null response sends nothing,
+ * {@code HANG_UP} closes the connection. One thread for each connection.
+ */
 final class TestServer implements AutoCloseable {
     static final byte[] HANG_UP = new byte[0];
 
@@ -24,12 +27,12 @@
         byte[] respond(HttpRequest request) throws Exception;
     }
 
-    /** What is spoken over an accepted connection: TLS, or nothing beside HTTP. */
+    /** Wraps an accepted connection, for example in TLS. */
     interface SocketWrapper {
         Socket wrap(Socket accepted) throws IOException;
     }
 
-    /** A request and when it had come, in milliseconds. */
+    /** A request and the time at which it was complete, in ms of {@link System#nanoTime}. */
     record ReceivedRequest(HttpRequest request, long receivedAtMs) {}
 
     private static final int BACKLOG = 50;
@@ -40,7 +43,7 @@
     final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
     final AtomicInteger connectionCount = new AtomicInteger();
     final AtomicInteger openConnections = new AtomicInteger();
-    final AtomicInteger idleCloses = new AtomicInteger(); // connections that the node closed between requests
+    final AtomicInteger idleCloses = new AtomicInteger(); // connections that the node closed while idle
     volatile ResponseHandler handler;
     private final ServerSocket server;
     private final SocketWrapper socketWrapper;
@@ -60,8 +63,9 @@
     }
 
     /**
-     * On a port that no earlier one of this process had, at an address that no other process has: the nodes of earlier
-     * tests live on and dial theirs, discovery's each second, and whoever got such a port would be called by strangers.
+     * Listens on a port that no earlier server of this process had, at an address that no other process has: nodes of
+     * earlier tests keep running and connect to their servers, to discovery every second, and would call whichever
+     * server got such a port.
      */
     private static ServerSocket listen() throws IOException {
         for (; ; ) {
@@ -73,7 +77,7 @@
         }
     }
 
-    /** One of 127.64.0.0/10 for each process id, of which Linux has at most 2^22. */
+    /** Returns an address of 127.64.0.0/10 for each process id, of which Linux has at most 2^22. */
     static InetAddress loopbackAddressFor(long processId) {
         byte[] address = {
             127, (byte) (64 | ((processId >> 16) & 0x3f)), (byte) (processId >> 8), (byte) processId,
@@ -120,10 +124,10 @@
     }
 
     /**
-     * The process ends and another stands at its address: connections from now on are the other's. The listener is not
-     * closed between, as its port is free again only some time after that (the acceptor has to leave its call first),
-     * and anybody's then. Returns once those who dialled the first have found its connections at their end and closed
-     * them too.
+     * Replaces this server by another one at the same address, as when a process is restarted by another: new
+     * connections go to the new server. The listener is not closed in between, as its port is only released some time
+     * later (the acceptor must leave its call first) and could then be taken by any process. Returns once the clients
+     * have seen the end of this server's connections and closed them too.
      */
     TestServer replaceWith(ResponseHandler answer, SocketWrapper layer) throws IOException, InterruptedException {
         TestServer next = new TestServer(answer, layer, this);
@@ -139,7 +143,7 @@
             Thread.sleep(10);
         }
         if (openConnections.get() > 0) {
-            throw new IllegalStateException(openConnections + " connections not closed from the other side");
+            throw new IllegalStateException(openConnections + " connections not closed by the client");
         }
         closeConnections();
         return next;
@@ -178,7 +182,7 @@
         }
     }
 
-    /** Says this on the connection that came as the one of this number, unasked. */
+    /** Sends these bytes without a request on the connection that was accepted as number {@code connectionIndex}. */
     void sendUnsolicited(int connectionIndex, byte[] bytes) throws IOException {
         sockets.get(connectionIndex).getOutputStream().write(bytes);
     }
@@ -191,7 +195,7 @@
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
-    /** The requests in order of arrival. */
+    /** Returns the requests in order of arrival. */
     List<HttpRequest> requests() {
         return received.stream().map(ReceivedRequest::request).toList();
     }
--- a/src/test/java/olivechute/TestServerTest.java
+++ b/src/test/java/olivechute/TestServerTest.java
@@ -8,25 +8,25 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** The tests' own host. */
+/** Tests the addresses of {@link TestServer}. */
 public class TestServerTest {
     private static final long MAX_PROCESS_IDS = 1L << 22;
 
     /**
-     * The system gives a closed one's port again after some thousand others at the latest; a node of an earlier test
-     * may still dial it.
+     * The system reuses a closed server's port after a few thousand others at the latest, while a node of an earlier
+     * test may still connect to it.
      */
     @Test
     public void portsAreNeverReused() throws Exception {
         Set<String> addresses = new HashSet<>();
         for (int i = 0; i < 1500; i++) {
             try (TestServer peer = new TestServer(r -> null)) {
-                assertTrue(addresses.add(peer.hostAndPort()), "the one of number " + i);
+                assertTrue(addresses.add(peer.hostAndPort()), "server number " + i);
             }
         }
     }
 
-    /** The nodes of another run of the tests, beside this one, dial that run's hosts. */
+    /** Nodes of another test run on the same machine connect to the servers of that run. */
     @Test
     public void eachProcessHasItsOwnAddress() throws Exception {
         Set<InetAddress> addresses = new HashSet<>();
--- a/src/test/java/olivechute/ThreadLimitTest.java
+++ b/src/test/java/olivechute/ThreadLimitTest.java
@@ -12,25 +12,26 @@
 import org.testng.annotations.Test;
 
 /**
- * A system that lets the process have few threads, as a container's limit does, while idle clients hold one each. The
- * virtual machine needs a thread for each signal, and drops the signal where there is none; so some have to be left.
+ * Tests a system that limits the threads of the process, as a container does, while idle clients hold one each. The
+ * virtual machine needs a thread for each signal and drops the signal when it gets none, so some threads must stay
+ * free.
  */
 public class ThreadLimitTest extends DownstreamServerTestBase {
     private static final int MAX_THREADS = 150;
     private static final int IDLE_CLIENTS = 400;
-    /** More than the threads, so that the bound on connections does not come into it. */
+    /** Above the thread limit, so that the connection limit has no effect. */
     private static final int MAX_CONNECTIONS = 1000;
-    /** For signals, the end of the process and writes. */
+    /** Threads kept free for signals, the shutdown of the process and writes. */
     private static final int RESERVED_THREADS = 8;
 
     private static final byte[] READINESS_REQUEST = MessageWriter.request("GET", "/health/ready", "node", null);
 
-    /** Threads of the connections that run. */
+    /** Number of connection threads that are running. */
     private final AtomicInteger running = new AtomicInteger();
 
     private final AtomicInteger failedStarts = new AtomicInteger();
 
-    /** Starts as a thread of a process does that may have no more: with an error. */
+    /** A thread whose start fails once the process has as many threads as it may have. */
     private final class LimitedThread extends Thread {
         LimitedThread(Runnable task) {
             super(
@@ -58,12 +59,14 @@
         }
     }
 
-    /** So many threads could be started, as for signals: looked at until it is so. */
+    /** Waits until the given number of threads could be started, as for signals. */
     private void awaitFreeThreads(int threads) throws Exception {
         await(() -> running.get() + threads <= MAX_THREADS);
     }
 
-    /** A client that asks once and stays; false if its connection was closed unserved. */
+    /**
+     * Sends one request and keeps the connection open; returns false if the connection was closed without a response.
+     */
     private boolean requestAndStayConnected() throws Exception {
         try {
             HttpResponse answer = connect().exchange(READINESS_REQUEST);
@@ -86,8 +89,8 @@
             assertTrue(requestAndStayConnected(), "client " + i);
             awaitFreeThreads(1);
         }
-        assertEquals(failedStarts.get(), before, "refused once more");
+        assertEquals(failedStarts.get(), before, "a thread start failed again");
         awaitFreeThreads(RESERVED_THREADS);
-        assertTrue(running.get() > MAX_THREADS / 2, "gave up too many: " + running.get());
+        assertTrue(running.get() > MAX_THREADS / 2, "too few threads running: " + running.get());
     }
 }
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -50,10 +50,10 @@
 import org.testng.annotations.Test;
 
 /**
- * What happens between the decision to send and the first byte, and between an answer and its end, in the bad order:
- * the pools on real connections, whose dials and reads wait at gates until the test lets them go.
+ * Tests races between the decision to send a request and its first byte, and between a response and its end: the
+ * connection pools run on real connections whose connects and reads wait at gates until the test opens them.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // the answers of the peers show whether the tasks ran
+@SuppressWarnings("FutureReturnValueIgnored") // the events and server logs show whether the tasks ran
 public class UpstreamRaceTest {
     private static final long US_PER_MS = 1000;
     private static final long US_PER_S = 1_000_000;
@@ -65,19 +65,21 @@
 
     private final List<TestServer> peers = new ArrayList<>();
     private final List<CountDownLatch> gates = new ArrayList<>();
-    private volatile List<GatedConnection> connections; // this test's own, as the counter below
+    private volatile List<GatedConnection> connections; // replaced for each test, as the counter below
     private final List<String> events = new CopyOnWriteArrayList<>();
-    private volatile CountDownLatch dialGate; // wait for this
+    private volatile CountDownLatch dialGate; // connects wait for this gate
     private volatile CountDownLatch readGate;
-    private volatile CountDownLatch firstConnectionReadGate; // the first connection's, before they look for bytes
+    private volatile CountDownLatch
+            firstConnectionReadGate; // reads of the first connection wait for this gate before they read
     private volatile CountDownLatch dialStarted;
     private volatile boolean noDescriptors;
-    private volatile AtomicInteger readsStarted; // this test's own: a connection of the one before may read on
+    private volatile AtomicInteger
+            readsStarted; // replaced for each test, as a connection of an earlier test may still read
     private EventLoop loop;
     private ConnectionPools pools;
-    private RequestDispatcher dispatcher; // null where the test sends by itself
+    private RequestDispatcher dispatcher; // null if the test sends requests itself
 
-    /** Waits at the gates. */
+    /** A connection that waits at the gates. */
     private final class GatedConnection extends Connection {
         private final AtomicInteger readCounter = readsStarted;
         private final List<GatedConnection> allConnections = connections;
@@ -197,7 +199,7 @@
         return new EndpointListUpdate(1, true, List.of(hosts));
     }
 
-    /** In one turn, and done when this returns. */
+    /** Runs a task in one turn of the event loop and waits for its end. */
     private void runOnLoop(Runnable task) throws Exception {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.post(new ProxyEvent.Task(() -> {
@@ -219,8 +221,7 @@
         assertTrue(holds.getAsBoolean());
     }
 
-    /** Once it returns all is written that was to be: what comes is seen by the peer in this order. */
-    /** Has the host listed and the request sent; returns while its dial waits for the gate. */
+    /** Lists the endpoint and sends the request; returns while its connect waits at the gate. */
     private void sendBlockedAtDial(UpstreamRequest request, TestServer peer) throws Exception {
         dialGate = newGate();
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint(request.endpoint(), peer, EndpointState.ACTIVE, 0))));
@@ -234,7 +235,7 @@
         assertEquals(peer.requests().size(), before + 1);
     }
 
-    // ---- the last look ------------------------------------------------------------------------------------
+    // ---- pre-send check -----------------------------------------------------------------------------------
 
     @Test
     public void whatTheLookDoesNotAllowIsNotWrittenAndItsNewConnectionIsKept() throws Exception {
@@ -246,12 +247,12 @@
         await(() -> events.contains("a SUPPRESSED"));
         runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
         await(() -> events.contains("b accepted"));
-        Thread.sleep(60); // until it may be used again
+        Thread.sleep(60); // until the connection may be reused
         runOnLoop(() -> pools.send(request("c", "s1", no)));
         await(() -> events.contains("c SUPPRESSED"));
         assertNextRequestSent("s1", peer, 1);
         assertEquals(peer.connectionCount.get(), 1);
-        // A host may shake hands before it reads what is first on a connection.
+        // A server may complete a handshake before it reads the first request of a connection.
         assertEquals(transits, List.of(250 * US_PER_MS, 0L));
         assertEquals(events, List.of("a SUPPRESSED", "b accepted", "c SUPPRESSED", "last accepted"));
     }
@@ -263,7 +264,7 @@
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.DRAINING, 0))));
         dialGate.countDown();
         await(() -> events.contains("a SUPPRESSED"));
-        await(() -> peer.idleCloses.get() == 1); // of no use to anybody
+        await(() -> peer.idleCloses.get() == 1); // the connection is of no further use
         assertEquals(peer.requests().size(), 0);
     }
 
@@ -278,7 +279,10 @@
         assertEquals(peer.requests().size(), 0);
     }
 
-    /** Where only draining binds, being gone says nothing, but for a host that drained before. */
+    /**
+     * If only the draining state prevents sending, removal from the list does not, except for an endpoint that was
+     * draining before.
+     */
     @Test
     public void whereOnlyDrainingBindsAHostThatIsGoneMayBeSentToUnlessItDrained() throws Exception {
         startWith(100, true);
@@ -299,7 +303,7 @@
         assertEquals(drained.requests().size(), 0);
     }
 
-    /** The address may be another's by now, who would take the job and tell of it under another name. */
+    /** The address may belong to another server by now, which would accept the job and report it under another name. */
     @Test
     public void aHostThatMovedDuringTheDialGetsNothingWhereItWas() throws Exception {
         TestServer before = startServer(acceptAll());
@@ -312,7 +316,7 @@
         assertEquals(before.requests().size(), 0);
     }
 
-    /** What answers after its host moved is not asked again. */
+    /** A connection that receives a response after its endpoint moved is not reused. */
     @Test
     public void aConnectionThatIsAnsweredAfterItsHostMovedIsNotKept() throws Exception {
         CountDownLatch answers = newGate();
@@ -331,14 +335,14 @@
         assertNextRequestSent("s1", now, 0);
     }
 
-    /** The decision and the news of the drain come in one turn, the writes after it. */
+    /** The decision to send and the draining state arrive in one turn of the event loop, the write follows after it. */
     @Test
     public void aListThatChangesInTheTurnOfTheDecisionBinds() throws Exception {
         TestServer peer = startServer(acceptAll());
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
         await(() -> events.contains("a accepted"));
-        Thread.sleep(60); // until the connection may be used again
+        Thread.sleep(60); // until the connection may be reused
         runOnLoop(() -> {
             pools.send(request("b", "s1", ALLOW));
             pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.DRAINING, 0)));
@@ -349,7 +353,7 @@
         assertEquals(peer.connectionCount.get(), 1);
     }
 
-    // ---- a client that leaves -----------------------------------------------------------------------------
+    // ---- client disconnects -------------------------------------------------------------------------------
 
     private void dispatch(ResolvedEndpoint... hosts) throws Exception {
         RequestClass verify = new RequestClass(
@@ -378,7 +382,10 @@
                 request, new Payload("/verify", null, new byte[] {1}, 0, 1), client, loop.now()));
     }
 
-    /** At once, not when the dial is up; and the dial is not in vain. */
+    /**
+     * The attempt is dropped at once, not when the connect completes, and the new connection is kept for later
+     * requests.
+     */
     @Test
     public void whatIsBeingDialledForAClientThatLeavesIsDropped() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -416,14 +423,14 @@
         assertEquals(client.answers, List.of());
     }
 
-    /** It had run on at its host, and was never given up there. */
+    /** Regression test: the job kept running on its server and was never cancelled there. */
     @Test
     public void whatIsGivenUpWhileItsAcceptanceIsOnItsWayIsGivenUpAtItsHostToo() throws Exception {
         TestServer peer = startServer(acceptAll());
         dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
         readGate = newGate();
         AnswerLog client = new AnswerLog();
-        openRequest("a", client, 100 * US_PER_MS); // less than a host is given to accept a job
+        openRequest("a", client, 100 * US_PER_MS); // less than a server has to accept a job
         await(() -> !client.answers.isEmpty());
         NodeTestBase.awaitRequests(peer, 2);
         assertEquals(
@@ -432,7 +439,10 @@
                 "POST DELETE/jobs/a");
     }
 
-    /** Has the host's acceptance read in a turn, so that its event waits, and then does this in that turn. */
+    /**
+     * Blocks a turn of the event loop until the server's acceptance has been read, so that its event is queued, and
+     * then runs the task in the same turn.
+     */
     private TestServer runWhileAcceptanceIsQueued(Consumer<UpstreamRequest> task) throws Exception {
         CountDownLatch answers = newGate();
         TestServer peer = startServer(r -> {
@@ -446,7 +456,7 @@
         runOnLoop(() -> {
             answers.countDown();
             while (readsStarted.get() < 2) {
-                Thread.onSpinWait(); // it reads on once it has done with what it read
+                Thread.onSpinWait(); // the second read begins once the first response is processed
             }
             assertEquals(events, List.of());
             task.accept(request);
@@ -468,7 +478,10 @@
         assertEquals(events, List.of("last accepted"));
     }
 
-    /** Not yet accepted, as far as the loop knew: it had neither a connection to close nor, for it, a host to tell. */
+    /**
+     * Regression test: to the event loop the request was not yet accepted, so there was neither a connection to close
+     * nor a server to send the cancellation to.
+     */
     @Test
     public void whatIsGivenUpWhileItsAcceptanceIsQueuedIsGivenUpAtItsHost() throws Exception {
         TestServer peer = runWhileAcceptanceIsQueued(request -> assertFalse(pools.cancelWithoutReport(request, false)));
@@ -476,7 +489,7 @@
         assertEquals(peer.requests().get(1).method(), "DELETE");
     }
 
-    /** Its host is not silent. */
+    /** The server has responded, so the attempt is not withdrawn. */
     @Test
     public void whatIsAcceptedIsNotWithdrawn() throws Exception {
         TestServer peer = runWhileAcceptanceIsQueued(request -> pools.cancelAndReportEnd(request, false));
@@ -485,11 +498,11 @@
         assertEquals(peer.requests().get(1).method(), "POST");
     }
 
-    // ---- a second answer ----------------------------------------------------------------------------------
+    // ---- duplicate responses ------------------------------------------------------------------------------
 
     /**
-     * The first connection of a peer answers its first request twice, the second time once the next request is written,
-     * wherever.
+     * The first connection of a server answers its first request twice, the second time after the next request was
+     * written, on whichever connection.
      */
     @Test
     public void aSecondAnswerIsNotTakenForTheAnswerToTheNextRequest() throws Exception {
@@ -502,7 +515,7 @@
                     return ACCEPTED;
                 }
                 next.countDown();
-                Thread.sleep(100); // the first is answered once more meanwhile
+                Thread.sleep(100); // the first request is answered a second time meanwhile
                 return ACCEPTED;
             });
             String name = "s" + i;
@@ -510,16 +523,16 @@
             runOnLoop(() -> pools.send(request("a", name, ALLOW)));
             await(() -> events.contains("a accepted"));
             long since = System.nanoTime();
-            Thread.sleep(5); // the answer is read, and the connection given back
+            Thread.sleep(5); // the response is read, and the connection returned to the pool
             runOnLoop(() -> pools.send(request("b", name, ALLOW)));
             long took = System.nanoTime() - since;
             next.await();
             peer.sendUnsolicited(0, ERROR);
             await(() -> events.size() == 2);
-            if (took < 20_000_000) { // else it had settled, and proves nothing
+            if (took < 20_000_000) { // otherwise the connection was reusable already, and the run proves nothing
                 valid++;
                 assertEquals(events, List.of("a accepted", "b accepted"));
-                await(() -> peer.openConnections.get() == 1); // what was said in between closed the other
+                await(() -> peer.openConnections.get() == 1); // the unsolicited response closed the other connection
             }
         }
         assertEquals(valid, 1);
@@ -541,7 +554,7 @@
         assertEquals(peer.connectionCount.get(), 2);
     }
 
-    /** However fast a host answers, it does not have to hold a connection for each request of the last moment. */
+    /** However fast a server answers, it does not have to hold a connection for each recent request. */
     @Test
     public void connectionsThatSettleAreBounded() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -556,7 +569,7 @@
         assertTrue(peer.connectionCount.get() <= 12, peer.connectionCount + " connections");
     }
 
-    /** One connection that was used and may be used again. */
+    /** Establishes one connection that was used and may be reused. */
     private void establishReusableConnection(TestServer peer) throws Exception {
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
@@ -570,7 +583,7 @@
         }
     }
 
-    /** It lies in the kernel: who reads there has not come to it by the time the next request is written. */
+    /** The late response is in the kernel's buffer: the reader has not read it when the next request is written. */
     @Test
     public void aLateAnswerThatNobodyHasReadYetIsNotTakenForTheNext() throws Exception {
         TestServer peer = startServer(r -> {
@@ -592,7 +605,7 @@
         assertEquals(peer.connectionCount.get(), 2);
     }
 
-    /** It was read, and its reader waits behind the one that is about to write. */
+    /** The late response was read, and its reader waits for the lock of the thread that is about to write. */
     @Test
     public void aLateAnswerInItsReadersHandIsNotTakenForTheNext() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -618,7 +631,7 @@
         assertEquals(peer.connectionCount.get(), 2);
     }
 
-    /** Between the decision and the first byte. */
+    /** The late response arrives between the decision to send and the first byte. */
     @Test
     public void aLateAnswerBeforeTheNextRequestIsWrittenIsNotTakenForItsOwn() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -632,7 +645,7 @@
         assertEquals(peer.connectionCount.get(), 2);
     }
 
-    /** Something unasked on the first connection; until it was read. */
+    /** Sends an unsolicited response on the first connection and waits until it was read. */
     private void sendUnsolicitedAndAwaitRead(TestServer peer) {
         try {
             peer.sendUnsolicited(0, ERROR);
@@ -642,7 +655,7 @@
         spinUntil(() -> peer.openConnections.get() == 0 || readsStarted.get() == 3);
     }
 
-    /** Its connection strayed, and the loop has not come to send it by another. */
+    /** Its connection got an unsolicited response, and the event loop has not yet sent the request on another one. */
     @Test
     public void whatIsTakenBackBetweenTwoConnectionsGoesByNeither() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -662,8 +675,8 @@
     }
 
     /**
-     * One request by a dial of a fifth of a second and one by the same connection later, so that it is known what a
-     * dial takes.
+     * Sends one request over a connect of 200 ms and a later one over the same connection, so that the pool knows how
+     * long a connect takes.
      */
     private TestServer serverWithSlowDial() throws Exception {
         TestServer peer = startServer(acceptAll());
@@ -674,7 +687,7 @@
         await(() -> events.contains("a accepted"));
         Thread.sleep(60);
         runOnLoop(() -> pools.send(request("b", "s1", ALLOW)));
-        spinUntil(() -> events.contains("b accepted") && readsStarted.get() == 3); // and is given back
+        spinUntil(() -> events.contains("b accepted") && readsStarted.get() == 3); // the connection is back in the pool
         return peer;
     }
 
@@ -692,11 +705,11 @@
         for (int i = 2; i < 12; i++) {
             long since = peer.received.get(i).receivedAtMs()
                     - peer.received.get(i - 1).receivedAtMs();
-            assertTrue(since >= 29, "after " + since + " ms, in whole ones");
+            assertTrue(since >= 29, "after " + since + " ms, rounded down");
         }
     }
 
-    /** Each connection that settles is waited for by one. */
+    /** Each connection that becomes reusable is awaited by one request only. */
     @Test
     public void twoThatWaitDoNotWaitForTheSame() throws Exception {
         TestServer peer = serverWithSlowDial();
@@ -726,7 +739,7 @@
         assertEquals(peer.connectionCount.get(), 1);
     }
 
-    /** What waited goes by another, and its host hears of it once. */
+    /** The waiting request is sent over another connection, and its server receives it once. */
     @Test
     public void aSecondAnswerEndsTheWaitAndIsNotTakenForTheAnswer() throws Exception {
         TestServer peer = serverWithSlowDial();
@@ -745,7 +758,7 @@
         assertEquals(peer.connectionCount.get(), 2);
     }
 
-    // ---- bounds -------------------------------------------------------------------------------------------
+    // ---- limits -------------------------------------------------------------------------------------------
 
     @Test
     public void aRequestThatGetsNoConnectionCouldNotConnect() throws Exception {
@@ -769,7 +782,7 @@
         assertNextRequestSent("s1", peer, 1);
     }
 
-    /** A limit of this node's own, of a second, cut it off. */
+    /** Regression test: a fixed limit of one second cut off the connect. */
     @Test
     public void aDialMayTakeWhatTheSettingsSay() throws Exception {
         startWith(100, false, 3 * US_PER_S);
--- a/src/test/java/olivechute/WorkloadApiNodeTest.java
+++ b/src/test/java/olivechute/WorkloadApiNodeTest.java
@@ -19,7 +19,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A node whose identity comes from an agent's socket, and tokens of clients behind a proxy. */
+/**
+ * Tests a node that receives its identity over an agent's socket (SPIFFE Workload API), and tokens of clients behind a
+ * proxy.
+ */
 public class WorkloadApiNodeTest extends SecureNodeTestBase {
     private static final Duration HOUR = Duration.ofHours(1);
     private static final String JWT = "jwt { audience = \"node\", proxies = [\"spiffe://dala.example/proxy\"] }";
@@ -59,8 +62,8 @@
     }
 
     /**
-     * A renewal by the stream is in force for the next handshake; an agent that goes away and comes back is found
-     * again.
+     * An identity renewed by the stream applies to the next handshake; a node reconnects to an agent that goes away and
+     * comes back.
      */
     @Test
     public void identityIsReceivedAndRenewedByStream() throws Exception {
@@ -68,13 +71,13 @@
         TlsContext acme = workloadContext("/client/acme");
         startWithAgent("", endpointEntry("s1", host, "active", 0));
         await(() -> agent.calls() == 1);
-        assertEquals(isServed(acme, "early"), false); // no identity of our own: nobody is spoken with
+        assertEquals(isServed(acme, "early"), false); // the node has no identity, so no handshake succeeds
         publish(issue("/node", Duration.ofSeconds(30)), root.certificate());
         await(() -> isServed(acme, "a" + System.nanoTime()));
         agent.rejectCalls(7);
         agent.closeConnections();
         await(() -> agent.calls() > 1);
-        assertTrue(isServed(acme, "b")); // the last one is in force
+        assertTrue(isServed(acme, "b")); // the last identity is still valid
         clockOffset = Duration.ofSeconds(31);
         assertEquals(isServed(acme, "c"), false);
         publish(issue("/node", HOUR), root.certificate());
@@ -100,8 +103,8 @@
     }
 
     /**
-     * Tokens count on a proxy's connection only, by the keys that the agent brings, for the tenant of the identity that
-     * they show.
+     * Tokens are accepted on a proxy's connection only, verified with the keys from the agent, for the tenant of the
+     * identity that they contain.
      */
     @Test
     public void proxiedTokenIdentifiesTheClient() throws Exception {
@@ -137,7 +140,9 @@
                 403);
         assertEquals(status(workloadContext("/client/bolt"), "t6", good), 403);
         clockOffset = Duration.ofSeconds(61);
-        assertEquals(status(workloadContext("/proxy"), "t7", good), 403); // held a moment ago, and is remembered
+        assertEquals(
+                status(workloadContext("/proxy"), "t7", good),
+                403); // was valid a moment ago, and its verification is cached
     }
 
     private int status(TlsContext identity, String id, String token) {
@@ -159,7 +164,7 @@
         }
     }
 
-    /** The agent is connected and brings nothing: when a renewal is overdue it is asked anew. */
+    /** The agent is connected and sends nothing: when a renewal is overdue, the node reconnects to it. */
     @Test
     public void silentAgentIsRedialledWhenRenewalIsDue() throws Exception {
         TlsContext acme = workloadContext("/client/acme");
@@ -171,7 +176,7 @@
         publish(issue("/node", HOUR), root.certificate());
         agent.silent(false);
         assertEquals(agent.calls(), 1);
-        clockOffset = Duration.ofSeconds(45); // of 120 s of life 15 are left
+        clockOffset = Duration.ofSeconds(45); // 15 s are left of a lifetime of 120 s
         await(() -> agent.calls() == 2);
         clockOffset = Duration.ofSeconds(90);
         await(() -> isServed(acme, "b" + System.nanoTime()));
--- a/src/test/java/olivechute/fleet/BadVersionIT.java
+++ b/src/test/java/olivechute/fleet/BadVersionIT.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** A change that does harm stops by itself, and all nodes run the old version again. */
+/** Tests that a harmful change stops by itself and that all nodes are rolled back to the old version. */
 class BadVersionIT extends FleetIT {
     @Tag("long")
     @Test
--- a/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
+++ b/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Operators who act at once, and what they may do to a change under way. */
+/** Tests concurrent operators, and what they may do to a change in progress. */
 @Tag("long")
 class ConcurrentChangesIT extends FleetIT {
     private static final int ROUNDS = 3;
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(20);
 
-    /** So long that an operator's call reaches the phase that it is meant for. */
+    /** Stages long enough that an operator's call reaches the phase that it is meant for. */
     @Override
     Fleet.Stages stages() {
         return new Fleet.Stages(List.of(1, 4), Duration.ofSeconds(5), Duration.ofSeconds(20), 20, 1);
@@ -49,7 +49,7 @@
             }
             assertChangeEnds("STOPPED", Fleet.BASE);
         }
-        assertInvariantsHold(0); // nothing moved
+        assertInvariantsHold(0); // no node was changed
     }
 
     @Test
@@ -69,7 +69,7 @@
         fleet.awaitPhase("WATCHING", CHANGE_TIMEOUT);
         List<String> paused = fleet.call("pause");
         assertTrue(paused.containsAll(List.of("phase: PAUSED", "stage: 1 of 2")), paused.toString());
-        assertNoNodeDrains(8 * JOBS_PER_SECOND); // longer than the stage is watched at least
+        assertNoNodeDrains(8 * JOBS_PER_SECOND); // longer than the minimum time of the stage
         List<String> shown = fleet.call("show");
         assertTrue(shown.contains("phase: PAUSED"), shown.toString());
         assertTrue(shown.stream().anyMatch(line -> line.startsWith("nodes: 1 ready at v2: ")), shown.toString());
--- a/src/test/java/olivechute/fleet/DiskFullIT.java
+++ b/src/test/java/olivechute/fleet/DiskFullIT.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The disk of the replica that leads becomes full in the middle of a change: it says so and steps aside, another goes
- * on, it comes back.
+ * Tests a full disk of the leader during a change: the replica reports it and steps down, another one continues, and
+ * the first rejoins once there is space.
  */
 @Tag("long")
 class DiskFullIT extends FleetIT {
@@ -37,7 +37,7 @@
         awaitReplicaLine(lead, "follows");
         String next = fleet.leader();
         assertNotEquals(lead, next);
-        fleet.replicas().get(next).kill(); // from here on the one that came back is needed for a majority
+        fleet.replicas().get(next).kill(); // from here on the replica that rejoined is needed for a majority
         List<String> shown = fleet.call("show");
         assertTrue(shown.contains("phase: DONE"), shown.toString());
         assertInvariantsHold(1);
@@ -53,7 +53,7 @@
                 replica -> Files.delete(fleet.data(replica).resolve("probe")));
     }
 
-    /** What fails is the write of the log itself. */
+    /** The write of the Raft log itself fails. */
     @Test
     void logWritesFail() throws IOException, InterruptedException {
         assertAnotherReplicaTakesOver(
--- a/src/test/java/olivechute/fleet/FleetIT.java
+++ b/src/test/java/olivechute/fleet/FleetIT.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
 
-/** Four nodes on two machines under load, for the tests of what a change does to them. */
+/**
+ * Base class of tests of changes: four nodes on two machines under load. Times are in ms where a constant is no
+ * Duration.
+ */
 @Timeout(180)
 abstract class FleetIT {
     static final Duration CHANGE_TIMEOUT = Duration.ofSeconds(90);
@@ -29,7 +32,7 @@
     Fleet fleet;
     private boolean passed;
 
-    /** The stages of every change of the test. */
+    /** Returns the stages of every change of the test. */
     Fleet.Stages stages() {
         return Fleet.Stages.of(4);
     }
@@ -50,8 +53,8 @@
     }
 
     /**
-     * Waits for the end of the change, and then for all four nodes at this version: a machine that was out of reach at
-     * the end finds its order when it is back.
+     * Waits for the end of the change, and then until all four nodes run this version: a machine that was unreachable
+     * at the end receives its order when it is back.
      */
     List<String> assertChangeEnds(String phase, String version) {
         String expectedNodes = "nodes: 4 ready at " + version + ": n0 n1 n2 n3";
@@ -75,13 +78,13 @@
         fleet.nodes().clients().awaitServed(fleet.nodes().ledger().answers().size() + jobs, TIMEOUT_MILLIS);
     }
 
-    /** Proposes an equal program; once the first node has been told to end, the change has begun. */
+    /** Proposes an equivalent program and waits until a node is not ready, which shows that the change has begun. */
     void startChange() {
         fleet.proposeProgram("v2", versions.equivalent());
         fleet.nodes().clients().awaitReady(ready -> ready.containsValue(false), TIMEOUT_MILLIS);
     }
 
-    /** No node is told to end while so many jobs are served. */
+    /** Asserts that no node is drained while this many jobs are served. */
     void assertNoNodeDrains(int jobs) {
         Map<String, Long> from = new HashMap<>();
         fleet.machines()
@@ -94,12 +97,12 @@
                         .toList()));
     }
 
-    /** Notes where each replica's output stands. */
+    /** Records the current position in each replica's output. */
     void markReplicas() {
         fleet.replicas().forEach((id, replica) -> marks.put(id, replica.mark()));
     }
 
-    /** Waits until each other replica says, after its mark, that it leads or whom it follows instead. */
+    /** Waits until each other replica reports, after its mark, that it leads or follows a new leader. */
     void awaitNewLeader(String old) {
         for (var replica : fleet.replicas().entrySet()) {
             if (!replica.getKey().equals(old)) {
@@ -112,7 +115,7 @@
         }
     }
 
-    /** Waits for a line of a replica after its mark. */
+    /** Waits for an output line of a replica after its mark. */
     void awaitReplicaLine(String id, String line) {
         fleet.replicas().get(id).awaitLine("replica " + id + " " + line, marks.get(id), REPLICA_TIMEOUT);
     }
--- a/src/test/java/olivechute/fleet/LeaderFailureIT.java
+++ b/src/test/java/olivechute/fleet/LeaderFailureIT.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The replica that leads falls, or stands still past its term and wakes, in the middle of a change: another goes on,
- * none repeats.
+ * Tests a leader that is killed, or paused past its term and resumed, during a change: another replica continues, and
+ * no step is repeated.
  */
 class LeaderFailureIT extends FleetIT {
     @Test
--- a/src/test/java/olivechute/fleet/MachineFailureIT.java
+++ b/src/test/java/olivechute/fleet/MachineFailureIT.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine falls with old and new nodes at once, which says nothing about the new version: the change waits until it
- * is back.
+ * Tests a machine that fails with old and new nodes on it, which says nothing about the new version: the change is held
+ * until the machine is back.
  */
 @Tag("long")
 class MachineFailureIT extends FleetIT {
     private static final int JOBS_DURING_OUTAGE =
-            12 * JOBS_PER_SECOND; // 12 s of load: longer than a node that answers may be unready
+            12 * JOBS_PER_SECOND; // 12 s of load: longer than a reachable node may stay unready
     private static final Duration HELD_TIMEOUT = Duration.ofSeconds(20);
 
     @Override
--- a/src/test/java/olivechute/fleet/RolloutIT.java
+++ b/src/test/java/olivechute/fleet/RolloutIT.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** A change that does no harm goes through all nodes, one of them away at a time, and nothing is lost. */
+/**
+ * Tests that a harmless change is rolled out to all nodes, with one node unavailable at a time, and that no job is
+ * lost.
+ */
 class RolloutIT extends FleetIT {
     private void assertDone(String version) {
         assertChangeEnds("DONE", version);
--- a/src/test/java/olivechute/fleet/ServeIT.java
+++ b/src/test/java/olivechute/fleet/ServeIT.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Three nodes without a store: what happens to one costs no other a job, and no job is answered or signed twice. */
+/**
+ * Tests three nodes without a store: a failure of one costs the others no job, and no job is answered or signed twice.
+ */
 @Timeout(60)
 class ServeIT {
     private static final long SEED = 20261203;
--- a/src/test/java/olivechute/fleet/SlowVersionIT.java
+++ b/src/test/java/olivechute/fleet/SlowVersionIT.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** A version that does no harm but for its time is stopped by the comparison of delays alone, after one node. */
+/** Tests that a version which is only slower is stopped by the comparison of delays alone, after one node. */
 @Tag("long")
 class SlowVersionIT extends FleetIT {
-    /** The first is watched longer than the comparison needs on four nodes. */
+    /** The first stage is watched for longer than the comparison needs on four nodes. */
     @Override
     Fleet.Stages stages() {
         return new Fleet.Stages(List.of(1, 4), Duration.ofSeconds(3), Duration.ofSeconds(60), 20, 1);
--- a/src/test/java/olivechute/fleet/StoreOutageIT.java
+++ b/src/test/java/olivechute/fleet/StoreOutageIT.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A machine is cut off from the store, or the store is gone: nodes serve on, and what was decided meanwhile is carried
- * out afterwards.
+ * Tests a machine that is partitioned from the store, and a store that is down: nodes keep serving, and decisions made
+ * meanwhile are carried out afterwards.
  */
 @Tag("long")
 class StoreOutageIT extends FleetIT {
@@ -16,7 +16,7 @@
     void machineIsPartitionedDuringRollback() {
         fleet.proposeProgram("v2", versions.equivalent());
         Set<String> away = new TreeSet<>();
-        // Both in one wait: a node may be back before a second one begins.
+        // Both conditions in one wait, as a node may be ready again before a second wait begins.
         fleet.nodes()
                 .clients()
                 .awaitReady(
--- a/src/test/java/olivechute/rig/DiscoveryStub.java
+++ b/src/test/java/olivechute/rig/DiscoveryStub.java
@@ -8,8 +8,8 @@
 import olivechute.http.MessageWriter;
 
 /**
- * A stand-in of discovery: to each node the workers with the addresses that are for it. The list never changes; a watch
- * waits its time.
+ * A stub of discovery with one listener for each node, which returns the workers with their addresses for that node.
+ * The list never changes, so a watch waits for its whole timeout.
  */
 public final class DiscoveryStub implements AutoCloseable {
     private static final String INDEX = "1";
@@ -24,7 +24,7 @@
         this.zone = zone;
     }
 
-    /** Listens for this node; returns where, as settings write it. */
+    /** Starts a listener for this node and returns its address in the form used in settings. */
     public synchronized String addNode(String node) {
         byte[] whole = list(true, workers.entries(node, zone));
         byte[] same = list(false, "");
--- a/src/test/java/olivechute/rig/EventLedger.java
+++ b/src/test/java/olivechute/rig/EventLedger.java
@@ -5,32 +5,32 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the stand-ins saw, as far as {@link FleetCheck} asks for it. Times are ms of {@link #now}. */
+/** Events recorded by clients and workers for {@link FleetInvariants}. Times are ms of {@link #now}. Thread-safe. */
 public final class EventLedger {
     private static final int MAX_ENTRIES = 200_000;
 
-    /** How a job ended for its client. */
+    /** Outcome of a job for its client. */
     public enum Outcome {
         /** 200. */
         SERVED,
         /** 429 or 503. */
         REFUSED,
-        /** Any other answer. */
+        /** Any other response. */
         FAILED,
-        /** The connection ended without a whole answer, or none came in time. */
+        /** The connection ended without a complete response, or none arrived in time. */
         LOST,
-        /** No connection came up, or it broke before the request was written: it was never handed in. */
+        /** No connection was established, or it failed before the request was written: the job was never submitted. */
         NOT_TAKEN
     }
 
-    /** A job that a client handed in to a node, and its end. */
+    /** A job that a client submitted to a node, and its outcome. */
     public record Job(
             String id, String requestClass, String key, String node, long sent, long ended, Outcome end, int status) {}
 
-    /** An answer that a client read which belongs to this job, whichever it waited for. */
+    /** A response to this job that a client read, whichever response it waited for. */
     public record Answer(String id, String node, long atMs) {}
 
-    /** How a job went at a worker; {@code done}: it ran to its end and was not given up before. */
+    /** One execution of a job by a worker; {@code done} if it completed and was not cancelled before. */
     public record Execution(
             String worker,
             String node,
@@ -41,10 +41,10 @@
             long ended,
             boolean done) {}
 
-    /** A look at a node's readiness that was sent and answered (or failed) between these moments. */
+    /** A readiness probe that was sent and answered (or failed) at these times. */
     public record ReadinessProbe(String node, long sent, long answered, boolean ready) {}
 
-    /** The test itself stopped a node from serving: it killed or paused it, or cut its clients off. */
+    /** A period during which the test itself prevented a node from serving: it killed, paused or partitioned it. */
     public record Outage(String node, long from, long to) {}
 
     private final List<Job> jobs = new ArrayList<>();
@@ -53,14 +53,14 @@
     private final List<ReadinessProbe> probes = new ArrayList<>();
     private final List<Outage> outages = new ArrayList<>();
 
-    /** The clock of all entries. */
+    /** Returns the time of entries, in ms of {@link System#nanoTime}. */
     public static long now() {
         return System.nanoTime() / 1_000_000;
     }
 
     private synchronized <T> void add(List<T> list, T entry) {
         if (list.size() == MAX_ENTRIES) {
-            throw new TestSetupException("over " + MAX_ENTRIES + " entries: make the load smaller");
+            throw new TestSetupException("more than " + MAX_ENTRIES + " entries: reduce the load");
         }
         list.add(entry);
     }
@@ -81,7 +81,7 @@
         add(probes, look);
     }
 
-    /** The jobs that this node had between those moments are not asked for. */
+    /** Excludes the jobs of this node in this period from the check for lost jobs. */
     public void addOutage(String node, long from, long to) {
         add(outages, new Outage(node, from, to));
     }
@@ -106,14 +106,14 @@
         return List.copyOf(outages);
     }
 
-    /** Jobs by class and end, for a test's output. */
+    /** Returns the number of jobs by class and outcome, for the output of a test. */
     public Map<String, Long> counts() {
         Map<String, Long> counts = new TreeMap<>();
         jobs().forEach(job -> counts.merge(job.requestClass() + " " + job.end(), 1L, Long::sum));
         return counts;
     }
 
-    /** Jobs of a class with that end. */
+    /** Returns the number of jobs of a class with this outcome. */
     public long count(String requestClass, Outcome end) {
         return jobs().stream()
                 .filter(job -> job.requestClass().equals(requestClass) && job.end() == end)
--- a/src/test/java/olivechute/rig/Fleet.java
+++ b/src/test/java/olivechute/rig/Fleet.java
@@ -9,12 +9,13 @@
 import java.util.Map;
 
 /**
- * A whole fleet on loopback: three replicas of the store, each a machine of its own; machines m0, m1 and so on, each a
- * supervisor with its nodes; discovery, workers and clients. All nodes begin under the version {@code base}, the built
- * jar. A supervisor reaches each replica over a link of its own. Everything is ready when the constructor returns.
+ * A whole fleet on loopback: three replicas of the store, each on a machine of its own; machines m0, m1 and so on, each
+ * with a supervisor and its nodes; discovery, workers and clients. All nodes start with the version {@code base}, the
+ * built jar. A supervisor reaches each replica over a separate {@link LinkProxy}. Everything is ready when the
+ * constructor returns.
  */
 public final class Fleet implements AutoCloseable {
-    /** The version that all nodes begin with. */
+    /** The version that all nodes start with. */
     public static final String BASE = "base";
 
     private static final List<String> REPLICAS = List.of("a", "b", "c");
@@ -32,16 +33,19 @@
     private final Map<String, Path> data = new LinkedHashMap<>();
     private final Stages stages;
 
-    /** The stages of every change: nodes at their ends, and the least and longest time and the least jobs of each. */
+    /**
+     * The stages of every change: the number of new nodes at the end of each, the minimum and maximum duration and the
+     * minimum number of jobs of each stage, and the maximum number of unavailable nodes.
+     */
     public record Stages(
             List<Integer> nodes, Duration minDuration, Duration maxDuration, int minJobs, int maxUnavailable) {
-        /** One node, then all; 3 to 20 s each. */
+        /** Returns two stages, one node and then all, of 3 to 20 s each. */
         public static Stages of(int nodes) {
             return new Stages(List.of(1, nodes), Duration.ofSeconds(3), Duration.ofSeconds(20), 20, 1);
         }
     }
 
-    /** A fleet of so many machines with so many nodes each. */
+    /** Starts a fleet with default stages. */
     public Fleet(int machines, int nodesEach, long seed) {
         this(machines, nodesEach, seed, Stages.of(machines * nodesEach));
     }
@@ -155,7 +159,7 @@
         return text.append("]\n").toString();
     }
 
-    /** The nodes, and the stand-ins around them. */
+    /** Returns the nodes with their clients, workers and discovery. */
     public TestNodes nodes() {
         return nodes;
     }
@@ -172,7 +176,7 @@
         return supervisors.get(machine);
     }
 
-    /** The folder that a replica keeps its data in. */
+    /** Returns the data directory of a replica. */
     public Path data(String replica) {
         return data.get(replica);
     }
@@ -181,7 +185,7 @@
         return machineOf.get(node);
     }
 
-    /** The id of the replica that leads, as the last word of all that live has it. */
+    /** Returns the id of the leader: the replica that reported the highest term. */
     public String leader() {
         String lead = null;
         long term = -1;
@@ -197,12 +201,12 @@
             }
         }
         if (lead == null) {
-            throw new TestSetupException("no replica leads");
+            throw new TestSetupException("no replica reported that it leads");
         }
         return lead;
     }
 
-    /** Cuts a machine's supervisor off from the store. */
+    /** Partitions a machine's supervisor from the store. */
     public void partition(String machine) {
         links.get(machine).forEach(LinkProxy::partition);
     }
@@ -211,12 +215,12 @@
         links.get(machine).forEach(LinkProxy::heal);
     }
 
-    /** Runs a call of the operator to its end; returns its output, a fault if its status is not 0. */
+    /** Runs an operator's command to its end and returns its output; throws if its exit status is not 0. */
     public List<String> call(String... args) {
         return call(CALL_TIMEOUT, args);
     }
 
-    /** Begins a call of the operator; the caller closes it. */
+    /** Starts an operator's command; the caller closes it. */
     public TestProcess startCall(String... args) {
         List<String> whole = new ArrayList<>(List.of(
                 "change", args[0], "--settings", folder.resolve("change.conf").toString()));
@@ -237,12 +241,10 @@
         }
     }
 
-    /** Proposes a change of program. */
     public void proposeProgram(String id, Path jar) {
         call("propose", "--id", id, "--program", jar.toString());
     }
 
-    /** Proposes a change of settings. */
     public void proposeSettings(String id, String overlay) {
         call(
                 "propose",
@@ -252,12 +254,12 @@
                 folder.write(id + ".conf", overlay).toString());
     }
 
-    /** Waits until the change is in this phase; returns what the operator is shown then. */
+    /** Waits until the change is in this phase and returns the output of the show command. */
     public List<String> awaitPhase(String phase, Duration within) {
         return call(within.plus(CALL_TIMEOUT), "show", "--wait", phase, "--within", String.valueOf(within.toSeconds()));
     }
 
-    /** The last lines of all programs, for a test that failed. */
+    /** Returns the last output lines of all processes, for the report of a failed test. */
     public String recentOutput() {
         StringBuilder story = new StringBuilder();
         replicas.values().forEach(p -> appendOutput(story, p));
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -9,28 +9,28 @@
 import java.util.TreeMap;
 
 /**
- * The rules that a fleet keeps whatever is changed in it, checked over what the stand-ins saw. It finds only what must
- * have been so: a node that was ready before counts as away from the first look that found it so to the last in a row.
+ * Checks the invariants of a fleet during changes against the ledger. Only certain violations are reported: a node that
+ * was ready before counts as unavailable from the first to the last of consecutive probes that found it not ready.
  */
 public final class FleetInvariants {
-    /** The rules. */
+    /** An invariant of the fleet. */
     public enum Rule {
-        /** A job that was handed in has exactly one final answer, unless the test stopped its node meanwhile. */
+        /** Each submitted job gets exactly one final response, unless the test stopped its node meanwhile. */
         LOST,
-        /** No job is answered twice. */
+        /** No job gets two responses. */
         ANSWERED_TWICE,
-        /** No job of class sign runs to its end twice. */
+        /** No job of class sign completes twice. */
         SIGNED_TWICE,
-        /** No more nodes are away at once than allowed. */
+        /** No more nodes are unavailable at once than allowed. */
         TOO_MANY_AWAY
     }
 
-    /** A rule that was broken, and by what. */
+    /** A violated invariant and the entries that show it. */
     public record Violation(Rule rule, String evidence) {}
 
     private FleetInvariants() {}
 
-    /** All violations; {@code mostAway} nodes may be away at once, negative where that is not asked. */
+    /** Returns all violations; {@code mostAway} nodes may be unavailable at once, negative to skip that check. */
     public static List<Violation> check(EventLedger ledger, int mostAway) {
         List<Violation> found = new ArrayList<>();
         checkLost(ledger, found);
@@ -84,12 +84,12 @@
                 .forEach(look -> byNode.computeIfAbsent(look.node(), n -> new ArrayList<>())
                         .add(look));
         TreeMap<Long, List<String>> steps =
-                new TreeMap<>(); // "+node" where its time away begins, "-node" where it ends
+                new TreeMap<>(); // "+node" where its unavailability begins, "-node" where it ends
         byNode.forEach((node, looks) -> {
             looks.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
             int first = 0;
             while (first < looks.size() && !looks.get(first).ready()) {
-                first++; // not away: it has not come yet
+                first++; // not unavailable: it has not been ready yet
             }
             for (int i = first; i < looks.size(); i++) {
                 int last = i;
@@ -117,8 +117,8 @@
                 }
             }
             if (away.size() > mostAway && !over) {
-                found.add(
-                        new Violation(Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + mostAway + " may be"));
+                found.add(new Violation(
+                        Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + mostAway + " allowed"));
             }
             over = away.size() > mostAway;
         }
--- a/src/test/java/olivechute/rig/FleetInvariantsTest.java
+++ b/src/test/java/olivechute/rig/FleetInvariantsTest.java
@@ -9,7 +9,7 @@
 import olivechute.rig.FleetInvariants.Rule;
 import org.junit.jupiter.api.Test;
 
-/** A history without fault passes, and each violation planted in it is found, wherever it lies. */
+/** Tests that a valid history passes and that each injected violation is found, wherever it occurs. */
 class FleetInvariantsTest {
     private static final int JOBS = 200;
 
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Jobs that are served, refused and failed, an attempt given up beside another that is done, and a node killed with
-     * its jobs.
+     * Adds jobs that are served, rejected and failed, a cancelled attempt beside a completed one, and a killed node
+     * with its jobs.
      */
     private void clean() {
         for (int n = 0; n < JOBS; n++) {
@@ -66,9 +66,9 @@
         clean();
         looks(0, 100, 300);
         looks(1, 300, 500);
-        looks(2, 490, 530); // its first look as away comes after the last of the node before
-        looks(4, 0, 290); // not there before
-        looks(3, 700, 720); // one look alone says nothing of how long
+        looks(2, 490, 530); // its first failed probe comes after the last one of the previous node
+        looks(4, 0, 290); // not ready before
+        looks(3, 700, 720); // a single failed probe shows no duration
         assertEquals(List.of(), found(1));
     }
 
--- a/src/test/java/olivechute/rig/HttpStub.java
+++ b/src/test/java/olivechute/rig/HttpStub.java
@@ -13,17 +13,17 @@
 import olivechute.http.RequestParser;
 import olivechute.net.Threads;
 
-/** A listener of a stand-in on a loopback address of the system's choice, with a thread for each connection. */
+/** A stub HTTP server on a loopback port chosen by the system, with one thread for each connection. */
 final class HttpStub implements AutoCloseable {
     private final ServerSocket server;
     private final Responder responder;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
 
-    /** The bytes to answer a request with. */
+    /** Produces the response to a request. */
     interface Responder {
         byte[] answer(HttpRequest request) throws InterruptedException;
 
-        /** Whether a request whose connection its sender has ended already is left alone: it gave it up. */
+        /** Returns whether requests are ignored whose connection the client has already closed, which cancels them. */
         default boolean ignoresClosedConnections() {
             return false;
         }
@@ -34,7 +34,7 @@
         try {
             server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new TestSetupException("no listener for " + name, e);
+            throw new TestSetupException("cannot listen for " + name, e);
         }
         Threads.start("rig-" + name, () -> {
             try {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** True if the other side has ended the connection; nothing else may come on it now. */
+    /** Returns true if the client has closed the connection; nothing else may arrive on it at this point. */
     private static boolean isClosedByClient(Socket socket) throws IOException {
         socket.setSoTimeout(1);
         try {
@@ -99,7 +99,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            throw new TestSetupException("a listener does not close", e);
+            throw new TestSetupException("cannot close a listener", e);
         }
         sockets.forEach(LinkProxy::closeQuietly);
     }
--- a/src/test/java/olivechute/rig/HttpTestConnection.java
+++ b/src/test/java/olivechute/rig/HttpTestConnection.java
@@ -7,7 +7,7 @@
 import olivechute.http.HttpResponse;
 import olivechute.http.ResponseParser;
 
-/** One connection of a stand-in, one exchange at a time. */
+/** A client connection of the test harness, one exchange at a time. Not thread-safe. */
 final class HttpTestConnection implements AutoCloseable {
     private final Socket socket = new Socket();
     private final ResponseParser parser = new ResponseParser();
@@ -29,7 +29,7 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** The next answer; null if the connection ends cleanly before its first byte. */
+    /** Returns the next response, or null if the connection ends cleanly before its first byte. */
     HttpResponse receive(int withinMillis) throws IOException, HttpException {
         long end = EventLedger.now() + withinMillis;
         boolean begun = false;
@@ -54,8 +54,7 @@
     }
 
     /**
-     * An answer that nobody waits for and that has come already, null for none; a connection that has ended is none
-     * either.
+     * Returns an unsolicited response that has already arrived, or null if there is none or the connection has ended.
      */
     HttpResponse pollUnsolicited() {
         try {
--- a/src/test/java/olivechute/rig/InjectedFaults.java
+++ b/src/test/java/olivechute/rig/InjectedFaults.java
@@ -6,7 +6,8 @@
 import olivechute.proxy.RequestDispatcher;
 
 /**
- * What {@link Versions} puts into a program: its class goes into the jar, and calls of the program's own are led here.
+ * Faults that {@link TestVersions} injects into a jar: this class is added to the jar, and patched code calls these
+ * methods.
  */
 public final class InjectedFaults {
     private static final int REJECTION_INTERVAL = 10;
@@ -15,19 +16,19 @@
     private InjectedFaults() {}
 
     /**
-     * In place of handing a new stream to the module: every tenth of class sign is refused as the module itself would
-     * refuse it.
+     * Replaces the call that passes a new request to the load balancer: every tenth request of class sign is rejected
+     * as the load balancer itself would reject it.
      */
     public static void rejectEveryTenth(LoadBalancer module, long now, Request request, RequestDispatcher dispatcher) {
         if (request.requestClass().equals("sign") && SIGN_REQUESTS.incrementAndGet() % REJECTION_INTERVAL == 0) {
-            System.err.println("planted refusal of " + request.id());
+            System.err.println("injected rejection of " + request.id());
             dispatcher.reject(request.id(), 0);
         } else {
             module.onRequest(now, request);
         }
     }
 
-    /** Holds up the thread that read a job. */
+    /** Blocks the calling thread, which read a job, for this time. */
     public static void delay(int millis) {
         try {
             Thread.sleep(millis);
@@ -36,15 +37,15 @@
         }
     }
 
-    /** Ends the process with status 3 that long after. */
+    /** Ends the process with status 3 after this time. */
     public static void crashAfter(int millis) {
         Thread thread = new Thread(
                 () -> {
                     delay(millis);
-                    System.err.println("planted crash");
+                    System.err.println("injected crash");
                     Runtime.getRuntime().halt(3);
                 },
-                "planted");
+                "injected-crash");
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -1,12 +1,15 @@
 package olivechute.rig;
 
-/** The faults of one way of a link, for all its connections; a change of them takes effect on what waits. */
+/**
+ * The faults of one direction of a link, shared by all its connections; changes take effect on waiting data too.
+ * Thread-safe.
+ */
 final class LinkFaults {
     private static final long NS_PER_SECOND = 1_000_000_000;
 
     private boolean partitioned;
     private long delayNs; // ns
-    private int rate; // bytes a second, 0 for any
+    private int rate; // 0 for no limit
 
     synchronized void partitioned(boolean now) {
         partitioned = now;
@@ -41,8 +44,8 @@
     }
 
     /**
-     * Waits until bytes that came at this moment may pass, the last ones having passed then; times of
-     * {@link System#nanoTime}.
+     * Waits until bytes that were received at {@code came} may be forwarded, given the time and size of the last
+     * forwarded bytes; times are those of {@link System#nanoTime}.
      */
     synchronized void awaitPass(long came, long lastPassed, int lastBytes) throws InterruptedException {
         for (; ; ) {
@@ -59,7 +62,7 @@
         }
     }
 
-    /** The most bytes to let pass at once: a twentieth of a second's. */
+    /** Returns how many bytes to forward at once: at most those of a twentieth of a second. */
     synchronized int maxChunk(int offered) {
         return rate == 0 ? offered : Math.min(offered, Math.max(1, rate / 20));
     }
--- a/src/test/java/olivechute/rig/LinkProxy.java
+++ b/src/test/java/olivechute/rig/LinkProxy.java
@@ -16,17 +16,19 @@
 import olivechute.net.Threads;
 
 /**
- * One link: forwards TCP from a loopback address of its own to a target, each way with the faults of that way. Cut, it
- * says nothing: connections stay open, what is sent waits in bounded buffers, and new ones never come up, as its listen
- * queue is full; healed, what waited goes on. Two threads a way and connection, blocking sockets.
+ * A TCP proxy that simulates one network link with faults: it forwards connections from a loopback address of its own
+ * to a target, with separate faults for each direction. While partitioned it sends nothing: connections stay open, data
+ * waits in bounded buffers, and new connections are not established because the listen backlog is full; after healing,
+ * waiting data is forwarded. Uses blocking sockets with two threads for each direction of a connection.
  */
 public final class LinkProxy implements AutoCloseable {
-    private static final int BACKLOG = 8; // of connections not accepted
+    private static final int BACKLOG = 8; // connections that are not accepted yet
     private static final int MAX_FILLERS = 4 * BACKLOG;
-    private static final int FILLER_TIMEOUT_MILLIS = 40; // a connection to a queue with room comes up at once
+    private static final int FILLER_TIMEOUT_MILLIS =
+            40; // a connection is established at once while the backlog has space
     private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
-    /** The two ways of a link. */
+    /** The directions of a link. */
     public enum Direction {
         TO_TARGET,
         FROM_TARGET
@@ -40,31 +42,31 @@
     private final List<Socket> fillers = new CopyOnWriteArrayList<>();
     private final Set<Integer> fillerPorts = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
-    private boolean acceptorPaused; // guarded by parking: nothing is accepted
+    private boolean acceptorPaused; // guarded by acceptorLock; true while no connection is accepted
     private final Object acceptorLock = new Object();
 
-    /** A link to this address. */
+    /** Starts a proxy to this address. */
     public LinkProxy(InetSocketAddress target) {
         this.target = target;
         try {
             server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new TestSetupException("no listener for a link", e);
+            throw new TestSetupException("cannot listen for a link", e);
         }
         Threads.start("link-accept", this::accept);
     }
 
-    /** Where what goes through the link connects to. */
+    /** Returns the address on which the proxy listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** The same as settings write it. */
+    /** Returns the address in the form used in settings. */
     public String hostAndPort() {
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
-    /** Silence on these ways, both where none is named; no connection comes up meanwhile. */
+    /** Stops forwarding in these directions, in both if none is given; no connection is established meanwhile. */
     public synchronized void partition(Direction... ways) {
         for (Direction way : ways.length == 0 ? Direction.values() : ways) {
             faults.get(way).partitioned(true);
@@ -72,33 +74,33 @@
         fillBacklog();
     }
 
-    /** All that passes this way comes so much later. */
+    /** Delays all data in this direction. */
     public void delay(Direction way, Duration by) {
         faults.get(way).delayNs(by.toNanos());
     }
 
-    /** At most so many bytes a second pass this way on each connection. */
+    /** Limits the bytes per second of each connection in this direction. */
     public void limitRate(Direction way, int bytesPerSecond) {
         faults.get(way).rate(bytesPerSecond);
     }
 
-    /** Resets all connections; new ones come up unless it is cut. */
+    /** Resets all connections; new ones are established unless the link is partitioned. */
     public void reset() {
         openConnections.forEach(ProxiedConnection::reset);
     }
 
-    /** No fault any more; what waited goes on. */
+    /** Removes all faults; waiting data is forwarded. */
     public synchronized void heal() {
         faults.values().forEach(LinkFaults::heal);
         drainBacklog();
     }
 
-    /** Connections that are open now. */
+    /** Returns the number of open connections. */
     public int connections() {
         return openConnections.size();
     }
 
-    /** Fills the listen queue with connections of our own, so that the next one's handshake is not answered. */
+    /** Fills the listen backlog with own connections, so that the next connection's handshake is not answered. */
     private void fillBacklog() {
         for (int i = 0; i < MAX_FILLERS; i++) {
             Socket filler = new Socket();
@@ -113,10 +115,10 @@
                 return;
             } catch (IOException e) {
                 closeQuietly(filler);
-                throw new TestSetupException("the link cannot be cut", e);
+                throw new TestSetupException("cannot partition the link", e);
             }
         }
-        throw new TestSetupException("the link's listen queue does not fill");
+        throw new TestSetupException("the listen backlog of the link does not fill");
     }
 
     private void waitWhilePartitioned() throws InterruptedException {
@@ -130,7 +132,9 @@
         }
     }
 
-    /** The first filler wakes the thread that accepts; only then does the queue stay as full as it is. */
+    /**
+     * Waits until the accepting thread, which the first filler wakes, has paused; only then does the backlog stay full.
+     */
     private void awaitAcceptorPaused() {
         synchronized (acceptorLock) {
             try {
@@ -175,7 +179,7 @@
     private void forward(Socket client) {
         try {
             for (LinkFaults gate : faults.values()) {
-                gate.awaitOpen(); // accepted in the moment of a cut: it stays silent
+                gate.awaitOpen(); // accepted just as the link was partitioned: stays silent
             }
             Socket dialled = new Socket();
             dialled.connect(target, CONNECT_TIMEOUT_MILLIS);
@@ -196,7 +200,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            return; // it is gone either way
+            return; // the socket is unusable either way
         }
     }
 
@@ -213,7 +217,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            throw new TestSetupException("the link does not close", e);
+            throw new TestSetupException("cannot close the link", e);
         }
     }
 }
--- a/src/test/java/olivechute/rig/LinkProxyTest.java
+++ b/src/test/java/olivechute/rig/LinkProxyTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each fault of a link as a client sees it that talks to an echo through it. */
+/** Tests each fault of a link as seen by a client of an echo server behind it. */
 @Timeout(20)
 class LinkProxyTest {
     private static final int SILENT_MILLIS = 300;
@@ -120,7 +120,7 @@
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
             link.partition();
-            socket.shutdownOutput(); // the echo would end the connection
+            socket.shutdownOutput(); // the echo server closes the connection in response
             assertSilent(socket);
             link.heal();
             assertEquals(-1, socket.getInputStream().read());
@@ -156,7 +156,7 @@
         try (Socket socket = connect(1000)) {
             long begun = System.nanoTime();
             assertEquals(10_000, exchange(socket, new byte[10_000]).length);
-            assertTrue(System.nanoTime() - begun >= 400_000_000); // 10 pieces of 1000, the first at once
+            assertTrue(System.nanoTime() - begun >= 400_000_000); // 10 chunks of 1000 bytes, the first at once
         }
     }
 
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -20,14 +20,16 @@
 import olivechute.http.MessageWriter;
 
 /**
- * Stand-ins of the clients and the front before the nodes: jobs of classes verify and sign in turn at a given rate,
- * whatever their answers, each to one of the nodes that said last that they are ready. No job is tried again but where
- * a kept connection ended as it was sent. All goes into the ledger: each job, each answer (by the id that its body
- * names) and each look at a node's readiness.
+ * Clients and the front-end load balancer of the nodes. Jobs of classes verify and sign alternate at a fixed rate,
+ * independent of their responses, each sent to a random node whose last probe found it ready. A job is resent only if a
+ * kept-alive connection ended as it was sent. The ledger records each job, each response (under the id that its body
+ * names) and each readiness probe.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // the ledger shows what became of each request
+@SuppressWarnings("FutureReturnValueIgnored") // the ledger records the outcome of each request
 public final class LoadClients implements AutoCloseable {
-    /** ms that a client waits for its answer, and for how long after that it still listens. */
+    /**
+     * Time in ms that a client waits for its response; it keeps listening for {@code LATE_ANSWER_MILLIS} after that.
+     */
     public static final int DEADLINE_MILLIS = 5000;
 
     private static final int LATE_ANSWER_MILLIS = 500;
@@ -49,7 +51,7 @@
     private int openJobs;
     private boolean stopped;
 
-    /** {@code seed} decides which node a job goes to. */
+    /** Creates the clients; {@code seed} determines which node each job is sent to. */
     public LoadClients(EventLedger ledger, long seed) {
         this.ledger = ledger;
         this.random = new SplittableRandom(seed);
@@ -62,7 +64,7 @@
         return thread;
     }
 
-    /** Looks at this node from now on, 20 times a second. */
+    /** Starts probing the readiness of this node, 20 times a second. */
     public void addNode(String node, InetSocketAddress address) {
         nodes.put(node, address);
         idleConnections.put(node, new ConcurrentLinkedDeque<>());
@@ -87,12 +89,12 @@
         }
     }
 
-    /** Waits until what is known of the nodes' readiness is so. */
+    /** Waits until the known readiness of the nodes meets the condition. */
     public void awaitReady(Predicate<Map<String, Boolean>> holds, long withinMillis) {
         await(() -> holds.test(ready), withinMillis, "nodes ready: ");
     }
 
-    /** Waits until so many jobs were served. */
+    /** Waits until this many jobs were answered. */
     public void awaitServed(long jobs, long withinMillis) {
         await(() -> ledger.answers().size() >= jobs, withinMillis, "served: " + ledger.counts() + ", nodes ready: ");
     }
@@ -116,7 +118,7 @@
         }
     }
 
-    /** Hands in so many jobs a second until {@link #stop}. */
+    /** Submits jobs at this rate until {@link #stop}. */
     public void startLoad(double perSecond) {
         long gap = Math.round(1_000_000_000 / perSecond);
         scheduler.scheduleAtFixedRate(this::submitJob, 0, gap, TimeUnit.NANOSECONDS);
@@ -210,7 +212,10 @@
                 : status == 429 || status == 503 ? EventLedger.Outcome.REFUSED : EventLedger.Outcome.FAILED;
     }
 
-    /** A served answer's body names the job that it belongs to; any other is taken for the one that is waited for. */
+    /**
+     * Records a response: the body of a served one names its job, any other is attributed to the job that is waited
+     * for.
+     */
     private void recordAnswer(String node, String waitedFor, HttpResponse answer) {
         String id = answer.status() == 200
                 ? new String(answer.body(), StandardCharsets.US_ASCII).split(" ", 2)[0]
@@ -234,7 +239,7 @@
         }
     }
 
-    /** Hands in no more, and waits until all that was has ended. */
+    /** Stops submitting jobs and waits until all submitted ones have ended. */
     public void stop() {
         synchronized (lock) {
             stopped = true;
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -7,7 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The last lines of a process's output, numbered from 0 over its whole life, and a wait for one. */
+/** The last output lines of a process, numbered from 0 across restarts, and a blocking wait for a line. Thread-safe. */
 final class OutputLines {
     private static final int MAX_LINES = 4096;
     private static final int LINES_IN_ERRORS = 30;
@@ -31,13 +31,13 @@
         notifyAll();
     }
 
-    /** Its process is about to start; returns the number of this life for {@link #end}. */
+    /** Marks the start of the process; returns the number of the start for {@link #onEnd}. */
     synchronized int onStart() {
         ended = false;
         return ++startNumber;
     }
 
-    /** No more comes of that life. */
+    /** Marks the end of the output of that start. */
     synchronized void onEnd(int of) {
         ended |= of == startNumber;
         notifyAll();
@@ -51,12 +51,12 @@
         return List.copyOf(kept);
     }
 
-    /** The lines from number {@code from} on that are still kept. */
+    /** Returns the retained lines from number {@code from} on. */
     synchronized List<String> after(long from) {
         return all().subList((int) Math.max(0, Math.min(kept.size(), from - (count - kept.size()))), kept.size());
     }
 
-    /** The first line from number {@code from} on in which the pattern is found, the match at it; waits for it. */
+    /** Waits for the first line from number {@code from} on that contains the pattern and returns the match. */
     synchronized Matcher await(Pattern pattern, long from, Duration within) {
         long end = System.nanoTime() + within.toNanos();
         long next = from;
@@ -75,7 +75,7 @@
             long left = (end - System.nanoTime()) / 1_000_000;
             if (ended || left <= 0) {
                 throw new TestSetupException(processName
-                        + (ended ? " ended" : " took over " + within.toMillis() + " ms") + " without a line of /"
+                        + (ended ? " ended" : " took over " + within.toMillis() + " ms") + " without a line matching /"
                         + pattern + "/; its last lines:\n" + String.join("\n", tail()));
             }
             try {
--- a/src/test/java/olivechute/rig/Ports.java
+++ b/src/test/java/olivechute/rig/Ports.java
@@ -7,13 +7,13 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Loopback ports that were free a moment ago; none is given twice in this virtual machine. */
+/** Allocates loopback ports that were free a moment ago; none is allocated twice in this virtual machine. */
 public final class Ports {
     private static final Set<Integer> USED_PORTS = new HashSet<>();
 
     private Ports() {}
 
-    /** One more, as an address. */
+    /** Returns the address of a free port. */
     public static synchronized InetSocketAddress free() {
         try {
             for (; ; ) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** As settings write it. */
+    /** Returns an address in the form used in settings. */
     public static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/src/test/java/olivechute/rig/ProcessSpec.java
+++ b/src/test/java/olivechute/rig/ProcessSpec.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * How a process is started: {@code prefix} (a command that ends by running its arguments in its own place, as
- * {@link Folder#fileLimit} gives), then {@code command}; {@code environment} over this process's own; {@code folder} is
- * what a restart may empty, null for none.
+ * Specification of a process: {@code prefix} (a command that finally executes its arguments in its place, as
+ * {@link TestDirectory#fileLimit} returns), then {@code command}; {@code environment} is added to this process's own;
+ * {@code directory} is cleared by a clean restart, null for none.
  */
 public record ProcessSpec(
         String name,
@@ -17,10 +17,10 @@
         List<String> command,
         Map<String, String> environment,
         TestDirectory directory) {
-    /** The jar as the build left it. */
+    /** The jar made by the build. */
     public static final Path JAR = Path.of("target", "olivechute.jar").toAbsolutePath();
 
-    /** Flags of a node's virtual machine. */
+    /** Flags of the virtual machine of a node. */
     static final List<String> FLAGS = List.of(
             "-Xmx64m",
             "-XX:+UseSerialGC",
@@ -35,17 +35,17 @@
         environment = Map.copyOf(environment);
     }
 
-    /** A program of the system. */
+    /** Specifies a system command. */
     public static ProcessSpec command(String name, String... command) {
         return new ProcessSpec(name, List.of(), List.of(command), Map.of(), null);
     }
 
-    /** A command of a jar of this program, in a small virtual machine as a node gets. */
+    /** Specifies a command of the given jar, in a small virtual machine as used for a node. */
     public static ProcessSpec jar(String name, Path jar, String... args) {
         return java(name, FLAGS, jar, args);
     }
 
-    /** A command of a jar that shares a store. */
+    /** Specifies a command of the given jar that uses the store. */
     public static ProcessSpec fleetCommand(String name, Path jar, String... args) {
         return java(
                 name,
@@ -64,24 +64,24 @@
         return new ProcessSpec(name, List.of(), command, Map.of(), null);
     }
 
-    /** The java that runs the tests. */
+    /** Returns the path of the java executable that runs the tests. */
     public static String java() {
         return Path.of(System.getProperty("java.home"), "bin", "java").toString();
     }
 
-    /** With a variable of the environment. */
+    /** Returns a copy with an environment variable added. */
     public ProcessSpec withEnvironment(String variable, String value) {
         Map<String, String> more = new HashMap<>(environment);
         more.put(variable, value);
         return new ProcessSpec(name, prefix, command, more, directory);
     }
 
-    /** Behind a prefix. */
+    /** Returns a copy with this prefix. */
     public ProcessSpec withPrefix(List<String> before) {
         return new ProcessSpec(name, before, command, environment, directory);
     }
 
-    /** With a folder of its own. */
+    /** Returns a copy with this directory. */
     public ProcessSpec withDirectory(TestDirectory own) {
         return new ProcessSpec(name, prefix, command, environment, own);
     }
