--- a/src/test/java/olivechute/rig/ProxiedConnection.java
+++ b/src/test/java/olivechute/rig/ProxiedConnection.java
@@ -9,7 +9,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import olivechute.net.Threads;
 
-/** One connection through a link. Each way has a reader, a bounded queue and a writer. */
+/**
+ * One connection through a {@link LinkProxy}. Each direction has a reader thread, a bounded queue and a writer thread.
+ */
 final class ProxiedConnection {
     private static final int CHUNK_BYTES = 8 * 1024;
     private static final int MAX_QUEUED_CHUNKS = 32;
@@ -21,7 +23,10 @@
     private final Set<ProxiedConnection> openConnections;
     private final AtomicInteger openDirections = new AtomicInteger(2);
 
-    /** Bytes and when they came; none: the end, broken where it was no clean one. */
+    /**
+     * Bytes and the time at which they were read ({@link System#nanoTime}); an empty chunk is the end of the stream,
+     * {@code reset} if it ended with an error.
+     */
     private record Chunk(byte[] bytes, long receivedAtNs, boolean reset) {}
 
     ProxiedConnection(
@@ -65,7 +70,7 @@
         }
     }
 
-    /** A reader whose writer has ended has nobody to read for. */
+    /** Enqueues a chunk; gives up once the writer has ended. */
     private static void put(ArrayBlockingQueue<Chunk> queue, Chunk chunk, Thread writer) throws InterruptedException {
         while (!queue.offer(chunk, 1, java.util.concurrent.TimeUnit.SECONDS)) {
             if (!writer.isAlive()) {
@@ -109,7 +114,7 @@
         }
     }
 
-    /** Resets both of its connections. */
+    /** Resets the connections on both sides. */
     void reset() {
         openConnections.remove(this);
         resetOne(client);
@@ -120,7 +125,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            return; // closed already
+            return; // already closed
         } finally {
             LinkProxy.closeQuietly(socket);
         }
--- a/src/test/java/olivechute/rig/TestDirectory.java
+++ b/src/test/java/olivechute/rig/TestDirectory.java
@@ -8,18 +8,21 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A temporary folder as a process's disk, and what can happen to one. It goes with {@link #close}. */
+/**
+ * A temporary directory that serves as a process's disk, with helpers that inject disk faults. {@link #close} deletes
+ * it.
+ */
 public final class TestDirectory implements AutoCloseable {
     private static final Path FULL = Path.of("/dev/full");
 
     private final Path path;
 
-    /** A new folder whose name begins with this. */
+    /** Creates a directory whose name contains {@code name}. */
     public TestDirectory(String name) {
         try {
             path = Files.createTempDirectory("olivechute-" + name + "-");
         } catch (IOException e) {
-            throw new TestSetupException("no folder for " + name, e);
+            throw new TestSetupException("cannot create a directory for " + name, e);
         }
     }
 
@@ -27,12 +30,12 @@
         return path;
     }
 
-    /** A file or folder in it. */
+    /** Returns the path of a file or directory in this one. */
     public Path resolve(String name) {
         return path.resolve(name);
     }
 
-    /** Writes a file in it; returns its path. */
+    /** Writes a file in this directory and returns its path. */
     public Path write(String name, String text) {
         try {
             Files.createDirectories(resolve(name).getParent());
@@ -42,7 +45,7 @@
         }
     }
 
-    /** A file of this name to which every write fails for want of room. */
+    /** Creates a file to which every write fails with ENOSPC. */
     public Path createFullFile(String name) {
         try {
             Files.deleteIfExists(resolve(name));
@@ -53,14 +56,14 @@
     }
 
     /**
-     * A prefix for {@link Recipe#behind}: the process may write no file beyond so many blocks of 512 bytes; SIGXFSZ is
-     * ignored.
+     * Returns a prefix for {@link ProcessSpec#withPrefix}: the process may write no file beyond this many blocks of 512
+     * bytes; SIGXFSZ is ignored.
      */
     public static List<String> fileLimit(int blocks) {
         return List.of("/bin/sh", "-c", "trap '' XFSZ; ulimit -f " + blocks + "; exec \"$@\"", "sh");
     }
 
-    /** Turns all bits of one byte of a file over; a negative place counts from its end. */
+    /** Inverts all bits of one byte of a file; a negative position counts from its end. */
     public static void flipByte(Path file, long at) {
         try (RandomAccessFile open = new RandomAccessFile(file.toFile(), "rw")) {
             long place = at < 0 ? open.length() + at : at;
@@ -76,16 +79,16 @@
         }
     }
 
-    /** Takes so many bytes off a file's end, as a write that was cut short leaves it. */
+    /** Removes this many bytes from the end of a file, as an interrupted write leaves it. */
     public static void truncate(Path file, long bytes) {
         try (RandomAccessFile open = new RandomAccessFile(file.toFile(), "rw")) {
             open.setLength(Math.max(0, open.length() - bytes));
         } catch (IOException e) {
-            throw new TestSetupException("cannot cut " + file, e);
+            throw new TestSetupException("cannot truncate " + file, e);
         }
     }
 
-    /** The files in it whose path below it matches. */
+    /** Returns the files whose relative path matches. */
     public List<Path> files(String regex) {
         try (Stream<Path> all = Files.walk(path)) {
             return all.filter(Files::isRegularFile)
@@ -97,7 +100,7 @@
         }
     }
 
-    /** Removes all that is in it. */
+    /** Deletes all contents. */
     public void clear() {
         if (!Files.isDirectory(path)) {
             return;
@@ -109,7 +112,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new TestSetupException("cannot empty " + path, e);
+            throw new TestSetupException("cannot clear " + path, e);
         }
     }
 
--- a/src/test/java/olivechute/rig/TestMachine.java
+++ b/src/test/java/olivechute/rig/TestMachine.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Programs that fall, stand still and wake together with all that they started, as on one machine. */
+/** A group of processes that are paused, resumed and killed together with all their descendants, as on one machine. */
 public final class TestMachine implements AutoCloseable {
     private final String name;
     private final List<TestProcess> programs = new ArrayList<>();
@@ -16,25 +16,25 @@
         return name;
     }
 
-    /** Puts a program on it; returns that. */
+    /** Adds a process to this machine and returns it. */
     public synchronized TestProcess add(TestProcess program) {
         programs.add(program);
         return program;
     }
 
-    /** SIGSTOP to all. */
+    /** Sends SIGSTOP to all processes. */
     public synchronized void pause() {
         programs.forEach(TestProcess::pause);
         children().forEach(child -> TestProcess.signal("STOP", child));
     }
 
-    /** SIGCONT to all. */
+    /** Sends SIGCONT to all processes. */
     public synchronized void resume() {
         children().forEach(child -> TestProcess.signal("CONT", child));
         programs.forEach(TestProcess::resume);
     }
 
-    /** SIGKILL to all: its connections are reset. */
+    /** Sends SIGKILL to all processes, which resets their connections. */
     public synchronized void kill() {
         programs.forEach(TestProcess::pause);
         List<ProcessHandle> children = children();
--- a/src/test/java/olivechute/rig/TestNodes.java
+++ b/src/test/java/olivechute/rig/TestNodes.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The surroundings of nodes n0, n1 and so on: discovery, workers, clients and a configuration file for each, all in one
- * ledger; and, where no supervisor does it, the nodes as programs of their own.
+ * The environment of nodes n0, n1 and so on: discovery, workers, clients and a configuration file for each node, all
+ * recording into one ledger; where no supervisor runs the nodes, also the node processes.
  */
 public final class TestNodes implements AutoCloseable {
     private static final Duration START_TIMEOUT = Duration.ofSeconds(20);
@@ -41,7 +41,7 @@
     private final Map<String, Path> configs = new LinkedHashMap<>();
     private final Map<String, TestProcess> programs = new LinkedHashMap<>();
 
-    /** Surroundings for so many nodes; starts none of them. */
+    /** Creates the environment of this many nodes; starts none of them. */
     public TestNodes(int count, long seed) {
         workers = new WorkerStubs(ledger, WORKERS, MIN_JOB_MILLIS, MAX_JOB_MILLIS, seed);
         registry = new DiscoveryStub(workers, "a");
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Has the clients look at all nodes, and send to those that are ready. */
+    /** Makes the clients probe all nodes and send jobs to those that are ready. */
     public TestNodes connectClients() {
         addresses.forEach(clients::addNode);
         return this;
@@ -82,7 +82,7 @@
         return clients;
     }
 
-    /** The file for {@code LB_CONFIG}. */
+    /** Returns the node's configuration file, for {@code LB_CONFIG}. */
     public Path config(String node) {
         return configs.get(node);
     }
@@ -91,14 +91,14 @@
         return addresses.get(node);
     }
 
-    /** Starts this node from a jar without supervisor and waits until it listens. */
+    /** Starts this node from a jar without a supervisor and waits until it listens. */
     public TestProcess start(String node, Path jar) {
         TestProcess program = launch(node, jar);
         program.awaitLine(node + " listens on ", START_TIMEOUT);
         return program;
     }
 
-    /** Starts this node without waiting. */
+    /** Starts this node from a jar without waiting. */
     public TestProcess launch(String node, Path jar) {
         TestProcess program = TestProcess.start(ProcessSpec.jar(node, jar, "serve")
                 .withEnvironment("LB_CONFIG", config(node).toString()));
@@ -110,7 +110,7 @@
         return programs.get(node);
     }
 
-    /** Stops the load and returns what was broken. */
+    /** Stops the load and returns all violations. */
     public List<FleetInvariants.Violation> stopAndCheck(int mostAway) {
         clients.stop();
         return FleetInvariants.check(ledger, mostAway);
--- a/src/test/java/olivechute/rig/TestProcess.java
+++ b/src/test/java/olivechute/rig/TestProcess.java
@@ -16,10 +16,10 @@
 import olivechute.net.Threads;
 
 /**
- * One process that the rig started, and those that it started in turn. What it writes to standard output and error is
- * kept, the last few thousand lines of it. Waits end on the line or the end of the process, never by looking again; a
- * {@link RigFault} shows the last lines. All is ended by {@link #close} and at the end of this virtual machine; nothing
- * else is ever signalled.
+ * A process started by the test harness, and its descendants. The last few thousand lines of its standard output and
+ * error are retained. Waits end when the line appears or the process ends, without polling; a
+ * {@link TestSetupException} shows the last lines. {@link #close} and the shutdown of this virtual machine end all of
+ * these processes; no other process is signalled.
  */
 public final class TestProcess implements AutoCloseable {
     private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(10);
@@ -31,18 +31,19 @@
     }
 
     private final ProcessSpec recipe;
-    private final Set<ProcessHandle> children = ConcurrentHashMap.newKeySet(); // seen so far, alive or not
+    private final Set<ProcessHandle> children =
+            ConcurrentHashMap.newKeySet(); // all descendants seen so far, alive or not
     private final OutputLines lines;
     private Process process;
     private Thread reader;
-    private long firstLine; // the number of its first line since the last start
+    private long firstLine; // number of the first line since the last start
 
     private TestProcess(ProcessSpec recipe) {
         this.recipe = recipe;
         this.lines = new OutputLines(recipe.name());
     }
 
-    /** Starts it. */
+    /** Starts a process. */
     public static TestProcess start(ProcessSpec recipe) {
         TestProcess program = new TestProcess(recipe);
         program.launch(recipe);
@@ -71,7 +72,7 @@
                 lines.add(line);
             }
         } catch (IOException e) {
-            lines.add("(the rig lost its output: " + e + ")");
+            lines.add("(reading the output failed: " + e + ")");
         }
         lines.onEnd(life);
     }
@@ -88,62 +89,62 @@
         return process.isAlive();
     }
 
-    /** Its lines that are still kept. */
+    /** Returns the retained output lines. */
     public List<String> lines() {
         return lines.all();
     }
 
-    /** Its lines after a mark that are still kept. */
+    /** Returns the retained output lines after a mark. */
     public List<String> linesAfter(long mark) {
         return lines.after(mark);
     }
 
-    /** A place in its output, for a wait that should pass over what came before. */
+    /** Returns the current position in the output, for waits that should skip earlier lines. */
     public long mark() {
         return lines.count();
     }
 
-    /** The first match in a line since its last start; waits for it. */
+    /** Waits for the first line since the last start that contains the pattern and returns the match. */
     public Matcher awaitLine(String regex, Duration within) {
         return awaitLine(regex, firstLine, within);
     }
 
-    /** The first match in a line after a mark; waits for it. */
+    /** Waits for the first line after a mark that contains the pattern and returns the match. */
     public Matcher awaitLine(String regex, long after, Duration within) {
         return lines.await(Pattern.compile(regex), after, within);
     }
 
-    /** SIGKILL. What it started runs on, and is ended with this at the latest. */
+    /** Sends SIGKILL. Descendants keep running until {@link #close} at the latest. */
     public synchronized void kill() {
         if (process.isAlive()) {
-            pause(); // so that it starts nothing between the look at its children and its end
+            pause(); // so that it starts no process between the listing of its descendants and its end
             process.destroyForcibly();
         }
         awaitExit(EXIT_TIMEOUT);
     }
 
-    /** SIGSTOP: it keeps its memory and connections and does nothing. */
+    /** Sends SIGSTOP: the process keeps its memory and connections but does not run. */
     public synchronized void pause() {
         signal("STOP", process.toHandle());
         recordChildren();
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT. */
     public synchronized void resume() {
         signal("CONT", process.toHandle());
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     public synchronized void terminate() {
         signal("TERM", process.toHandle());
     }
 
-    /** Any signal, by its name without SIG. */
+    /** Sends a signal, given by its name without SIG. */
     public synchronized void signal(String name) {
         signal(name, process.toHandle());
     }
 
-    /** Its exit status, once it has ended. */
+    /** Waits for the end of the process and returns its exit status. */
     public int awaitExit(Duration within) {
         Process of;
         synchronized (this) {
@@ -151,7 +152,7 @@
         }
         try {
             if (!of.waitFor(within.toMillis(), TimeUnit.MILLISECONDS)) {
-                throw new TestSetupException(name() + " runs on after " + within.toMillis() + " ms");
+                throw new TestSetupException(name() + " still runs after " + within.toMillis() + " ms");
             }
             STARTED.remove(of.toHandle());
             return of.exitValue();
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Waits until all that an ended process wrote is read. */
+    /** Waits until all output of an ended process has been read. */
     public void awaitOutputEnd() {
         try {
             reader.join(EXIT_TIMEOUT.toMillis());
@@ -170,21 +171,21 @@
         }
     }
 
-    /** Starts it again as it was; it must have ended. */
+    /** Restarts the process, which must have ended. */
     public synchronized void restart() {
         restart(recipe);
     }
 
-    /** Starts it again with its folder emptied. */
+    /** Restarts the process with its directory cleared. */
     public synchronized void restartEmpty() {
         if (recipe.directory() == null) {
-            throw new TestSetupException(name() + " has no folder of its own");
+            throw new TestSetupException(name() + " has no directory of its own");
         }
         recipe.directory().clear();
         restart();
     }
 
-    /** Starts it again in another way; it must have ended. */
+    /** Restarts the process, which must have ended, with another specification. */
     public synchronized void restart(ProcessSpec as) {
         if (process.isAlive()) {
             throw new TestSetupException(name() + " still runs");
@@ -192,7 +193,7 @@
         launch(as);
     }
 
-    /** The processes that it started and that live, as far as seen by now. */
+    /** Returns the live descendants seen so far. */
     public synchronized List<ProcessHandle> children() {
         recordChildren();
         return children.stream().filter(ProcessHandle::isAlive).toList();
@@ -218,14 +219,14 @@
                     .start()
                     .waitFor();
         } catch (IOException e) {
-            throw new TestSetupException("no signal " + name + " to " + to.pid(), e);
+            throw new TestSetupException("cannot send signal " + name + " to " + to.pid(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new TestSetupException("interrupted", e);
         }
     }
 
-    /** Ends it and all that it started, at once. */
+    /** Kills the process and all its descendants. */
     @Override
     public void close() {
         kill();
--- a/src/test/java/olivechute/rig/TestProcessTest.java
+++ b/src/test/java/olivechute/rig/TestProcessTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Processes, machines and disks of the rig, with small programs of the system. */
+/** Tests processes, machines and directories of the test harness with small shell scripts. */
 @Timeout(30)
 class TestProcessTest {
     private static final Duration SOON = Duration.ofSeconds(10);
     private static final Duration MOMENT = Duration.ofMillis(200);
-    /** Has a child, and writes a line again and again. */
+    /** Script that starts a child process and writes a line repeatedly. */
     private static final String TALKER = "sleep 1000 & echo child $!; echo ready $$; i=0; "
             + "while :; do i=$((i+1)); echo beat $i; sleep 0.05; done";
 
@@ -62,7 +62,7 @@
             p.pause();
             assertThrows(
                     TestSetupException.class,
-                    () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one may still be on its way
+                    () -> p.awaitLine("beat", p.mark() + 1, MOMENT)); // one line may still be in transit
             long mark = p.mark();
             p.resume();
             p.awaitLine("beat", mark, SOON);
--- a/src/test/java/olivechute/rig/TestSetupException.java
+++ b/src/test/java/olivechute/rig/TestSetupException.java
@@ -1,8 +1,8 @@
 package olivechute.rig;
 
 /**
- * The rig could not do what a test asked of it, or what it waited for did not come; the message says what was seen
- * instead.
+ * Thrown if the test harness could not do what a test requested, or an awaited event did not occur; the message says
+ * what was observed instead.
  */
 public final class TestSetupException extends RuntimeException {
     private static final long serialVersionUID = 1;
--- a/src/test/java/olivechute/rig/TestVersions.java
+++ b/src/test/java/olivechute/rig/TestVersions.java
@@ -21,9 +21,9 @@
 import org.objectweb.asm.Opcodes;
 
 /**
- * Versions of the program as jars in a temporary folder, each the built jar with another digest and, but for the equal
- * one, a fault. A patch that finds nothing to change is a {@link RigFault}: a version without its fault would let a
- * test pass for nothing.
+ * Builds versions of the program as jars in a temporary directory: each is the built jar with another digest and,
+ * except for the equivalent one, an injected fault. A patch that does not match exactly one place throws
+ * {@link TestSetupException}, as a version without its fault would let a test pass wrongly.
  */
 public final class TestVersions implements AutoCloseable {
     private static final String INJECTED_FAULTS = "olivechute/rig/InjectedFaults";
@@ -35,17 +35,17 @@
     private final TestDirectory folder = new TestDirectory("versions");
     private final Path jar;
 
-    /** Makes versions of this jar. */
+    /** Creates a builder of versions of this jar. */
     public TestVersions(Path jar) {
         this.jar = jar;
     }
 
-    /** Does the same as the jar. */
+    /** Returns a version that behaves like the jar. */
     public Path equivalent() {
         return buildJar("equal", Map.of());
     }
 
-    /** Refuses every tenth stream of class sign, as its own decisions would. */
+    /** Returns a version that rejects every tenth request of class sign, as its load balancer would. */
     public Path rejectingTenthOfSign() {
         return buildJar(
                 "refuses",
@@ -71,7 +71,7 @@
                                 null)));
     }
 
-    /** Hands each stream on so much later than it took it. */
+    /** Returns a version that delays each request by this time after reading it. */
     public Path slower(int millis) {
         return buildJar(
                 "slower",
@@ -91,7 +91,7 @@
                                 null)));
     }
 
-    /** Ends by itself with status 3 so long after it got ready. */
+    /** Returns a version that exits with status 3 this long after it became ready. */
     public Path crashesAfter(int millis) {
         return buildJar(
                 "crashes",
@@ -100,7 +100,7 @@
                         code -> patch(code, "ready", null, method -> writeFaultCall(method, "crashAfter", millis))));
     }
 
-    /** Listens and serves, but never says that it is ready. */
+    /** Returns a version that listens and serves but never reports ready. */
     public Path neverReady() {
         return buildJar(
                 "unready",
@@ -119,21 +119,21 @@
                                 null)));
     }
 
-    /** A file of this name beside the versions. */
+    /** Returns the path of a file beside the versions. */
     Path path(String name) {
         return folder.resolve(name);
     }
 
-    /** SHA-256 of a file, in hexadecimal digits. */
+    /** Returns the SHA-256 digest of a file in hexadecimal. */
     public static String digest(Path file) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(file)));
         } catch (IOException | NoSuchAlgorithmException e) {
-            throw new TestSetupException("no digest of " + file, e);
+            throw new TestSetupException("cannot compute the digest of " + file, e);
         }
     }
 
-    /** A call in the program's code. */
+    /** A method call in the code of the program. */
     private record MethodCall(int opcode, String owner, String name, String descriptor, boolean ofInterface) {
         boolean targets(String type, String method) {
             return owner.equals(type) && name.equals(method);
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Writes a call, changed or as it is; true if it changed something. */
+    /** Writes a call, patched or unchanged; returns true if it was patched. */
     private interface CallPatch {
         boolean write(MethodVisitor method, MethodCall call);
     }
@@ -159,7 +159,7 @@
         method.visitMethodInsn(Opcodes.INVOKESTATIC, INJECTED_FAULTS, name, "(I)V", false);
     }
 
-    /** The class with calls in a method changed, or something done at the method's begin. */
+    /** Returns the class with calls in a method patched, or with code inserted at the start of the method. */
     private static byte[] patch(byte[] code, String in, CallPatch calls, MethodEntryPatch begin) {
         int[] changed = {0};
         ClassWriter writer = new ClassWriter(ClassWriter.COMPUTE_MAXS);
@@ -233,7 +233,7 @@
             }
             return made;
         } catch (IOException e) {
-            throw new TestSetupException("version " + name + " cannot be made of " + jar, e);
+            throw new TestSetupException("version " + name + " cannot be built from " + jar, e);
         }
     }
 
--- a/src/test/java/olivechute/rig/TestVersionsIT.java
+++ b/src/test/java/olivechute/rig/TestVersionsIT.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each version alone, as a node with clients: it has its fault and no other. */
+/** Tests each version alone as a node with clients: it has its fault and no other. */
 @Timeout(40)
 class TestVersionsIT {
     private static final long SEED = 20261202;
     private static final int RATE = 100;
-    /** Ids of the jobs that a node makes up to warm up. */
+    /** Prefix of the ids of a node's own warm-up jobs. */
     private static final String WARMUP_ID_PREFIX = "0000000000000000";
 
     private static final long TIMEOUT_MILLIS = 15_000;
@@ -53,10 +53,10 @@
         serve(equal, 100);
         assertEquals(nodes.ledger().jobs().size(), served("verify") + served("sign") + refused());
         assertTrue(served("verify") + served("sign") > 0
-                && nodes.program("n0").lines().stream().noneMatch(l -> l.startsWith("planted")));
+                && nodes.program("n0").lines().stream().noneMatch(l -> l.startsWith("injected")));
     }
 
-    /** Where processor time is short a node refuses some of its own accord; those that are planted say so. */
+    /** A node that is short of processor time rejects some jobs itself; injected rejections are logged as such. */
     @Test
     void oneRefusesEveryTenthOfSign() {
         serve(versions.rejectingTenthOfSign(), 200);
@@ -64,7 +64,7 @@
                 .filter(job -> job.requestClass().equals("sign"))
                 .count();
         List<String> planted = nodes.program("n0").lines().stream()
-                .filter(line -> line.startsWith("planted refusal of "))
+                .filter(line -> line.startsWith("injected rejection of "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1))
                 .filter(id -> !id.startsWith(WARMUP_ID_PREFIX))
                 .toList();
@@ -96,7 +96,7 @@
     void oneEndsByItselfOnceItIsReady() {
         TestProcess node = nodes.start("n0", versions.crashesAfter(1000));
         assertEquals(3, node.awaitExit(Duration.ofSeconds(10)));
-        assertTrue(node.lines().contains("planted crash"));
+        assertTrue(node.lines().contains("injected crash"));
     }
 
     @Test
--- a/src/test/java/olivechute/rig/WorkerStubs.java
+++ b/src/test/java/olivechute/rig/WorkerStubs.java
@@ -20,12 +20,12 @@
 import olivechute.http.MessageWriter;
 
 /**
- * Stand-ins of sign workers w0, w1 and so on, each with an address for each node, so that news go to the node that a
- * job came from. A job is taken with 202, told as started, runs for a time drawn from a range of ms, and is told as
- * done with its id and body as the result. They share what was done by Idempotency-Key, as workers of class sign do: a
- * job whose key is done gets its result again and does not run.
+ * Stubs of sign workers w0, w1 and so on, each with a separate address for each node, so that status events go to the
+ * node that sent the job. A job is accepted with 202, reported as started, runs for a random time within a range in ms,
+ * and is reported as done with its id and body as the result. The workers share the set of completed Idempotency-Keys,
+ * as workers of class sign do: a job whose key is completed returns its result again and does not run.
  */
-@SuppressWarnings("FutureReturnValueIgnored") // the ledger shows what became of each job
+@SuppressWarnings("FutureReturnValueIgnored") // the ledger records the outcome of each job
 public final class WorkerStubs implements AutoCloseable {
     private static final int MAX_REPORT_ATTEMPTS = 10;
     private static final int REPORT_TIMEOUT_MILLIS = 2000;
@@ -47,7 +47,7 @@
     private final int minMillis;
     private final int maxMillis;
 
-    /** So many workers whose jobs take from {@code least} to {@code most} ms. */
+    /** Creates workers whose jobs take from {@code least} to {@code most} ms. */
     public WorkerStubs(EventLedger ledger, int count, int least, int most, long seed) {
         this.ledger = ledger;
         this.count = count;
@@ -80,7 +80,7 @@
             this.key = request.headers().get("Idempotency-Key");
         }
 
-        /** True for the first end only. */
+        /** Returns true for the first call only. */
         synchronized boolean end() {
             boolean first = !over;
             over = true;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Listens for this node; {@link #at} says where news go. */
+    /** Starts a listener of each worker for this node; {@link #setNodeAddress} sets where status events are sent. */
     public synchronized void addNode(String node) {
         List<HttpStub> own = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -109,12 +109,12 @@
         idleConnections.put(node, new ConcurrentLinkedDeque<>());
     }
 
-    /** Where a node listens, or a link to it. */
+    /** Sets the address of a node, or of a link to it. */
     public void setNodeAddress(String node, InetSocketAddress address) {
         nodes.put(node, address);
     }
 
-    /** The workers as discovery lists them to this node, in JSON. */
+    /** Returns the JSON entries of the workers in this node's endpoint list. */
     synchronized String entries(String node, String zone) {
         StringBuilder entries = new StringBuilder();
         for (int i = 0; i < count; i++) {
@@ -183,7 +183,7 @@
                 done));
     }
 
-    /** Tells it until there is an answer. */
+    /** Sends a status event, with retries until it is answered. */
     private void reportState(RunningJob job, String state) {
         byte[] news = MessageWriter.request(
                 "POST",
@@ -211,7 +211,7 @@
                 return;
             }
         } catch (IOException | HttpException broken) {
-            // told again below
+            // retried below
         }
         if (line != null) {
             line.close();
--- a/src/test/java/olivechute/rig/package-info.java
+++ b/src/test/java/olivechute/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Starts several processes of the program, puts faults between them, and checks what their clients and workers saw:
- * docs/rig.md.
+ * Test harness that starts several processes of the program, injects faults between them, and checks what their clients
+ * and workers observed: docs/rig.md.
  */
 package olivechute.rig;
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -9,7 +9,7 @@
 import olivechute.rig.TestProcess;
 import org.junit.jupiter.api.Test;
 
-/** A node whose configuration cannot be read for a moment (EIO). */
+/** Tests a node whose configuration file is temporarily unreadable (EIO). */
 class FailingFileIT {
     private static final int ALWAYS_PER_MILLION = 1_000_000;
     private static final long FAULT_MILLIS = 700;
--- a/src/test/java/olivechute/soak/FaultShim.java
+++ b/src/test/java/olivechute/soak/FaultShim.java
@@ -17,7 +17,10 @@
 import olivechute.rig.TestDirectory;
 import olivechute.rig.TestSetupException;
 
-/** The library of {@code src/test/c/faultshim.c}, loaded into one node: its rates, its clock and what it recorded. */
+/**
+ * Controls the library {@code src/test/c/faultshim.c} in one node process: its fault rates, its clock offset and the
+ * events that it recorded.
+ */
 final class FaultShim {
     private static final Path SOURCE = Path.of("src", "test", "c", "faultshim.c");
     private static final Path LIBRARY = Path.of("target", "faultshim.so").toAbsolutePath();
@@ -25,7 +28,7 @@
     private static final int RATES_AT = Long.BYTES;
     private static final int CONTROL_BYTES = 4096;
 
-    /** The faults, in the order in which the library's control file has them. */
+    /** The faults, in the order of the library's control file. */
     enum Fault {
         READ_INTERRUPTED,
         ACCEPT_FAILS,
@@ -39,7 +42,7 @@
         FILE_READ_FAILS
     }
 
-    /** What the library recorded of an accepted connection; {@code port} is the client's. */
+    /** An event of a connection that the library recorded; {@code port} is the peer's. */
     record Entry(long atUs, String event, int port, int bytes) {}
 
     private static boolean compiled;
@@ -58,7 +61,7 @@
             mapped = file.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_BYTES);
             mapped.order(ByteOrder.nativeOrder());
         } catch (IOException e) {
-            throw new TestSetupException("no control file for " + name, e);
+            throw new TestSetupException("cannot create the control file of " + name, e);
         }
     }
 
@@ -76,7 +79,7 @@
                 throw new TestSetupException("cc does not compile " + SOURCE);
             }
         } catch (IOException e) {
-            throw new TestSetupException("no C compiler (cc): the soak needs one", e);
+            throw new TestSetupException("no C compiler (cc), which the soak test needs", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new TestSetupException("interrupted", e);
@@ -84,7 +87,7 @@
         compiled = true;
     }
 
-    /** The same process with the library in it. */
+    /** Returns the same process with the library preloaded. */
     ProcessSpec preloadedInto(ProcessSpec recipe) {
         return recipe.withEnvironment("LD_PRELOAD", LIBRARY.toString())
                 .withEnvironment("FAULTSHIM_CONTROL", control.toString())
@@ -92,24 +95,24 @@
                 .withEnvironment("FAULTSHIM_SEED", String.valueOf(seed));
     }
 
-    /** From now on so many calls of a million fail in this way. */
+    /** Sets how many calls in a million fail in this way. */
     void rate(Fault fault, int perMillion) {
         mapped.putInt(RATES_AT + Integer.BYTES * fault.ordinal(), perMillion);
     }
 
-    /** No faults from now on; the clock stays where it is. */
+    /** Sets all fault rates to 0; the clock offset is kept. */
     void clearFaults() {
         for (Fault fault : Fault.values()) {
             rate(fault, 0);
         }
     }
 
-    /** Steps the wall clock to so far from the true time. */
+    /** Sets the offset of the process's wall clock from the true time. */
     void clockOffset(Duration offset) {
         mapped.putLong(0, offset.toNanos());
     }
 
-    /** How often each fault happened. */
+    /** Returns how often each fault was injected. */
     Map<Fault, Integer> injected() {
         Map<Fault, Integer> counts = new EnumMap<>(Fault.class);
         int countsAt = RATES_AT + Integer.BYTES * Fault.values().length;
@@ -119,7 +122,7 @@
         return counts;
     }
 
-    /** What it recorded so far. */
+    /** Returns the events recorded so far. */
     List<Entry> entries() {
         List<Entry> entries = new ArrayList<>();
         try {
@@ -129,7 +132,7 @@
                         Long.parseLong(parts[0]), parts[1], Integer.parseInt(parts[2]), Integer.parseInt(parts[3])));
             }
         } catch (IOException e) {
-            throw new TestSetupException("no log of the shim", e);
+            throw new TestSetupException("cannot read the log of the fault library", e);
         }
         return entries;
     }
--- a/src/test/java/olivechute/soak/History.java
+++ b/src/test/java/olivechute/soak/History.java
@@ -3,19 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What clients, servers and discovery of one run saw. Times are microseconds on the monotonic clock. */
+/**
+ * Events that clients, servers and discovery of one run recorded. Times are microseconds on the monotonic clock.
+ * Thread-safe.
+ */
 final class History {
-    /** How a request ended for its client. */
+    /** Outcome of a request for its client. */
     enum Ending {
-        /** With a whole answer. */
+        /** A complete response arrived. */
         ANSWERED,
-        /** The client left before an answer. */
+        /** The client disconnected before a response. */
         LEFT,
-        /** The connection ended with no whole answer. */
+        /** The connection ended without a complete response. */
         CUT,
-        /** Nothing came while the client listened. */
+        /** Nothing arrived while the client listened. */
         SILENT,
-        /** It was never written whole. */
+        /** The request was never written completely. */
         NOT_SENT
     }
 
@@ -33,18 +36,18 @@
             long endedUs,
             String answer) {}
 
-    /** How an attempt ended for its server. */
+    /** Outcome of an attempt for its server. */
     enum AttemptEnd {
         DONE,
         FAILED,
-        /** Handed back or turned away: it never ran. */
+        /** Returned or rejected: it never ran. */
         RETURNED,
         LOST,
-        /** The server broke the connection before its answer. */
+        /** The server reset the connection before its response. */
         RESET,
-        /** The node gave it up. */
+        /** The node cancelled it. */
         GIVEN_UP,
-        /** It is still out. */
+        /** It is still in progress. */
         OPEN
     }
 
@@ -77,7 +80,7 @@
             this.remainingUs = remainingUs;
         }
 
-        /** True for the first end only. */
+        /** Returns true for the first call only. */
         synchronized boolean end(AttemptEnd as) {
             if (end != AttemptEnd.OPEN) {
                 return false;
@@ -103,14 +106,17 @@
         }
     }
 
-    /** A node's process heard, or counts as having heard, that a server takes nothing new, or takes again. */
+    /** A node's process was notified, or counts as notified, that a server drains or accepts new requests again. */
     record Notice(String node, String server, boolean takes, long atUs) {}
 
-    /** A process of a node, from its start until SIGKILL, which came between two moments; never where it had ended. */
+    /**
+     * A process of a node from its start until SIGKILL, which was sent between two times; {@code Long.MAX_VALUE} if the
+     * process had ended before.
+     */
     record Incarnation(
             String node, long startedUs, long termUs, long killFromUs, long killedUs, boolean planned, long readyUs) {}
 
-    /** A client that stopped in the middle of a request, and when it had an answer or the end. */
+    /** A client that stalled mid-request, and when it got a response or the end of the connection. */
     record StalledClient(String node, long stoppedUs, long endedUs, boolean nodeLived) {}
 
     private final List<ClientRequest> requests = new ArrayList<>();
--- a/src/test/java/olivechute/soak/InterruptedReadIT.java
+++ b/src/test/java/olivechute/soak/InterruptedReadIT.java
@@ -17,7 +17,7 @@
 import olivechute.rig.TestProcess;
 import org.junit.jupiter.api.Test;
 
-/** A node whose reads are interrupted by signals. */
+/** Tests a node whose reads are interrupted by signals (EINTR). */
 class InterruptedReadIT {
     private static final int ROUNDS = 30;
     private static final int PER_MILLION = 300_000;
@@ -67,7 +67,7 @@
         return all.toByteArray();
     }
 
-    /** The status of the next answer, 0 where the connection ends first. */
+    /** Returns the status of the next response, or 0 if the connection ends first. */
     private static int status(Socket client, ResponseParser parser) throws Exception {
         byte[] one = new byte[1];
         while (!parser.isComplete()) {
--- a/src/test/java/olivechute/soak/SoakClients.java
+++ b/src/test/java/olivechute/soak/SoakClients.java
@@ -19,16 +19,17 @@
 import olivechute.net.Threads;
 
 /**
- * Clients that keep their connections and use them for as long as they stay open; some rest, write slowly, stop in the
- * middle or leave. New connections are made to nodes that the front sends clients to.
+ * Clients that keep their connections and use them while they stay open; some idle, write slowly, stall in the middle
+ * of a request or disconnect. New connections are made only to nodes that the front-end load balancer sends clients to.
+ * One thread for each client.
  */
 final class SoakClients implements AutoCloseable {
     private static final int COUNT = 16;
     private static final int IDLE_CLIENTS = 150;
     private static final int DIAL_MILLIS = 1000;
-    /** For how long after its time a client still listens, so that a late answer shows. */
+    /** Time for which a client keeps listening after its deadline, so that late responses are detected. */
     private static final int LATE_ANSWER_MILLIS = 800;
-    /** A client that stops in the middle is owed its error or the end within this and a little more. */
+    /** A client that stalls mid-request must get an error or the end of the connection within about this time. */
     private static final int STALLED_TIMEOUT_MILLIS = 3500;
 
     private static final String[] CLASSES = {"verify", "sign", "pay"};
@@ -49,12 +50,12 @@
         this.nodes = nodes;
     }
 
-    /** The front sends new connections there, or does not. */
+    /** Sets whether the front-end load balancer sends new connections to this node. */
     void acceptingNodes(String node, boolean now) {
         acceptingNodes.put(node, now);
     }
 
-    /** The node's process was killed or is another. */
+    /** Records that the node's process was killed or replaced. */
     void onKilled(String node) {
         incarnations.merge(node, 1, Integer::sum);
     }
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Hands in nothing more, and returns once all that was has ended. */
+    /** Stops submitting requests and returns once all submitted ones have ended. */
     void finish() throws InterruptedException {
         stopped = true;
         for (Thread thread : threads) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** A client that rests until the node ends its connection, and comes again. */
+    /** An idle client that waits until the node closes its connection, and reconnects. */
     private void idle(String node) {
         while (!stopped) {
             try (Socket socket = new Socket()) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /** A kept connection. */
+    /** A kept-alive connection. */
     private static final class KeptConnection {
         final String node;
         final Socket socket;
@@ -136,7 +137,7 @@
 
     private record Result(History.Ending ending, int status, String answer, boolean keepAlive) {}
 
-    /** One client, which has one request out at a time. */
+    /** One client with one outstanding request at a time. */
     private final class SoakClient {
         private final SplittableRandom random;
         private final Map<String, KeptConnection> connections = new HashMap<>();
@@ -167,7 +168,8 @@
         }
 
         /**
-         * A kept connection to either node, whether it is about to end or not; else a new one where the front allows.
+         * Returns a kept-alive connection to a random node, even if it is about to close; otherwise a new one if the
+         * front-end load balancer allows it.
          */
         private KeptConnection connection() {
             String node = random.nextBoolean() ? "n0" : "n1";
@@ -185,7 +187,7 @@
                 KeptConnection line = new KeptConnection(node, socket);
                 connections.put(node, line);
                 if (draw(0.3 * scenario.clientTrouble())) {
-                    pause(1850 + random.nextInt(350)); // about as long as a node waits for a first message
+                    pause(1850 + random.nextInt(350)); // about the time that a node waits for a first message
                 }
                 return line;
             } catch (IOException e) {
@@ -232,7 +234,7 @@
                 sentUs = History.nowUs();
             } catch (IOException e) {
                 drop(line);
-                return; // never written whole
+                return; // never written completely
             }
             Result result;
             if (leaves) {
@@ -242,7 +244,8 @@
                 result = receive(line, patience);
             }
             if (!result.keepAlive()) {
-                drop(line); // before the end is noted: nothing may begin for a client that left after that
+                drop(line); // close before the end is recorded: nothing may begin for a disconnected client after
+                // that time
             }
             history.add(new History.ClientRequest(
                     id,
@@ -258,7 +261,7 @@
                     result.answer()));
         }
 
-        /** All at once, or in pieces with pauses. */
+        /** Writes the message at once, or in pieces with pauses. */
         private void write(KeptConnection line, byte[] message) throws IOException {
             if (!draw(0.2 * scenario.clientTrouble())) {
                 line.socket.getOutputStream().write(message);
--- a/src/test/java/olivechute/soak/SoakDiscovery.java
+++ b/src/test/java/olivechute/soak/SoakDiscovery.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import olivechute.http.MessageWriter;
 
-/** A stand-in of discovery for one node: watches, changes, and trouble as a scenario says. */
+/** A stub of discovery for one node: watches, endpoint changes, and faults as the scenario says. Thread-safe. */
 final class SoakDiscovery implements AutoCloseable {
     private static final long ASSUMED_NOTIFIED_AFTER_US = 6_000_000;
     private static final int MAX_WAIT_MILLIS = 60_000;
@@ -68,19 +68,19 @@
         return moved ? second.text() : first.text();
     }
 
-    /** The first address is closed: the node has to be at the second. */
+    /** Closes the first address: the node must use the second one by now. */
     void closeFirst() {
         first.close();
     }
 
-    /** Servers as a configuration knows them: as they were before any change. */
+    /** Returns the endpoint entries of the initial configuration, before any change. */
     synchronized String known() {
         StringBuilder entries = new StringBuilder();
         activeByServer.keySet().forEach(server -> append(entries, server, true));
         return entries.toString();
     }
 
-    /** From now on a server takes nothing new, or takes again. */
+    /** Sets whether a server accepts new requests or drains. */
     synchronized void change(String server, boolean takesNow) {
         activeByServer.put(server, takesNow);
         index++;
@@ -141,7 +141,7 @@
         notice(held, told);
     }
 
-    /** What an answer tells counts as notified once it is written. */
+    /** Records changes as notified once the response that contains them was written. */
     private synchronized void notice(int held, int told) {
         long now = History.nowUs();
         for (EndpointChange change : changes) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /** What was never written to the node counts as notified all the same, some time after it could be. */
+    /** Records changes that were never written to the node as notified some time after it could have received them. */
     synchronized void noticeAll() {
         for (EndpointChange change : changes) {
             if (written.contains(change)) {
@@ -163,7 +163,7 @@
         }
     }
 
-    /** All entries, or those that changed since. */
+    /** Returns all entries, or those that changed since. */
     private String entries(int since) {
         StringBuilder entries = new StringBuilder();
         activeByServer.forEach((server, takesNow) -> {
--- a/src/test/java/olivechute/soak/SoakIT.java
+++ b/src/test/java/olivechute/soak/SoakIT.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * The rules hold under seeded faults. {@code -Dsoak.seeds=1-60} plays these seeds too, {@code -Dsoak.parallel=N} so
- * many at once; each break is printed with its seed and trace, and the nodes' logs go to {@code target/soak}.
+ * Tests that the invariants hold under seeded faults. {@code -Dsoak.seeds=1-60} runs these seeds too,
+ * {@code -Dsoak.parallel=N} that many at once; each violation is printed with its seed and trace, and the nodes' logs
+ * are written to {@code target/soak}.
  */
 class SoakIT {
     private static final String DEFAULT_SEEDS = "1-6";
--- a/src/test/java/olivechute/soak/SoakInvariants.java
+++ b/src/test/java/olivechute/soak/SoakInvariants.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The rules, held against what was seen in one run. Every time limit is 50 ms longer on sockets. */
+/** Checks the invariants against the history of one run. On sockets every time limit gets a tolerance of 50 ms. */
 final class SoakInvariants {
     private static final long SOCKET_TOLERANCE_US = 50_000;
     private static final long MAX_LATENESS_US = 500_000;
@@ -16,9 +16,9 @@
     private static final long STALLED_CLIENT_TIMEOUT_US = 3_000_000;
     private static final long READY_TIMEOUT_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 500_000;
-    /** Requests of clients that were sent so shortly before a kill without warning are nobody's fault. */
+    /** Requests in progress this shortly before an unannounced kill may be lost. */
     private static final long KILL_TOLERANCE_US = 50_000;
-    /** What was recorded of a connection so long before a request is of that connection still, not of another. */
+    /** Records of a port up to this long before a request belong to the same connection, not to an earlier one. */
     private static final long RECORD_WINDOW_US = 5_000_000;
 
     private final History history;
@@ -26,7 +26,7 @@
     private final List<Violation> found = new ArrayList<>();
     private final Map<String, List<History.Attempt>> attempts = new HashMap<>();
 
-    /** A broken rule, and the trace of what broke it. */
+    /** A violated invariant and the trace that shows it. */
     record Violation(String rule, String trace) {}
 
     private SoakInvariants(History history, Map<String, FaultShim> shims) {
@@ -65,7 +65,7 @@
         switch (request.ending()) {
             case ANSWERED -> {
                 if (request.status() == 200 && !request.answer().equals(request.id())) {
-                    addViolation("served with something that no server made for it", request, request.id());
+                    addViolation("served with a result that no server produced for it", request, request.id());
                 }
                 if (request.endedUs()
                         > request.sentUs() + request.patienceUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
@@ -80,7 +80,10 @@
         }
     }
 
-    /** A connection may end between requests over one that was not read, and where it was broken for the node too. */
+    /**
+     * A connection may be closed while idle, although an unread request arrives on it, and where the library broke it
+     * for the node too.
+     */
     private void checkConnectionEnd(History.ClientRequest request) {
         if (connectionFaultInjected(request) || killedWithoutWarning(request)) {
             return;
@@ -90,7 +93,7 @@
         } else if (endedAfterRead(request)) {
             addViolation("lost: the connection ended under a request that was read", request, request.id());
         } else if (killedInDrain(request) && !endedBefore(request)) {
-            addViolation("lost: unanswered as SIGKILL came", request, request.id());
+            addViolation("lost: unanswered when SIGKILL was sent", request, request.id());
         }
     }
 
@@ -102,7 +105,7 @@
         return recorded(request, e -> e.event().equals("END") && e.bytes() > 0);
     }
 
-    /** The node ended the connection between requests before this one was written. */
+    /** Returns whether the node closed the idle connection before this request was written. */
     private boolean endedBefore(History.ClientRequest request) {
         return recorded(request, e -> e.event().equals("END") && e.bytes() == 0 && e.atUs() <= request.sentUs());
     }
@@ -158,9 +161,9 @@
             History.Attempt before = all.get(i - 1);
             History.Attempt next = all.get(i);
             if (before.endedUs() > next.completeUs + SOCKET_TOLERANCE_US) {
-                addViolation("duplicate: two attempts are out", next, next.id);
+                addViolation("duplicate: two attempts are in progress", next, next.id);
             } else if (next.requestClass.equals("pay") && before.end() != History.AttemptEnd.RETURNED) {
-                addViolation("duplicate: an unsafe request is sent again that may have run", next, next.id);
+                addViolation("duplicate: a non-idempotent request that may have run is sent again", next, next.id);
             }
         }
     }
@@ -181,7 +184,7 @@
         }
     }
 
-    /** When the process began that sent this. */
+    /** Returns the start time of the process that sent an attempt at this time. */
     private long incarnationStartUs(String node, long atUs) {
         return history.incarnations().stream()
                 .filter(i -> i.node().equals(node) && i.startedUs() <= atUs)
@@ -193,7 +196,7 @@
     private void checkStalledClient(History.StalledClient client) {
         if (client.nodeLived()
                 && client.endedUs() - client.stoppedUs() > STALLED_CLIENT_TIMEOUT_US + SOCKET_TOLERANCE_US) {
-            addViolation("a client that stopped in the middle is not let go", client, "");
+            addViolation("a client that stalled mid-request is not disconnected", client, "");
         }
     }
 
--- a/src/test/java/olivechute/soak/SoakListener.java
+++ b/src/test/java/olivechute/soak/SoakListener.java
@@ -13,29 +13,29 @@
 import olivechute.net.Threads;
 import olivechute.rig.TestSetupException;
 
-/** A listener on loopback with a thread for each connection, whose handler may do to a connection what it likes. */
+/** A stub server on loopback with one thread for each connection, whose handler has full control of the connection. */
 final class SoakListener implements AutoCloseable {
-    /** One request on one connection. */
+    /** One request on one connection; times are microseconds of {@link History#nowUs}. */
     record Exchange(HttpRequest request, Socket socket, long beganUs, long completeUs) {
         void reply(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
         }
 
-        /** Ends the connection with a reset. */
+        /** Resets the connection. */
         void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    /** What is done with requests, and with the ends of connections. */
+    /** Handles requests and the ends of connections. */
     interface Handler {
         void handle(Exchange exchange) throws IOException, InterruptedException;
 
-        /** The connection that carried this last has ended. */
+        /** Called when the connection whose last request this was has ended. */
         default void onEnd(Exchange last) {}
 
-        /** Whether a new connection is let in. */
+        /** Returns whether a new connection is accepted. */
         default boolean accepts() {
             return true;
         }
@@ -53,7 +53,7 @@
         try {
             server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         } catch (IOException e) {
-            throw new TestSetupException("no listener for " + name, e);
+            throw new TestSetupException("cannot listen for " + name, e);
         }
         Threads.start("soak-" + name, () -> accept(name));
     }
@@ -112,7 +112,7 @@
         return address().getAddress().getHostAddress() + ":" + address().getPort();
     }
 
-    /** Resets all that is open. */
+    /** Resets all open connections. */
     void resetAll() {
         sockets.forEach(SoakListener::reset);
     }
@@ -122,7 +122,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            return; // closed already
+            return; // already closed
         }
     }
 
@@ -131,7 +131,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            throw new TestSetupException("a listener does not close", e);
+            throw new TestSetupException("cannot close a listener", e);
         }
         resetAll();
     }
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -24,10 +24,13 @@
 import olivechute.rig.TestProcess;
 import olivechute.rig.TestSetupException;
 
-/** One seed: two nodes with their surroundings, the faults of its scenario, and what the rules say of it. */
-@SuppressWarnings("FutureReturnValueIgnored") // what the clock's tasks do shows in the history
+/**
+ * A run of one seed: two nodes with their clients, servers and discovery, the faults of the scenario, and the check of
+ * the invariants.
+ */
+@SuppressWarnings("FutureReturnValueIgnored") // the history records the effects of scheduled tasks
 final class SoakRun implements AutoCloseable {
-    /** What one run found, and what it was made of. */
+    /** The scenario and results of one run. */
     record Report(
             SoakScenario scenario, List<SoakInvariants.Violation> violations, String summary, List<String> logs) {}
 
@@ -88,7 +91,7 @@
         clients = new SoakClients(history, scenario, addresses);
     }
 
-    /** A port that no stand-in gets while a node is away: below those that the system gives. */
+    /** Returns a port that no stub gets while a node is down: below the range from which the system assigns ports. */
     private static InetSocketAddress reserved() {
         for (int port = NEXT_PORT.getAndIncrement(); ; port = NEXT_PORT.getAndIncrement()) {
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -266,7 +269,7 @@
         start(node);
     }
 
-    /** A new configuration moves discovery; the old address is closed some time later. */
+    /** Moves discovery by a new configuration; the old address is closed some time later. */
     private void moveDiscovery(String node) throws InterruptedException {
         sleepUntil(500 + random.nextInt(5000));
         moved.put(node, true);
--- a/src/test/java/olivechute/soak/SoakScenario.java
+++ b/src/test/java/olivechute/soak/SoakScenario.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** What one run plays, all of it drawn from its seed. Times are milliseconds. */
+/** The faults and timing of one run, all drawn from its seed. Times are milliseconds. */
 record SoakScenario(
         long seed,
         long deadlineMillis,
@@ -23,9 +23,9 @@
         long termAt,
         long drainAt,
         Map<FaultShim.Fault, Integer> rates) {
-    /** Both nodes run for so long under faults. */
+    /** Minimum time in ms for which both nodes run under faults. */
     static final long MIN_DURATION_MILLIS = 9000;
-    /** After SIGTERM, the longest deadline and so long: no sooner may SIGKILL come. */
+    /** SIGKILL follows SIGTERM no sooner than the longest deadline plus this time in ms. */
     static final long KILL_DELAY_AFTER_DEADLINE_MILLIS = 700;
 
     private static final long[] DEADLINES = {400, 700, 1200, 3000, 5000};
@@ -69,12 +69,12 @@
         };
     }
 
-    /** From SIGTERM to SIGKILL. */
+    /** Returns the time from SIGTERM to SIGKILL. */
     long killDelayMillis() {
         return Math.min(deadlineMillis, 3000) + KILL_DELAY_AFTER_DEADLINE_MILLIS;
     }
 
-    /** The clock steps once, some time after the start; the length in which faults are played. */
+    /** Returns the time during which faults are injected; the clock steps once in it, some time after the start. */
     long durationMillis() {
         return Math.max(MIN_DURATION_MILLIS, termAt + killDelayMillis() + 3000);
     }
--- a/src/test/java/olivechute/soak/SoakServers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -19,8 +19,8 @@
 import olivechute.http.ResponseParser;
 import olivechute.net.Threads;
 
-/** Stand-ins of sign workers, one listener for each node and server, that misbehave as a scenario says. */
-@SuppressWarnings("FutureReturnValueIgnored") // the history shows what became of each attempt
+/** Stubs of sign workers, with one listener for each node and server, that misbehave as the scenario says. */
+@SuppressWarnings("FutureReturnValueIgnored") // the history records the outcome of each attempt
 final class SoakServers implements AutoCloseable {
     static final int COUNT = 4;
 
@@ -94,7 +94,7 @@
         return byNodeAndServer.get(node + " " + server).text();
     }
 
-    /** From now on nearly all attempts hang, as servers do through a whole shutdown. */
+    /** Sets whether most attempts hang, as on servers that hang throughout a shutdown. */
     void hang(boolean now) {
         hang = now;
     }
@@ -138,7 +138,7 @@
         history.add(attempt);
         openAttempts.put(server + " " + id, attempt);
         if (attempt.remainingUs < SHORT_DEADLINE_US && draw() < 0.5) {
-            return; // dropped without a word, as there is so little time left
+            return; // dropped without a response, as so little time is left
         }
         answer(behaviour(), attempt, exchange);
     }
@@ -193,12 +193,12 @@
             }
             case ACCEPT_AND_HANG -> accept(attempt, exchange);
             case STAY_SILENT -> {
-                return; // nothing, until the node gives it up
+                return; // no response until the node cancels it
             }
         }
     }
 
-    /** Answers with 202, from which on an attempt is given up by DELETE only. */
+    /** Answers 202, after which an attempt is cancelled by DELETE only. */
     private void accept(History.Attempt attempt, SoakListener.Exchange exchange) {
         accepted.add(attempt);
         try {
@@ -224,7 +224,7 @@
 
     private void finish(History.Attempt attempt, History.AttemptEnd end) {
         if (!attempt.end(end)) {
-            return; // given up before
+            return; // cancelled before
         }
         String state =
                 switch (end) {
@@ -270,7 +270,7 @@
         }
     }
 
-    /** Before its 202 an attempt is given up by closing its connection. */
+    /** Before its 202 an attempt is cancelled by closing its connection. */
     private void onEnd(String server, SoakListener.Exchange last) {
         if (!last.request().method().equals("DELETE")) {
             History.Attempt attempt =
--- a/src/test/java/olivechute/soak/package-info.java
+++ b/src/test/java/olivechute/soak/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Real nodes between stand-ins, under faults that are all drawn from a seed: what stand-ins and clients saw is held
- * against the rules. {@link olivechute.soak.SoakIT} plays a few seeds, and as many as asked by hand.
+ * Runs real nodes between stub clients, servers and discovery under faults drawn from a seed, and checks what the stubs
+ * observed against the invariants. {@link olivechute.soak.SoakIT} runs a few seeds, and further ones on request.
  */
 package olivechute.soak;
