--- a/src/main/java/olivechute/metrics/DelayBuckets.java
+++ b/src/main/java/olivechute/metrics/DelayBuckets.java
@@ -44,9 +44,9 @@
      * Adds two histograms bucket by bucket. Counts beyond the last bucket, as another version may send them, are added
      * to the last bucket.
      */
-    public static long[] merge(long[] one, long[] other) {
+    public static long[] merge(long[] first, long[] second) {
         long[] sum = new long[BUCKET_COUNT];
-        for (long[] counts : new long[][] {one, other}) {
+        for (long[] counts : new long[][] {first, second}) {
             for (int i = 0; i < counts.length; i++) {
                 sum[Math.min(i, BUCKET_COUNT - 1)] += counts[i];
             }
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -78,7 +78,7 @@
                     socket.close();
                     continue;
                 }
-                startServing(socket);
+                serveOnThread(socket);
             } catch (IOException e) {
                 if (!listener.isClosed()) {
                     Logger.warn("metrics: {}", e.toString());
@@ -91,7 +91,7 @@
      * Serves the connection on a thread. If the system grants no thread, the connection is closed, the sender connects
      * again, and the receiver goes on accepting.
      */
-    private void startServing(Socket socket) throws IOException {
+    private void serveOnThread(Socket socket) throws IOException {
         openSockets.add(socket);
         try {
             threads.run(() -> serve(socket));
--- a/src/main/java/olivechute/supervisor/NodeRunner.java
+++ b/src/main/java/olivechute/supervisor/NodeRunner.java
@@ -241,13 +241,11 @@
             try {
                 for (long i = 0; i < maxPolls && !process.waitForExit(POLL_INTERVAL_MS); i++) {
                     for (String line : process.log().linesAfter(logOffset)) {
-                        int prefixIndex = line.indexOf(RELOAD_FAILED_PREFIX);
-                        if (prefixIndex >= 0 || line.contains(RELOADED_MESSAGE)) {
+                        int errorIndex = line.indexOf(RELOAD_FAILED_PREFIX);
+                        if (errorIndex >= 0 || line.contains(RELOADED_MESSAGE)) {
                             eventSink.accept(new NodeEvent.Reloaded(
                                     runId,
-                                    prefixIndex < 0
-                                            ? ""
-                                            : line.substring(prefixIndex + RELOAD_FAILED_PREFIX.length())));
+                                    errorIndex < 0 ? "" : line.substring(errorIndex + RELOAD_FAILED_PREFIX.length())));
                             return;
                         }
                     }
--- a/src/main/java/olivechute/supervisor/SupervisorCommand.java
+++ b/src/main/java/olivechute/supervisor/SupervisorCommand.java
@@ -52,7 +52,7 @@
                     new Random(),
                     System::currentTimeMillis,
                     System.out::println);
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> closeQuietly(supervisor), "end"));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> closeOnShutdown(supervisor), "end"));
             supervisor.start();
         } catch (FleetException e) {
             spec.commandLine().getErr().println(e.getMessage());
@@ -62,7 +62,7 @@
         return 0;
     }
 
-    private static void closeQuietly(Supervisor supervisor) {
+    private static void closeOnShutdown(Supervisor supervisor) {
         try {
             supervisor.close();
         } catch (InterruptedException e) {
--- a/src/test/java/olivechute/metrics/DelayBucketsTest.java
+++ b/src/test/java/olivechute/metrics/DelayBucketsTest.java
@@ -65,9 +65,9 @@
 
     @Property
     void mergingCountsEveryDelayOnce(
-            @ForAll @Size(max = 60) List<@IntRange(max = 9) Integer> one,
+            @ForAll @Size(max = 60) List<@IntRange(max = 9) Integer> first,
             @ForAll @Size(max = 40) List<@IntRange(max = 9) Integer> other) {
-        long[] a = one.stream().mapToLong(n -> n).toArray();
+        long[] a = first.stream().mapToLong(n -> n).toArray();
         long[] b = other.stream().mapToLong(n -> n).toArray();
         long[] sum = DelayBuckets.merge(a, b);
         assertEquals(DelayBuckets.BUCKET_COUNT, sum.length);
