--- a/src/main/java/olivechute/identity/SpiffeId.java
+++ b/src/main/java/olivechute/identity/SpiffeId.java
@@ -55,12 +55,12 @@
         }
     }
 
-    private static void checkSegment(String path, int from, int end) throws IdentityRejectedException {
-        if (from == end) {
+    private static void checkSegment(String path, int start, int end) throws IdentityRejectedException {
+        if (start == end) {
             throw invalid("an empty path segment, or a slash at the end");
         }
-        boolean onlyDots = end - from <= 2;
-        for (int i = from; i < end; i++) {
+        boolean onlyDots = end - start <= 2;
+        for (int i = start; i < end; i++) {
             char c = path.charAt(i);
             onlyDots &= c == '.';
             if (!((c >= 'a' && c <= 'z')
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -55,14 +55,14 @@
 
     /** Creates an intermediate authority with a new key, signed by this one. */
     public CertificateAuthority intermediate(Instant from, Instant to) {
-        KeyPair next = CertificateBuilder.newEcKeyPair();
-        return subordinate(next, authorityContent(trustDomain, "intermediate", next, from, to));
+        KeyPair keyPair = CertificateBuilder.newEcKeyPair();
+        return subordinate(keyPair, authorityContent(trustDomain, "intermediate", keyPair, from, to));
     }
 
-    CertificateAuthority subordinate(KeyPair next, Content content) {
+    CertificateAuthority subordinate(KeyPair keyPair, Content content) {
         List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(content, signer())));
         chain.addAll(issuerChain);
-        return new CertificateAuthority(trustDomain, next, chain.get(0), List.copyOf(chain));
+        return new CertificateAuthority(trustDomain, keyPair, chain.get(0), List.copyOf(chain));
     }
 
     static Content authorityContent(String trustDomain, String name, KeyPair keys, Instant from, Instant to) {
@@ -102,14 +102,14 @@
         return issue(leafContent(id.toString(), from, to));
     }
 
-    Issued issue(Content leaf) {
-        return issue(leaf, signer());
+    Issued issue(Content content) {
+        return issue(content, signer());
     }
 
-    Issued issue(Content leaf, Signer by) {
-        List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(leaf, by)));
+    Issued issue(Content content, Signer signer) {
+        List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(content, signer)));
         chain.addAll(issuerChain);
-        return new Issued(List.copyOf(chain), leaf.keys().getPrivate());
+        return new Issued(List.copyOf(chain), content.keys().getPrivate());
     }
 
     /** Returns the trust bundle that verifies certificates issued below this authority, if it is the root. */
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -146,11 +146,11 @@
                 List.of(CertificateBuilder.sign(leaf, own)), leaf.keys().getPrivate());
     }
 
-    private static Signer signer(Issued thief) {
+    private static Signer signer(Issued issued) {
         return new Signer(
                 X500Name.getInstance(
-                        thief.chain().get(0).getSubjectX500Principal().getEncoded()),
-                thief.key(),
+                        issued.chain().get(0).getSubjectX500Principal().getEncoded()),
+                issued.key(),
                 "SHA256withECDSA");
     }
 
--- a/src/main/java/olivechute/testca/PemWriter.java
+++ b/src/main/java/olivechute/testca/PemWriter.java
@@ -55,12 +55,12 @@
     }
 
     static void replaceFile(Path file, String text) throws IOException {
-        Path next = Files.createTempFile(
+        Path temporary = Files.createTempFile(
                 file.toAbsolutePath().getParent(),
                 file.getFileName().toString(),
                 ".next",
                 PosixFilePermissions.asFileAttribute(OWNER_ONLY));
-        Files.writeString(next, text);
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.writeString(temporary, text);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/olivechute/testca/TestCaCommand.java
+++ b/src/main/java/olivechute/testca/TestCaCommand.java
@@ -146,12 +146,12 @@
     private void serve(SpiffeId id, CertificateAuthority intermediate, CertificateAuthority root)
             throws IOException, InterruptedException {
         Duration lifetime = lifetimeSeconds > 0 ? Duration.ofSeconds(lifetimeSeconds) : Duration.ofHours(hours);
-        boolean unix = serve.startsWith("unix:");
-        if (!unix && !serve.matches("tcp://127[0-9.]*:[0-9]{1,5}")) {
+        boolean unixSocket = serve.startsWith("unix:");
+        if (!unixSocket && !serve.matches("tcp://127[0-9.]*:[0-9]{1,5}")) {
             throw new ParameterException(
                     spec.commandLine(), "--serve: must be unix:PATH or tcp://ADDRESS:PORT of loopback");
         }
-        try (WorkloadApiServer agent = unix
+        try (WorkloadApiServer agent = unixSocket
                 ? new WorkloadApiServer(Path.of(serve.substring("unix:".length())))
                 : new WorkloadApiServer(Integer.parseInt(serve.substring(serve.lastIndexOf(':') + 1)))) {
             spec.commandLine().getOut().println("serves " + id + " at " + agent.address());
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -35,7 +35,7 @@
     private final Map<String, byte[]> published = new ConcurrentHashMap<>();
     private final AtomicInteger calls = new AtomicInteger();
     private volatile int rejectStatus; // gRPC status with which calls are rejected; 0 for none
-    private volatile boolean silent;
+    private volatile boolean unresponsive;
 
     /** Listens on a Unix socket at this path, which must not exist yet. */
     public WorkloadApiServer(Path path) throws IOException {
@@ -89,9 +89,9 @@
         rejectStatus = grpcStatus;
     }
 
-    /** Leaves calls unanswered while {@code on} is true. */
-    public void silent(boolean on) {
-        silent = on;
+    /** Leaves calls unanswered while {@code enabled} is true. */
+    public void unresponsive(boolean enabled) {
+        unresponsive = enabled;
     }
 
     /** Closes all connections. */
@@ -145,7 +145,7 @@
         synchronized void publish(String method, byte[] message) {
             try {
                 for (Map.Entry<Integer, String> each : methodByStream.entrySet()) {
-                    if (each.getValue().equals(method) && !silent) {
+                    if (each.getValue().equals(method) && !unresponsive) {
                         connection.sendMessage(each.getKey(), message);
                     }
                 }
@@ -162,7 +162,7 @@
             boolean named = headers.entrySet().containsAll(WorkloadApiMessages.METADATA.entrySet());
             try {
                 int end = rejectStatus != 0 ? rejectStatus : !named ? 3 : 0;
-                if (silent) {
+                if (unresponsive) {
                     return;
                 }
                 connection.sendResponseHeaders(stream);
--- a/src/main/java/olivechute/tls/TlsContext.java
+++ b/src/main/java/olivechute/tls/TlsContext.java
@@ -126,36 +126,36 @@
     /** Checks the peer's chain by the X509-SVID standard on either side; host names are not checked. */
     private final class SvidTrustManager extends X509ExtendedTrustManager {
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String kind, SSLEngine engine)
+        public void checkClientTrusted(X509Certificate[] chain, String authType, SSLEngine engine)
                 throws CertificateException {
             checkChain(chain);
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] chain, String kind, SSLEngine engine)
+        public void checkServerTrusted(X509Certificate[] chain, String authType, SSLEngine engine)
                 throws CertificateException {
             checkChain(chain);
         }
 
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String kind, Socket socket)
+        public void checkClientTrusted(X509Certificate[] chain, String authType, Socket socket)
                 throws CertificateException {
             checkChain(chain);
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] chain, String kind, Socket socket)
+        public void checkServerTrusted(X509Certificate[] chain, String authType, Socket socket)
                 throws CertificateException {
             checkChain(chain);
         }
 
         @Override
-        public void checkClientTrusted(X509Certificate[] chain, String kind) throws CertificateException {
+        public void checkClientTrusted(X509Certificate[] chain, String authType) throws CertificateException {
             checkChain(chain);
         }
 
         @Override
-        public void checkServerTrusted(X509Certificate[] chain, String kind) throws CertificateException {
+        public void checkServerTrusted(X509Certificate[] chain, String authType) throws CertificateException {
             checkChain(chain);
         }
 
@@ -177,41 +177,41 @@
             this.key = key;
         }
 
-        private String alias(String kind) {
-            return key.getAlgorithm().equals(kind) ? ALIAS : null;
+        private String alias(String keyType) {
+            return key.getAlgorithm().equals(keyType) ? ALIAS : null;
         }
 
-        private String alias(String[] kinds) {
-            return List.of(kinds).contains(key.getAlgorithm()) ? ALIAS : null;
+        private String alias(String[] keyTypes) {
+            return List.of(keyTypes).contains(key.getAlgorithm()) ? ALIAS : null;
         }
 
         @Override
-        public String chooseEngineClientAlias(String[] kinds, java.security.Principal[] issuers, SSLEngine engine) {
-            return alias(kinds);
+        public String chooseEngineClientAlias(String[] keyTypes, java.security.Principal[] issuers, SSLEngine engine) {
+            return alias(keyTypes);
         }
 
         @Override
-        public String chooseEngineServerAlias(String kind, java.security.Principal[] issuers, SSLEngine engine) {
-            return alias(kind);
+        public String chooseEngineServerAlias(String keyType, java.security.Principal[] issuers, SSLEngine engine) {
+            return alias(keyType);
         }
 
         @Override
-        public String chooseClientAlias(String[] kinds, java.security.Principal[] issuers, Socket socket) {
-            return alias(kinds);
+        public String chooseClientAlias(String[] keyTypes, java.security.Principal[] issuers, Socket socket) {
+            return alias(keyTypes);
         }
 
         @Override
-        public String chooseServerAlias(String kind, java.security.Principal[] issuers, Socket socket) {
-            return alias(kind);
+        public String chooseServerAlias(String keyType, java.security.Principal[] issuers, Socket socket) {
+            return alias(keyType);
         }
 
         @Override
-        public String[] getClientAliases(String kind, java.security.Principal[] issuers) {
+        public String[] getClientAliases(String keyType, java.security.Principal[] issuers) {
             return new String[] {ALIAS};
         }
 
         @Override
-        public String[] getServerAliases(String kind, java.security.Principal[] issuers) {
+        public String[] getServerAliases(String keyType, java.security.Principal[] issuers) {
             return new String[] {ALIAS};
         }
 
--- a/src/test/java/olivechute/WorkloadApiNodeTest.java
+++ b/src/test/java/olivechute/WorkloadApiNodeTest.java
@@ -172,9 +172,9 @@
         publish(issue("/node", Duration.ofSeconds(60)), root.certificate());
         startWithAgent("", endpointEntry("s1", host, "active", 0));
         await(() -> isServed(acme, "a" + System.nanoTime()));
-        agent.silent(true);
+        agent.unresponsive(true);
         publish(issue("/node", HOUR), root.certificate());
-        agent.silent(false);
+        agent.unresponsive(false);
         assertEquals(agent.calls(), 1);
         clockOffset = Duration.ofSeconds(45); // 15 s are left of a lifetime of 120 s
         await(() -> agent.calls() == 2);
--- a/src/test/java/olivechute/authorization/AuthorizationTest.java
+++ b/src/test/java/olivechute/authorization/AuthorizationTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void wildcardsMatchWholeSegments() throws IdentityRejectedException {
-        String[][] yes = {
+        String[][] matching = {
             {"spiffe://td/a", "spiffe://td/a"},
             {"spiffe://td", "spiffe://td/a/b"},
             {"spiffe://td/*", "spiffe://td/a"},
@@ -38,7 +38,7 @@
             {"spiffe://td/a/**", "spiffe://td/a/b/c"},
             {"spiffe://td/**", "spiffe://td/a"}
         };
-        String[][] no = {
+        String[][] notMatching = {
             {"spiffe://td/a", "spiffe://td/ab"},
             {"spiffe://td/a", "spiffe://td/a/b"},
             {"spiffe://td", "spiffe://td2/a"},
@@ -49,10 +49,10 @@
             {"spiffe://td/a/**", "spiffe://td/ab/c"},
             {"spiffe://td/A", "spiffe://td/a"}
         };
-        for (String[] pair : yes) {
+        for (String[] pair : matching) {
             assertTrue(matches(pair[0], pair[1]), pair[0] + " matches " + pair[1]);
         }
-        for (String[] pair : no) {
+        for (String[] pair : notMatching) {
             assertFalse(matches(pair[0], pair[1]), pair[0] + " does not match " + pair[1]);
         }
     }
@@ -71,9 +71,10 @@
             "spiffe://TD/a",
             "spiffe://td/../a"
         }) {
-            String told = assertThrows(IllegalArgumentException.class, () -> SpiffeIdPattern.parse("clients.id", text))
+            String message = assertThrows(
+                            IllegalArgumentException.class, () -> SpiffeIdPattern.parse("clients.id", text))
                     .getMessage();
-            assertTrue(told.startsWith("clients.id: "), told);
+            assertTrue(message.startsWith("clients.id: "), message);
         }
     }
 
@@ -148,11 +149,11 @@
             {"s", "a", "hosts.id"}
         };
         for (String[] rule : bad) {
-            String told = assertThrows(
+            String message = assertThrows(
                             IllegalArgumentException.class,
                             () -> EndpointIdentityRules.Rule.parse("hosts", rule[0], rule[1]))
                     .getMessage();
-            assertTrue(told.startsWith(rule[2] + ": "), told);
+            assertTrue(message.startsWith(rule[2] + ": "), message);
         }
     }
 }
--- a/src/test/java/olivechute/testca/ForgeryTest.java
+++ b/src/test/java/olivechute/testca/ForgeryTest.java
@@ -35,13 +35,13 @@
         bundles = TrustBundles.EMPTY.with(root.bundle()).with(federated.bundle());
     }
 
-    private X509Svid check(CertificateAuthority.Issued issued, TrustBundles held, Instant now)
+    private X509Svid check(CertificateAuthority.Issued issued, TrustBundles bundles, Instant now)
             throws IdentityRejectedException {
-        return X509Check.check(issued.chain(), held, now);
+        return X509Check.check(issued.chain(), bundles, now);
     }
 
-    private Reason rejectionReason(CertificateAuthority.Issued issued, TrustBundles held, Instant now) {
-        return expectThrows(IdentityRejectedException.class, () -> check(issued, held, now))
+    private Reason rejectionReason(CertificateAuthority.Issued issued, TrustBundles bundles, Instant now) {
+        return expectThrows(IdentityRejectedException.class, () -> check(issued, bundles, now))
                 .reason();
     }
 
--- a/src/test/java/olivechute/testca/SvidManagerTest.java
+++ b/src/test/java/olivechute/testca/SvidManagerTest.java
@@ -34,16 +34,17 @@
         manager = new SvidManager(DOMAIN);
     }
 
-    private CertificateAuthority.Issued issue(CertificateAuthority by, Instant to) throws IdentityRejectedException {
-        return by.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/node"), NOW.minusSeconds(60), to);
+    private CertificateAuthority.Issued issue(CertificateAuthority authority, Instant to)
+            throws IdentityRejectedException {
+        return authority.issue(SpiffeId.parse("spiffe://" + DOMAIN + "/node"), NOW.minusSeconds(60), to);
     }
 
-    private OfferResult offer(CertificateAuthority.Issued issued, CertificateAuthority vouching, Instant now)
+    private OfferResult offer(CertificateAuthority.Issued issued, CertificateAuthority authority, Instant now)
             throws IdentityRejectedException, IOException {
         return manager.offer(
                 PemWriter.text(issued.chain()),
                 PemWriter.text(issued.key()),
-                PemWriter.text(List.of(vouching.certificate())),
+                PemWriter.text(List.of(authority.certificate())),
                 now);
     }
 
@@ -66,7 +67,7 @@
         CertificateAuthority.Issued good = issue(root, NOW.plusSeconds(30));
         offer(good, root, NOW);
         SvidManager.State before = manager.state();
-        CertificateAuthority stranger = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
+        CertificateAuthority otherAuthority = CertificateAuthority.root(DOMAIN, NOW.minus(HOUR), NOW.plus(HOUR));
         String chain = PemWriter.text(good.chain());
         String key = PemWriter.text(good.key());
         String bundle = PemWriter.text(List.of(root.certificate()));
@@ -85,7 +86,7 @@
                 PemWriter.text(CertificateBuilder.newRsaKeyPair(2048).getPrivate()),
                 bundle);
         assertRejected(Reason.UNREADABLE, chain, key, "rubbish");
-        assertRejected(Reason.NOT_VOUCHED, chain, key, PemWriter.text(List.of(stranger.certificate())));
+        assertRejected(Reason.NOT_VOUCHED, chain, key, PemWriter.text(List.of(otherAuthority.certificate())));
         assertRejected(
                 Reason.EXPIRED, PemWriter.text(issue(root, NOW.minusSeconds(1)).chain()), key, bundle);
         assertSame(manager.state(), before);
--- a/src/test/java/olivechute/tls/TlsStateMachineTest.java
+++ b/src/test/java/olivechute/tls/TlsStateMachineTest.java
@@ -139,9 +139,9 @@
         now = now.plusSeconds(61);
         TlsStateMachine node = server.server();
         TlsStateMachine client = dialler.client("node", 1);
-        String told =
+        String message =
                 expectThrows(TlsException.class, () -> exchange(client, node)).getMessage();
-        assertTrue(told.startsWith("expired: "), told);
+        assertTrue(message.startsWith("expired: "), message);
         assertFalse(client.isOpen() || node.isOpen());
     }
 
@@ -153,9 +153,9 @@
         bundles = TrustBundles.EMPTY.with(CertificateAuthority.root(DOMAIN, now.minus(HOUR), now.plus(HOUR))
                 .bundle());
         TlsStateMachine client = dialler.client("node", 1);
-        String told = expectThrows(TlsException.class, () -> exchange(client, server.server()))
+        String message = expectThrows(TlsException.class, () -> exchange(client, server.server()))
                 .getMessage();
-        assertTrue(told.startsWith("not-vouched: "), told);
+        assertTrue(message.startsWith("not-vouched: "), message);
     }
 
     @DataProvider
@@ -191,8 +191,8 @@
     public void plaintextIsDetectedByItsFirstByte() throws Exception {
         TlsStateMachine node = context(issue("/node"), false).server();
         node.receiveBuffer().put((byte) 'P');
-        String told = expectThrows(TlsException.class, node::advance).getMessage();
-        assertEquals(told, "not TLS: the first byte is 80");
+        String message = expectThrows(TlsException.class, node::advance).getMessage();
+        assertEquals(message, "not TLS: the first byte is 80");
         assertTrue(node.closed());
         assertEquals(node.toSend().remaining(), 0);
     }
@@ -207,14 +207,14 @@
         int ended = 0;
         for (int i = 0; i < 300; i++) {
             TlsStateMachine node = context.server();
-            byte[] rubbish = new byte[5 + random.nextInt(400)];
-            random.nextBytes(rubbish);
-            rubbish[0] = 22;
-            rubbish[1] = 3;
-            rubbish[2] = 3;
-            rubbish[3] = 0;
-            rubbish[4] = (byte) random.nextInt(rubbish.length > 200 ? 127 : rubbish.length);
-            node.receiveBuffer().put(rubbish);
+            byte[] randomBytes = new byte[5 + random.nextInt(400)];
+            random.nextBytes(randomBytes);
+            randomBytes[0] = 22;
+            randomBytes[1] = 3;
+            randomBytes[2] = 3;
+            randomBytes[3] = 0;
+            randomBytes[4] = (byte) random.nextInt(randomBytes.length > 200 ? 127 : randomBytes.length);
+            node.receiveBuffer().put(randomBytes);
             try {
                 node.advance();
             } catch (TlsException e) {
