--- a/src/main/java/olivechute/identity/JwtCheck.java
+++ b/src/main/java/olivechute/identity/JwtCheck.java
@@ -116,6 +116,7 @@
         if (!rsa && key instanceof ECPublicKey k) {
             return new ECDSAVerifier(k);
         }
-        throw new IdentityRejectedException(Reason.NOT_VOUCHED, "algorithm " + algorithm + " does not fit that key id");
+        throw new IdentityRejectedException(
+                Reason.NOT_VOUCHED, "algorithm " + algorithm + " does not match the type of the key");
     }
 }
--- a/src/main/java/olivechute/identity/PemReader.java
+++ b/src/main/java/olivechute/identity/PemReader.java
@@ -70,7 +70,7 @@
         try {
             return derKey(Base64.getMimeDecoder().decode(text.substring(start + BEGIN_KEY.length(), end)), algorithm);
         } catch (IllegalArgumentException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no " + algorithm + " key in the form PKCS#8");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "contains no " + algorithm + " key in PKCS#8 form");
         }
     }
 
@@ -79,7 +79,7 @@
         try {
             return KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(der));
         } catch (GeneralSecurityException e) {
-            throw new IdentityRejectedException(Reason.UNREADABLE, "no " + algorithm + " key in the form PKCS#8");
+            throw new IdentityRejectedException(Reason.UNREADABLE, "contains no " + algorithm + " key in PKCS#8 form");
         }
     }
 
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -27,7 +27,7 @@
  */
 @SuppressWarnings("WaitNotInLoop") // the caller waits in a loop that reads the state again
 public final class WorkloadApiSvidSource {
-    private static final long MIN_RETRY_DELAY_MS = 250; // ms
+    private static final long MIN_RETRY_DELAY_MS = 250;
     private static final long MAX_RETRY_DELAY_MS = 30_000;
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final byte[] EMPTY_REQUEST = new byte[0]; // a request without fields
