--- a/src/test/java/olivechute/benchmark/CopyAgentTest.java
+++ b/src/test/java/olivechute/benchmark/CopyAgentTest.java
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void whatIsNotTheNodesIsLeftAlone() {
+    public void classesOutsideTheNodeAreNotRewritten() {
         assertEquals(new CopyAgent().transform(null, "java/util/ArrayList", null, null, new byte[0]), null);
         assertEquals(
                 new CopyAgent().transform(null, "olivechute/benchmark/BlockingHttpConnection", null, null, new byte[0]),
--- a/src/test/java/olivechute/benchmark/CostRecordTest.java
+++ b/src/test/java/olivechute/benchmark/CostRecordTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void eachCountIsHeldToItsMarginAndNamed() {
+    public void eachCountOverItsMarginIsNamed() {
         for (Scenario scenario : Scenario.values()) {
             for (Count c : Count.values()) {
                 double most = c.bound(scenario, 100) - 100;
@@ -41,7 +41,7 @@
 
     /** Write calls and body copies are the same in every run: one more of either must fail. */
     @Test
-    public void aSingleCallOrCopyMoreIsOverTheMargin() {
+    public void oneMoreCallOrCopyExceedsTheMargin() {
         for (Scenario scenario : Scenario.values()) {
             assertEquals(Count.WRITES.bound(scenario, 4) < 5, true);
             assertEquals(Count.BODY_COPIES.bound(scenario, 2) < 3, true);
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void aRecordIsReadAsWrittenAndItsFaultsNameTheKey() throws IOException {
+    public void aRecordIsReadAsWrittenAndItsErrorsNameTheKey() throws IOException {
         Path file = Files.createTempFile("record", ".json");
         CostRecord.write(file, Map.of(Scenario.REFUSED, counts(Count.DIALS, 1)));
         CostRecord read = CostRecord.read(file);
--- a/src/test/java/olivechute/config/NodeConfigTest.java
+++ b/src/test/java/olivechute/config/NodeConfigTest.java
@@ -47,7 +47,7 @@
 
     /** An error must not hide the others, so that an operator can correct a file in one pass. */
     @Test
-    public void allFaultsAreToldAtOnce() throws IOException {
+    public void allErrorsAreReportedAtOnce() throws IOException {
         Path file = Files.createTempFile("node", ".json");
         try (InputStream in = NodeConfigTest.class.getResourceAsStream("/node.json")) {
             String good = new String(in.readAllBytes(), StandardCharsets.UTF_8)
@@ -86,7 +86,7 @@
      * not fit the memory.
      */
     @Test
-    public void theTighterOfDescriptorsAndMemoryBoundsTheConnections() throws IOException {
+    public void theLowerOfDescriptorAndMemoryLimitsBoundsTheConnections() throws IOException {
         assertEquals(read(Map.of()).maxConnections(), (192 - 72) * 1024 / 130);
         assertEquals(read(Map.of(), "\"memory_mb\":192", "\"memory_mb\":4096").maxConnections(), 1024 - 64);
     }
@@ -132,14 +132,14 @@
     }
 
     @Test(dataProvider = "faults")
-    public void aFaultNamesItsKey(String good, String bad, String message) {
+    public void anErrorNamesItsKey(String good, String bad, String message) {
         String seen = expectThrows(InvalidValueException.class, () -> read(Map.of(), good, bad))
                 .getMessage();
         assertTrue(seen.startsWith(message), seen);
     }
 
     @Test
-    public void whatCannotChangeWhileRunningIsNamed() throws IOException {
+    public void keysThatNeedARestartAreNamed() throws IOException {
         NodeConfig running = read(Map.of());
         assertEquals(
                 read(Map.of(), "127.0.0.1:8500", "127.0.0.1:8501").restartRequiredKeys(running), java.util.List.of());
@@ -157,7 +157,7 @@
     }
 
     @Test
-    public void aFileThatCannotBeReadIsBlamedOnItsVariable() {
+    public void anUnreadableFileIsReportedWithItsVariable() {
         for (Map<String, String> env : java.util.List.of(Map.<String, String>of(), Map.of("LB_CONFIG", "/nowhere"))) {
             String seen = expectThrows(InvalidValueException.class, () -> NodeConfig.load(env))
                     .getMessage();
@@ -196,7 +196,7 @@
     }
 
     @Test
-    public void aWrongFormOrLevelNamesItsVariable() {
+    public void anInvalidLogFormatOrLevelNamesItsVariable() {
         assertEquals(
                 expectThrows(
                                 InvalidValueException.class,
--- a/src/test/java/olivechute/config/OperatorFileTest.java
+++ b/src/test/java/olivechute/config/OperatorFileTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void whatIsWrittenIsRead() throws Exception {
+    void allSettingsAreRead() throws Exception {
         IdentitySettings read = read(GOOD);
         assertEquals(List.of(), faults);
         assertEquals("td", read.trustDomain());
@@ -61,7 +61,7 @@
 
     /** The shipped file has identities off, and is valid once they are turned on. */
     @Test
-    void theShippedFileIsOffAndSoundOnceTurnedOn() throws Exception {
+    void theShippedFileIsOffAndValidOnceTurnedOn() throws Exception {
         String shipped = Files.readString(Path.of("deploy/olivechute.conf"));
         assertNull(read(shipped));
         assertEquals(List.of(), faults);
@@ -97,7 +97,7 @@
                 "identity {|identty {|identty: unknown key|did you mean identity?",
                 "identity {|include \"other.conf\", identity {|settings: |",
             })
-    void eachFaultIsBlamedOnItsKey(String from, String to, String begins, String part) throws Exception {
+    void eachErrorNamesItsKey(String from, String to, String begins, String part) throws Exception {
         assertTrue(GOOD.contains(from), from);
         read(GOOD.replace(from, to));
         assertTrue(
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void whatIsNoFileIsBlamedOnTheVariable() {
+    void aMissingFileIsReportedWithItsVariable() {
         OperatorSettingsFile.read(
                 Map.of(OperatorSettingsFile.VARIABLE, dir.resolve("none").toString()), faults);
         assertTrue(faults.get(0).startsWith("OLIVECHUTE_SETTINGS: cannot read "), faults.toString());
--- a/src/test/java/olivechute/log/JsonLinesWriterTest.java
+++ b/src/test/java/olivechute/log/JsonLinesWriterTest.java
@@ -16,7 +16,7 @@
 /** Tests that a log entry is one line of JSON whatever the message holds, with the fields of its request. */
 public class JsonLinesWriterTest {
     @Test
-    public void anEntryIsOneLineWithItsStreamsFields() throws Exception {
+    public void anEntryIsOneLineWithItsRequestFields() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new JsonLinesWriter(out)
                 .write(new LogEntry(
--- a/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
+++ b/src/test/java/olivechute/loganalysis/FleetLogAnalysisTest.java
@@ -30,7 +30,7 @@
             "00:00:10.490 DEBUG RequestLogFields request bb rejected after 90000 us, 0 attempts, last none");
 
     @Test
-    public void whatAllNodesDidTogetherIsCounted() {
+    public void countsAreTakenAcrossAllNodes() {
         FleetLogAnalysis analysis = new FleetLogAnalysis();
         N0.stream().map(LogEntry::parse).filter(l -> l != null).forEach(l -> analysis.add("n0", l));
         N1.stream().map(LogEntry::parse).filter(l -> l != null).forEach(l -> analysis.add("n1", l));
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void aLineCutShortOrOfSomethingElseCountsNothing() {
+    public void truncatedAndOtherLinesAreIgnored() {
         assertNull(LogEntry.parse(N0.get(N0.size() - 1)));
         assertNull(LogEntry.parse(N0.get(2)));
         assertNull(LogEntry.parse(""));
