--- a/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
+++ b/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
@@ -26,10 +26,10 @@
     private final Map<String, Integer> attemptsByOutcome = new TreeMap<>();
     private final TreeMap<Long, Integer> discoveryCalls = new TreeMap<>(); // by tenth of a second, like the next map
     private final TreeMap<Long, Integer> failedDiscoveryCalls = new TreeMap<>();
-    private final Map<String, Integer> rejectionsByLastOutcome = new TreeMap<>(); // by outcome of the last attempt
+    private final Map<String, Integer> rejectionsByLastOutcome = new TreeMap<>();
     private final Map<String, TreeMap<Long, Integer>> connectsByEndpoint = new HashMap<>(); // by endpoint and second
     private final Map<NodeEndpoint, List<LogEntry.AttemptEnded>> attemptEnds = new HashMap<>();
-    private final Map<String, Integer> attemptsByRequest = new HashMap<>(); // by request
+    private final Map<String, Integer> attemptsByRequest = new HashMap<>();
     private final Map<String, Long> firstListedUs =
             new HashMap<>(); // endpoints with a start time, by name and start time: when a node first listed them
     private final List<SentAttempt> sentAttempts = new ArrayList<>();
