--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -212,7 +212,7 @@
     }
 
     /**
-     * Regression test (simulated scenario zone+vast): a cancellation never reached the server, and the job was sent to
+     * Regression test (scenario zone+vast): a cancellation never reached the server, and the job was sent to
      * another one: two copies ran at once.
      */
     @Test
@@ -236,7 +236,7 @@
     }
 
     /**
-     * Regression test (simulated scenario join+vast): the first job on a new connection was cancelled during its
+     * Regression test (scenario join+vast): the first job on a new connection was cancelled during its
      * server's handshake, and ran there after all beside its retry.
      */
     @Test
@@ -291,7 +291,7 @@
     }
 
     /**
-     * Regression test (simulated scenario wide): servers accepted every job of one class and none of another, and both
+     * Regression test (scenario wide): servers accepted every job of one class and none of another, and both
      * classes were sent to them again and again.
      */
     @Test
@@ -315,7 +315,7 @@
     }
 
     /**
-     * Regression test (simulated scenario wide+reset+stale): kept-alive connections that broke at their next request
+     * Regression test (scenario wide+reset+stale): kept-alive connections that broke at their next request
      * made the node exclude their servers.
      */
     @Test
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -30,7 +30,7 @@
 
     private FleetInvariants() {}
 
-    /** Returns all violations; {@code mostAway} nodes may be unavailable at once, negative to skip that check. */
+    /** Returns all violations; {@code maxUnavailable} nodes may be unavailable at once, negative to skip that check. */
     public static List<Violation> check(EventLedger ledger, int mostAway) {
         List<Violation> found = new ArrayList<>();
         checkLost(ledger, found);
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Waits until bytes that were received at {@code came} may be forwarded, given the time and size of the last
+     * Waits until bytes that were received at {@code receivedAtNs} may be forwarded, given the time and size of the last
      * forwarded bytes; times are those of {@link System#nanoTime}.
      */
     synchronized void awaitPass(long came, long lastPassed, int lastBytes) throws InterruptedException {
--- a/src/test/java/olivechute/rig/WorkerStubs.java
+++ b/src/test/java/olivechute/rig/WorkerStubs.java
@@ -47,7 +47,7 @@
     private final int minMillis;
     private final int maxMillis;
 
-    /** Creates workers whose jobs take from {@code least} to {@code most} ms. */
+    /** Creates workers whose jobs take from {@code minMillis} to {@code maxMillis} ms. */
     public WorkerStubs(EventLedger ledger, int count, int least, int most, long seed) {
         this.ledger = ledger;
         this.count = count;
