--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -46,7 +46,7 @@
     // ---- one final response -------------------------------------------------------------------------------
 
     @Test
-    public void aJobIsPassedOnUnchangedAndItsResultIsTheAnswer() throws Exception {
+    public void jobIsForwardedUnchangedAndItsResultReturned() throws Exception {
         TestServer host = startServer(acceptAndReport(
                 "s1", "\"state\":\"started\"", "\"state\":\"running\",\"share\":0.4", doneEvent("r\\u00e9")));
         start(endpointEntry("s1", host, "active", 0));
@@ -62,7 +62,7 @@
      * another request.
      */
     @Test
-    public void newsEarlyRepeatedUnknownOrFromAnotherHostChangeNoAnswer() throws Exception {
+    public void earlyRepeatedUnknownOrForeignEventsDoNotChangeTheResponse() throws Exception {
         TestServer host = startServer(r -> {
             String id = r.headers().get("X-Txn");
             sendStatusEvents(id, "s2", doneEvent("wrong"));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    public void aJobThatIsNeverDoneIsAnsweredBeforeItsClientLeavesAndGivenUp() throws Exception {
+    public void unfinishedJobIsAnsweredBeforeItsDeadlineAndCancelled() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
         start(endpointEntry("s1", host, "active", 0));
         long before = System.nanoTime();
@@ -95,7 +95,7 @@
 
     /** Rejected at once with a realistic Retry-After, and not held until the client's deadline. */
     @Test
-    public void aRefusalLeavesAtOnceAndSaysWhenRoomIsLikely() throws Exception {
+    public void rejectionIsImmediateWithRealisticRetryAfter() throws Exception {
         start();
         long before = System.nanoTime();
         HttpResponse refused = connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000));
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void aLiveIdIsNotTakenTwice() throws Exception {
+    public void idInUseIsRejected() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer host = startServer(r -> {
             go.await(3, TimeUnit.SECONDS);
@@ -125,7 +125,7 @@
     }
 
     @Test
-    public void aClientThatHangsUpFreesItsStreamAndHarmsNoOther() throws Exception {
+    public void disconnectReleasesTheRequestWithoutAffectingOthers() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
         start(endpointEntry("s1", host, "active", 0));
         connectClient().send(TestClient.jobRequest("verify", "t1", 5000)).close();
@@ -156,7 +156,7 @@
      * At most three attempts, never two at once, and only if the class allows repeating an attempt that may have run.
      */
     @Test(dataProvider = "outcomes")
-    public void aFailedUpstreamRequestIsRepeatedAsItsClassAllows(
+    public void failedAttemptIsRetriedAsItsClassAllows(
             String kind, byte[] reply, String news, int requests, int status) throws Exception {
         List<String> known = new ArrayList<>();
         List<TestServer> hosts = new ArrayList<>();
@@ -177,7 +177,7 @@
     }
 
     @Test
-    public void aHostThatCannotBeReachedNeverRanTheJob() throws Exception {
+    public void jobOnUnreachableServerIsRetried() throws Exception {
         TestServer dead = startServer(r -> null);
         dead.close();
         TestServer host = startServer(acceptAndReport("s2", doneEvent("ok")));
@@ -193,7 +193,7 @@
      * overloaded.
      */
     @Test
-    public void aJobThatIsNotAcceptedGoesToAnotherHost() throws Exception {
+    public void unacceptedJobIsSentToAnotherServer() throws Exception {
         TestServer silent =
                 startServer(r -> r.method().equals("DELETE") ? MessageWriter.response(204, null, true) : null);
         TestServer host = startServer(acceptAndReportAfterOther("s2", silent));
@@ -216,7 +216,7 @@
      * another one: two copies ran at once.
      */
     @Test
-    public void aJobWhoseHostCannotBeToldThatItIsGivenUpGoesToNoOther() throws Exception {
+    public void jobWithUnconfirmedCancellationIsNotRetried() throws Exception {
         TestServer cutOff = startServer(r -> null);
         TestServer host = startServer(acceptAndReportAfterOther("s2", cutOff));
         start(endpointEntry("s1", cutOff, "active", 0), endpointEntry("s2", host, "active", 0));
@@ -240,7 +240,7 @@
      * server's handshake, and ran there after all beside its retry.
      */
     @Test
-    public void aHostMayShakeHandsBeforeItTakesTheFirstJobOfAConnection() throws Exception {
+    public void firstJobOfConnectionIsAllowedTimeForAHandshake() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
         TestServer host = startServer(r -> {
             if ("last".equals(r.headers().get("X-Txn"))) {
@@ -295,7 +295,7 @@
      * classes were sent to them again and again.
      */
     @Test
-    public void aClassThatAHostLeavesUnacceptedGoesElsewhere() throws Exception {
+    public void classThatAServerDoesNotAcceptIsSentElsewhere() throws Exception {
         TestServer deaf = startServer(r -> r.method().equals("DELETE")
                 ? MessageWriter.response(204, null, true)
                 : r.path().equals("/sign")
@@ -319,7 +319,7 @@
      * made the node exclude their servers.
      */
     @Test
-    public void keptConnectionsThatBreakCostTheirJobsNothing() throws Exception {
+    public void brokenKeptConnectionsCostNoJobs() throws Exception {
         AtomicInteger come = new AtomicInteger();
         TestServer host = startServer(r -> come.incrementAndGet() % 3 == 2
                 ? TestServer.HANG_UP
@@ -340,7 +340,7 @@
 
     /** All warm-up requests that a node runs before it listens are answered, and none remains. */
     @Test
-    public void theRehearsalEndsAndLeavesNothing() throws Exception {
+    public void warmupEndsAndLeavesNoRequests() throws Exception {
         discovery = startServer(r -> endpointListResponse(1, false));
         Path file = writeConfig(discovery, 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
@@ -355,7 +355,7 @@
 
     /** A single response may not remove the whole fleet: the list is requested once more. */
     @Test
-    public void anEmptyListIsAskedForOnceMore() throws Exception {
+    public void emptyListIsRequestedAgain() throws Exception {
         TestServer one = startServer(acceptAndReport("s1", doneEvent("ok")));
         TestServer two = startServer(acceptAndReport("s2", doneEvent("ok")));
         AtomicInteger whole = new AtomicInteger();
@@ -383,7 +383,7 @@
     }
 
     @Test
-    public void nothingNewGoesToAHostThatDrainsOrIsGone() throws Exception {
+    public void drainingOrRemovedServerGetsNoNewRequests() throws Exception {
         TestServer leaving = startServer(acceptAndReport("s1", doneEvent("old")));
         TestServer staying = startServer(acceptAndReport("s2", doneEvent("new")));
         CountDownLatch tell = new CountDownLatch(1);
@@ -415,7 +415,7 @@
     }
 
     @Test(dataProvider = "pollIntervals")
-    public void aWatchWaitsForNoLongerThanTheSettingsLetItGoUnasked(String askEvery, int least, int most)
+    public void pollTimeoutFollowsTheSettings(String askEvery, int least, int most)
             throws Exception {
         discovery = startServer(r -> endpointListResponse(1, false));
         Path file = writeConfig(discovery, 1024);
@@ -430,7 +430,7 @@
     }
 
     @Test
-    public void theWatchGoesOnWithin200MillisAndComesBackAfterA503() throws Exception {
+    public void watchContinuesWithin200MillisAndRecoversAfter503() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         List<byte[]> answers = List.of(
                 endpointListResponse(1, false),
@@ -459,7 +459,7 @@
      * the new one, whose index may be lower. Open requests stay open.
      */
     @Test
-    public void aReloadMovesTheWatchAtOnceAndLeavesStreamsAlone() throws Exception {
+    public void reloadMovesTheWatchAndKeepsOpenRequests() throws Exception {
         TestServer old = startServer(r -> ACCEPTED);
         TestServer host = startServer(acceptAndReport("s2", doneEvent("new")));
         TestServer next = startServer(r -> r.target().contains("since=1&")
@@ -492,7 +492,7 @@
      * reports.
      */
     @Test
-    public void aColdHostIsNotPushedOver() throws Exception {
+    public void serverInSlowStartIsNotOverloaded() throws Exception {
         TestServer cold = startServer(acceptAndReport("s1", "\"state\":\"started\""));
         start(endpointEntry("s1", cold, "active", System.currentTimeMillis()));
         List<TestClient> clients = new ArrayList<>();
@@ -506,7 +506,7 @@
     // ---- connections --------------------------------------------------------------------------------------
 
     @Test
-    public void upstreamConnectionsAreReusedAndClosedBeforeTheHostWould() throws Exception {
+    public void upstreamConnectionsAreReusedAndClosedBeforeTheServerWould() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
         for (int i = 0; i < 5; i++) {
@@ -526,7 +526,7 @@
 
     /** A partitioned server answers neither the request nor its cancellation. */
     @Test
-    public void connectionsToASilentHostAreGivenBack() throws Exception {
+    public void connectionsToASilentServerAreReleased() throws Exception {
         TestServer host = startServer(r -> {
             if (r.method().equals("POST")) {
                 sendStatusEvents(r.headers().get("X-Txn"), "s1", "\"state\":\"started\"");
@@ -548,7 +548,7 @@
      * Above the node's own limit of open requests, requests are rejected at once with the load balancer's Retry-After.
      */
     @Test
-    public void streamsOverTheBoundAreRefused() throws Exception {
+    public void requestsOverTheLimitAreRejected() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
         startWith(
                 80,
@@ -568,7 +568,7 @@
     }
 
     @Test
-    public void aClientThatAsksFirstIsToldToGoOn() throws Exception {
+    public void expectContinueIsAnswered() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
         TestClient client = connectClient();
@@ -584,7 +584,7 @@
      * that arrived later.
      */
     @Test
-    public void aPipelinedRequestWaitsAndLeavesTheBodyBeforeItAlone() throws Exception {
+    public void pipelinedRequestWaitsAndDoesNotChangeTheBodyBeforeIt() throws Exception {
         CountDownLatch sentBoth = new CountDownLatch(1);
         List<TestServer> hosts = new ArrayList<>();
         Set<String> turnedAway = ConcurrentHashMap.newKeySet();
@@ -625,7 +625,7 @@
      * rejected for lack of capacity, however late a server's events arrive.
      */
     @Test
-    public void clientsThatStopReadingHoldUpNobodyElse() throws Exception {
+    public void clientsThatStopReadingDelayNoOthers() throws Exception {
         CompletableFuture<Void> smallServed = new CompletableFuture<>();
         Set<String> held = ConcurrentHashMap.newKeySet();
         String[] hosts = new String[12];
@@ -686,7 +686,7 @@
      * may be many of those.
      */
     @Test
-    public void theWordThatGivesAJobUpDoesNotWaitForClientsThatStopReading() throws Exception {
+    public void cancellationDoesNotWaitForClientsThatStopReading() throws Exception {
         Set<String> out = ConcurrentHashMap.newKeySet();
         Set<String> told = ConcurrentHashMap.newKeySet();
         AtomicInteger bigs = new AtomicInteger();
@@ -769,7 +769,7 @@
 
     /** At the connection limit an idle connection is evicted in favour of a new one. */
     @Test
-    public void atTheDescriptorLimitIdleConnectionsAreShedFirst() throws Exception {
+    public void idleConnectionsAreEvictedAtTheDescriptorLimit() throws Exception {
         startWith(80); // leaves twelve descriptors for downstream connections
         Set<TestClient> idle = new HashSet<>();
         for (int i = 0; i < 30; i++) {
@@ -864,7 +864,7 @@
      * has had one may stay.
      */
     @Test
-    public void silentAndHalfRequestsEndWithinThreeSeconds() throws Exception {
+    public void silentAndPartialRequestsEndWithinThreeSeconds() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
         start(endpointEntry("s1", host, "active", 0));
         TestClient used = connectClient();
@@ -896,7 +896,7 @@
 
     /** A client that sends its whole body before it reads must still receive the response, not a reset. */
     @Test
-    public void aRejectedBodyIsReadOnSoThatItsAnswerArrives() throws Exception {
+    public void rejectedBodyIsDrainedSoThatTheResponseArrives() throws Exception {
         start();
         TestClient client =
                 connectClient().send("POST /verify HTTP/1.1\r\nContent-Length: 8388608\r\n\r\n".getBytes(UTF_8));
@@ -920,7 +920,7 @@
 
     /** A late status event of the first request would be attributed to the second. */
     @Test
-    public void anIdThatWasSentUpstreamIsNotTakenAgainSoon() throws Exception {
+    public void recentlyUsedIdIsRejected() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
         start(endpointEntry("s1", host, "active", 0));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
@@ -934,7 +934,7 @@
 
     /** Hundreds of silent or incomplete connections do not keep out requests, status events and new clients. */
     @Test
-    public void aCrowdOfUselessConnectionsKeepsNobodyOut() throws Exception {
+    public void uselessConnectionsDoNotKeepOthersOut() throws Exception {
         TestServer host = startServer(r -> ACCEPTED);
         startWith(80, endpointEntry("s1", host, "active", 0)); // leaves twelve descriptors for downstream connections
         for (int i = 0; i < 3; i++) {
@@ -951,7 +951,7 @@
     // ---- shutdown -----------------------------------------------------------------------------------------
 
     @Test
-    public void aNodeThatEndsAnswersWhatItHasAndWhatStillComes() throws Exception {
+    public void drainingNodeAnswersOpenAndNewRequests() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         TestServer one = startServer(null);
         TestServer two = startServer(null);
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -39,7 +39,7 @@
     // ---- authorization --------------------------------------------------------------------------------------
 
     @Test
-    public void aJobGoesThroughUnderIdentitiesOnBothSides() throws Exception {
+    public void jobSucceedsWithIdentitiesOnBothSides() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
         TestClient client = client("/client/acme");
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void aClientOfAnotherTenantGets403AndNoHostHearsOfIt() throws Exception {
+    public void clientOfAnotherTenantGets403AndNothingIsForwarded() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
         assertEquals(
@@ -76,7 +76,7 @@
 
     /** No byte of the job was written, so even a job that may not be repeated is sent to another server. */
     @Test
-    public void aHostWithAnotherIdentityCouldNotBeConnectedTo() throws Exception {
+    public void serverWithWrongIdentityIsAConnectFailure() throws Exception {
         TestServer thief = secureServer("s7", r -> ACCEPTED);
         startSecure(
                 SETTINGS,
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void callBacksCountOnlyFromTheIdentityOfTheHostThatHasTheJob() throws Exception {
+    public void statusEventsAreAcceptedOnlyFromTheIdentityOfTheJobsServer() throws Exception {
         TlsContext right = workloadContext("/sign-worker/s1");
         TlsContext wrong = workloadContext("/sign-worker/s2");
         AtomicInteger refused = new AtomicInteger();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    public void otherRulesHoldFromAReloadOnForOpenConnectionsToo() throws Exception {
+    public void reloadedRulesApplyToOpenConnections() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
         TestClient client = client("/client/acme");
@@ -170,7 +170,7 @@
     }
 
     @Test
-    public void forgersGetAnAlertFromEitherSideAndNoJob() throws Exception {
+    public void forgedIdentitiesAreRejectedOnBothSides() throws Exception {
         List<TestServer> forgers = new ArrayList<>();
         List<String> known = new ArrayList<>();
         TestServer honest = secureWorker("s1", "signed");
@@ -225,7 +225,7 @@
     }
 
     @Test
-    public void aHandshakeHasItsOwnTimeOut() throws Exception {
+    public void handshakeHasItsOwnTimeout() throws Exception {
         startSecure(SETTINGS.replace("EXTRA", "tls { downstream_handshake = 200ms }"));
         assertTrue(awaitCloseNanos(1_500) >= 150_000_000L);
     }
@@ -248,7 +248,7 @@
      * accepted afterwards.
      */
     @Test
-    public void aJobOutlivesItsClientsIdentityAndTheNextOneDoesNotEnter() throws Exception {
+    public void openJobSurvivesIdentityExpiryAndTheNextIsRejected() throws Exception {
         TlsContext old = context(issue("/sign-worker/s1", Duration.ofSeconds(30)));
         TlsContext renewed = workloadContext("/sign-worker/s1");
         TestServer host = secureServer(old, r -> ACCEPTED);
@@ -286,7 +286,7 @@
      * resumes once it is renewed.
      */
     @Test
-    public void withoutAnIdentityOfOurOwnNothingNewIsSpokenUntilItIsRenewed() throws Exception {
+    public void expiredNodeIdentityStopsNewConnectionsUntilRenewal() throws Exception {
         nodeTrustDirectory.svid(issue("/node", Duration.ofSeconds(30)));
         TlsContext worker = workloadContext("/sign-worker/s1");
         TestServer host = secureServer(worker, r -> ACCEPTED);
@@ -322,7 +322,7 @@
      * cached.
      */
     @Test
-    public void aClockThatStepsForwardAndBackLeavesNothingBehind() throws Exception {
+    public void clockStepsLeaveNoLastingEffect() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
         TlsContext acme = workloadContext("/client/acme");
@@ -336,7 +336,7 @@
     }
 
     @Test
-    public void aHostThatComesBackAsSomebodyElseGetsNothing() throws Exception {
+    public void serverReplacedUnderAnotherIdentityGetsNoRequests() throws Exception {
         TestServer first = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", first, "active", 0));
         TestClient client = client("/client/acme");
@@ -354,7 +354,7 @@
 
     /** Data pipelined behind a request is read over TLS too, so that a disconnect is detected there promptly. */
     @Test
-    public void aClientThatLeavesBehindPipelinedRequestsIsSeenTo() throws Exception {
+    public void disconnectWithPipelinedRequestsIsDetected() throws Exception {
         TestServer host =
                 secureServer("s1", r -> r.method().equals("POST") ? ACCEPTED : MessageWriter.response(204, null, true));
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
@@ -471,7 +471,7 @@
 
     /** Invalid or missing files in the directory do not invalidate the last valid identity before it expires. */
     @Test
-    public void rubbishInTheFolderLeavesTheLastIdentityInForce() throws Exception {
+    public void invalidFilesLeaveTheLastIdentityValid() throws Exception {
         TestServer host = secureWorker("s1", "signed");
         startSecure(SETTINGS, endpointEntry("s1", host, "active", 0));
         TlsContext acme = workloadContext("/client/acme");
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -238,7 +238,7 @@
     // ---- pre-send check -----------------------------------------------------------------------------------
 
     @Test
-    public void whatTheLookDoesNotAllowIsNotWrittenAndItsNewConnectionIsKept() throws Exception {
+    public void requestRejectedByPreSendCheckIsNotWrittenAndItsConnectionIsKept() throws Exception {
         TestServer peer = startServer(acceptAll());
         List<Long> transits = new CopyOnWriteArrayList<>();
         PreSendCheck no = (request, now, transit) -> !transits.add(transit);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    public void aHostThatBeginsToLeaveDuringTheDialGetsNothing() throws Exception {
+    public void endpointThatDrainsDuringConnectGetsNoRequest() throws Exception {
         TestServer peer = startServer(acceptAll());
         sendBlockedAtDial(request("a", "s1", ALLOW), peer);
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.DRAINING, 0))));
@@ -269,7 +269,7 @@
     }
 
     @Test
-    public void aHostThatIsGoneDuringTheDialGetsNothing() throws Exception {
+    public void endpointRemovedDuringConnectGetsNoRequest() throws Exception {
         TestServer peer = startServer(acceptAll());
         sendBlockedAtDial(request("a", "s1", ALLOW), peer);
         runOnLoop(() -> pools.onListUpdate(snapshot()));
@@ -284,7 +284,7 @@
      * draining before.
      */
     @Test
-    public void whereOnlyDrainingBindsAHostThatIsGoneMayBeSentToUnlessItDrained() throws Exception {
+    public void removedEndpointAcceptsRequestsIfOnlyDrainingBinds() throws Exception {
         startWith(100, true);
         TestServer gone = startServer(acceptAll());
         TestServer drained = startServer(acceptAll());
@@ -305,7 +305,7 @@
 
     /** The address may belong to another server by now, which would accept the job and report it under another name. */
     @Test
-    public void aHostThatMovedDuringTheDialGetsNothingWhereItWas() throws Exception {
+    public void endpointThatMovedDuringConnectGetsNoRequestAtItsOldAddress() throws Exception {
         TestServer before = startServer(acceptAll());
         TestServer now = startServer(acceptAll());
         sendBlockedAtDial(request("a", "s1", ALLOW), before);
@@ -318,7 +318,7 @@
 
     /** A connection that receives a response after its endpoint moved is not reused. */
     @Test
-    public void aConnectionThatIsAnsweredAfterItsHostMovedIsNotKept() throws Exception {
+    public void connectionAnsweredAfterItsEndpointMovedIsNotKept() throws Exception {
         CountDownLatch answers = newGate();
         TestServer before = startServer(r -> {
             answers.await();
@@ -337,7 +337,7 @@
 
     /** The decision to send and the draining state arrive in one turn of the event loop, the write follows after it. */
     @Test
-    public void aListThatChangesInTheTurnOfTheDecisionBinds() throws Exception {
+    public void listChangeInTheTurnOfTheDecisionApplies() throws Exception {
         TestServer peer = startServer(acceptAll());
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         runOnLoop(() -> pools.send(request("a", "s1", ALLOW)));
@@ -387,7 +387,7 @@
      * requests.
      */
     @Test
-    public void whatIsBeingDialledForAClientThatLeavesIsDropped() throws Exception {
+    public void requestOfDisconnectedClientIsDroppedDuringConnect() throws Exception {
         TestServer peer = startServer(acceptAll());
         dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
         dialGate = newGate();
@@ -406,7 +406,7 @@
     }
 
     @Test
-    public void nothingIsWrittenForAClientThatIsKnownToHaveGoneAheadOfTheEvent() throws Exception {
+    public void nothingIsWrittenForAClientKnownToBeDisconnected() throws Exception {
         TestServer peer = startServer(acceptAll());
         dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
         dialGate = newGate();
@@ -425,7 +425,7 @@
 
     /** Regression test: the job kept running on its server and was never cancelled there. */
     @Test
-    public void whatIsGivenUpWhileItsAcceptanceIsOnItsWayIsGivenUpAtItsHostToo() throws Exception {
+    public void cancellationDuringAcceptanceReachesTheServer() throws Exception {
         TestServer peer = startServer(acceptAll());
         dispatch(endpoint("s1", peer, EndpointState.ACTIVE, 0));
         readGate = newGate();
@@ -466,7 +466,7 @@
     }
 
     @Test
-    public void whatIsGivenUpDuringItsDialNeverRan() throws Exception {
+    public void requestCancelledDuringConnectIsNeverSent() throws Exception {
         TestServer peer = startServer(acceptAll());
         UpstreamRequest request = request("a", "s1", ALLOW);
         AtomicBoolean withheld = new AtomicBoolean();
@@ -483,7 +483,7 @@
      * nor a server to send the cancellation to.
      */
     @Test
-    public void whatIsGivenUpWhileItsAcceptanceIsQueuedIsGivenUpAtItsHost() throws Exception {
+    public void cancellationWithQueuedAcceptanceReachesTheServer() throws Exception {
         TestServer peer = runWhileAcceptanceIsQueued(request -> assertFalse(pools.cancelWithoutReport(request, false)));
         NodeTestBase.awaitRequests(peer, 2);
         assertEquals(peer.requests().get(1).method(), "DELETE");
@@ -491,7 +491,7 @@
 
     /** The server has responded, so the attempt is not withdrawn. */
     @Test
-    public void whatIsAcceptedIsNotWithdrawn() throws Exception {
+    public void acceptedRequestIsNotWithdrawn() throws Exception {
         TestServer peer = runWhileAcceptanceIsQueued(request -> pools.cancelAndReportEnd(request, false));
         assertNextRequestSent("s1", peer, 1);
         assertEquals(events, List.of("a accepted", "last accepted"));
@@ -505,7 +505,7 @@
      * written, on whichever connection.
      */
     @Test
-    public void aSecondAnswerIsNotTakenForTheAnswerToTheNextRequest() throws Exception {
+    public void duplicateResponseIsNotTakenForTheNextRequests() throws Exception {
         int valid = 0;
         for (int i = 0; i < 20 && valid == 0; i++) {
             events.clear();
@@ -539,7 +539,7 @@
     }
 
     @Test
-    public void anotherThatHasSettledGoesFirst() throws Exception {
+    public void reusableConnectionIsPreferred() throws Exception {
         TestServer peer = startServer(acceptAll());
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         for (String id : List.of("a", "b")) {
@@ -556,7 +556,7 @@
 
     /** However fast a server answers, it does not have to hold a connection for each recent request. */
     @Test
-    public void connectionsThatSettleAreBounded() throws Exception {
+    public void connectionsNotYetReusableAreBounded() throws Exception {
         TestServer peer = startServer(acceptAll());
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         for (int i = 0; i < 200; i++) {
@@ -585,7 +585,7 @@
 
     /** The late response is in the kernel's buffer: the reader has not read it when the next request is written. */
     @Test
-    public void aLateAnswerThatNobodyHasReadYetIsNotTakenForTheNext() throws Exception {
+    public void unreadLateResponseIsNotTakenForTheNextRequests() throws Exception {
         TestServer peer = startServer(r -> {
             if (r.headers().get("X-Txn").equals("a")) {
                 spinUntil(() -> readsStarted.get() == 1);
@@ -607,7 +607,7 @@
 
     /** The late response was read, and its reader waits for the lock of the thread that is about to write. */
     @Test
-    public void aLateAnswerInItsReadersHandIsNotTakenForTheNext() throws Exception {
+    public void lateResponseBeingReadIsNotTakenForTheNextRequests() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
         CountDownLatch looks = newGate();
@@ -633,7 +633,7 @@
 
     /** The late response arrives between the decision to send and the first byte. */
     @Test
-    public void aLateAnswerBeforeTheNextRequestIsWrittenIsNotTakenForItsOwn() throws Exception {
+    public void lateResponseBeforeTheNextWriteIsNotTakenForTheNextRequests() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
         runOnLoop(() -> {
@@ -657,7 +657,7 @@
 
     /** Its connection got an unsolicited response, and the event loop has not yet sent the request on another one. */
     @Test
-    public void whatIsTakenBackBetweenTwoConnectionsGoesByNeither() throws Exception {
+    public void requestSuppressedBetweenConnectionsIsNotSent() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
         UpstreamRequest request = request("b", "s1", ALLOW);
@@ -692,7 +692,7 @@
     }
 
     @Test
-    public void whereDialsAreSlowTheNextRequestWaitsUntilAConnectionHasSettled() throws Exception {
+    public void requestWaitsForReusableConnectionIfConnectsAreSlow() throws Exception {
         TestServer peer = serverWithSlowDial();
         for (int i = 0; i < 10; i++) {
             String id = "c" + i;
@@ -711,7 +711,7 @@
 
     /** Each connection that becomes reusable is awaited by one request only. */
     @Test
-    public void twoThatWaitDoNotWaitForTheSame() throws Exception {
+    public void waitingRequestsAwaitDifferentConnections() throws Exception {
         TestServer peer = serverWithSlowDial();
         dialGate = OPEN_GATE;
         runOnLoop(() -> {
@@ -723,7 +723,7 @@
     }
 
     @Test
-    public void whatIsTakenBackWhileItWaitsIsNotWrittenAndTheConnectionIsKept() throws Exception {
+    public void requestSuppressedWhileWaitingIsNotWrittenAndTheConnectionIsKept() throws Exception {
         TestServer peer = serverWithSlowDial();
         UpstreamRequest request = request("c", "s1", ALLOW);
         AtomicBoolean begun = new AtomicBoolean(true);
@@ -741,7 +741,7 @@
 
     /** The waiting request is sent over another connection, and its server receives it once. */
     @Test
-    public void aSecondAnswerEndsTheWaitAndIsNotTakenForTheAnswer() throws Exception {
+    public void duplicateResponseEndsTheWaitAndIsIgnored() throws Exception {
         TestServer peer = serverWithSlowDial();
         runOnLoop(() -> {
             pools.send(request("c", "s1", ALLOW));
@@ -761,7 +761,7 @@
     // ---- limits -------------------------------------------------------------------------------------------
 
     @Test
-    public void aRequestThatGetsNoConnectionCouldNotConnect() throws Exception {
+    public void requestWithoutConnectionIsAConnectFailure() throws Exception {
         startWith(1, false);
         TestServer peer = startServer(acceptAll());
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
@@ -784,7 +784,7 @@
 
     /** Regression test: a fixed limit of one second cut off the connect. */
     @Test
-    public void aDialMayTakeWhatTheSettingsSay() throws Exception {
+    public void connectMayTakeTheConfiguredTimeout() throws Exception {
         startWith(100, false, 3 * US_PER_S);
         TestServer peer = startServer(acceptAll());
         sendBlockedAtDial(request("a", "s1", ALLOW), peer);
@@ -796,7 +796,7 @@
     }
 
     @Test
-    public void anAnswerThatNeverEndsIsNotWaitedForForEver() throws Exception {
+    public void incompleteResponseTimesOut() throws Exception {
         TestServer peer = startServer(r -> "HTTP/1.1 202 Accepted\r\nContent-Length: 9\r\n\r\nhalf".getBytes(UTF_8));
         runOnLoop(() -> pools.onListUpdate(snapshot(endpoint("s1", peer, EndpointState.ACTIVE, 0))));
         UpstreamRequest impatient = new UpstreamRequest(
--- a/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
+++ b/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
@@ -38,9 +38,9 @@
                 assertTrue(
                         calls.get(taken).lines().contains("phase: PROPOSED"),
                         calls.get(taken).lines().toString());
-                String refusal = "CHANGE_UNDER_WAY: change " + ids.get(taken) + " (";
+                String rejection = "CHANGE_UNDER_WAY: change " + ids.get(taken) + " (";
                 assertTrue(
-                        calls.get(1 - taken).lines().stream().anyMatch(line -> line.startsWith(refusal)),
+                        calls.get(1 - taken).lines().stream().anyMatch(line -> line.startsWith(rejection)),
                         calls.get(1 - taken).lines().toString());
                 List<String> stopped = fleet.call("stop");
                 assertTrue(
--- a/src/test/java/olivechute/fleet/DiskFullIT.java
+++ b/src/test/java/olivechute/fleet/DiskFullIT.java
@@ -25,18 +25,18 @@
     private void assertAnotherReplicaTakesOver(DiskAction fill, DiskAction freeSpace)
             throws IOException, InterruptedException {
         startChange();
-        String lead = fleet.leader();
+        String leader = fleet.leader();
         markReplicas();
-        fill.apply(lead);
-        awaitReplicaLine(lead, "disk: full");
-        awaitNewLeader(lead);
+        fill.apply(leader);
+        awaitReplicaLine(leader, "disk: full");
+        awaitNewLeader(leader);
         assertChangeEnds("DONE", "v2");
         markReplicas();
-        freeSpace.apply(lead);
-        awaitReplicaLine(lead, "disk: well");
-        awaitReplicaLine(lead, "follows");
+        freeSpace.apply(leader);
+        awaitReplicaLine(leader, "disk: well");
+        awaitReplicaLine(leader, "follows");
         String next = fleet.leader();
-        assertNotEquals(lead, next);
+        assertNotEquals(leader, next);
         fleet.replicas().get(next).kill(); // from here on the replica that rejoined is needed for a majority
         List<String> shown = fleet.call("show");
         assertTrue(shown.contains("phase: DONE"), shown.toString());
--- a/src/test/java/olivechute/fleet/FleetIT.java
+++ b/src/test/java/olivechute/fleet/FleetIT.java
@@ -69,8 +69,8 @@
         return output;
     }
 
-    void assertInvariantsHold(int mostAway) {
-        assertEquals(List.of(), fleet.nodes().stopAndCheck(mostAway));
+    void assertInvariantsHold(int maxUnavailable) {
+        assertEquals(List.of(), fleet.nodes().stopAndCheck(maxUnavailable));
         passed = true;
     }
 
--- a/src/test/java/olivechute/fleet/LeaderFailureIT.java
+++ b/src/test/java/olivechute/fleet/LeaderFailureIT.java
@@ -12,10 +12,10 @@
     @Test
     void leaderIsKilled() {
         startChange();
-        String lead = fleet.leader();
+        String leader = fleet.leader();
         markReplicas();
-        fleet.replicas().get(lead).kill();
-        awaitNewLeader(lead);
+        fleet.replicas().get(leader).kill();
+        awaitNewLeader(leader);
         assertChangeEnds("DONE", "v2");
         assertInvariantsHold(1);
     }
@@ -24,11 +24,11 @@
     @Test
     void leaderIsPausedPastItsTerm() {
         startChange();
-        String lead = fleet.leader();
-        TestProcess paused = fleet.replicas().get(lead);
+        String leader = fleet.leader();
+        TestProcess paused = fleet.replicas().get(leader);
         markReplicas();
         paused.pause();
-        awaitNewLeader(lead);
+        awaitNewLeader(leader);
         paused.resume();
         assertChangeEnds("DONE", "v2");
         assertInvariantsHold(1);
--- a/src/test/java/olivechute/fleet/ServeIT.java
+++ b/src/test/java/olivechute/fleet/ServeIT.java
@@ -44,7 +44,7 @@
         nodes.clients().awaitServed(nodes.ledger().answers().size() + jobs, TIMEOUT_MILLIS);
     }
 
-    private long lostAt(String node) {
+    private long lostJobsAt(String node) {
         return nodes.ledger().jobs().stream()
                 .filter(job ->
                         job.end() == EventLedger.Outcome.LOST && job.node().equals(node))
@@ -63,7 +63,7 @@
         nodes.clients().awaitReady(ready -> ready.get("n1"), TIMEOUT_MILLIS);
         awaitMore(100);
         assertEquals(List.of(), nodes.stopAndCheck(1));
-        assertEquals(0, lostAt("n0") + lostAt("n2"));
+        assertEquals(0, lostJobsAt("n0") + lostJobsAt("n2"));
     }
 
     @Test
--- a/src/test/java/olivechute/rig/DiscoveryStub.java
+++ b/src/test/java/olivechute/rig/DiscoveryStub.java
@@ -26,24 +26,24 @@
 
     /** Starts a listener for this node and returns its address in the form used in settings. */
     public synchronized String addNode(String node) {
-        byte[] whole = list(true, workers.entries(node, zone));
-        byte[] same = list(false, "");
+        byte[] fullList = list(true, workers.entries(node, zone));
+        byte[] emptyUpdate = list(false, "");
         HttpStub peer = new HttpStub("discovery", request -> {
             if (!INDEX.equals(request.queryParameter("since"))) {
-                return whole;
+                return fullList;
             }
             String wait = request.queryParameter("timeout_ms");
             end.await(wait == null ? 1000 : Math.min(60_000, Long.parseLong(wait)), TimeUnit.MILLISECONDS);
-            return same;
+            return emptyUpdate;
         });
         peers.put(node, peer);
         return peer.hostAndPort();
     }
 
-    private static byte[] list(boolean whole, String entries) {
+    private static byte[] list(boolean snapshot, String entries) {
         return MessageWriter.response(
                 200,
-                ("{\"index\":" + INDEX + ",\"snapshot\":" + whole + ",\"endpoints\":[" + entries + "]}")
+                ("{\"index\":" + INDEX + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + entries + "]}")
                         .getBytes(StandardCharsets.UTF_8),
                 true);
     }
--- a/src/test/java/olivechute/rig/Fleet.java
+++ b/src/test/java/olivechute/rig/Fleet.java
@@ -187,7 +187,7 @@
 
     /** Returns the id of the leader: the replica that reported the highest term. */
     public String leader() {
-        String lead = null;
+        String leaderId = null;
         long term = -1;
         for (var replica : replicas.entrySet()) {
             for (String line : replica.getValue().lines()) {
@@ -195,15 +195,15 @@
                     long of = Long.parseLong(line.replaceAll(".* leads term (\\d+).*", "$1"));
                     if (of > term) {
                         term = of;
-                        lead = replica.getKey();
+                        leaderId = replica.getKey();
                     }
                 }
             }
         }
-        if (lead == null) {
+        if (leaderId == null) {
             throw new TestSetupException("no replica reported that it leads");
         }
-        return lead;
+        return leaderId;
     }
 
     /** Partitions a machine's supervisor from the store. */
@@ -222,11 +222,11 @@
 
     /** Starts an operator's command; the caller closes it. */
     public TestProcess startCall(String... args) {
-        List<String> whole = new ArrayList<>(List.of(
+        List<String> command = new ArrayList<>(List.of(
                 "change", args[0], "--settings", folder.resolve("change.conf").toString()));
-        whole.addAll(List.of(args).subList(1, args.length));
+        command.addAll(List.of(args).subList(1, args.length));
         return TestProcess.start(
-                ProcessSpec.fleetCommand("change " + args[0], ProcessSpec.JAR, whole.toArray(String[]::new)));
+                ProcessSpec.fleetCommand("change " + args[0], ProcessSpec.JAR, command.toArray(String[]::new)));
     }
 
     private List<String> call(Duration within, String... args) {
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -31,13 +31,13 @@
     private FleetInvariants() {}
 
     /** Returns all violations; {@code maxUnavailable} nodes may be unavailable at once, negative to skip that check. */
-    public static List<Violation> check(EventLedger ledger, int mostAway) {
+    public static List<Violation> check(EventLedger ledger, int maxUnavailable) {
         List<Violation> found = new ArrayList<>();
         checkLost(ledger, found);
         checkAnsweredTwice(ledger, found);
         checkSignedTwice(ledger, found);
-        if (mostAway >= 0) {
-            checkAway(ledger, mostAway, found);
+        if (maxUnavailable >= 0) {
+            checkAway(ledger, maxUnavailable, found);
         }
         return found;
     }
@@ -78,29 +78,29 @@
         }
     }
 
-    private static void checkAway(EventLedger ledger, int mostAway, List<Violation> found) {
+    private static void checkAway(EventLedger ledger, int maxUnavailable, List<Violation> found) {
         Map<String, List<EventLedger.ReadinessProbe>> byNode = new LinkedHashMap<>();
         ledger.probes()
-                .forEach(look -> byNode.computeIfAbsent(look.node(), n -> new ArrayList<>())
-                        .add(look));
+                .forEach(probe -> byNode.computeIfAbsent(probe.node(), n -> new ArrayList<>())
+                        .add(probe));
         TreeMap<Long, List<String>> steps =
                 new TreeMap<>(); // "+node" where its unavailability begins, "-node" where it ends
-        byNode.forEach((node, looks) -> {
-            looks.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
+        byNode.forEach((node, probes) -> {
+            probes.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
             int first = 0;
-            while (first < looks.size() && !looks.get(first).ready()) {
+            while (first < probes.size() && !probes.get(first).ready()) {
                 first++; // not unavailable: it has not been ready yet
             }
-            for (int i = first; i < looks.size(); i++) {
+            for (int i = first; i < probes.size(); i++) {
                 int last = i;
-                while (last < looks.size() && !looks.get(last).ready()) {
+                while (last < probes.size() && !probes.get(last).ready()) {
                     last++;
                 }
                 if (last - i >= 2
-                        && looks.get(i).answered() < looks.get(last - 1).sent()) {
-                    steps.computeIfAbsent(looks.get(i).answered(), t -> new ArrayList<>())
+                        && probes.get(i).answered() < probes.get(last - 1).sent()) {
+                    steps.computeIfAbsent(probes.get(i).answered(), t -> new ArrayList<>())
                             .add("+" + node);
-                    steps.computeIfAbsent(looks.get(last - 1).sent(), t -> new ArrayList<>())
+                    steps.computeIfAbsent(probes.get(last - 1).sent(), t -> new ArrayList<>())
                             .add(0, "-" + node);
                 }
                 i = Math.max(i, last);
@@ -116,11 +116,11 @@
                     away.add(what.substring(1));
                 }
             }
-            if (away.size() > mostAway && !over) {
+            if (away.size() > maxUnavailable && !over) {
                 found.add(new Violation(
-                        Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + mostAway + " allowed"));
+                        Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + maxUnavailable + " allowed"));
             }
-            over = away.size() > mostAway;
+            over = away.size() > maxUnavailable;
         }
     }
 }
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -9,7 +9,7 @@
 
     private boolean partitioned;
     private long delayNs; // ns
-    private int rate; // 0 for no limit
+    private int maxBytesPerSecond; // 0 for no limit
 
     synchronized void partitioned(boolean now) {
         partitioned = now;
@@ -25,15 +25,15 @@
         notifyAll();
     }
 
-    synchronized void rate(int bytesPerSecond) {
-        rate = bytesPerSecond;
+    synchronized void maxBytesPerSecond(int bytesPerSecond) {
+        maxBytesPerSecond = bytesPerSecond;
         notifyAll();
     }
 
     synchronized void heal() {
         partitioned = false;
         delayNs = 0;
-        rate = 0;
+        maxBytesPerSecond = 0;
         notifyAll();
     }
 
@@ -47,10 +47,10 @@
      * Waits until bytes that were received at {@code receivedAtNs} may be forwarded, given the time and size of the last
      * forwarded bytes; times are those of {@link System#nanoTime}.
      */
-    synchronized void awaitPass(long came, long lastPassed, int lastBytes) throws InterruptedException {
+    synchronized void awaitPass(long receivedAtNs, long lastForwardedNs, int lastBytes) throws InterruptedException {
         for (; ; ) {
             long due = Math.max(
-                    came + delayNs, rate == 0 ? Long.MIN_VALUE : lastPassed + lastBytes * NS_PER_SECOND / rate);
+                    receivedAtNs + delayNs, maxBytesPerSecond == 0 ? Long.MIN_VALUE : lastForwardedNs + lastBytes * NS_PER_SECOND / maxBytesPerSecond);
             long left = due - System.nanoTime();
             if (partitioned) {
                 wait();
@@ -64,6 +64,6 @@
 
     /** Returns how many bytes to forward at once: at most those of a twentieth of a second. */
     synchronized int maxChunk(int offered) {
-        return rate == 0 ? offered : Math.min(offered, Math.max(1, rate / 20));
+        return maxBytesPerSecond == 0 ? offered : Math.min(offered, Math.max(1, maxBytesPerSecond / 20));
     }
 }
--- a/src/test/java/olivechute/rig/LinkProxy.java
+++ b/src/test/java/olivechute/rig/LinkProxy.java
@@ -81,7 +81,7 @@
 
     /** Limits the bytes per second of each connection in this direction. */
     public void limitRate(Direction way, int bytesPerSecond) {
-        faults.get(way).rate(bytesPerSecond);
+        faults.get(way).maxBytesPerSecond(bytesPerSecond);
     }
 
     /** Resets all connections; new ones are established unless the link is partitioned. */
--- a/src/test/java/olivechute/rig/LinkProxyTest.java
+++ b/src/test/java/olivechute/rig/LinkProxyTest.java
@@ -91,16 +91,16 @@
     }
 
     @Test
-    void cutOnTheWayThereHoldsBytesAndLetsNothingNewComeUp() throws IOException {
-        cutHolds(LinkProxy.Direction.TO_TARGET);
+    void partitionToTargetHoldsBytesAndBlocksNewConnections() throws IOException {
+        assertPartitionHoldsBytes(LinkProxy.Direction.TO_TARGET);
     }
 
     @Test
-    void cutOnTheWayBackHoldsBytesAndLetsNothingNewComeUp() throws IOException {
-        cutHolds(LinkProxy.Direction.FROM_TARGET);
+    void partitionFromTargetHoldsBytesAndBlocksNewConnections() throws IOException {
+        assertPartitionHoldsBytes(LinkProxy.Direction.FROM_TARGET);
     }
 
-    private void cutHolds(LinkProxy.Direction way) throws IOException {
+    private void assertPartitionHoldsBytes(LinkProxy.Direction way) throws IOException {
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
             link.partition(way);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void cutHidesTheEndOfTheOtherSide() throws IOException {
+    void partitionHidesTheEndOfStream() throws IOException {
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
             link.partition();
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void resetBreaksWhatIsOpenOnly() throws IOException {
+    void resetAffectsOpenConnectionsOnly() throws IOException {
         try (Socket socket = connect(1000)) {
             assertArrayEquals(new byte[] {1}, exchange(socket, new byte[] {1}));
             link.reset();
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void delayHoldsEachByteBackAndKeepsTheOrder() throws IOException {
+    void delayAppliesToEachByteAndKeepsTheOrder() throws IOException {
         link.delay(LinkProxy.Direction.TO_TARGET, Duration.ofMillis(150));
         link.delay(LinkProxy.Direction.FROM_TARGET, Duration.ofMillis(100));
         try (Socket socket = connect(1000)) {
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void slowBoundsTheBytesOfASecond() throws IOException {
+    void rateLimitBoundsBytesPerSecond() throws IOException {
         link.limitRate(LinkProxy.Direction.FROM_TARGET, 20_000);
         try (Socket socket = connect(1000)) {
             long begun = System.nanoTime();
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void aTargetThatIsGoneResets() throws IOException {
+    void unreachableTargetResetsTheConnection() throws IOException {
         echo.close();
         try (Socket socket = connect(1000)) {
             assertThrows(SocketException.class, () -> socket.getInputStream().read());
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -74,17 +74,17 @@
 
     private void probe(String node) {
         long sent = EventLedger.now();
-        boolean is = false;
+        boolean isReady = false;
         try (HttpTestConnection line = new HttpTestConnection(nodes.get(node), PROBE_TIMEOUT_MILLIS)) {
             line.send(PROBE_REQUEST);
             HttpResponse answer = line.receive(PROBE_TIMEOUT_MILLIS);
-            is = answer != null && answer.status() == 200;
+            isReady = answer != null && answer.status() == 200;
         } catch (IOException | HttpException e) {
-            is = false;
+            isReady = false;
         }
-        ledger.add(new EventLedger.ReadinessProbe(node, sent, EventLedger.now(), is));
+        ledger.add(new EventLedger.ReadinessProbe(node, sent, EventLedger.now(), isReady));
         synchronized (lock) {
-            ready.put(node, is);
+            ready.put(node, isReady);
             lock.notifyAll();
         }
     }
@@ -125,18 +125,18 @@
     }
 
     private void submitJob() {
-        List<String> choice = new ArrayList<>();
-        ready.forEach((node, is) -> {
-            if (is) {
-                choice.add(node);
+        List<String> readyNodes = new ArrayList<>();
+        ready.forEach((node, isReady) -> {
+            if (isReady) {
+                readyNodes.add(node);
             }
         });
         synchronized (lock) {
-            if (stopped || choice.isEmpty()) {
+            if (stopped || readyNodes.isEmpty()) {
                 return;
             }
-            choice.sort(null);
-            String node = choice.get(random.nextInt(choice.size()));
+            readyNodes.sort(null);
+            String node = readyNodes.get(random.nextInt(readyNodes.size()));
             int number = jobCount++;
             openJobs++;
             jobExecutor.execute(() -> {
@@ -153,12 +153,12 @@
     }
 
     private void runJob(String node, int number) {
-        String kind = number % 2 == 0 ? "verify" : "sign";
+        String requestClass = number % 2 == 0 ? "verify" : "sign";
         String id = String.format("%06x%010x", runId, number);
-        String key = kind.equals("sign") ? "key-" + id : null;
+        String key = requestClass.equals("sign") ? "key-" + id : null;
         byte[] bytes = MessageWriter.request(
                 "POST",
-                "/" + kind + "?user=u" + number % 97,
+                "/" + requestClass + "?user=u" + number % 97,
                 "backend.local",
                 ("doc" + number).getBytes(StandardCharsets.US_ASCII),
                 "X-Txn",
@@ -170,46 +170,46 @@
                 "Idempotency-Key",
                 key);
         long sent = EventLedger.now();
-        EventLedger.Outcome end = EventLedger.Outcome.NOT_TAKEN;
+        EventLedger.Outcome outcome = EventLedger.Outcome.NOT_TAKEN;
         int status = 0;
-        HttpTestConnection line = takeIdle(node);
-        boolean again = line != null;
-        for (boolean more = true; more; ) {
-            more = false;
+        HttpTestConnection connection = takeIdle(node);
+        boolean mayRetry = connection != null;
+        for (boolean retry = true; retry; ) {
+            retry = false;
             try {
-                line = line == null ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS) : line;
-                line.send(bytes);
-                end = EventLedger.Outcome.LOST;
+                connection = connection == null ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS) : connection;
+                connection.send(bytes);
+                outcome = EventLedger.Outcome.LOST;
                 HttpResponse answer =
-                        line.receive((int) (sent + DEADLINE_MILLIS + LATE_ANSWER_MILLIS - EventLedger.now()));
+                        connection.receive((int) (sent + DEADLINE_MILLIS + LATE_ANSWER_MILLIS - EventLedger.now()));
                 if (answer != null) {
                     status = answer.status();
-                    end = outcomeOf(status);
+                    outcome = outcomeOf(status);
                     recordAnswer(node, id, answer);
-                    keepOrClose(node, line, answer.keepAlive());
+                    keepOrClose(node, connection, answer.keepAlive());
                     break;
                 }
-                more = again;
+                retry = mayRetry;
             } catch (SocketTimeoutException silent) {
-                more = false;
+                retry = false;
             } catch (IOException broken) {
-                more = again;
+                retry = mayRetry;
             } catch (HttpException garbled) {
-                end = EventLedger.Outcome.FAILED;
+                outcome = EventLedger.Outcome.FAILED;
             }
-            again = false;
-            if (line != null) {
-                line.close();
-                line = null;
+            mayRetry = false;
+            if (connection != null) {
+                connection.close();
+                connection = null;
             }
         }
-        ledger.add(new EventLedger.Job(id, kind, key, node, sent, EventLedger.now(), end, status));
+        ledger.add(new EventLedger.Job(id, requestClass, key, node, sent, EventLedger.now(), outcome, status));
     }
 
     private static EventLedger.Outcome outcomeOf(int status) {
         return status == 200
                 ? EventLedger.Outcome.SERVED
-                : status == 429 || status == 503 ? EventLedger.Outcome.REFUSED : EventLedger.Outcome.FAILED;
+                : status == 429 || status == 503 ? EventLedger.Outcome.REJECTED : EventLedger.Outcome.FAILED;
     }
 
     /**
@@ -227,15 +227,15 @@
         return idleConnections.get(node).poll();
     }
 
-    private void keepOrClose(String node, HttpTestConnection line, boolean keepAlive) {
-        HttpResponse stray = line.pollUnsolicited();
-        if (stray != null) {
-            recordAnswer(node, "unasked", stray);
+    private void keepOrClose(String node, HttpTestConnection connection, boolean keepAlive) {
+        HttpResponse unsolicited = connection.pollUnsolicited();
+        if (unsolicited != null) {
+            recordAnswer(node, "unasked", unsolicited);
         }
         if (keepAlive) {
-            idleConnections.get(node).push(line);
+            idleConnections.get(node).push(connection);
         } else {
-            line.close();
+            connection.close();
         }
     }
 
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -13,7 +13,7 @@
     private static final int LINES_IN_ERRORS = 30;
 
     private final String processName;
-    private final ArrayDeque<String> kept = new ArrayDeque<>();
+    private final ArrayDeque<String> retained = new ArrayDeque<>();
     private long count;
     private int startNumber;
     private boolean ended;
@@ -23,10 +23,10 @@
     }
 
     synchronized void add(String line) {
-        if (kept.size() == MAX_LINES) {
-            kept.removeFirst();
+        if (retained.size() == MAX_LINES) {
+            retained.removeFirst();
         }
-        kept.addLast(line);
+        retained.addLast(line);
         count++;
         notifyAll();
     }
@@ -48,12 +48,12 @@
     }
 
     synchronized List<String> all() {
-        return List.copyOf(kept);
+        return List.copyOf(retained);
     }
 
     /** Returns the retained lines from number {@code from} on. */
     synchronized List<String> after(long from) {
-        return all().subList((int) Math.max(0, Math.min(kept.size(), from - (count - kept.size()))), kept.size());
+        return all().subList((int) Math.max(0, Math.min(retained.size(), from - (count - retained.size()))), retained.size());
     }
 
     /** Waits for the first line from number {@code from} on that contains the pattern and returns the match. */
@@ -61,9 +61,9 @@
         long end = System.nanoTime() + within.toNanos();
         long next = from;
         for (; ; ) {
-            long first = count - kept.size();
+            long first = count - retained.size();
             long number = first;
-            for (String line : kept) {
+            for (String line : retained) {
                 if (number++ >= Math.max(next, first)) {
                     Matcher m = pattern.matcher(line);
                     if (m.find()) {
@@ -88,7 +88,7 @@
     }
 
     private List<String> tail() {
-        List<String> lines = new ArrayList<>(kept);
+        List<String> lines = new ArrayList<>(retained);
         return lines.subList(Math.max(0, lines.size() - LINES_IN_ERRORS), lines.size());
     }
 }
--- a/src/test/java/olivechute/rig/TestNodes.java
+++ b/src/test/java/olivechute/rig/TestNodes.java
@@ -111,9 +111,9 @@
     }
 
     /** Stops the load and returns all violations. */
-    public List<FleetInvariants.Violation> stopAndCheck(int mostAway) {
+    public List<FleetInvariants.Violation> stopAndCheck(int maxUnavailable) {
         clients.stop();
-        return FleetInvariants.check(ledger, mostAway);
+        return FleetInvariants.check(ledger, maxUnavailable);
     }
 
     @Override
--- a/src/test/java/olivechute/rig/TestProcess.java
+++ b/src/test/java/olivechute/rig/TestProcess.java
@@ -50,11 +50,11 @@
         return program;
     }
 
-    private synchronized void launch(ProcessSpec as) {
-        ProcessBuilder builder = new ProcessBuilder(as.fullCommand()).redirectErrorStream(true);
-        builder.environment().putAll(as.environment());
+    private synchronized void launch(ProcessSpec spec) {
+        ProcessBuilder builder = new ProcessBuilder(spec.fullCommand()).redirectErrorStream(true);
+        builder.environment().putAll(spec.environment());
         firstLine = lines.count();
-        int life = lines.onStart();
+        int startNumber = lines.onStart();
         try {
             process = builder.start();
         } catch (IOException e) {
@@ -62,10 +62,10 @@
         }
         STARTED.add(process.toHandle());
         Process begun = process;
-        reader = Threads.start("rig-" + recipe.name(), () -> read(begun, life));
+        reader = Threads.start("rig-" + recipe.name(), () -> read(begun, startNumber));
     }
 
-    private void read(Process of, int life) {
+    private void read(Process of, int startNumber) {
         try (BufferedReader in =
                 new BufferedReader(new InputStreamReader(of.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -74,7 +74,7 @@
         } catch (IOException e) {
             lines.add("(reading the output failed: " + e + ")");
         }
-        lines.onEnd(life);
+        lines.onEnd(startNumber);
     }
 
     public String name() {
@@ -186,11 +186,11 @@
     }
 
     /** Restarts the process, which must have ended, with another specification. */
-    public synchronized void restart(ProcessSpec as) {
+    public synchronized void restart(ProcessSpec spec) {
         if (process.isAlive()) {
             throw new TestSetupException(name() + " still runs");
         }
-        launch(as);
+        launch(spec);
     }
 
     /** Returns the live descendants seen so far. */
--- a/src/test/java/olivechute/rig/TestProcessTest.java
+++ b/src/test/java/olivechute/rig/TestProcessTest.java
@@ -19,7 +19,7 @@
     private static final Duration SOON = Duration.ofSeconds(10);
     private static final Duration MOMENT = Duration.ofMillis(200);
     /** Script that starts a child process and writes a line repeatedly. */
-    private static final String TALKER = "sleep 1000 & echo child $!; echo ready $$; i=0; "
+    private static final String REPEATING_SCRIPT = "sleep 1000 & echo child $!; echo ready $$; i=0; "
             + "while :; do i=$((i+1)); echo beat $i; sleep 0.05; done";
 
     private static ProcessSpec shell(String script) {
@@ -56,8 +56,8 @@
     }
 
     @Test
-    void stopsWakesAndKills() {
-        try (TestProcess p = TestProcess.start(shell(TALKER))) {
+    void pausesResumesAndKills() {
+        try (TestProcess p = TestProcess.start(shell(REPEATING_SCRIPT))) {
             p.awaitLine("^beat 2", SOON);
             p.pause();
             assertThrows(
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void endsWhatItStartedWhenClosed() {
+    void closeKillsDescendants() {
         ProcessHandle child;
-        try (TestProcess p = TestProcess.start(shell(TALKER))) {
+        try (TestProcess p = TestProcess.start(shell(REPEATING_SCRIPT))) {
             long pid = Long.parseLong(p.awaitLine("^child (\\d+)", SOON).group(1));
             child = p.children().stream()
                     .filter(c -> c.pid() == pid)
@@ -107,10 +107,10 @@
     }
 
     @Test
-    void aMachineFallsWithAllThatItsProgramsStarted() {
+    void machineIsKilledWithAllDescendants() {
         try (TestMachine machine = new TestMachine("m")) {
-            TestProcess a = machine.add(TestProcess.start(shell(TALKER)));
-            TestProcess b = machine.add(TestProcess.start(shell(TALKER)));
+            TestProcess a = machine.add(TestProcess.start(shell(REPEATING_SCRIPT)));
+            TestProcess b = machine.add(TestProcess.start(shell(REPEATING_SCRIPT)));
             a.awaitLine("^ready", SOON);
             b.awaitLine("^ready", SOON);
             List<ProcessHandle> children = a.children();
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void disksFillAndRot() throws IOException {
+    void injectsDirectoryFaults() throws IOException {
         try (TestDirectory folder = new TestDirectory("disk")) {
             assertThrows(IOException.class, () -> Files.writeString(folder.createFullFile("log"), "x"));
             Path file = folder.write("data", "abcdef");
--- a/src/test/java/olivechute/rig/TestVersionsIT.java
+++ b/src/test/java/olivechute/rig/TestVersionsIT.java
@@ -47,38 +47,38 @@
     }
 
     @Test
-    void theEqualOneServesUnderAnotherDigest() {
+    void equivalentVersionServesUnderAnotherDigest() {
         Path equal = versions.equivalent();
         assertNotEquals(TestVersions.digest(ProcessSpec.JAR), TestVersions.digest(equal));
         serve(equal, 100);
-        assertEquals(nodes.ledger().jobs().size(), served("verify") + served("sign") + refused());
+        assertEquals(nodes.ledger().jobs().size(), served("verify") + served("sign") + rejected());
         assertTrue(served("verify") + served("sign") > 0
                 && nodes.program("n0").lines().stream().noneMatch(l -> l.startsWith("injected")));
     }
 
     /** A node that is short of processor time rejects some jobs itself; injected rejections are logged as such. */
     @Test
-    void oneRefusesEveryTenthOfSign() {
+    void rejectsEveryTenthOfSign() {
         serve(versions.rejectingTenthOfSign(), 200);
         long signs = nodes.ledger().jobs().stream()
                 .filter(job -> job.requestClass().equals("sign"))
                 .count();
-        List<String> planted = nodes.program("n0").lines().stream()
+        List<String> injected = nodes.program("n0").lines().stream()
                 .filter(line -> line.startsWith("injected rejection of "))
                 .map(line -> line.substring(line.lastIndexOf(' ') + 1))
                 .filter(id -> !id.startsWith(WARMUP_ID_PREFIX))
                 .toList();
-        assertTrue(Math.abs(planted.size() - signs / 10.0) <= 1, planted + " of " + signs);
+        assertTrue(Math.abs(injected.size() - signs / 10.0) <= 1, injected + " of " + signs);
         List<String> refused = nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
+                .filter(job -> job.end() == EventLedger.Outcome.REJECTED)
                 .map(EventLedger.Job::id)
                 .toList();
-        assertTrue(refused.containsAll(planted), refused + " without some of " + planted);
+        assertTrue(refused.containsAll(injected), refused + " without some of " + injected);
     }
 
-    private long refused() {
+    private long rejected() {
         return nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
+                .filter(job -> job.end() == EventLedger.Outcome.REJECTED)
                 .count();
     }
 
@@ -87,20 +87,20 @@
     }
 
     @Test
-    void oneHoldsEachJobUp() {
+    void delaysEachJob() {
         serve(versions.slower(300), 50);
         assertTrue(nodes.ledger().jobs().stream().allMatch(job -> job.ended() - job.sent() >= 300));
     }
 
     @Test
-    void oneEndsByItselfOnceItIsReady() {
+    void exitsOnceReady() {
         TestProcess node = nodes.start("n0", versions.crashesAfter(1000));
         assertEquals(3, node.awaitExit(Duration.ofSeconds(10)));
         assertTrue(node.lines().contains("injected crash"));
     }
 
     @Test
-    void oneServesButIsNeverReady() throws IOException, HttpException {
+    void servesButIsNeverReady() throws IOException, HttpException {
         nodes.start("n0", versions.neverReady());
         nodes.connectClients();
         assertThrows(TestSetupException.class, () -> nodes.clients().awaitReady(ready -> ready.get("n0"), 500));
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aPatchThatFindsNothingIsNoVersion() {
+    void patchWithoutMatchFails() {
         assertThrows(TestSetupException.class, () -> new TestVersions(versions.path("missing.jar")).equivalent());
         assertEquals(Map.of(), nodes.ledger().counts());
     }
--- a/src/test/java/olivechute/rig/WorkerStubs.java
+++ b/src/test/java/olivechute/rig/WorkerStubs.java
@@ -48,11 +48,11 @@
     private final int maxMillis;
 
     /** Creates workers whose jobs take from {@code minMillis} to {@code maxMillis} ms. */
-    public WorkerStubs(EventLedger ledger, int count, int least, int most, long seed) {
+    public WorkerStubs(EventLedger ledger, int count, int minMillis, int maxMillis, long seed) {
         this.ledger = ledger;
         this.count = count;
-        this.minMillis = least;
-        this.maxMillis = most;
+        this.minMillis = minMillis;
+        this.maxMillis = maxMillis;
         this.random = new SplittableRandom(seed);
     }
 
@@ -185,7 +185,7 @@
 
     /** Sends a status event, with retries until it is answered. */
     private void reportState(RunningJob job, String state) {
-        byte[] news = MessageWriter.request(
+        byte[] event = MessageWriter.request(
                 "POST",
                 "/_jobs/news",
                 "node",
@@ -193,18 +193,18 @@
                         .getBytes(StandardCharsets.US_ASCII),
                 "Content-Type",
                 "application/json");
-        reportState(job.node, news, 1);
+        reportState(job.node, event, 1);
     }
 
-    private void reportState(String node, byte[] news, int tries) {
-        ConcurrentLinkedDeque<HttpTestConnection> kept = idleConnections.get(node);
-        HttpTestConnection line = kept.poll();
+    private void reportState(String node, byte[] event, int tries) {
+        ConcurrentLinkedDeque<HttpTestConnection> idle = idleConnections.get(node);
+        HttpTestConnection line = idle.poll();
         try {
             line = line == null ? new HttpTestConnection(nodes.get(node), REPORT_TIMEOUT_MILLIS) : line;
-            line.send(news);
+            line.send(event);
             if (line.receive(REPORT_TIMEOUT_MILLIS) != null) {
-                if (kept.size() < MAX_IDLE_CONNECTIONS) {
-                    kept.push(line);
+                if (idle.size() < MAX_IDLE_CONNECTIONS) {
+                    idle.push(line);
                     return;
                 }
                 line.close();
@@ -218,7 +218,7 @@
         }
         if (tries < MAX_REPORT_ATTEMPTS && !scheduler.isShutdown()) {
             scheduler.schedule(
-                    () -> reportExecutor.execute(() -> reportState(node, news, tries + 1)),
+                    () -> reportExecutor.execute(() -> reportState(node, event, tries + 1)),
                     tries == 1 ? 0 : REPORT_RETRY_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
--- a/src/test/java/olivechute/soak/History.java
+++ b/src/test/java/olivechute/soak/History.java
@@ -30,7 +30,7 @@
             int port,
             boolean first,
             long sentUs,
-            long patienceUs,
+            long deadlineUs,
             Ending ending,
             int status,
             long endedUs,
--- a/src/test/java/olivechute/soak/SoakClients.java
+++ b/src/test/java/olivechute/soak/SoakClients.java
@@ -153,7 +153,7 @@
                     pause(20);
                     continue;
                 }
-                if (draw(0.03 * scenario.clientTrouble())) {
+                if (draw(0.03 * scenario.clientFaultRate())) {
                     stallMidRequest(line);
                 } else {
                     request(line);
@@ -186,7 +186,7 @@
                 socket.setTcpNoDelay(true);
                 KeptConnection line = new KeptConnection(node, socket);
                 connections.put(node, line);
-                if (draw(0.3 * scenario.clientTrouble())) {
+                if (draw(0.3 * scenario.clientFaultRate())) {
                     pause(1850 + random.nextInt(350)); // about the time that a node waits for a first message
                 }
                 return line;
@@ -200,7 +200,7 @@
             line.close();
         }
 
-        private byte[] message(String id, String requestClass, long patienceMillis) {
+        private byte[] message(String id, String requestClass, long deadlineMillis) {
             return MessageWriter.request(
                     "POST",
                     "/" + requestClass,
@@ -211,7 +211,7 @@
                     "X-Org",
                     "acme",
                     "X-Remaining",
-                    patienceMillis + "m",
+                    deadlineMillis + "m",
                     "Idempotency-Key",
                     requestClass.equals("sign") ? "key-" + id : null);
         }
@@ -223,11 +223,11 @@
         private void request(KeptConnection line) {
             String id = nextId();
             String requestClass = CLASSES[random.nextInt(CLASSES.length)];
-            long patience = draw(0.05) ? 20 + random.nextInt(60) : scenario.deadlineMillis();
-            byte[] message = message(id, requestClass, patience);
+            long deadlineMillis = draw(0.05) ? 20 + random.nextInt(60) : scenario.deadlineMillis();
+            byte[] message = message(id, requestClass, deadlineMillis);
             boolean first = !line.used;
             line.used = true;
-            boolean leaves = draw(0.1 * scenario.clientTrouble());
+            boolean leaves = draw(0.1 * scenario.clientFaultRate());
             long sentUs;
             try {
                 write(line, message);
@@ -238,10 +238,10 @@
             }
             Result result;
             if (leaves) {
-                pause(random.nextLong(Math.min(300, patience)));
+                pause(random.nextLong(Math.min(300, deadlineMillis)));
                 result = new Result(History.Ending.LEFT, 0, "", false);
             } else {
-                result = receive(line, patience);
+                result = receive(line, deadlineMillis);
             }
             if (!result.keepAlive()) {
                 drop(line); // close before the end is recorded: nothing may begin for a disconnected client after
@@ -254,7 +254,7 @@
                     line.socket.getLocalPort(),
                     first,
                     sentUs,
-                    patience * 1000,
+                    deadlineMillis * 1000,
                     result.ending(),
                     result.status(),
                     History.nowUs(),
@@ -263,7 +263,7 @@
 
         /** Writes the message at once, or in pieces with pauses. */
         private void write(KeptConnection line, byte[] message) throws IOException {
-            if (!draw(0.2 * scenario.clientTrouble())) {
+            if (!draw(0.2 * scenario.clientFaultRate())) {
                 line.socket.getOutputStream().write(message);
                 return;
             }
@@ -279,8 +279,8 @@
             }
         }
 
-        private Result receive(KeptConnection line, long patienceMillis) {
-            long endUs = History.nowUs() + 1000 * (patienceMillis + LATE_ANSWER_MILLIS);
+        private Result receive(KeptConnection line, long deadlineMillis) {
+            long endUs = History.nowUs() + 1000 * (deadlineMillis + LATE_ANSWER_MILLIS);
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 for (; ; ) {
--- a/src/test/java/olivechute/soak/SoakDiscovery.java
+++ b/src/test/java/olivechute/soak/SoakDiscovery.java
@@ -37,7 +37,7 @@
         this.node = node;
         this.servers = servers;
         this.history = history;
-        this.faultRate = scenario.discoveryTrouble();
+        this.faultRate = scenario.discoveryFaultRate();
         this.random = new SplittableRandom(scenario.seed() + node.hashCode());
         for (int i = 0; i < SoakServers.COUNT; i++) {
             activeByServer.put("w" + i, true);
@@ -101,20 +101,20 @@
 
     private void handle(SoakListener.Exchange exchange) throws IOException, InterruptedException {
         String since = exchange.request().queryParameter("since");
-        int held = since == null ? -1 : Integer.parseInt(since);
+        int heldIndex = since == null ? -1 : Integer.parseInt(since);
         String wait = exchange.request().queryParameter("timeout_ms");
         long endUs = History.nowUs() + 1000L * (wait == null ? 0 : Math.min(MAX_WAIT_MILLIS, Integer.parseInt(wait)));
         String body;
-        int told;
+        int sentIndex;
         double draw;
         synchronized (this) {
-            while (held == index && !stopped && !down && History.nowUs() < endUs) {
+            while (heldIndex == index && !stopped && !down && History.nowUs() < endUs) {
                 wait(Math.max(1, (endUs - History.nowUs()) / 1000));
             }
             draw = random.nextDouble();
-            told = index;
-            boolean whole = held < 0 || held > index;
-            body = "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + entries(whole ? 0 : held)
+            sentIndex = index;
+            boolean snapshot = heldIndex < 0 || heldIndex > index;
+            body = "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + entries(snapshot ? 0 : heldIndex)
                     + "]}";
         }
         if (draw < faultRate / 4) {
@@ -138,14 +138,14 @@
             return;
         }
         exchange.reply(answer);
-        notice(held, told);
+        recordNotices(heldIndex, sentIndex);
     }
 
     /** Records changes as notified once the response that contains them was written. */
-    private synchronized void notice(int held, int told) {
+    private synchronized void recordNotices(int heldIndex, int sentIndex) {
         long now = History.nowUs();
         for (EndpointChange change : changes) {
-            if (change.index > held && change.index <= told) {
+            if (change.index > heldIndex && change.index <= sentIndex) {
                 written.add(change);
                 history.add(new History.Notice(node, change.server, change.takes, now));
             }
@@ -153,7 +153,7 @@
     }
 
     /** Records changes that were never written to the node as notified some time after it could have received them. */
-    synchronized void noticeAll() {
+    synchronized void recordMissingNotices() {
         for (EndpointChange change : changes) {
             if (written.contains(change)) {
                 continue;
--- a/src/test/java/olivechute/soak/SoakInvariants.java
+++ b/src/test/java/olivechute/soak/SoakInvariants.java
@@ -68,7 +68,7 @@
                     addViolation("served with a result that no server produced for it", request, request.id());
                 }
                 if (request.endedUs()
-                        > request.sentUs() + request.patienceUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
+                        > request.sentUs() + request.deadlineUs() + MAX_LATENESS_US + SOCKET_TOLERANCE_US) {
                     addViolation("lost: answered too late", request, request.id());
                 }
             }
@@ -146,7 +146,7 @@
 
     private void checkDeadlinePropagation(History.ClientRequest request) {
         for (History.Attempt attempt : attempts.getOrDefault(request.id(), List.of())) {
-            long left = request.sentUs() + request.patienceUs() - attempt.beganUs;
+            long left = request.sentUs() + request.deadlineUs() - attempt.beganUs;
             if (attempt.remainingUs > left + DEADLINE_SLACK_US + SOCKET_TOLERANCE_US) {
                 addViolation(
                         "a server is told " + attempt.remainingUs + " us where " + left + " are left",
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -205,7 +205,7 @@
         shims.values().forEach(FaultShim::clearFaults);
         servers.hang(false);
         clients.finish();
-        discoveries.values().forEach(SoakDiscovery::noticeAll);
+        discoveries.values().forEach(SoakDiscovery::recordMissingNotices);
         programs.forEach(this::recordCrash);
         return report();
     }
--- a/src/test/java/olivechute/soak/SoakServers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -31,7 +31,7 @@
     private static final byte[] ACCEPTED = MessageWriter.response(202, new byte[0], true);
     private static final byte[] CANCELLED = MessageWriter.response(204, null, true);
     private static final byte[] FAILED = MessageWriter.response(500, new byte[0], true);
-    private static final byte[] TURNED_AWAY = MessageWriter.response(503, new byte[0], true, "X-Turned-Away", "1");
+    private static final byte[] REJECTED = MessageWriter.response(503, new byte[0], true, "X-Turned-Away", "1");
 
     private enum Behaviour {
         SERVE,
@@ -40,7 +40,7 @@
         ANSWER_TWICE,
         FAIL,
         FAIL_LATER,
-        TURN_AWAY,
+        REJECT,
         RETURN_LATER,
         LOSE_LATER,
         RESET,
@@ -107,7 +107,7 @@
         if (hang && draw() < 0.7) {
             return draw() < 0.5 ? Behaviour.STAY_SILENT : Behaviour.ACCEPT_AND_HANG;
         }
-        if (draw() >= scenario.serverTrouble()) {
+        if (draw() >= scenario.serverFaultRate()) {
             return Behaviour.SERVE;
         }
         Behaviour[] all = Behaviour.values();
@@ -173,9 +173,9 @@
                 attempt.end(History.AttemptEnd.FAILED);
                 exchange.reply(FAILED);
             }
-            case TURN_AWAY -> {
+            case REJECT -> {
                 attempt.end(History.AttemptEnd.RETURNED);
-                exchange.reply(TURNED_AWAY);
+                exchange.reply(REJECTED);
             }
             case FAIL_LATER, RETURN_LATER, LOSE_LATER -> {
                 accept(attempt, exchange);
