--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -125,8 +125,8 @@
     }
 
     /** Builds the rejection that carries a failure to the client. */
-    public static Reply rejection(StoreException fault, long version) {
-        return rejection(fault.code(), fault.subject(), version);
+    public static Reply rejection(StoreException error, long version) {
+        return rejection(error.code(), error.subject(), version);
     }
 
     /** Returns the reply, or throws the error that it carries if it is a rejection. */
--- a/src/main/java/olivechute/store/raft/DiskHealth.java
+++ b/src/main/java/olivechute/store/raft/DiskHealth.java
@@ -19,10 +19,10 @@
      * @param freeBytes bytes free on the disk
      * @param usedBytes bytes used by the data directory
      */
-    record ProbeResult(ErrorCode fault, long freeBytes, long usedBytes) {}
+    record ProbeResult(ErrorCode error, long freeBytes, long usedBytes) {}
 
     private final long quotaBytes;
-    private ErrorCode fault;
+    private ErrorCode error;
     private int healthyChecks;
 
     /** Creates a health state; {@code quotaBytes} is the maximum size of the data directory, 0 for no limit. */
@@ -31,8 +31,8 @@
     }
 
     /** Returns the present fault, or null if the disk is healthy. */
-    ErrorCode fault() {
-        return fault;
+    ErrorCode error() {
+        return error;
     }
 
     /**
@@ -40,26 +40,26 @@
      * that the state does not flap.
      */
     ErrorCode onProbeResult(ProbeResult result) {
-        ErrorCode newFault = evaluate(result);
-        if (newFault != null) {
-            return onFailure(newFault);
+        ErrorCode newError = evaluate(result);
+        if (newError != null) {
+            return onFailure(newError);
         }
-        if (fault != null && ++healthyChecks >= RECOVERY_CHECKS) {
-            fault = null;
+        if (error != null && ++healthyChecks >= RECOVERY_CHECKS) {
+            error = null;
         }
-        return fault;
+        return error;
     }
 
     /** Records a failed write and returns the resulting fault. */
     ErrorCode onFailure(ErrorCode kind) {
         healthyChecks = 0;
-        fault = kind;
-        return fault;
+        error = kind;
+        return error;
     }
 
     private ErrorCode evaluate(ProbeResult result) {
-        if (result.fault != null) {
-            return result.fault;
+        if (result.error != null) {
+            return result.error;
         }
         boolean full = result.freeBytes < MIN_FREE_BYTES || (quotaBytes > 0 && result.usedBytes >= quotaBytes);
         return full ? ErrorCode.DISK_FULL : null;
@@ -82,7 +82,7 @@
     }
 
     /** Returns the fault as it appears in log lines. */
-    static String describe(ErrorCode fault) {
-        return fault == null ? "well" : fault == ErrorCode.DISK_FULL ? "full" : "broken";
+    static String describe(ErrorCode error) {
+        return error == null ? "well" : error == ErrorCode.DISK_FULL ? "full" : "broken";
     }
 }
--- a/src/main/java/olivechute/store/raft/DiskMonitor.java
+++ b/src/main/java/olivechute/store/raft/DiskMonitor.java
@@ -12,7 +12,7 @@
     private final DiskProbe probe;
     private final DiskHealth health;
     private final Consumer<ErrorCode> onChange;
-    private volatile ErrorCode reportedFault;
+    private volatile ErrorCode reportedError;
 
     /**
      * Creates a monitor. {@code onChange} is called once with each kind of fault, and with null on recovery, from
@@ -27,8 +27,8 @@
     /** Probes the disk once and returns whether it is healthy. */
     boolean check() {
         DiskHealth.ProbeResult result = probe.probe();
-        report(health.onProbeResult(result.fault() == null ? requireReserve(result) : result));
-        return reportedFault == null;
+        report(health.onProbeResult(result.error() == null ? requireReserve(result) : result));
+        return reportedError == null;
     }
 
     /** Turns the result into a fault if the reserve file cannot be kept. */
@@ -48,17 +48,17 @@
 
     /** Returns the fault for the replica's status, empty while the disk is healthy. */
     String statusText() {
-        ErrorCode fault = reportedFault;
-        return fault == null ? "" : DiskHealth.describe(fault);
+        ErrorCode error = reportedError;
+        return error == null ? "" : DiskHealth.describe(error);
     }
 
-    private void report(ErrorCode fault) {
-        if (fault != reportedFault) {
-            if (reportedFault == null) {
+    private void report(ErrorCode error) {
+        if (error != reportedError) {
+            if (reportedError == null) {
                 probe.releaseReserve();
             }
-            reportedFault = fault;
-            onChange.accept(fault);
+            reportedError = error;
+            onChange.accept(error);
         }
     }
 }
--- a/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
+++ b/src/main/java/olivechute/store/raft/RatisExceptionAdapter.java
@@ -7,22 +7,22 @@
 final class RatisExceptionAdapter extends IOException {
     private static final long serialVersionUID = 1;
 
-    private final FleetException fault;
+    private final FleetException exception;
 
-    RatisExceptionAdapter(FleetException fault) {
-        super(fault.getMessage(), fault);
-        this.fault = fault;
+    RatisExceptionAdapter(FleetException exception) {
+        super(exception.getMessage(), exception);
+        this.exception = exception;
     }
 
-    FleetException fault() {
-        return fault;
+    FleetException exception() {
+        return exception;
     }
 
     /** Returns the exception carried in the cause chain of a throwable, or null if there is none. */
-    static FleetException findFault(Throwable thrown) {
+    static FleetException findException(Throwable thrown) {
         for (Throwable each = thrown; each != null; each = each.getCause()) {
             if (each instanceof RatisExceptionAdapter adapter) {
-                return adapter.fault;
+                return adapter.exception;
             }
         }
         return null;
--- a/src/main/java/olivechute/store/raft/RatisStateMachine.java
+++ b/src/main/java/olivechute/store/raft/RatisStateMachine.java
@@ -60,7 +60,7 @@
         void onLogFailure(Throwable cause);
 
         /** No further command is applied, because continuing would let this replica diverge from the others. */
-        void onFatalError(FleetException fault);
+        void onFatalError(FleetException error);
     }
 
     private final StoreStateMachine stateMachine;
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -117,7 +117,7 @@
                         failure);
             }
         }
-        FleetException adapted = RatisExceptionAdapter.findFault(failure);
+        FleetException adapted = RatisExceptionAdapter.findException(failure);
         boolean diskFull = DiskHealth.errorCodeOf(failure) == ErrorCode.DISK_FULL;
         return adapted != null
                 ? adapted
@@ -137,8 +137,8 @@
     }
 
     /** Leaves the group on a fault, or rejoins it on recovery. Runs on the disk thread. */
-    private void disk(ErrorCode fault) {
-        if (member == null && fault == null) {
+    private void disk(ErrorCode error) {
+        if (member == null && error == null) {
             eventLines.accept("disk: well");
             try {
                 startMember();
@@ -150,8 +150,8 @@
                     terminated.complete(e);
                 }
             }
-        } else if (fault != null) {
-            eventLines.accept("disk: " + DiskHealth.describe(fault));
+        } else if (error != null) {
+            eventLines.accept("disk: " + DiskHealth.describe(error));
             leaveGroup();
         }
     }
@@ -246,8 +246,8 @@
         }
 
         @Override
-        public void onFatalError(FleetException fault) {
-            terminated.complete(fault);
+        public void onFatalError(FleetException error) {
+            terminated.complete(error);
         }
     }
 
