--- a/src/main/java/olivechute/store/raft/DiskHealth.java
+++ b/src/main/java/olivechute/store/raft/DiskHealth.java
@@ -15,7 +15,7 @@
     /**
      * Result of one probe of the data directory.
      *
-     * @param fault error of the probe's write, or null on success
+     * @param error error of the probe's write, or null on success
      * @param freeBytes bytes free on the disk
      * @param usedBytes bytes used by the data directory
      */
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -156,8 +156,8 @@
      * At most three attempts, never two at once, and only if the class allows repeating an attempt that may have run.
      */
     @Test(dataProvider = "outcomes")
-    public void failedAttemptIsRetriedAsItsClassAllows(
-            String kind, byte[] reply, String news, int requests, int status) throws Exception {
+    public void failedAttemptIsRetriedAsItsClassAllows(String kind, byte[] reply, String news, int requests, int status)
+            throws Exception {
         List<String> known = new ArrayList<>();
         List<TestServer> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Regression test (scenario zone+vast): a cancellation never reached the server, and the job was sent to
-     * another one: two copies ran at once.
+     * Regression test (scenario zone+vast): a cancellation never reached the server, and the job was sent to another
+     * one: two copies ran at once.
      */
     @Test
     public void jobWithUnconfirmedCancellationIsNotRetried() throws Exception {
@@ -236,8 +236,8 @@
     }
 
     /**
-     * Regression test (scenario join+vast): the first job on a new connection was cancelled during its
-     * server's handshake, and ran there after all beside its retry.
+     * Regression test (scenario join+vast): the first job on a new connection was cancelled during its server's
+     * handshake, and ran there after all beside its retry.
      */
     @Test
     public void firstJobOfConnectionIsAllowedTimeForAHandshake() throws Exception {
@@ -291,8 +291,8 @@
     }
 
     /**
-     * Regression test (scenario wide): servers accepted every job of one class and none of another, and both
-     * classes were sent to them again and again.
+     * Regression test (scenario wide): servers accepted every job of one class and none of another, and both classes
+     * were sent to them again and again.
      */
     @Test
     public void classThatAServerDoesNotAcceptIsSentElsewhere() throws Exception {
@@ -315,8 +315,8 @@
     }
 
     /**
-     * Regression test (scenario wide+reset+stale): kept-alive connections that broke at their next request
-     * made the node exclude their servers.
+     * Regression test (scenario wide+reset+stale): kept-alive connections that broke at their next request made the
+     * node exclude their servers.
      */
     @Test
     public void brokenKeptConnectionsCostNoJobs() throws Exception {
@@ -415,8 +415,7 @@
     }
 
     @Test(dataProvider = "pollIntervals")
-    public void pollTimeoutFollowsTheSettings(String askEvery, int least, int most)
-            throws Exception {
+    public void pollTimeoutFollowsTheSettings(String askEvery, int least, int most) throws Exception {
         discovery = startServer(r -> endpointListResponse(1, false));
         Path file = writeConfig(discovery, 1024);
         Files.writeString(file, Files.readString(file).replace("\"ask_every\":10.0", "\"ask_every\":" + askEvery));
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -44,13 +44,16 @@
     }
 
     /**
-     * Waits until bytes that were received at {@code receivedAtNs} may be forwarded, given the time and size of the last
-     * forwarded bytes; times are those of {@link System#nanoTime}.
+     * Waits until bytes that were received at {@code receivedAtNs} may be forwarded, given the time and size of the
+     * last forwarded bytes; times are those of {@link System#nanoTime}.
      */
     synchronized void awaitPass(long receivedAtNs, long lastForwardedNs, int lastBytes) throws InterruptedException {
         for (; ; ) {
             long due = Math.max(
-                    receivedAtNs + delayNs, maxBytesPerSecond == 0 ? Long.MIN_VALUE : lastForwardedNs + lastBytes * NS_PER_SECOND / maxBytesPerSecond);
+                    receivedAtNs + delayNs,
+                    maxBytesPerSecond == 0
+                            ? Long.MIN_VALUE
+                            : lastForwardedNs + lastBytes * NS_PER_SECOND / maxBytesPerSecond);
             long left = due - System.nanoTime();
             if (partitioned) {
                 wait();
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -177,7 +177,9 @@
         for (boolean retry = true; retry; ) {
             retry = false;
             try {
-                connection = connection == null ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS) : connection;
+                connection = connection == null
+                        ? new HttpTestConnection(nodes.get(node), CONNECT_TIMEOUT_MILLIS)
+                        : connection;
                 connection.send(bytes);
                 outcome = EventLedger.Outcome.LOST;
                 HttpResponse answer =
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -53,7 +53,9 @@
 
     /** Returns the retained lines from number {@code from} on. */
     synchronized List<String> after(long from) {
-        return all().subList((int) Math.max(0, Math.min(retained.size(), from - (count - retained.size()))), retained.size());
+        return all().subList(
+                        (int) Math.max(0, Math.min(retained.size(), from - (count - retained.size()))),
+                        retained.size());
     }
 
     /** Waits for the first line from number {@code from} on that contains the pattern and returns the match. */
--- a/src/test/java/olivechute/soak/SoakDiscovery.java
+++ b/src/test/java/olivechute/soak/SoakDiscovery.java
@@ -114,8 +114,8 @@
             draw = random.nextDouble();
             sentIndex = index;
             boolean snapshot = heldIndex < 0 || heldIndex > index;
-            body = "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":[" + entries(snapshot ? 0 : heldIndex)
-                    + "]}";
+            body = "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
+                    + entries(snapshot ? 0 : heldIndex) + "]}";
         }
         if (draw < faultRate / 4) {
             exchange.reply(MessageWriter.response(503, new byte[0], true));
