--- a/src/test/java/olivechute/rig/EventLedger.java
+++ b/src/test/java/olivechute/rig/EventLedger.java
@@ -14,7 +14,7 @@
         /** 200. */
         SERVED,
         /** 429 or 503. */
-        REJECTED,
+        REFUSED,
         /** Any other response. */
         FAILED,
         /** The connection ended without a complete response, or none arrived in time. */
--- a/src/test/java/olivechute/rig/FleetInvariantsTest.java
+++ b/src/test/java/olivechute/rig/FleetInvariantsTest.java
@@ -32,7 +32,7 @@
     private void clean() {
         for (int n = 0; n < JOBS; n++) {
             EventLedger.Outcome end = n % 10 == 3
-                    ? EventLedger.Outcome.REJECTED
+                    ? EventLedger.Outcome.REFUSED
                     : n % 10 == 4 ? EventLedger.Outcome.FAILED : EventLedger.Outcome.SERVED;
             if (n == 41) {
                 end = EventLedger.Outcome.LOST;
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -211,7 +211,7 @@
     private static EventLedger.Outcome outcomeOf(int status) {
         return status == 200
                 ? EventLedger.Outcome.SERVED
-                : status == 429 || status == 503 ? EventLedger.Outcome.REJECTED : EventLedger.Outcome.FAILED;
+                : status == 429 || status == 503 ? EventLedger.Outcome.REFUSED : EventLedger.Outcome.FAILED;
     }
 
     /**
--- a/src/test/java/olivechute/rig/TestVersionsIT.java
+++ b/src/test/java/olivechute/rig/TestVersionsIT.java
@@ -70,7 +70,7 @@
                 .toList();
         assertTrue(Math.abs(injected.size() - signs / 10.0) <= 1, injected + " of " + signs);
         List<String> refused = nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == EventLedger.Outcome.REJECTED)
+                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
                 .map(EventLedger.Job::id)
                 .toList();
         assertTrue(refused.containsAll(injected), refused + " without some of " + injected);
@@ -78,7 +78,7 @@
 
     private long rejected() {
         return nodes.ledger().jobs().stream()
-                .filter(job -> job.end() == EventLedger.Outcome.REJECTED)
+                .filter(job -> job.end() == EventLedger.Outcome.REFUSED)
                 .count();
     }
 
