--- a/src/main/java/olivechute/rollout/PriorityWeights.java
+++ b/src/main/java/olivechute/rollout/PriorityWeights.java
@@ -11,6 +11,7 @@
  */
 public record PriorityWeights(
         Map<String, Double> weightByClass, Map<String, Double> lateFractionByClass, long[] delayBoundsUs) {
+    /** Copies the maps and the bounds. */
     public PriorityWeights {
         weightByClass = Map.copyOf(weightByClass);
         lateFractionByClass = Map.copyOf(lateFractionByClass);
