--- a/src/test/java/olivechute/ClientDisconnectTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -28,7 +28,8 @@
  */
 public class ClientDisconnectTest extends DownstreamServerTestBase {
     private static final long DISCONNECT_DETECTION_MILLIS =
-            100; // upper bound for detecting a disconnect; LookTest covers how often connections are checked
+            100; // upper bound for detecting a disconnect; PeerCheckIntervalTest covers how often connections are
+    // checked
     private static final int FLOOD_BYTES = 1 << 20; // more than a connection buffers behind a request
 
     private static byte[] jobRequests(String... ids) {
--- a/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
+++ b/src/test/java/olivechute/downstream/PeerCheckIntervalTest.java
@@ -6,7 +6,7 @@
 
 /**
  * Guards against a client that disconnects while its pipelined requests wait, and is noticed too late because it is
- * checked too rarely. {@code ClientGoneTest} shows that it is checked at all.
+ * checked too rarely. {@code ClientDisconnectTest} shows that it is checked at all.
  */
 public class PeerCheckIntervalTest {
     /**
