--- a/src/main/java/olivechute/loadbalancing/AdmissionControl.java
+++ b/src/main/java/olivechute/loadbalancing/AdmissionControl.java
@@ -44,17 +44,17 @@
         pending.overQuota = quotaEstimator.onArrival(nowUs, pending.tenantQueue, pending.clientRequest.retry());
         pending.classQueue = queues.classQueue(pending.tenantQueue, pending.classStats.index, pending.overQuota);
         boolean tailCounts = settings.tail().weight() > 0;
-        long firstAttemptAtUs = firstAttemptAtUs(nowUs, pending);
+        long firstClientTryAtUs = firstClientTryAtUs(nowUs, pending);
         double queueStretch = QUEUE_STRETCH_FRACTION * Math.max(0, requestClass.objectiveStretch() - 1);
         long queueStretchUs = tailCounts ? 0 : (long) (queueStretch * pending.expectedWorkUs());
         pending.latestStartUs = Math.min(
                 pending.clientDeadlineUs - queueCheckIntervalUs,
-                firstAttemptAtUs + requestClass.latencyObjectiveUs() + queueStretchUs);
+                firstClientTryAtUs + requestClass.latencyObjectiveUs() + queueStretchUs);
         long queueDeadlineUs = pending.latestStartUs;
         if (tailCounts) {
             long maxQueueTimeUs =
                     pending.overQuota ? 0 : (long) (QUEUE_TAIL_OBJECTIVE_FRACTION * requestClass.latencyObjectiveUs());
-            queueDeadlineUs = Math.min(queueDeadlineUs, firstAttemptAtUs + maxQueueTimeUs);
+            queueDeadlineUs = Math.min(queueDeadlineUs, firstClientTryAtUs + maxQueueTimeUs);
         }
         pending.queueDeadlineUs = Math.min(pending.clientDeadlineUs - QUEUE_ANSWER_MARGIN_US, queueDeadlineUs);
     }
@@ -63,7 +63,7 @@
      * Returns the time of the client's first attempt, from which the latency objective counts. If clients do not mark
      * their retries, a request with less time left than other requests of its class is taken for a retry.
      */
-    private long firstAttemptAtUs(long nowUs, PendingRequest pending) {
+    private long firstClientTryAtUs(long nowUs, PendingRequest pending) {
         Request request = pending.clientRequest;
         long maxTimeLeftUs = pending.classStats.maxTimeLeftUs;
         boolean retry = settings.marksRetries()
--- a/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
@@ -20,7 +20,7 @@
     /** Reports of at least this many free slots are ignored as invalid. */
     private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
-    private static final double HALF_SLOT = 0.5;
+    private static final double FREE_SLOTS_TOLERANCE = 0.5;
 
     private final LoadBalancerSettings settings;
     private final EndpointStats stats;
@@ -82,7 +82,7 @@
         }
         return Double.isNaN(stats.meanFreeSlots)
                 ? endpoint.concurrencyWindow.hasCapacity(attempts)
-                : freeSlots(nowUs, endpoint) >= slots - HALF_SLOT;
+                : freeSlots(nowUs, endpoint) >= slots - FREE_SLOTS_TOLERANCE;
     }
 
     /**
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -12,7 +12,7 @@
     private static final long FIRST_EXCLUSION_US = 8_000_000;
     private static final long MAX_EXCLUSION_US = 32_000_000;
     private static final int MAX_DOUBLINGS = 5;
-    private static final int EXCLUSION_THRESHOLD = 2;
+    private static final int OVERDUE_STARTS_TO_EXCLUDE = 2;
 
     private final int[] consecutiveOverdueStarts;
     private final long[] excludedUntilUs;
@@ -28,8 +28,8 @@
 
     void onStartOverdue(long nowUs, int classIndex) {
         int overdueStarts = ++consecutiveOverdueStarts[classIndex];
-        int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - EXCLUSION_THRESHOLD);
-        excludedUntilUs[classIndex] = overdueStarts < EXCLUSION_THRESHOLD
+        int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - OVERDUE_STARTS_TO_EXCLUDE);
+        excludedUntilUs[classIndex] = overdueStarts < OVERDUE_STARTS_TO_EXCLUDE
                 ? 0
                 : nowUs + Math.min(MAX_EXCLUSION_US, FIRST_EXCLUSION_US << doublings);
     }
--- a/src/main/java/olivechute/loadbalancing/EndpointSelector.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointSelector.java
@@ -76,15 +76,15 @@
 
     private void collectCandidates(long nowUs, PendingRequest request, List<Endpoint> zoneEndpoints) {
         int requiredSlots = requiredSlots(request);
-        double remaining = hasFewEligibleEndpoints(request) ? zoneEndpoints.size() : workingSet.size();
+        double remainingEndpoints = hasFewEligibleEndpoints(request) ? zoneEndpoints.size() : workingSet.size();
         double startWaitWeight = startWaitWeight();
         for (int i = 0; i < zoneEndpoints.size(); i++) {
             Endpoint endpoint = zoneEndpoints.get(i);
             boolean inSlowStart = endpoint.inSlowStart(nowUs, settings.rules());
-            if ((remaining <= 0 && !inSlowStart) || !isAvailable(nowUs, request, endpoint, startWaitWeight)) {
+            if ((remainingEndpoints <= 0 && !inSlowStart) || !isAvailable(nowUs, request, endpoint, startWaitWeight)) {
                 continue;
             }
-            remaining--;
+            remainingEndpoints--;
             if (isSuitable(nowUs, request, endpoint, requiredSlots)) {
                 addCandidate(nowUs, request, endpoint, inSlowStart);
             }
--- a/src/main/java/olivechute/loadbalancing/OutlierDetector.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierDetector.java
@@ -176,16 +176,16 @@
         return relativeRunTime;
     }
 
-    private void examinePendingStart(long nowUs, Endpoint endpoint, Attempt attempt, double ageUs) {
+    private void examinePendingStart(long nowUs, Endpoint endpoint, Attempt attempt, double waitedUs) {
         int classIndex = attempt.request.classStats.index;
-        if (!attempt.startOverdue && ageUs > attempt.startTimeoutUs()) {
+        if (!attempt.startOverdue && waitedUs > attempt.startTimeoutUs()) {
             attempt.startOverdue = true;
             endpoint.classExclusion.onStartOverdue(nowUs, classIndex);
         }
         boolean startReportsMissing =
                 settings.loadReporting() != LoadReporting.NONE && endpoint.classExclusion.lastStartOverdue(classIndex);
-        if (ageUs < MAX_COUNTED_START_WAIT_US && !startReportsMissing && !attempt.startOverdue) {
-            endpoint.startWait.onStillWaiting(ageUs);
+        if (waitedUs < MAX_COUNTED_START_WAIT_US && !startReportsMissing && !attempt.startOverdue) {
+            endpoint.startWait.onStillWaiting(waitedUs);
         }
     }
 }
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -134,12 +134,12 @@
      */
     private double fleetBudgetRequests(
             double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
-        double sqrtArrivalBound =
+        double sqrtOfArrivalBound =
                 Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4 + sustainableRequests) - MARGIN_DEVIATIONS / 2;
         double roundingBound = sustainableRequests
                 - MARGIN_DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquaredWork) / meanReferenceWorkUs;
         return Math.min(
-                USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
+                USED_FRACTION * sustainableRequests, Math.max(sqrtOfArrivalBound * sqrtOfArrivalBound, roundingBound));
     }
 
     /**
--- a/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
+++ b/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
@@ -48,10 +48,10 @@
                 totalInstances += endpoint.tenantInstances[tenantIndex];
             }
         }
-        int remaining = totalInstances <= 0 ? 0 : random.nextInt(totalInstances);
+        int remainingInstances = totalInstances <= 0 ? 0 : random.nextInt(totalInstances);
         for (Endpoint endpoint : cheapest) {
-            remaining -= endpoint.tenantInstances[tenantIndex];
-            if (remaining < 0) {
+            remainingInstances -= endpoint.tenantInstances[tenantIndex];
+            if (remainingInstances < 0) {
                 return endpoint;
             }
         }
