--- a/src/main/java/olivechute/discovery/DiscoveryCallException.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallException.java
@@ -12,22 +12,22 @@
      */
     enum Reason {
         UNREACHABLE(
-                "no connection came up",
-                "see whether discovery runs and the address is right; the node sends by its list meanwhile",
+                "no connection to discovery could be opened",
+                "check that discovery is running and its address is right; the node uses its current list meanwhile",
                 false),
-        LOCAL_FAULT("this machine could not open a connection", "look at its descriptors and its network", false),
+        LOCAL_FAULT("this machine could not open a connection", "check its file descriptors and its network", false),
         REFUSED(
-                "answered with another status than 200",
-                "at once: discovery has too many callers; after a wait: it is down, or overloaded",
+                "discovery answered with a status other than 200",
+                "if it answered at once, discovery has too many callers; if after a wait, it is down or overloaded",
                 false),
-        SILENT("nothing of an answer in time", "nothing: the call is made again on a new connection", false),
-        CLOSED("the connection ended before an answer", "nothing, unless it goes on", false),
-        INCOMPLETE("an answer began and did not end", "look at the network between", true),
+        SILENT("no part of an answer arrived in time", "nothing: the call is repeated on a new connection", false),
+        CLOSED("the connection was closed before an answer arrived", "nothing, unless it happens repeatedly", false),
+        INCOMPLETE("only part of an answer arrived", "check the network between the node and discovery", true),
         UNREADABLE(
-                "the answer is no list, or is over 2 MiB",
-                "look at what discovery answers; the list before it is kept",
+                "the answer is not an endpoint list, or is larger than 2 MiB",
+                "check what discovery answers; the node keeps its current list",
                 true),
-        MOVED("a new configuration came during the call", "nothing", false);
+        MOVED("a new configuration changed the address of discovery during the call", "nothing", false);
 
         private final String cause;
         private final String remedy;
