--- a/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallCounts.java
@@ -27,6 +27,7 @@
 
     /** Returns all counts in one line for the log. */
     synchronized String describe() {
-        return "calls answered " + answeredCalls + ", failed " + failuresByReason + ", in a row " + consecutiveFailures;
+        return "calls answered " + answeredCalls + ", failed " + failuresByReason + ", consecutive failures "
+                + consecutiveFailures;
     }
 }
--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -102,7 +102,7 @@
 
     private synchronized Socket socketFor(InetSocketAddress target) throws DiscoveryCallException {
         if (target != address) {
-            throw new DiscoveryCallException(Reason.MOVED, "moved");
+            throw new DiscoveryCallException(Reason.MOVED, "the address of discovery changed");
         }
         socket = socket == null ? new Socket() : socket;
         return socket;
@@ -159,7 +159,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            Logger.debug(e.getMessage());
+            Logger.debug("closing the connection to discovery failed: {}", e.getMessage());
         }
         socket = null;
     }
--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -292,7 +292,7 @@
                     sinceVersion,
                     list.version(),
                     list.endpoints().size(),
-                    list.complete() ? ", whole" : "");
+                    list.complete() ? ", full list" : "");
             if (!everAnswered || failedBefore > 0) {
                 Logger.info(
                         "discovery {}: {} after {} ms, version {} to {}, {} entries, {} calls failed before",
--- a/src/main/java/olivechute/proxy/EventLoop.java
+++ b/src/main/java/olivechute/proxy/EventLoop.java
@@ -204,7 +204,7 @@
             }
         } catch (RuntimeException | Error e) {
             // A faulty event must not end the process and with it all other requests.
-            Logger.error(e, "event failed");
+            Logger.error(e, "handling an event failed");
         }
     }
 
@@ -231,7 +231,7 @@
             task.run();
         } catch (RuntimeException | Error e) {
             // The thread that runs the deferred task is handling a request of its own, which must not fail with it.
-            Logger.error(e, "write failed");
+            Logger.error(e, "deferred task failed");
         }
     }
 }
--- a/src/main/java/olivechute/proxy/TimerWheel.java
+++ b/src/main/java/olivechute/proxy/TimerWheel.java
@@ -90,7 +90,7 @@
         try {
             task.run();
         } catch (RuntimeException | Error e) {
-            Logger.error(e, "timer failed");
+            Logger.error(e, "timer task failed");
         }
     }
 
