--- a/src/main/java/olivechute/discovery/DiscoveryCallException.java
+++ b/src/main/java/olivechute/discovery/DiscoveryCallException.java
@@ -68,8 +68,7 @@
     /**
      * Creates an exception.
      *
-     * @param timedOut whether the connection delivers no data; it may be broken without either side having been
-     *     notified
+     * @param timedOut whether the call timed out; its connection may be broken without either side having been notified
      */
     DiscoveryCallException(Reason reason, String message, boolean timedOut) {
         super(message);
--- a/src/main/java/olivechute/discovery/EndpointListWatcher.java
+++ b/src/main/java/olivechute/discovery/EndpointListWatcher.java
@@ -25,9 +25,10 @@
  * Watches the endpoint list at discovery, on a thread of its own: it makes one call after another on one connection
  * until a call fails, and posts each update to the event loop. After a failure the load balancer decides when the watch
  * is restarted; where lists are pushed to an agent, the agent is polled from the start and regardless of failures. The
- * next call is sent as soon as an answer has been read, well within the 200 ms that keep a watch alive. A call that
- * exceeds its timeout ({@link WatchTimeouts}) is not a failure yet: its connection may have broken without either side
- * being notified, so the call is repeated immediately on a new connection.
+ * next call is sent as soon as an answer has been read, well within the 200 ms after an answer in which the next call
+ * must arrive for the watch to continue. A call that exceeds its timeout ({@link WatchTimeouts}) is not a failure yet:
+ * its connection may have broken without either side being notified, so the call is repeated immediately on a new
+ * connection.
  *
  * <p>The first call of a process, and the first one at a new address, is answered immediately, as the held list may be
  * of any age. It requests changes since the held version, because all addresses belong to one service with a single
@@ -38,7 +39,8 @@
 @SuppressWarnings(
         "ReferenceEquality") // addresses are compared by identity: moving to an equal address also counts as a move
 public final class EndpointListWatcher implements EndpointListSource {
-    private static final long MIN_POLL_INTERVAL_NANOS = 50_000_000; // well within the 200 ms that keep a watch alive
+    /** Well within the 200 ms after an answer in which the next call must arrive for the watch to continue. */
+    private static final long MIN_POLL_INTERVAL_NANOS = 50_000_000;
     /**
      * How long the answer to the confirming call may take after an implausible list: a change that counts as notified
      * must be obeyed within 500 ms.
@@ -52,8 +54,9 @@
     private final ListPlausibilityCheck plausibilityCheck = new ListPlausibilityCheck();
     private final DiscoveryCallCounts callCounts = new DiscoveryCallCounts();
     private final Semaphore watchRequests = new Semaphore(0);
-    private final CountDownLatch firstAnswerLatch =
-            new CountDownLatch(1); // released once requests no longer have to wait for the list
+    /** Released once requests no longer have to wait for the list. */
+    private final CountDownLatch firstAnswerLatch = new CountDownLatch(1);
+
     private final long startedAtNanos = System.nanoTime();
     private volatile Runnable onCallFailure = () -> {};
     private volatile boolean watching;
@@ -182,7 +185,7 @@
         if (currentAddress != connection.address()) {
             currentAddress = connection.address();
             nextCallMayWait = false;
-            // A different agent sends the full list at no cost.
+            // An agent at another address sends the full list at no cost.
             heldVersion = watchTimeouts.pushed() ? DiscoveryConnection.FULL_LIST : heldVersion;
             connection.close();
         }
@@ -214,8 +217,8 @@
     }
 
     /**
-     * Handles a failed call. While discovery is down an agent stays silent, so only its first failure is logged, and it
-     * is polled again all the same.
+     * Handles a failed call. While discovery is down an agent does not answer: only the first failure of the calls to
+     * it is logged, and it is polled again regardless.
      */
     private void handleFailure(DiscoveryCallException failure) {
         if (failure.reason() == Reason.UNREADABLE) {
@@ -263,7 +266,7 @@
         }
     }
 
-    /** Requests the same by a call that does not wait for changes. */
+    /** Requests the changes since the held version, or the full list, by a call that does not wait for changes. */
     private EndpointListUpdate pollWithoutWaiting() throws DiscoveryCallException {
         WatchTimeouts.Call callTimeouts =
                 heldVersion == DiscoveryConnection.FULL_LIST ? watchTimeouts.fullList() : watchTimeouts.afterFailure();
@@ -344,7 +347,7 @@
                 "discovery {}: full list of {} endpoints lacks most of those listed before, polling again",
                 currentAddress,
                 firstAnswer.endpoints().size());
-        // The states of the endpoints that it does list apply at once, whatever the second answer says.
+        // The states of the endpoints in the first answer apply at once, whatever the second answer says.
         loop.post(new ProxyEvent.ListUpdated(
                 new EndpointListUpdate(firstAnswer.version(), false, firstAnswer.endpoints()),
                 ProxyEvent.ListUpdated.PARTIAL));
--- a/src/main/java/olivechute/endpointlist/EndpointListLease.java
+++ b/src/main/java/olivechute/endpointlist/EndpointListLease.java
@@ -23,7 +23,7 @@
     static final long NOTIFIED_AFTER_US = 6_000_000;
     /** The same bound after a configuration reload that moves discovery, counted from the signal. */
     static final long NOTIFIED_AFTER_MOVE_US = 4_000_000;
-    /** The longest time that a process may stall between reading its clock and writing a request. */
+    /** The longest stall of this process between reading the clock and writing a request that the lease allows for. */
     static final long MAX_STALL_US = 150_000;
     /** A discovery that rejects a call sooner than this is up and busy; one that is down holds the call first. */
     static final long IMMEDIATE_REJECTION_LIMIT_US = 1_000_000;
@@ -40,7 +40,7 @@
 
     /** Answers to calls sent before this moment do not renew the lease. Guarded by this. */
     private long invalidatedAtUs = NEVER_US;
-    /** Whether no answer has renewed the lease since then. Guarded by this. */
+    /** Whether no answer has renewed the lease since {@link #invalidatedAtUs}. Guarded by this. */
     private boolean invalidated;
     /** Whether discovery has rejected a call at once since the last answer. Guarded by this. */
     private boolean discoveryBusy;
@@ -58,7 +58,7 @@
         this.expiresAtUs = expiresAtUs;
     }
 
-    /** Makes the lease of a node that polls discovery under these rules; it holds from the first renewal on. */
+    /** Creates the lease of a node that polls discovery under these rules; it holds from the first renewal on. */
     public static EndpointListLease forPolledList(ServiceRules rules) {
         long graceUs = Math.max(0, rules.drainGraceUs() - MAX_STALL_US);
         return new EndpointListLease(
@@ -69,7 +69,7 @@
                 NEVER_US);
     }
 
-    /** Makes a lease that always holds, for lists that are pushed to an agent. */
+    /** Creates a lease that always holds, for lists that are pushed to an agent. */
     public static EndpointListLease nonExpiring() {
         return new EndpointListLease(true, 0, 0, 0, Long.MAX_VALUE);
     }
@@ -88,7 +88,7 @@
         return expiryUs == NEVER_US ? Long.MAX_VALUE : nowUs - expiryUs;
     }
 
-    /** The list was known to be complete at this moment: that is when the call was sent whose answer is now in use. */
+    /** Renews the lease: the list in use was complete at {@code asOfUs}, when the call that it answers was sent. */
     public synchronized void onRenewed(long asOfUs) {
         if (asOfUs >= invalidatedAtUs) {
             invalidated = false;
@@ -103,18 +103,19 @@
         expiresAtUs = Math.max(expiresAtUs, fromUs + durationUs);
     }
 
-    /** A connect to discovery that began at this moment failed: discovery had notified no node until then. */
+    /** Handles a connect to discovery that began at this time and failed: discovery had notified no node until then. */
     public synchronized void onDiscoveryUnreachable(long atUs) {
         extend(atUs);
     }
 
     /**
-     * Discovery rejected a call (503). A busy discovery rejects at once, because its queue is full, and is reachable.
-     * One that is down holds the call first ({@value #IMMEDIATE_REJECTION_LIMIT_US} us separate the two cases), and the
-     * rejection renews the lease like a failed connect. It does not renew the lease if this process never had an
-     * answer, if discovery is known to have been up since the last answer, or if this node is known to lack a change:
-     * after a move, and after an answer that could not be read. As a busy discovery may hold calls too, this applies
-     * for {@value #MAX_ASSUMED_DOWN_US} us after the last answer, or less if the settings have a shorter poll interval.
+     * Handles a call that discovery rejected (503). A busy discovery rejects at once, as its queue is full, and is
+     * reachable. One that is down holds the call first ({@value #IMMEDIATE_REJECTION_LIMIT_US} us separate the two
+     * cases), and the rejection renews the lease like a failed connect. It does not renew the lease if this process
+     * never had an answer, if discovery is known to have been up since the last answer, or if this node is known to
+     * lack a change: after a move, and after an answer that could not be read. As a busy discovery may hold calls too,
+     * this applies for {@value #MAX_ASSUMED_DOWN_US} us after the last answer, or less if the settings have a shorter
+     * poll interval.
      */
     public synchronized void onRejected(long sentAtUs, long rejectedAtUs) {
         discoveryBusy |= rejectedAtUs - sentAtUs < IMMEDIATE_REJECTION_LIMIT_US;
@@ -124,12 +125,12 @@
         }
     }
 
-    /** Discovery wrote an answer that this node could not read; the changes in it count as notified. */
+    /** Handles an answer of discovery that this node could not read; the changes in it count as notified. */
     public synchronized void onUnreadableAnswer(long atUs) {
         invalidate(atUs, graceUs);
     }
 
-    /** A new configuration moved discovery to another address at this moment. */
+    /** Handles a new configuration that moved discovery to another address at this time. */
     public synchronized void onDiscoveryMoved(long atUs) {
         invalidate(atUs, NOTIFIED_AFTER_MOVE_US + graceUs);
     }
--- a/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
+++ b/src/main/java/olivechute/endpointlist/ListPlausibilityCheck.java
@@ -5,9 +5,9 @@
 
 /**
  * Decides whether an answer of discovery is used at once. A full list that lacks more than half of the endpoints known
- * before, or all of them, is more often caused by a fault of discovery than by a failure of the fleet: the list is
- * polled once more, and the second answer is used whatever it says. A change names its endpoints and is always used.
- * Used by the endpoint list watcher on the discovery thread; not thread-safe.
+ * before is more often caused by a fault of discovery than by a failure of the fleet: the list is requested once more,
+ * and the second answer is used whatever it says. A change names its endpoints and is always used. Used by the endpoint
+ * list watcher on the discovery thread; not thread-safe.
  */
 public final class ListPlausibilityCheck {
     private static final int MIN_KNOWN_ENDPOINTS = 2;
@@ -23,12 +23,12 @@
         return knownEndpoints.size() >= MIN_KNOWN_ENDPOINTS && 2 * retainedEndpoints < knownEndpoints.size();
     }
 
-    /** A full list is put into use: from now on these endpoints are the known ones. */
+    /** Handles a full list that is put into use: from now on its endpoints are the known ones. */
     public void onFullList(Set<String> listed) {
         knownEndpoints = new HashSet<>(listed);
     }
 
-    /** A change is put into use: from now on this endpoint is listed, or no longer listed. */
+    /** Handles a change that is put into use: from now on this endpoint is listed, or no longer listed. */
     public void onChange(String endpoint, boolean listed) {
         if (listed) {
             knownEndpoints.add(endpoint);
--- a/src/main/java/olivechute/endpointlist/WatchTimeouts.java
+++ b/src/main/java/olivechute/endpointlist/WatchTimeouts.java
@@ -14,12 +14,13 @@
  * {@value #MAX_POLL_WAIT_MS} ms. It is drawn at random, starting at {@value #MIN_POLL_WAIT_MS} ms: nodes that start
  * together or receive the same change would otherwise time out at the same moment, and discovery, which handles calls
  * one after the other, would reject most of their second calls. If {@code rules.ask_every} is shorter than such a call,
- * the wait is shortened to fit and is drawn from two thirds of the remaining wait upwards.
+ * the maximum wait is shortened to fit, and the wait is drawn between two thirds of that maximum and the maximum.
  *
  * <p>Where lists are <em>pushed</em>, an agent on the node's own machine has them and answers at once and at no cost,
- * and a change counts as notified as soon as the agent has it. A silent watch may therefore take no longer than the
- * drain grace: wait and timeout together stay well within it, and an agent that does not answer, as while discovery is
- * down, is polled repeatedly. The agent too is polled at least as often as {@code rules.ask_every} says.
+ * and a change counts as notified as soon as the agent has it. A watch that is not answered must therefore end well
+ * within the drain grace: its wait is at most a quarter of the grace, or {@code MIN_WAIT_MS} if that is longer, and its
+ * timeout is twice the wait. An agent that does not answer, as while discovery is down, is polled repeatedly. The agent
+ * too is polled at least as often as {@code rules.ask_every} says.
  */
 public class WatchTimeouts {
     /** Bound of the protocol: no change counts as notified later than this after discovery had it. */
@@ -49,7 +50,9 @@
     /** The longest time without a call to an agent, however long the drain grace is. */
     private static final int MAX_AGENT_WAIT_MS = 1000;
 
+    /** Lower limit of the waits that the settings shorten. */
     private static final int MIN_WAIT_MS = 50;
+
     /**
      * An agent that has a list answers far sooner than this; one that does not answer has notified the node of nothing.
      */
@@ -71,7 +74,7 @@
     public record Call(int waitMs, int timeoutMs) {}
 
     /**
-     * Makes the timeouts for the calls of one node.
+     * Creates the timeouts for the calls of one node.
      *
      * @param pushed whether lists are pushed to an agent; otherwise discovery is polled
      * @param random numbers from 0 (inclusive) to 1 (exclusive), a separate series for each node
@@ -88,7 +91,7 @@
         this.random = random;
     }
 
-    /** A call that waits for changes since a version. */
+    /** Returns the timeouts of a call that waits for changes since a version. */
     public Call watch() {
         if (pushed) {
             return new Call(agentWaitMs, 2 * agentWaitMs);
@@ -98,24 +101,24 @@
         return new Call(waitMs, waitMs + ANSWER_MARGIN_MS);
     }
 
-    /** A call for the full list. */
+    /** Returns the timeouts of a call for the full list. */
     public Call fullList() {
         return new Call(0, pushed ? agentWaitMs : FULL_LIST_TIMEOUT_MS);
     }
 
     /**
-     * The first call to an address, and the one after a call that failed: it asks for the changes since a version and
-     * is answered as soon as discovery handles it, even if there are none.
+     * Returns the timeouts of the first call to an address, and of the call after a failed one: it requests the changes
+     * since a version and is answered as soon as discovery handles it, even if there are none.
      */
     public Call afterFailure() {
         return new Call(SHORT_WAIT_MS, pushed ? agentWaitMs : CHANGES_TIMEOUT_MS);
     }
 
     /**
-     * The same call after a number of consecutive timeouts; each call has twice the timeout of the one before.
-     * Otherwise no answer would ever arrive in time from a slow discovery or with a long list, and calls that time out
-     * make discovery even slower. The timeout of a call to an agent stays the same, as an agent answers at once or has
-     * nothing to report.
+     * Returns the timeouts of the same call after a number of consecutive timeouts; each call has twice the timeout of
+     * the one before. Otherwise no answer would ever arrive in time from a slow discovery or with a long list, and
+     * calls that time out make discovery even slower. The timeout of a call to an agent stays the same, as an agent
+     * answers at once or has nothing to report.
      */
     public Call withBackoff(Call call, int consecutiveTimeouts) {
         int timeoutMs = call.timeoutMs();
@@ -125,20 +128,20 @@
         return new Call(call.waitMs(), timeoutMs);
     }
 
-    /** Whether lists are pushed; the watch then continues by itself after any failure. */
+    /** Whether lists are pushed; the watch then continues after any failure, without the load balancer. */
     public boolean pushed() {
         return pushed;
     }
 
     /**
-     * Milliseconds to pause after a failed call to an agent; where discovery is polled the load balancer decides the
-     * pause.
+     * Returns the milliseconds to pause after a failed call to an agent; where discovery is polled, the load balancer
+     * decides the pause.
      */
     public int agentRetryPauseMs() {
         return agentWaitMs / 2;
     }
 
-    /** How many milliseconds a starting node waits for its first answer before it accepts requests. */
+    /** Returns how many milliseconds a starting node waits for its first answer before it accepts requests. */
     public int firstAnswerTimeoutMs() {
         return pushed ? FIRST_PUSHED_ANSWER_TIMEOUT_MS : FIRST_POLLED_ANSWER_TIMEOUT_MS;
     }
--- a/src/main/java/olivechute/health/AdaptiveConcurrencyLimit.java
+++ b/src/main/java/olivechute/health/AdaptiveConcurrencyLimit.java
@@ -23,7 +23,10 @@
         }
     }
 
-    /** Decreases the limit because the endpoint is overloaded; {@code inFlight} attempts are still in flight. */
+    /**
+     * Sets the limit to three quarters of itself, or of the attempts in flight if they were fewer, because the endpoint
+     * is overloaded; {@code inFlight} attempts are still in flight.
+     */
     void decrease(long nowUs, int inFlight) {
         if (nowUs - lastDecreaseAtUs >= MIN_DECREASE_INTERVAL_US) {
             limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * Math.min(limit, inFlight + 1));
--- a/src/main/java/olivechute/health/ConnectTimeEstimator.java
+++ b/src/main/java/olivechute/health/ConnectTimeEstimator.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Estimates how much longer a request takes on a new connection than on one in use, from the decision to send until the
- * answer: the connect, and the delay that the endpoint's handshake adds to the first request. It is the difference
- * between the medians of the latest answers of either kind, as unresponsive endpoints answer late on both. Times are
- * microseconds. Thread-safe.
+ * Estimates how much longer a request takes on a new connection than on a reused one, from the decision to send until
+ * the answer: the connect, and the delay that the endpoint's handshake adds to the first request. The estimate is the
+ * difference between the medians of the latest answers of either kind, as unresponsive endpoints answer late on both.
+ * Times are microseconds. Thread-safe.
  */
 public final class ConnectTimeEstimator {
     private static final int WINDOW_SAMPLES = 15;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Adds a sample: an answer on a connection in use came {@code elapsedUs} after its request was due to be written.
+     * Adds a sample: an answer on a reused connection came {@code elapsedUs} after its request was due to be written.
      */
     public synchronized void addReusedConnectionSample(long elapsedUs) {
         reusedConnectionMedian.add(elapsedUs);
--- a/src/main/java/olivechute/health/ConnectionHealth.java
+++ b/src/main/java/olivechute/health/ConnectionHealth.java
@@ -21,6 +21,7 @@
 public final class ConnectionHealth implements HealthView {
     private static final long INITIAL_ACCEPT_TIMEOUT_US = 300_000;
     private static final long MAX_ACCEPT_TIMEOUT_US = 1_000_000;
+    /** No limit in practice: only the low estimate of the running times is used, not their timeout. */
     private static final long MAX_RUN_TIME_US = Long.MAX_VALUE / 4;
 
     private final HealthSettings settings;
@@ -75,7 +76,7 @@
         healthOf(name).onListed(startedAtUs);
     }
 
-    /** Removes the endpoints that do not match. */
+    /** Removes the endpoints whose names do not match. */
     public void retainOnly(Predicate<String> retained) {
         healthByEndpoint.keySet().removeIf(name -> !retained.test(name));
     }
--- a/src/main/java/olivechute/health/EndpointConnectionHealth.java
+++ b/src/main/java/olivechute/health/EndpointConnectionHealth.java
@@ -27,6 +27,7 @@
     private static final double ERROR_RATE_WEIGHT = 0.1;
     private static final double MAX_ERROR_RATE_ABOVE_MEDIAN = 0.4;
     private static final int MIN_RESPONSES = 10;
+    /** Bit of {@link #acceptTimeoutClassMask} that all classes from this index on share. */
     private static final int HIGHEST_CLASS_BIT = Integer.SIZE - 1;
 
     private final ConnectionHealth allEndpoints;
--- a/src/main/java/olivechute/health/IdleReusePolicy.java
+++ b/src/main/java/olivechute/health/IdleReusePolicy.java
@@ -16,8 +16,8 @@
     private static final double SAMPLE_WEIGHT = 0.15;
     private static final double HALF_LIFE_US = 10e6;
     /**
-     * A failed reuse costs a round trip and an attempt; a new connection costs up to three round trips and work at the
-     * endpoint.
+     * A connection is not reused if more than this fraction of reuses fails: a failed reuse costs a round trip and an
+     * attempt, a new connection up to three round trips and work at the endpoint.
      */
     private static final double MAX_BROKEN_FRACTION = 0.6;
 
@@ -44,7 +44,7 @@
         return Long.MAX_VALUE;
     }
 
-    /** Returns the recent fraction of reuses after such an idle time that broke. */
+    /** Returns the recent fraction of connections that broke when they were reused after about this idle time. */
     public double brokenFraction(long nowUs, long idleUs) {
         return decayedBrokenFraction(nowUs, rangeIndex(idleUs));
     }
--- a/src/main/java/olivechute/loadbalancing/AdmissionControl.java
+++ b/src/main/java/olivechute/loadbalancing/AdmissionControl.java
@@ -1,24 +1,31 @@
 package olivechute.loadbalancing;
 
 /**
- * Sets the send deadline and the queue deadline of an arriving request. A request that is still queued at its queue
- * deadline is rejected or failed, so that its client can try another node in the time that is left. Called by
- * {@link ShareLoadBalancer} on the event loop.
+ * Sets {@link PendingRequest#latestStartUs} and {@link PendingRequest#queueDeadlineUs} of an arriving request. A
+ * request that is still queued at its queue deadline is rejected or failed, so that its client can try another node in
+ * the time that is left. Called by {@link ShareLoadBalancer} on the event loop.
  */
 final class AdmissionControl {
-    /** A queued request is answered this long before its client gives up. */
+    /** The queue deadline of a request is at least this long before its client gives up. */
     static final long QUEUE_ANSWER_MARGIN_US = 30_000;
     /**
-     * Requests stay queued until the endpoint list has been out of date for this long; after that they are rejected.
+     * Queued requests without an attempt are rejected once the endpoint list has been out of date for this long; until
+     * then they stay queued.
      */
     static final long STALE_LIST_GRACE_US = 300_000;
 
-    /** Fraction of the latency objective's stretch that a request may spend in the queue. */
+    /**
+     * Besides its fixed part, the latency objective leaves {@code objectiveStretch} - 1 running times for waiting; a
+     * request may spend this fraction of them in the queue. Not used if tail latency counts.
+     */
     private static final double QUEUE_STRETCH_FRACTION = 0.5;
     /** Fraction of the fixed latency objective for which a request is queued if tail latency counts. */
     private static final double QUEUE_TAIL_OBJECTIVE_FRACTION = 0.5;
 
-    /** Tolerated variation of the client's remaining time between two first attempts of a class. */
+    /**
+     * If clients do not mark their retries, a request is taken for a retry if its remaining time is shorter than the
+     * longest one of its class by more than this.
+     */
     private static final long RETRY_DETECTION_TOLERANCE_US = 20_000;
 
     private final LoadBalancerSettings settings;
@@ -60,8 +67,8 @@
     }
 
     /**
-     * Returns the time of the client's first attempt, from which the latency objective counts. If clients do not mark
-     * their retries, a request with less time left than other requests of its class is taken for a retry.
+     * Estimates when the client first sent the request to any node; its latency objective counts from then. If clients
+     * do not mark their retries, a request with less time left than other requests of its class is taken for a retry.
      */
     private long firstClientTryAtUs(long nowUs, PendingRequest pending) {
         Request request = pending.clientRequest;
--- a/src/main/java/olivechute/loadbalancing/Attempt.java
+++ b/src/main/java/olivechute/loadbalancing/Attempt.java
@@ -11,7 +11,7 @@
     final boolean usesNewConnection;
 
     boolean inFlight = true;
-    /** Whether its start was overdue at some time; see {@link ClassExclusion}. */
+    /** Whether the endpoint did not report the start within {@link #startTimeoutUs()}; see {@link ClassExclusion}. */
     boolean startOverdue;
 
     private long startedAtUs = NOT_STARTED;
@@ -37,7 +37,10 @@
         return started() ? startedAtUs : sentAtUs;
     }
 
-    /** Returns how long the start may take: the latency objective, stretched by the mean running time of the class. */
+    /**
+     * Returns the time from the send after which a start that was not reported is overdue, in microseconds: the latency
+     * objective of a request with the mean running time of its class.
+     */
     double startTimeoutUs() {
         RequestClass requestClass = request.requestClass;
         return requestClass.latencyObjectiveUs() + requestClass.objectiveStretch() * request.classStats.meanRunTimeUs();
--- a/src/main/java/olivechute/loadbalancing/AttemptObserver.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptObserver.java
@@ -52,7 +52,7 @@
             }
             case ERROR -> outlierDetector.onError(nowUs, endpoint);
             case ACCEPT_TIMEOUT, STALE_CONNECTION, CANCEL_UNCONFIRMED, SUPPRESSED -> {
-                // These outcomes are faults of the connection, not of the endpoint; HealthView evaluates them.
+                // These outcomes concern the connection and not the endpoint; HealthView evaluates them.
                 endpoint.connectionCount.onIdleClosed(endpoint.attempts.size());
                 endpoint.startWait.resetToMin();
             }
--- a/src/main/java/olivechute/loadbalancing/AttemptOutcome.java
+++ b/src/main/java/olivechute/loadbalancing/AttemptOutcome.java
@@ -21,7 +21,7 @@
     CANCELLED(false),
     /** The node did not send the attempt because sending it would have broken a rule. */
     NOT_SENT(true),
-    /** The endpoint did not accept the request within its usual time, and confirmed the cancellation. */
+    /** The endpoint did not accept the request within the accept timeout, and confirmed the cancellation. */
     ACCEPT_TIMEOUT(false),
     /** A reused idle connection broke when the request was sent on it. */
     STALE_CONNECTION(false),
--- a/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/CapacityEstimator.java
@@ -20,6 +20,7 @@
     /** Reports of at least this many free slots are ignored as invalid. */
     private static final double MAX_PLAUSIBLE_SLOTS = 1e6;
 
+    /** Estimated free slots are fractions: an estimate that is short of a whole number by up to this is rounded up. */
     private static final double FREE_SLOTS_TOLERANCE = 0.5;
 
     private final LoadBalancerSettings settings;
@@ -86,11 +87,11 @@
     }
 
     /**
-     * Returns the estimated number of free slots. An endpoint without a fresh report is assumed to have the mean of the
-     * other endpoints. An endpoint in slow start is not as full as the others, because no node has sent to it yet, and
-     * is assumed to have one free slot; {@link SlowStart} limits what all nodes send. An endpoint that has reported no
-     * free slot for a long time is sent a request while the fleet has capacity: its report may be wrong, and its
-     * response will show.
+     * Returns the estimated number of free slots. An endpoint without a fresh report is assumed to have as many as the
+     * mean of the other endpoints; in slow start it is assumed to have one, because it is not as full as the others
+     * before the nodes have sent to it, and {@link SlowStart} limits what all nodes send. An endpoint that has reported
+     * no free slot for {@link #FULL_ENDPOINT_RETRY_US} is sent a request while the fleet has capacity: its report may
+     * be wrong, and its response shows whether it is.
      */
     private double freeSlots(long nowUs, Endpoint endpoint) {
         boolean retryFullEndpoint = endpoint.attempts.isEmpty()
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * Excludes one request class from one endpoint that never reports the starts of that class, while other classes are
- * still sent there. Guards against endpoints that do not answer one class, or that accept requests and answer none. A
- * single start report may be lost on the network, so the second overdue start in a row excludes the class, and each
- * further one doubles the exclusion.
+ * Excludes request classes from one endpoint: a class whose starts the endpoint does not report is not sent there for
+ * some time, while other classes still are. Guards against endpoints that do not answer one class, or that accept
+ * requests and answer none. A single start report may be lost on the network, so a class is excluded at its second
+ * overdue start in a row, and each further one doubles the exclusion.
  */
 final class ClassExclusion {
     private static final long FIRST_EXCLUSION_US = 8_000_000;
--- a/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
+++ b/src/main/java/olivechute/loadbalancing/ConcurrencyWindow.java
@@ -2,8 +2,9 @@
 
 /**
  * Limits the attempts in flight at one endpoint that does not report its load. Additive increase and multiplicative
- * decrease: the window grows by one for each request that finishes while at least half of the window is in use, and
- * shrinks by a quarter when requests queue at the endpoint.
+ * decrease: the window grows by one for each request that finishes while at least half of the window is in use. It
+ * shrinks by a quarter when requests queue at the endpoint, at most once per mean running time, and at each ejection
+ * after a failure.
  */
 final class ConcurrencyWindow {
     private static final double MAX_SIZE = 64;
--- a/src/main/java/olivechute/loadbalancing/ConnectionCount.java
+++ b/src/main/java/olivechute/loadbalancing/ConnectionCount.java
@@ -1,11 +1,13 @@
 package olivechute.loadbalancing;
 
-/** Number of open connections to one endpoint, derived from this node's attempts. */
+/** Estimates the number of open connections to one endpoint from this node's attempts. */
 final class ConnectionCount {
     private int openConnections;
     private long allLastInUseAtUs;
 
-    /** Handles a send; {@code attemptsInFlight} includes it, and each attempt uses a connection of its own. */
+    /**
+     * Handles the send of an attempt, which {@code attemptsInFlight} includes; each attempt uses its own connection.
+     */
     void onSend(long nowUs, int attemptsInFlight) {
         if (attemptsInFlight >= openConnections) {
             openConnections = attemptsInFlight;
--- a/src/main/java/olivechute/loadbalancing/Endpoint.java
+++ b/src/main/java/olivechute/loadbalancing/Endpoint.java
@@ -11,13 +11,13 @@
     final EndpointKindStats kindStats;
     /** Random number drawn once per endpoint; the endpoints of lowest rank form this node's working set. */
     final double rank;
-    /** Whether it is in this node's zone. */
+    /** Whether the endpoint is in this node's zone; also true if its zone is {@code null}. */
     final boolean inLocalZone;
 
     EndpointInfo info;
     EndpointHealth health = EndpointHealth.HEALTHY;
     /**
-     * Whether it is missing from the list without having been listed as draining; set only if
+     * Whether the endpoint is missing from the list without having been listed as draining; set only if
      * {@link ServiceRules#keepsUnlistedEndpoints()}.
      */
     boolean unlisted;
@@ -67,7 +67,7 @@
                 info.startedAtUs());
     }
 
-    /** Handles a restart of its process: clears recent observations and keeps the long-term running time. */
+    /** Handles a restart of the endpoint's process: clears recent observations and keeps the long-term running time. */
     void onRestart() {
         concurrencyWindow.clear();
         latencyStats.clear();
--- a/src/main/java/olivechute/loadbalancing/EndpointHealth.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointHealth.java
@@ -1,6 +1,6 @@
 package olivechute.loadbalancing;
 
-/** Health of one endpoint as seen on its sockets; read on the event loop each time a request looks for an endpoint. */
+/** Health of one endpoint as observed on its sockets; read on the event loop when an endpoint is selected. */
 public interface EndpointHealth {
     /** Accepts every request and has no concurrency limit. */
     EndpointHealth HEALTHY = new EndpointHealth() {
--- a/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointKindStats.java
@@ -1,6 +1,6 @@
 package olivechute.loadbalancing;
 
-/** Statistics over all endpoints of one kind. */
+/** Statistics of this node over all endpoints of one kind (machine type). Used on the event loop only. */
 final class EndpointKindStats {
     /** Largest number of slots observed at one endpoint of the kind. */
     double maxSlots = 1;
@@ -16,7 +16,7 @@
         maxSlots = Math.max(maxSlots, observedSlots);
     }
 
-    /** Counts an endpoint that has finished its slow start towards the current interval. */
+    /** Adds an endpoint that has finished its slow start to the current interval, with this node's running slots. */
     void countWarmedUp(int slots) {
         warmedUpEndpoints++;
         warmedUpRunningSlots += slots;
--- a/src/main/java/olivechute/loadbalancing/EndpointSelector.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointSelector.java
@@ -13,7 +13,7 @@
     /** Slots that a request over its quota must leave free. */
     private static final int OVER_QUOTA_RESERVED_SLOTS = 2;
 
-    /** Slots that it must leave free at low load. */
+    /** Slots that a request over its quota must leave free at low load. */
     private static final int LOW_LOAD_OVER_QUOTA_RESERVED_SLOTS = 1;
     /** The load is low while the mean number of free slots exceeds the largest observed slot count divided by this. */
     private static final double LOW_LOAD_DIVISOR = 3;
@@ -58,7 +58,10 @@
         this.endpointPicker = endpointPicker;
     }
 
-    /** Returns {@code null} if no endpoint has capacity, or while the request waits for probe responses. */
+    /**
+     * Returns the endpoint for the next attempt, or {@code null} if there is none or the request should wait for probe
+     * responses.
+     */
     Endpoint select(long nowUs, PendingRequest request) {
         knownLoadCandidates.clear();
         unknownLoadCandidates.clear();
@@ -111,8 +114,8 @@
     }
 
     /**
-     * Returns the weight of the recent wait for a start, from 0 to 1. It decreases with the running time of requests,
-     * because load reports are then more informative.
+     * Returns the weight of an endpoint's recent wait for a start, from 0 to 1. It is lower the longer requests run,
+     * because load reports, which arrive with a delay, are then more accurate.
      */
     private double startWaitWeight() {
         return settings.loadReporting() == LoadReporting.NONE
@@ -123,8 +126,9 @@
     /**
      * Returns whether the endpoint may get requests of this class now: it is listed as active, not ejected or excluded,
      * and does not start requests later than this one can wait. If all endpoints start requests too late, requests are
-     * queued and rejected instead of queueing too long at the endpoints. The wait is trusted only for a limited time,
-     * so that a node that is itself late can detect that.
+     * queued here and rejected instead of queueing too long at the endpoints. Measured waits are ignored if no start
+     * was reported for {@link #MAX_START_REPORT_AGE_US}: a node that is itself late measures long waits at all
+     * endpoints, and can detect that only if it sends again.
      */
     private boolean isAvailable(long nowUs, PendingRequest request, Endpoint endpoint, double startWaitWeight) {
         int classIndex = request.classStats.index;
--- a/src/main/java/olivechute/loadbalancing/EndpointStats.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointStats.java
@@ -14,6 +14,7 @@
     /** Largest number of slots observed at one endpoint. */
     double maxSlotsObserved = 1;
 
+    // Medians over the active endpoints, updated by OutlierDetector.
     double medianRelativeRunTime = 1;
     double medianStartWaitUs;
     double medianErrorRate;
--- a/src/main/java/olivechute/loadbalancing/EndpointTable.java
+++ b/src/main/java/olivechute/loadbalancing/EndpointTable.java
@@ -56,7 +56,7 @@
         return remote;
     }
 
-    /** Applies an update of the endpoint list; must not be called for a failed one. */
+    /** Applies an update of the endpoint list, which must not be {@link ListUpdateKind#FAILED}. */
     void update(ListUpdateKind updateKind, List<EndpointInfo> listed) {
         Set<String> listedNames = new HashSet<>();
         for (EndpointInfo info : listed) {
--- a/src/main/java/olivechute/loadbalancing/HealthView.java
+++ b/src/main/java/olivechute/loadbalancing/HealthView.java
@@ -1,8 +1,8 @@
 package olivechute.loadbalancing;
 
 /**
- * Advice from the sockets that the load balancer cannot derive itself; the load balancer makes the decision. Times are
- * microseconds on the node's clock. Called on the event loop.
+ * What the node observes on its sockets and the load balancer cannot derive from its events. Implementations only
+ * advise; the load balancer makes the decisions. Times are microseconds on the node's clock. Called on the event loop.
  */
 public interface HealthView {
     /** All endpoints are healthy, all retries are allowed, and the list is always up to date. */
@@ -27,7 +27,7 @@
     EndpointHealth endpoint(String name);
 
     /**
-     * Takes a retry from the budget if the budget and the remaining time suffice.
+     * Returns whether the retry budget and the remaining time allow a retry, and takes it from the budget if they do.
      *
      * @param lastOutcome outcome of the previous attempt
      * @param timeLeftUs microseconds until the client gives up
@@ -35,8 +35,8 @@
     boolean allowsRetry(long nowUs, String tenant, int classIndex, AttemptOutcome lastOutcome, long timeLeftUs);
 
     /**
-     * Returns for how long the endpoint list may have failed to show draining endpoints, so that nothing may be sent by
-     * it; 0 while it is up to date, {@link Long#MAX_VALUE} if it never was.
+     * Returns for how long the endpoint list has been out of date: it may then lack drains, and nothing may be sent by
+     * it. Returns 0 while the list is up to date and {@link Long#MAX_VALUE} if it never was.
      */
     long listStaleForUs(long nowUs);
 }
--- a/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/IdleConnectionPolicy.java
@@ -8,11 +8,13 @@
  */
 final class IdleConnectionPolicy {
     /**
-     * Connection time that costs {@link CostWeights#connection()} in full, in microseconds of one connection: a mean of
-     * 100 open connections per endpoint.
+     * Time after which one open connection has cost {@link CostWeights#connection()} at one request per second and
+     * endpoint, in microseconds: 100 s, because that cost is charged in full at a mean of 100 open connections per
+     * endpoint.
      */
     private static final double CONNECTION_COST_UNIT_US = 1e8;
 
+    /** Lower limit of the expected request rate per endpoint; tenants may have no quota. */
     private static final double MIN_REQUESTS_PER_SECOND = 0.01;
 
     private final CostWeights costWeights;
@@ -42,8 +44,8 @@
     }
 
     /**
-     * Returns for how long an idle connection is cheaper than a new one. The tenants' quotas give the expected rate of
-     * use.
+     * Returns for how long, in microseconds, keeping a connection idle costs less than opening a new one. The tenants'
+     * quotas give the expected rate of requests.
      */
     private double economicIdleTimeUs(int endpointCount) {
         if (costWeights.connection() == 0) {
--- a/src/main/java/olivechute/loadbalancing/InFlightHistory.java
+++ b/src/main/java/olivechute/loadbalancing/InFlightHistory.java
@@ -5,6 +5,7 @@
  * arrives late and has to be compared with what was in flight when it was made.
  */
 final class InFlightHistory {
+    /** Length of a step. */
     static final long STEP_US = 100_000;
     private static final int STEP_COUNT = 8;
 
@@ -21,7 +22,7 @@
         return slots;
     }
 
-    /** Changes the number of slots in flight from now on; negative when an attempt ends. */
+    /** Changes the number of slots in flight from now on; {@code slotDelta} is negative when an attempt ends. */
     void add(long nowUs, int slotDelta) {
         long nowStep = stepOf(nowUs);
         for (long pastStep = Math.max(currentStep, nowStep - STEP_COUNT); pastStep < nowStep; pastStep++) {
--- a/src/main/java/olivechute/loadbalancing/LatencyStats.java
+++ b/src/main/java/olivechute/loadbalancing/LatencyStats.java
@@ -4,7 +4,9 @@
 final class LatencyStats {
     private static final double RECENT_SAMPLE_WEIGHT = 0.25;
     private static final double MIN_LONG_TERM_SAMPLE_WEIGHT = 0.05;
+    /** Weight of the initial long-term running time, in samples. */
     private static final double PRIOR_SAMPLES = 3;
+    /** Growth factor of the best running time per request, so that it follows an endpoint that has become slower. */
     private static final double BEST_GROWTH_FACTOR = 1.005;
     private static final int MIN_LONG_TERM_SAMPLES = 30;
     private static final double CONGESTION_MULTIPLE = 2;
@@ -40,7 +42,10 @@
         return Math.max(recentRelativeRunTime, smoothedTotalTime) > CONGESTION_MULTIPLE * bestRelativeRunTime;
     }
 
-    /** Moves the recent running time towards the median of its peers. */
+    /**
+     * Moves the recent running time towards the median of all endpoints and adds it to {@code peerValues}, if it is
+     * known.
+     */
     void decay(double median, double retainedFraction, java.util.List<Double> peerValues) {
         recentRelativeRunTime = Smoothing.decayAndCollect(recentRelativeRunTime, median, retainedFraction, peerValues);
     }
--- a/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
+++ b/src/main/java/olivechute/loadbalancing/ListWatchRetry.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Schedules the next watch, unless one is scheduled already: a watch that was started elsewhere may fail in the
-     * meantime.
+     * Schedules the next watch, unless one is scheduled already: a watch that was started for another reason, such as a
+     * new address of discovery, may fail before the scheduled one starts.
      */
     void onFailed() {
         consecutiveFailures++;
--- a/src/main/java/olivechute/loadbalancing/LoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/LoadBalancer.java
@@ -20,7 +20,7 @@
     /**
      * Handles the end of an attempt.
      *
-     * @param durationUs microseconds since it was sent
+     * @param durationUs microseconds since the attempt was sent
      * @param complete whether the request needs no further answer
      */
     void onAttemptEnd(
@@ -51,7 +51,7 @@
 
     /** Actions that a load balancer requests from its node. */
     interface Helper {
-        /** Starts the next attempt of a request; with a {@code timeoutUs} of 0 it lasts until the client gives up. */
+        /** Sends the next attempt of a request; with a {@code timeoutUs} of 0 it may last until the client gives up. */
         void send(String id, String endpoint, long timeoutUs);
 
         /**
@@ -63,7 +63,7 @@
         /** Final answer: fails a request of which it is unknown whether it took effect. */
         void fail(String id);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt in flight. */
         void cancel(String id, int attemptIndex);
 
         /** Probes an endpoint for its load. */
--- a/src/main/java/olivechute/loadbalancing/LoadProber.java
+++ b/src/main/java/olivechute/loadbalancing/LoadProber.java
@@ -4,9 +4,9 @@
 
 /**
  * Probes endpoints without a fresh load report before a request is sent to one, and makes the request wait for the
- * responses: a load report is most valuable just before a send. An endpoint that does not respond is not used for a
- * while, whether it is full, stalled or dead, unless it never reports its load. Costs latency where probe responses are
- * slow. Called by {@link EndpointSelector} on the event loop.
+ * responses: a load report is most useful just before a send. An endpoint that does not respond to a probe is not used
+ * until it may be probed again, whether it is full, stalled or down, unless it has never reported its load. Costs
+ * latency where probe responses are slow. Called by {@link EndpointSelector} on the event loop.
  */
 final class LoadProber {
     /** Minimum time between two probes of an endpoint. */
--- a/src/main/java/olivechute/loadbalancing/LoadReportState.java
+++ b/src/main/java/olivechute/loadbalancing/LoadReportState.java
@@ -8,15 +8,20 @@
     static final long MAX_REPORT_AGE_US = 2_500_000;
 
     private static final double TYPICAL_SAMPLE_WEIGHT = 0.3;
+    /** An endpoint that reports fewer free slots than this counts as full. */
     private static final double FREE_SLOT_THRESHOLD = 0.5;
     private static final long NEVER_US = Long.MIN_VALUE / 2;
     private static final long NOT_FULL_US = Long.MAX_VALUE / 2;
 
     private double freeSlots = Double.NaN;
     private int ownSlotsInFlightAtReport;
+    /** Smoothed number of slots that other nodes leave available to this node. */
     private double typicalSlots = Double.NaN;
+
     private double typicalMemory = Double.NaN;
+    /** Whether the last report was a load report of the endpoint, and not a rejection. */
     private boolean fromLoadReport;
+
     private long lastReportAtUs = NEVER_US;
     private long fullSinceUs = NOT_FULL_US;
 
@@ -34,9 +39,8 @@
         lastReportAtUs = nowUs;
         typicalSlots = Smoothing.smooth(typicalSlots, freeSlots + ownSlotsInFlightAtReport, TYPICAL_SAMPLE_WEIGHT);
         fromLoadReport = delayUs > 0;
-        if (reportedFreeSlots
-                >= FREE_SLOT_THRESHOLD) { // with no slot free, some of this node's attempts may be queued at the
-            // endpoint and occupy no slot
+        // Without a free slot, some of this node's attempts may be queued at the endpoint and occupy no slot.
+        if (reportedFreeSlots >= FREE_SLOT_THRESHOLD) {
             endpoint.kindStats.updateMaxSlots(
                     reportedFreeSlots + endpoint.inFlightHistory.minSlotsSince(measuredStep - 1));
         }
@@ -47,6 +51,7 @@
         }
     }
 
+    /** Handles a send, which restarts the time that {@link #isReportedFullFor} measures. */
     void onSend(long nowUs) {
         fullSinceUs = Math.max(fullSinceUs, nowUs);
     }
@@ -89,8 +94,8 @@
     }
 
     /**
-     * Returns the slots that other nodes leave available to this node: the last report, which decays to the typical
-     * value over the running time of a request.
+     * Returns the slots that other nodes leave available to this node: the value of the last report, which decays to
+     * the typical value over the mean running time of a request.
      */
     double slotsAvailableToNode(long nowUs, double meanRunTimeUs) {
         double ageUs = nowUs - lastReportAtUs + (fromLoadReport ? REPORT_DELAY_US : 0);
--- a/src/main/java/olivechute/loadbalancing/OutlierDetector.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierDetector.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejects endpoints by the outcomes of their attempts: after failures, with a backoff that doubles for each; for an
- * error rate far above that of its peers; and while requests run far slower than at its peers and than typical for the
- * endpoint. Comparisons use the median: if most endpoints are slow or fail alike, the fault is not theirs, and ejecting
- * them would leave none. Guards against endpoints that are dead, unreachable, at their connection limit, reject
- * everything or report slots that they do not have. Called on the event loop.
+ * Ejects an endpoint by the outcomes of its attempts: after a failure, for a time that doubles with each further one;
+ * for an error rate far above that of the other endpoints; and while requests run far slower there than at the other
+ * endpoints and than typical for this one. Comparisons use the median: if most endpoints are slow or fail alike, the
+ * fault is not theirs, and ejecting them would leave none. Guards against endpoints that are down, unreachable, at
+ * their connection limit, reject everything or report slots that they do not have. Called on the event loop.
  *
  * <p>Independent of the ejections in {@code olivechute.health}, which are based on connections: an endpoint gets
  * requests only if neither of the two ejects it.
@@ -19,11 +19,11 @@
     private static final long MAX_EJECTION_US = 4_000_000;
     private static final int MAX_DOUBLINGS = 6;
     /**
-     * First ejection after a failed connect, or after a rejection where there are no load reports. An ejection for
-     * errors starts three doublings later, because the earlier errors count as failures.
+     * Duration of the first ejection after a failed connect, or after a rejection where there are no load reports. The
+     * first ejection for errors is already doubled three times, because the earlier errors count as failures.
      */
     private static final long FAILURE_EJECTION_US = 250_000;
-    /** First ejection where the failure may concern only one request or one connection. */
+    /** Duration of the first ejection where the failure may concern only one request or one connection. */
     private static final long BRIEF_EJECTION_US = 20_000;
 
     private static final double ERROR_SAMPLE_WEIGHT = 0.1;
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Handles a failed connect. After a reset it shows that the process ended, which is assumed to restart when the
-     * ejection ends.
+     * Handles a failed connect. After a reset it shows that the endpoint's process ended; a new one is assumed to start
+     * when the ejection ends.
      */
     void onConnectFailed(long nowUs, Endpoint endpoint) {
         OutlierState state = endpoint.outlierState;
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Doubles the ejection with each failure, and picks a random duration from its second half so that nodes do not
-     * return in step.
+     * Ejects the endpoint for a time that doubles with each failure. The duration is drawn at random from the second
+     * half of that time, so that nodes do not return to the endpoint in step.
      */
     private void eject(long nowUs, Endpoint endpoint, long firstEjectionUs) {
         OutlierState state = endpoint.outlierState;
--- a/src/main/java/olivechute/loadbalancing/OutlierState.java
+++ b/src/main/java/olivechute/loadbalancing/OutlierState.java
@@ -4,9 +4,9 @@
 final class OutlierState {
     /** Smoothed fraction of recent responses that were errors; NaN if there were none. */
     double errorRate = Double.NaN;
-    /** Whether requests run far slower than at its peers. */
+    /** Whether requests run far slower at this endpoint than at the others. */
     boolean slow;
-    /** Failures in a row; halved by each success. */
+    /** Number of failures, halved by each success. */
     int failureCount;
     /** Whether a connection broke and no request has succeeded since. */
     boolean connectionReset;
--- a/src/main/java/olivechute/loadbalancing/PendingRequest.java
+++ b/src/main/java/olivechute/loadbalancing/PendingRequest.java
@@ -61,7 +61,7 @@
         return slots * expectedWorkUs() / classStats.referenceWorkUs();
     }
 
-    /** Returns how long the request may wait after the start of its latency objective. */
+    /** Returns how long the request may wait, besides its own running time, and still meet its latency objective. */
     double latencyBudgetUs() {
         return requestClass.latencyObjectiveUs() + Math.max(0, requestClass.objectiveStretch() - 1) * expectedWorkUs();
     }
--- a/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
+++ b/src/main/java/olivechute/loadbalancing/QueueDispatcher.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Takes requests from the queues and finds an endpoint for each, until no tenant has a request that finds one. Called
- * by {@link ShareLoadBalancer} on the event loop.
+ * Takes requests from the queues, selects an endpoint for each and sends it, until no endpoint can take a request of
+ * any tenant. Called by {@link ShareLoadBalancer} on the event loop.
  */
 final class QueueDispatcher {
-    /** Number of queued requests of one class for which an endpoint is looked for in each turn. */
+    /** Number of queued requests of one class that are tried in each turn of their tenant. */
     private static final int LOOKAHEAD_REQUESTS = 4;
 
     /** Sends a request to an endpoint. */
@@ -26,7 +26,8 @@
     private final Sender sender;
 
     /**
-     * @param classesByValue all classes, ordered by value for their work, the most valuable first; the caller's list
+     * @param classesByValue all classes, ordered by {@link RequestClassStats#compareByValue}; the caller's list, whose
+     *     order changes
      */
     QueueDispatcher(
             TenantQueues queues,
@@ -57,9 +58,10 @@
     }
 
     /**
-     * Takes a request of one tenant, classes ordered by value for their work and not by arrival. Under overload the
-     * tenant's long requests wait, which have the longest latency objective, and short ones meet theirs. Requests over
-     * the quota come last. A class of long requests may starve.
+     * Sends one queued request of a tenant. Its classes are tried in order of their value per running time and not in
+     * order of arrival: under overload the long requests wait, which have the longest latency objectives, and the short
+     * ones meet theirs. Requests over the quota come last. A class of long requests may starve. Returns false if no
+     * request could be sent.
      */
     private boolean dispatchTenant(long nowUs, TenantQueue tenant) {
         return dispatchClasses(nowUs, tenant, false) || dispatchClasses(nowUs, tenant, true);
@@ -76,9 +78,9 @@
     }
 
     /**
-     * Takes a request of one queue. Once the oldest request has spent half of its time in the queue, the newest is
-     * tried first: in the order of arrival, under any overload, every request would be served at the end of its time,
-     * too late for its latency objective.
+     * Sends one request of a queue; returns false if none could be sent. Once the oldest request has spent half of its
+     * time in the queue, the newest is tried first: in the order of arrival, under any overload, every request would be
+     * served at the end of its time, too late for its latency objective.
      */
     private boolean dispatchFromQueue(long nowUs, ArrayDeque<PendingRequest> queue) {
         PendingRequest oldest = queue.peekFirst();
--- a/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/QuotaEstimator.java
@@ -82,7 +82,7 @@
         return otherTenantsArrivals;
     }
 
-    /** Returns the fraction of the long-term arrivals that remains since their last update, from 0 to 1. */
+    /** Returns the factor by which the long-term arrivals have decayed since their last update, from 0 to 1. */
     private static double longTermDecay(long nowUs, TenantQuota quota) {
         return Math.exp(-(nowUs - quota.updatedAtUs) / LONG_TERM_DECAY_US);
     }
@@ -111,8 +111,8 @@
             double recent = shortTermArrivals(nowUs, queue.quota);
             totalBaseline += baseline;
             jumpedBaseline += recent > JUMP_FACTOR * baseline ? baseline : 0;
-            totalRecent += Math.min(
-                    recent, 2 * JUMP_FACTOR * baseline); // limits how much one tenant can contribute to the sum
+            // The limit keeps the flood of one tenant from passing for a jump of all traffic.
+            totalRecent += Math.min(recent, 2 * JUMP_FACTOR * baseline);
         }
         boolean mostTrafficJumped = jumpedBaseline > totalBaseline / 2;
         boolean significant = totalRecent > JUMP_FACTOR * totalBaseline
--- a/src/main/java/olivechute/loadbalancing/RequestClassStats.java
+++ b/src/main/java/olivechute/loadbalancing/RequestClassStats.java
@@ -10,7 +10,9 @@
     final int index;
     /** Largest number of slots that a request of the class occupied. */
     int maxSlots = 1;
-    /** Longest remaining time of a request at its arrival; that of a first attempt by the client. */
+    /**
+     * Longest remaining time of a request at its arrival; taken for that of all requests that are no client retries.
+     */
     long maxTimeLeftUs;
 
     private double meanRunTimeUs;
@@ -41,8 +43,8 @@
     }
 
     /**
-     * Returns the slot time of a reference request: mean running time, and as many slots as the widest request of the
-     * class. Slow start counts in this unit.
+     * Returns the slot time of a reference request: one with the mean running time of the class and as many slots as
+     * its largest request. {@link SlowStart} counts in this unit.
      */
     double referenceWorkUs() {
         return maxSlots * meanRunTimeUs();
@@ -53,7 +55,7 @@
         return totalSlotTimeUs;
     }
 
-    /** Orders classes by value for their work, the most valuable first. */
+    /** Orders classes by priority weight per mean running time, the highest first. */
     static int compareByValue(RequestClassStats x, RequestClassStats y) {
         return Double.compare(
                 x.meanRunTimeUs() * y.requestClass.priorityWeight(),
--- a/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
+++ b/src/main/java/olivechute/loadbalancing/RetryAfterEstimator.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Handles the send of a request. One sent on arrival does not update the interval, which would measure the clients'
-     * arrivals and not the endpoints' capacity.
+     * Handles the send of a request. A request that is sent on arrival does not update the interval: the interval would
+     * then measure the clients' arrivals and not the endpoints' capacity.
      */
     void onRelease(long nowUs, PendingRequest request) {
         if (nowUs > request.arrivedAtUs) {
--- a/src/main/java/olivechute/loadbalancing/RetryPolicy.java
+++ b/src/main/java/olivechute/loadbalancing/RetryPolicy.java
@@ -8,7 +8,7 @@
  * a quick run of the class, or if the node's {@link RetryBudget} is used up. {@link HealthView#allowsRetry} checks the
  * last two.
  *
- * <p>The retry itself waits at the head of the queue for an endpoint, as any other request does.
+ * <p>A retry waits at the head of its queue until an endpoint can take it.
  */
 final class RetryPolicy {
     /** Nothing is sent within this time before the end of the deduplication window. */
--- a/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
+++ b/src/main/java/olivechute/loadbalancing/ShareLoadBalancer.java
@@ -34,7 +34,7 @@
     private final Helper helper;
     private final HealthView healthView;
     private final Map<String, RequestClassStats> classes = new HashMap<>();
-    /** The same classes ordered by value for their work, the most valuable first. */
+    /** The same classes, ordered by {@link RequestClassStats#compareByValue}. */
     private final List<RequestClassStats> classesByValue = new ArrayList<>();
 
     private final EndpointStats stats = new EndpointStats();
@@ -57,12 +57,12 @@
 
     private long nextIntervalAtUs;
 
-    /** Creates a load balancer without a view of its connections; {@code seed} feeds its only source of randomness. */
+    /** Creates a load balancer without a {@link HealthView}; {@code seed} feeds its only source of randomness. */
     public ShareLoadBalancer(LoadBalancerSettings settings, long seed, Helper helper) {
         this(settings, seed, helper, HealthView.NONE);
     }
 
-    /** Creates a load balancer with a view of the health of its connections. */
+    /** Creates a load balancer with a {@link HealthView} of the node's connections. */
     public ShareLoadBalancer(LoadBalancerSettings settings, long seed, Helper helper, HealthView healthView) {
         if (settings == null || helper == null) {
             throw new IllegalArgumentException((settings == null ? "settings" : "helper") + ": missing");
@@ -111,7 +111,10 @@
                 queues, classesByValue, endpoints, selector, workingSet, retryAfterEstimator, lifecycle::send);
     }
 
-    /** Returns the interval between checks of the queued requests, in microseconds. */
+    /**
+     * Adds the request classes of the settings. Returns the interval between checks of queued requests, in
+     * microseconds.
+     */
     private long addClasses() {
         long checkIntervalUs = MAX_QUEUE_CHECK_INTERVAL_US;
         for (RequestClass requestClass : settings.classes()) {
@@ -168,7 +171,7 @@
         classStats.onArrival(request, pending.slots);
         admissionControl.admit(nowUs, pending);
         loadProber.onRequest();
-        if (nowUs >= pending.latestStartUs) { // almost no time left: it may be over before the next timer
+        if (nowUs >= pending.latestStartUs) { // too late, or the client may give up before the next check
             lifecycle.rejectOrFail(nowUs, pending);
         } else {
             lifecycle.enqueue(pending, false);
--- a/src/main/java/olivechute/loadbalancing/SlotUsage.java
+++ b/src/main/java/olivechute/loadbalancing/SlotUsage.java
@@ -14,7 +14,7 @@
         updatedAtUs = nowUs;
     }
 
-    /** Changes the number of running slots from now on; negative when an attempt ends. */
+    /** Changes the number of running slots from now on; {@code slotDelta} is negative when an attempt ends. */
     void add(long nowUs, int slotDelta) {
         intervalSlotTimeUs += (double) runningSlots * (nowUs - updatedAtUs);
         updatedAtUs = nowUs;
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -130,7 +130,8 @@
 
     /**
      * Returns the requests that all nodes together may send to an endpoint that sustains {@code sustainableRequests},
-     * both in reference requests.
+     * both in reference requests. The margin covers the deviation of random arrivals, or, if that allows more, the
+     * largest standard deviation that the nodes' rounding can cause.
      */
     private double fleetBudgetRequests(
             double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
--- a/src/main/java/olivechute/loadbalancing/SlowStartSends.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStartSends.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Returns the slot time of what was sent after a time, at the current reference work of its classes; removes
-     * earlier sends.
+     * Returns the slot time of the requests sent after {@code sinceUs}, at the current reference work of their classes,
+     * and forgets earlier ones.
      */
     double workSinceUs(long sinceUs) {
         while (!recentSends.isEmpty() && recentSends.peekFirst().sentAtUs() <= sinceUs) {
--- a/src/main/java/olivechute/loadbalancing/StartWait.java
+++ b/src/main/java/olivechute/loadbalancing/StartWait.java
@@ -14,24 +14,25 @@
 
     /** Handles an attempt whose wait already exceeds the recent one. */
     void onStillWaiting(double waitedUs) {
-        if (!(waitedUs <= recentUs)) {
+        if (!(waitedUs <= recentUs)) { // also true while the recent wait is NaN
             recentUs = waitedUs;
             minUs = Math.min(minUs, waitedUs);
         }
     }
 
-    /** Resets the wait if the connection, and not the endpoint, caused it. */
+    /** Resets the recent wait to the minimum; called when the connection, and not the endpoint, caused the wait. */
     void resetToMin() {
         if (minUs < Double.MAX_VALUE) {
             recentUs = minUs;
         }
     }
 
+    /** Forgets the recent wait, but not the minimum. */
     void clear() {
         recentUs = Double.NaN;
     }
 
-    /** Moves the recent wait towards the minimum ever observed, which stays. */
+    /** Moves the recent wait towards the minimum ever observed and adds it to {@code peerValues}. */
     void decay(double retainedFraction, java.util.List<Double> peerValues) {
         recentUs = Smoothing.decayAndCollect(recentUs, minUs, retainedFraction, peerValues);
     }
--- a/src/main/java/olivechute/loadbalancing/TenantQueues.java
+++ b/src/main/java/olivechute/loadbalancing/TenantQueues.java
@@ -26,7 +26,9 @@
     /** The same in an array, because all queues are scanned at each event. */
     private TenantQueue[] all = {};
 
+    /** Pass value with which the last tenant was served; a tenant whose queues were empty resumes at no lower one. */
     private double virtualTime;
+
     private double totalQuotaPerSecond;
 
     TenantQueues(List<Tenant> tenants, int classCount, ShareController shareController) {
--- a/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
+++ b/src/main/java/olivechute/loadbalancing/WeightedEndpointPicker.java
@@ -9,10 +9,10 @@
  * instances that {@link ShareController} gave the request's tenant there.
  *
  * <p>The cost of a send is a time in microseconds: the expected running time at the endpoint, its recent wait for a
- * start, and, for crossing zones and for connecting, the cost weight and the delay. Guards against a zone with more
- * traffic than endpoints, slow machines, slow connects and endpoints that start requests late for any reason; requests
- * are sent to another zone where the gain exceeds the cost. An endpoint with one long wait by chance is avoided for one
- * or two seconds.
+ * start, the cost weights of crossing zones and of a new connection as multiples of the request's latency budget, and
+ * the delay of a new connection. Guards against a zone with more traffic than endpoints, slow machines, slow connects
+ * and endpoints that start requests late for any reason; requests are sent to another zone where the gain exceeds the
+ * cost. An endpoint with one long wait by chance is avoided for one or two seconds.
  */
 final class WeightedEndpointPicker {
     /** Cost weights count double, because short waits cost little. */
--- a/src/main/java/olivechute/loadbalancing/WorkingSet.java
+++ b/src/main/java/olivechute/loadbalancing/WorkingSet.java
@@ -27,6 +27,7 @@
         }
     }
 
+    /** Reduces the extra endpoints; called once per {@link ShareController#INTERVAL_US}. */
     void onInterval() {
         extraEndpoints *= EXTRA_RETAINED_PER_INTERVAL;
     }
--- a/src/main/java/olivechute/proxy/EndpointListState.java
+++ b/src/main/java/olivechute/proxy/EndpointListState.java
@@ -65,8 +65,8 @@
         }
         transport.onListUpdate(update);
         if (asOfUs != ProxyEvent.ListUpdated.PARTIAL) {
-            lease.onRenewed(
-                    asOfUs); // renewed last: attempts that were suppressed under the old list must not be sent by it
+            // Renewed last: otherwise an attempt could still be sent by the old list, under the renewed lease.
+            lease.onRenewed(asOfUs);
         }
         return endpoints;
     }
--- a/src/main/java/olivechute/proxy/EventLoop.java
+++ b/src/main/java/olivechute/proxy/EventLoop.java
@@ -130,8 +130,8 @@
                 if (executionLock.tryAcquireOrDelegate()) {
                     runAsLockHolder(Integer.MAX_VALUE);
                 } else {
-                    LockSupport.parkNanos(
-                            this, TICK_US * NANOS_PER_MICRO); // the lock holder fires the timers of this tick
+                    // The lock holder fires the timers of this tick.
+                    LockSupport.parkNanos(this, TICK_US * NANOS_PER_MICRO);
                 }
             }
             long idleUs = wakeAtUs - now();
@@ -203,7 +203,7 @@
                 eventHandler.accept(event);
             }
         } catch (RuntimeException | Error e) {
-            // A faulty event must not end the process and with it all other requests.
+            // A failed event must not end the process and with it all other requests.
             Logger.error(e, "handling an event failed");
         }
     }
--- a/src/main/java/olivechute/proxy/RequestDispatcher.java
+++ b/src/main/java/olivechute/proxy/RequestDispatcher.java
@@ -46,7 +46,9 @@
     private final Map<String, ActiveRequest> requestsById = new HashMap<>();
     private final RecentRequestIds recentRequestIds = new RecentRequestIds();
     private int maxOpenRequests;
+    /** Upper limit of each request's deadline, see {@link #answerAllBy}. */
     private long answerAllByUs = Long.MAX_VALUE;
+
     private final RequestLog requestLog = new RequestLog();
 
     /** Creates a dispatcher without metrics whose endpoint list never expires. */
--- a/src/main/java/olivechute/proxy/UpstreamTransport.java
+++ b/src/main/java/olivechute/proxy/UpstreamTransport.java
@@ -10,7 +10,7 @@
 
     /**
      * Returns false while no new request may be sent to an endpoint according to the latest list: it is draining, or it
-     * is removed and removal is binding.
+     * is removed and the rules do not keep unlisted endpoints in use.
      */
     boolean acceptsRequests(String endpoint);
 
@@ -28,8 +28,8 @@
     void suppressIfUnwritten(UpstreamRequest attempt);
 
     /**
-     * Cancels an attempt whose end is not reported any more. Its connection is closed unless the attempt was accepted,
-     * and its endpoint is asked to cancel it, as its acceptance may still be in transit.
+     * Cancels an attempt without reporting its end. Its connection is closed unless the attempt was accepted, and its
+     * endpoint is asked to cancel it, because its acceptance may still be in transit.
      *
      * @return whether nothing of the attempt was written, so that it never ran
      */
