--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -159,7 +159,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            Logger.debug("closing the connection to discovery failed: {}", e.getMessage());
+            Logger.debug(e.getMessage());
         }
         socket = null;
     }
--- a/src/main/java/olivechute/loadbalancing/InFlightHistory.java
+++ b/src/main/java/olivechute/loadbalancing/InFlightHistory.java
@@ -7,6 +7,7 @@
 final class InFlightHistory {
     /** Length of a step. */
     static final long STEP_US = 100_000;
+
     private static final int STEP_COUNT = 8;
 
     private final int[] slotsAtStep = new int[STEP_COUNT];
--- a/src/main/java/olivechute/loadbalancing/LatencyStats.java
+++ b/src/main/java/olivechute/loadbalancing/LatencyStats.java
@@ -8,6 +8,7 @@
     private static final double PRIOR_SAMPLES = 3;
     /** Growth factor of the best running time per request, so that it follows an endpoint that has become slower. */
     private static final double BEST_GROWTH_FACTOR = 1.005;
+
     private static final int MIN_LONG_TERM_SAMPLES = 30;
     private static final double CONGESTION_MULTIPLE = 2;
 
--- a/src/main/java/olivechute/loadbalancing/LoadReportState.java
+++ b/src/main/java/olivechute/loadbalancing/LoadReportState.java
@@ -10,6 +10,7 @@
     private static final double TYPICAL_SAMPLE_WEIGHT = 0.3;
     /** An endpoint that reports fewer free slots than this counts as full. */
     private static final double FREE_SLOT_THRESHOLD = 0.5;
+
     private static final long NEVER_US = Long.MIN_VALUE / 2;
     private static final long NOT_FULL_US = Long.MAX_VALUE / 2;
 
