--- a/src/main/java/olivechute/discovery/DiscoveryConnection.java
+++ b/src/main/java/olivechute/discovery/DiscoveryConnection.java
@@ -102,7 +102,7 @@
 
     private synchronized Socket socketFor(InetSocketAddress target) throws DiscoveryCallException {
         if (target != address) {
-            throw new DiscoveryCallException(Reason.MOVED, "moved");
+            throw new DiscoveryCallException(Reason.MOVED, "the address of discovery changed");
         }
         socket = socket == null ? new Socket() : socket;
         return socket;
--- a/src/main/java/olivechute/loadbalancing/ClassExclusion.java
+++ b/src/main/java/olivechute/loadbalancing/ClassExclusion.java
@@ -3,16 +3,16 @@
 import java.util.Arrays;
 
 /**
- * Excludes one request class from one endpoint that never reports the starts of that class, while other classes are
- * still sent there. Guards against endpoints that do not answer one class, or that accept requests and answer none. A
- * single start report may be lost on the network, so the second overdue start in a row excludes the class, and each
- * further one doubles the exclusion.
+ * Excludes request classes from one endpoint: a class whose starts the endpoint does not report is not sent there for
+ * some time, while other classes still are. Guards against endpoints that do not answer one class, or that accept
+ * requests and answer none. A single start report may be lost on the network, so a class is excluded at its second
+ * overdue start in a row, and each further one doubles the exclusion.
  */
 final class ClassExclusion {
     private static final long FIRST_EXCLUSION_US = 8_000_000;
     private static final long MAX_EXCLUSION_US = 32_000_000;
     private static final int MAX_DOUBLINGS = 5;
-    private static final int EXCLUSION_THRESHOLD = 2;
+    private static final int OVERDUE_STARTS_TO_EXCLUDE = 2;
 
     private final int[] consecutiveOverdueStarts;
     private final long[] excludedUntilUs;
@@ -28,8 +28,8 @@
 
     void onStartOverdue(long nowUs, int classIndex) {
         int overdueStarts = ++consecutiveOverdueStarts[classIndex];
-        int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - EXCLUSION_THRESHOLD);
-        excludedUntilUs[classIndex] = overdueStarts < EXCLUSION_THRESHOLD
+        int doublings = Math.min(MAX_DOUBLINGS, overdueStarts - OVERDUE_STARTS_TO_EXCLUDE);
+        excludedUntilUs[classIndex] = overdueStarts < OVERDUE_STARTS_TO_EXCLUDE
                 ? 0
                 : nowUs + Math.min(MAX_EXCLUSION_US, FIRST_EXCLUSION_US << doublings);
     }
--- a/src/main/java/olivechute/loadbalancing/SlowStart.java
+++ b/src/main/java/olivechute/loadbalancing/SlowStart.java
@@ -130,16 +130,17 @@
 
     /**
      * Returns the requests that all nodes together may send to an endpoint that sustains {@code sustainableRequests},
-     * both in reference requests.
+     * both in reference requests. The margin covers the deviation of random arrivals, or, if that allows more, the
+     * largest standard deviation that the nodes' rounding can cause.
      */
     private double fleetBudgetRequests(
             double sustainableRequests, double sumOfSquaredWork, double meanReferenceWorkUs) {
-        double sqrtArrivalBound =
+        double sqrtOfArrivalBound =
                 Math.sqrt(MARGIN_DEVIATIONS * MARGIN_DEVIATIONS / 4 + sustainableRequests) - MARGIN_DEVIATIONS / 2;
         double roundingBound = sustainableRequests
                 - MARGIN_DEVIATIONS / 2 * Math.sqrt(fleetSize * sumOfSquaredWork) / meanReferenceWorkUs;
         return Math.min(
-                USED_FRACTION * sustainableRequests, Math.max(sqrtArrivalBound * sqrtArrivalBound, roundingBound));
+                USED_FRACTION * sustainableRequests, Math.max(sqrtOfArrivalBound * sqrtOfArrivalBound, roundingBound));
     }
 
     /**
