--- a/src/main/java/olivechute/controller/ArtifactDigest.java
+++ b/src/main/java/olivechute/controller/ArtifactDigest.java
@@ -34,10 +34,10 @@
     }
 
     /** Throws PROGRAM_MISSING if the digest of the jar is not the expected one. */
-    static void verify(Path jar, String digest, String expected) throws RolloutException {
-        if (expected != null && !expected.equalsIgnoreCase(digest)) {
+    static void verify(Path jar, String actual, String expected) throws RolloutException {
+        if (expected != null && !expected.equalsIgnoreCase(actual)) {
             throw new RolloutException(
-                    ErrorCode.PROGRAM_MISSING, jar + " has the digest " + digest + ", not " + expected);
+                    ErrorCode.PROGRAM_MISSING, jar + " has the digest " + actual + ", not " + expected);
         }
     }
 }
--- a/src/main/java/olivechute/controller/ControllerSettings.java
+++ b/src/main/java/olivechute/controller/ControllerSettings.java
@@ -55,6 +55,6 @@
     }
 
     ReconcilePlan.StepFunction stepFunction() {
-        return (progress, nodes, figures, now) -> Rollout.step(progress, nodes, figures, weights, now);
+        return (state, nodes, metrics, nowMs) -> Rollout.step(state, nodes, metrics, weights, nowMs);
     }
 }
--- a/src/main/java/olivechute/controller/RolloutController.java
+++ b/src/main/java/olivechute/controller/RolloutController.java
@@ -30,7 +30,7 @@
     private final Store store;
     private final BooleanSupplier isLeader;
     private final LongSupplier clockMs;
-    private final Duration tick;
+    private final Duration tickInterval;
     private final ReconcilePlan.StepFunction stepFunction;
     private final String owner;
     private final CountDownLatch closing = new CountDownLatch(1);
@@ -59,7 +59,7 @@
         this.store = store;
         this.isLeader = isLeader;
         this.clockMs = clockMs;
-        this.tick = tickInterval;
+        this.tickInterval = tickInterval;
         this.stepFunction = stepFunction;
         this.owner = replica + "-" + clockMs.getAsLong();
     }
@@ -79,7 +79,7 @@
                     fleet = null;
                     Logger.error(e, "rollout controller tick failed"); // rethrown, it would end the controller's thread
                 }
-            } while (!closing.await(tick.toMillis(), TimeUnit.MILLISECONDS));
+            } while (!closing.await(tickInterval.toMillis(), TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/olivechute/rollout/Evidence.java
+++ b/src/main/java/olivechute/rollout/Evidence.java
@@ -54,11 +54,11 @@
         return estimators.length;
     }
 
-    void startComparison(List<String> names) {
-        classes = List.copyOf(names);
-        newRequests = new long[names.size()];
-        oldRequests = new long[names.size()];
-        estimators = new VarianceEstimator[names.size() * SERIES_PER_CLASS + 2];
+    void startComparison(List<String> classNames) {
+        classes = List.copyOf(classNames);
+        newRequests = new long[classNames.size()];
+        oldRequests = new long[classNames.size()];
+        estimators = new VarianceEstimator[classNames.size() * SERIES_PER_CLASS + 2];
         for (int series = 0; series < estimators.length; series++) {
             estimators[series] = new VarianceEstimator();
         }
--- a/src/main/java/olivechute/rollout/EvidenceCodec.java
+++ b/src/main/java/olivechute/rollout/EvidenceCodec.java
@@ -41,16 +41,16 @@
     private static void write(Evidence evidence, ByteBuffer buffer) {
         buffer.position(HEADER_BYTES);
         buffer.put((byte) evidence.holdReason.ordinal()).put((byte) (evidence.operatorApproved ? 1 : 0));
-        string(buffer, evidence.rollbackCause);
-        varint(buffer, evidence.firstMoveMs);
-        varint(buffer, evidence.currentBlock + 1);
-        varint(buffer, evidence.lastFastBucket + 1);
-        varint(buffer, evidence.newStreams);
-        varint(buffer, evidence.classes.size());
+        writeString(buffer, evidence.rollbackCause);
+        writeVarint(buffer, evidence.firstMoveMs);
+        writeVarint(buffer, evidence.currentBlock + 1);
+        writeVarint(buffer, evidence.lastFastBucket + 1);
+        writeVarint(buffer, evidence.newStreams);
+        writeVarint(buffer, evidence.classes.size());
         for (int c = 0; c < evidence.classes.size(); c++) {
-            string(buffer, evidence.classes.get(c));
-            varint(buffer, evidence.newRequests[c]);
-            varint(buffer, evidence.oldRequests[c]);
+            writeString(buffer, evidence.classes.get(c));
+            writeVarint(buffer, evidence.newRequests[c]);
+            writeVarint(buffer, evidence.oldRequests[c]);
         }
         for (VarianceEstimator estimator : evidence.estimators) {
             buffer.putDouble(estimator.baselineSquares)
@@ -63,28 +63,28 @@
             buffer.putDouble(estimator.controlBlockSum)
                     .putDouble(estimator.controlBaselineSum)
                     .putDouble(estimator.controlDriftSum);
-            varint(buffer, estimator.baselineCount);
-            varint(buffer, estimator.stageCount);
-            varint(buffer, estimator.blockCount);
+            writeVarint(buffer, estimator.baselineCount);
+            writeVarint(buffer, estimator.stageCount);
+            writeVarint(buffer, estimator.blockCount);
         }
-        varint(buffer, evidence.notReadySinceMs.size());
+        writeVarint(buffer, evidence.notReadySinceMs.size());
         evidence.notReadySinceMs.forEach((name, sinceMs) -> {
-            string(buffer, name);
-            varint(buffer, sinceMs);
+            writeString(buffer, name);
+            writeVarint(buffer, sinceMs);
         });
-        varint(buffer, evidence.nodes.size());
+        writeVarint(buffer, evidence.nodes.size());
         evidence.nodes.forEach((name, node) -> {
-            string(buffer, name);
-            nodeEvidence(buffer, node);
+            writeString(buffer, name);
+            writeNodeEvidence(buffer, node);
         });
     }
 
-    private static void nodeEvidence(ByteBuffer buffer, NodeEvidence node) {
-        varint(buffer, node.incarnation);
-        varint(buffer, node.sequence);
+    private static void writeNodeEvidence(ByteBuffer buffer, NodeEvidence node) {
+        writeVarint(buffer, node.incarnation);
+        writeVarint(buffer, node.sequence);
         buffer.put((byte) (node.blockStartTotals == null ? 0 : 1));
         for (int i = 0; node.blockStartTotals != null && i < node.blockStartTotals.length; i++) {
-            varint(buffer, node.blockStartTotals[i]);
+            writeVarint(buffer, node.blockStartTotals[i]);
         }
         for (float[] sums :
                 new float[][] {node.baselineResidual, node.baselineExpected, node.stageResidual, node.stageExpected}) {
@@ -115,19 +115,19 @@
         Evidence evidence = new Evidence();
         evidence.holdReason = Evidence.HoldReason.values()[buffer.get()];
         evidence.operatorApproved = buffer.get() == 1;
-        evidence.rollbackCause = string(buffer);
-        evidence.firstMoveMs = varint(buffer);
-        evidence.currentBlock = varint(buffer) - 1;
-        evidence.lastFastBucket = (int) varint(buffer) - 1;
-        long newStreams = varint(buffer);
+        evidence.rollbackCause = readString(buffer);
+        evidence.firstMoveMs = readVarint(buffer);
+        evidence.currentBlock = readVarint(buffer) - 1;
+        evidence.lastFastBucket = (int) readVarint(buffer) - 1;
+        long newStreams = readVarint(buffer);
         int classCount = readCount(buffer, Evidence.MAX_CLASSES);
         List<String> names = new ArrayList<>();
         long[] newRequests = new long[classCount];
         long[] oldRequests = new long[classCount];
         for (int c = 0; c < classCount; c++) {
-            names.add(string(buffer));
-            newRequests[c] = varint(buffer);
-            oldRequests[c] = varint(buffer);
+            names.add(readString(buffer));
+            newRequests[c] = readVarint(buffer);
+            oldRequests[c] = readVarint(buffer);
         }
         if (classCount > 0) {
             evidence.startComparison(names);
@@ -146,27 +146,27 @@
             estimator.controlBlockSum = buffer.getDouble();
             estimator.controlBaselineSum = buffer.getDouble();
             estimator.controlDriftSum = buffer.getDouble();
-            estimator.baselineCount = varint(buffer);
-            estimator.stageCount = varint(buffer);
-            estimator.blockCount = varint(buffer);
+            estimator.baselineCount = readVarint(buffer);
+            estimator.stageCount = readVarint(buffer);
+            estimator.blockCount = readVarint(buffer);
         }
         for (int remaining = readCount(buffer, EvidenceLimits.MAX_BYTES); remaining > 0; remaining--) {
-            evidence.notReadySinceMs.put(string(buffer), varint(buffer));
+            evidence.notReadySinceMs.put(readString(buffer), readVarint(buffer));
         }
         for (int remaining = readCount(buffer, EvidenceLimits.MAX_BYTES); remaining > 0; remaining--) {
-            evidence.nodes.put(string(buffer), nodeEvidence(buffer, evidence));
+            evidence.nodes.put(readString(buffer), readNodeEvidence(buffer, evidence));
         }
         return evidence;
     }
 
-    private static NodeEvidence nodeEvidence(ByteBuffer buffer, Evidence evidence) {
+    private static NodeEvidence readNodeEvidence(ByteBuffer buffer, Evidence evidence) {
         NodeEvidence node = new NodeEvidence(evidence.seriesCount());
-        node.incarnation = varint(buffer);
-        node.sequence = varint(buffer);
+        node.incarnation = readVarint(buffer);
+        node.sequence = readVarint(buffer);
         if (buffer.get() == 1) {
             node.blockStartTotals = new long[MetricsSample.length(evidence.classes.size())];
             for (int i = 0; i < node.blockStartTotals.length; i++) {
-                node.blockStartTotals[i] = varint(buffer);
+                node.blockStartTotals[i] = readVarint(buffer);
             }
         }
         for (float[] sums :
@@ -178,7 +178,7 @@
         return node;
     }
 
-    private static void varint(ByteBuffer buffer, long value) {
+    private static void writeVarint(ByteBuffer buffer, long value) {
         long remaining = value;
         while ((remaining & ~0x7fL) != 0) {
             buffer.put((byte) ((remaining & 0x7f) | 0x80));
@@ -187,7 +187,7 @@
         buffer.put((byte) remaining);
     }
 
-    private static long varint(ByteBuffer buffer) {
+    private static long readVarint(ByteBuffer buffer) {
         long value = 0;
         for (int shift = 0; ; shift += 7) {
             Objects.checkIndex(shift, Long.SIZE);
@@ -200,17 +200,17 @@
     }
 
     private static int readCount(ByteBuffer buffer, int max) {
-        long count = varint(buffer);
+        long count = readVarint(buffer);
         return Math.toIntExact(Objects.checkIndex(count, max + 1L));
     }
 
-    private static void string(ByteBuffer buffer, String text) {
+    private static void writeString(ByteBuffer buffer, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        varint(buffer, bytes.length);
+        writeVarint(buffer, bytes.length);
         buffer.put(bytes);
     }
 
-    private static String string(ByteBuffer buffer) {
+    private static String readString(ByteBuffer buffer) {
         byte[] bytes = new byte[readCount(buffer, EvidenceLimits.MAX_BYTES)];
         buffer.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/olivechute/rollout/EvidenceLimits.java
+++ b/src/main/java/olivechute/rollout/EvidenceLimits.java
@@ -13,12 +13,12 @@
     /** Maximum size of the encoded evidence. */
     static final int MAX_BYTES = 64 * 1024;
 
-    private static final int MAX_NODE_BYTES = 44 * 1024;
+    private static final int ALL_NODES_MAX_BYTES = 44 * 1024;
 
     private EvidenceLimits() {}
 
     static Set<String> sampleNodes(RolloutSpec spec, Collection<NodeStatus> nodes, int seriesCount) {
-        int maxNodes = MAX_NODE_BYTES / (seriesCount * 16 + 120);
+        int maxNodes = ALL_NODES_MAX_BYTES / (seriesCount * 16 + 120);
         Set<String> names = new HashSet<>();
         if (nodes.size() <= maxNodes) {
             nodes.forEach(node -> names.add(node.node()));
--- a/src/main/java/olivechute/rollout/MetricsAggregator.java
+++ b/src/main/java/olivechute/rollout/MetricsAggregator.java
@@ -42,7 +42,7 @@
             return false;
         }
         evidence.currentBlock = block;
-        prepare(metricsByNode, learningBaseline);
+        updateClassesAndThreshold(metricsByNode, learningBaseline);
         if (evidence.classes.isEmpty()) {
             return false;
         }
@@ -77,7 +77,7 @@
         return true;
     }
 
-    private void prepare(Map<String, NodeMetrics> metricsByNode, boolean learningBaseline) {
+    private void updateClassesAndThreshold(Map<String, NodeMetrics> metricsByNode, boolean learningBaseline) {
         if (learningBaseline || evidence.classes.isEmpty()) {
             Set<String> classNames = new TreeSet<>(evidence.classes);
             metricsByNode
@@ -128,7 +128,7 @@
                 samplesByZone
                         .computeIfAbsent(status.zone(), zone -> new ArrayList<>())
                         .add(new BlockSample(node, delta, isNew));
-                addTotals(delta, isNew);
+                addSampleSizes(delta, isNew);
             }
         }
         node.blockStartTotals = totals;
@@ -136,7 +136,7 @@
         node.sequence = metrics.sequence();
     }
 
-    private void addTotals(long[] delta, boolean isNew) {
+    private void addSampleSizes(long[] delta, boolean isNew) {
         for (int c = 0; c < evidence.classes.size(); c++) {
             (isNew ? evidence.newRequests : evidence.oldRequests)[c] += MetricsSample.requests(delta, c);
         }
--- a/src/main/java/olivechute/rollout/MetricsSample.java
+++ b/src/main/java/olivechute/rollout/MetricsSample.java
@@ -63,9 +63,9 @@
     }
 
     /** The number of requests, or streams for delays, on which a series is based. */
-    static long of(long[] counts, int series, int classes) {
+    static long of(long[] counts, int series, int classCount) {
         int c = series / Evidence.SERIES_PER_CLASS;
-        return c < classes ? requests(counts, c) : counts[classes * COUNTS_PER_CLASS];
+        return c < classCount ? requests(counts, c) : counts[classCount * COUNTS_PER_CLASS];
     }
 
     /**
--- a/src/main/java/olivechute/rollout/NodeSelection.java
+++ b/src/main/java/olivechute/rollout/NodeSelection.java
@@ -40,9 +40,9 @@
         Comparator<NodeStatus> byHash = Comparator.comparingLong(node -> hash(changeId, node.node()));
         remainingByZone.values().forEach(zone -> zone.sort(byHash.thenComparing(NodeStatus::node)));
         List<NodeStatus> ordered = new ArrayList<>();
-        Set<String> openZones = new HashSet<>(remainingByZone.keySet());
-        while (!openZones.isEmpty()) {
-            String zone = openZones.stream()
+        Set<String> zonesWithNodesLeft = new HashSet<>(remainingByZone.keySet());
+        while (!zonesWithNodesLeft.isEmpty()) {
+            String zone = zonesWithNodesLeft.stream()
                     .min(Comparator.<String>comparingDouble(name -> countsByZone.get(name)[0]
                                     / (double) countsByZone.get(name)[1])
                             .thenComparingLong(name -> hash(changeId, name))
@@ -51,7 +51,7 @@
             ordered.add(remainingByZone.get(zone).remove(0));
             countsByZone.get(zone)[0]++;
             if (remainingByZone.get(zone).isEmpty()) {
-                openZones.remove(zone);
+                zonesWithNodesLeft.remove(zone);
             }
         }
         return ordered;
--- a/src/main/java/olivechute/rollout/Rollout.java
+++ b/src/main/java/olivechute/rollout/Rollout.java
@@ -81,7 +81,7 @@
 
     private RolloutDecision step(Collection<NodeMetrics> allMetrics, PriorityWeights weights) {
         Map<String, NodeMetrics> metrics = new HashMap<>();
-        allMetrics.forEach(one -> metrics.put(one.node(), one));
+        allMetrics.forEach(nodeMetrics -> metrics.put(nodeMetrics.node(), nodeMetrics));
         AbortConditions.updateNotReadySince(spec, nodes, moved, evidence, nowMs);
         if (state.phase() == RolloutPhase.ROLLING_BACK) {
             return rollBack();
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -26,7 +26,7 @@
  */
 final class MetricsReceiver implements AutoCloseable {
     private static final int MAX_MESSAGE_BYTES = 64 * 1024;
-    private static final int MAX_LENGTH_BYTES = 3;
+    private static final int MAX_LENGTH_PREFIX_BYTES = 3;
 
     private final MetricsBuffer buffer;
     private final Consumer<String> output;
@@ -145,7 +145,7 @@
             if (nextByte < 0 && shift == 0) {
                 return null;
             }
-            if (nextByte < 0 || shift == 7 * MAX_LENGTH_BYTES) {
+            if (nextByte < 0 || shift == 7 * MAX_LENGTH_PREFIX_BYTES) {
                 throw new SupervisionException(ErrorCode.MALFORMED, "message length is cut off or too long");
             }
             length |= (nextByte & 0x7f) << shift;
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -33,7 +33,7 @@
     private final LaunchSpecFactory launchSpecFactory;
     private final Duration watchTimeout;
     private final ToLongFunction<String> currentOrderNumber;
-    private final Consumer<NodeOrder> deliver;
+    private final Consumer<NodeOrder> orderSink;
     private final Map<String, Order> orders = new HashMap<>();
     private final Map<String, Long> missingVersionOrders = new HashMap<>();
     private long lastSession;
@@ -49,14 +49,14 @@
             LaunchSpecFactory launchSpecFactory,
             Duration watchTimeout,
             ToLongFunction<String> currentOrderNumber,
-            Consumer<NodeOrder> deliver) {
+            Consumer<NodeOrder> orderSink) {
         this.nodes = nodes;
         this.store = store;
         this.leaseRenewer = leaseRenewer;
         this.launchSpecFactory = launchSpecFactory;
         this.watchTimeout = watchTimeout;
         this.currentOrderNumber = currentOrderNumber;
-        this.deliver = deliver;
+        this.orderSink = orderSink;
     }
 
     void run() {
@@ -133,9 +133,9 @@
                 VersionSpec spec = VersionSpec.parseFrom(entry.get().value()).toBuilder()
                         .setId(version)
                         .build();
-                deliver.accept(new NodeOrder(node.name(), launchSpecFactory.createOrder(node, spec, orderNumber)));
+                orderSink.accept(new NodeOrder(node.name(), launchSpecFactory.createOrder(node, spec, orderNumber)));
             } else if (orderNumber == 0) {
-                deliver.accept(new NodeOrder(
+                orderSink.accept(new NodeOrder(
                         node.name(),
                         launchSpecFactory.createOrder(
                                 node, VersionSpec.newBuilder().setId(version).build(), 0)));
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -231,15 +231,15 @@
     private MachineReport buildMachineReport() {
         MachineReport.Builder report =
                 MachineReport.newBuilder().setMachine(settings.machine()).setAtMs(clock.getAsLong());
-        reports.forEach((node, view) -> report.addNodes(NodeState.newBuilder()
+        reports.forEach((node, nodeReport) -> report.addNodes(NodeState.newBuilder()
                 .setNode(node)
                 .setZone(settings.zone())
-                .setVersion(view.version())
-                .setPhase(view.phase().name())
-                .setSinceMs(view.sinceMs())
-                .setOrderNumber(view.completedOrder())
-                .setCrashes(view.crashes())
-                .setTrouble(view.lastError())));
+                .setVersion(nodeReport.version())
+                .setPhase(nodeReport.phase().name())
+                .setSinceMs(nodeReport.sinceMs())
+                .setOrderNumber(nodeReport.completedOrder())
+                .setCrashes(nodeReport.crashes())
+                .setTrouble(nodeReport.lastError())));
         return report.build();
     }
 
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -98,9 +98,9 @@
         String machine = name(root, "machine");
         String zone = root.text("zone", "");
         String folder = root.requiredText("folder");
-        String figures = root.text("figures", "127.0.0.1:7900");
-        InetSocketAddress listen = root.convert("figures", key -> Address.parse(key, figures));
-        if (listen != null && !listen.getAddress().isLoopbackAddress()) {
+        String metricsAddressText = root.text("figures", "127.0.0.1:7900");
+        InetSocketAddress metricsAddress = root.convert("figures", key -> Address.parse(key, metricsAddressText));
+        if (metricsAddress != null && !metricsAddress.getAddress().isLoopbackAddress()) {
             root.addError("figures", "must be a loopback address");
         }
         return new SupervisorSettings(
@@ -113,7 +113,7 @@
                 jar.isEmpty() ? null : jar,
                 java,
                 Path.of(folder),
-                listen,
+                metricsAddress,
                 timeouts(root),
                 nodes(root));
     }
@@ -122,13 +122,13 @@
         Duration ready = root.duration("ready_within", Duration.ofSeconds(20), Duration.ofMillis(100), HOUR);
         Duration drain = root.duration("drain_within", Duration.ofSeconds(10), Duration.ofMillis(100), HOUR);
         HoconObject backoff = root.node("backoff");
-        Duration least = backoff.duration("least", Duration.ofMillis(200), Duration.ofMillis(10), HOUR);
-        Duration most = backoff.duration("most", Duration.ofSeconds(30), Duration.ofMillis(10), HOUR);
-        if (most.compareTo(least) < 0) {
+        Duration minBackoff = backoff.duration("least", Duration.ofMillis(200), Duration.ofMillis(10), HOUR);
+        Duration maxBackoff = backoff.duration("most", Duration.ofSeconds(30), Duration.ofMillis(10), HOUR);
+        if (maxBackoff.compareTo(minBackoff) < 0) {
             backoff.addError("most", "must be no less than least");
         }
         backoff.rejectUnknownKeys();
-        return new NodeTimeouts(ready, drain, least, most);
+        return new NodeTimeouts(ready, drain, minBackoff, maxBackoff);
     }
 
     private static List<ManagedNode> nodes(HoconObject root) {
