--- a/src/main/java/olivechute/controller/ArtifactDigest.java
+++ b/src/main/java/olivechute/controller/ArtifactDigest.java
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Throws PROGRAM_MISSING if the digest of the jar is not the expected one. */
+    /** Throws PROGRAM_MISSING if the digest of the jar is not the expected one; null expects any. */
     static void verify(Path jar, String actual, String expected) throws RolloutException {
         if (expected != null && !expected.equalsIgnoreCase(actual)) {
             throw new RolloutException(
--- a/src/main/java/olivechute/controller/FleetState.java
+++ b/src/main/java/olivechute/controller/FleetState.java
@@ -24,20 +24,20 @@
 
 /**
  * The state of the fleet from the store's keys, built from a list and the watches after it. A node is known from the
- * report of its machine or from its order; without the report it is unreachable and otherwise as last reported, until
- * its order is deleted. Memory is thus bounded by the size of the store. Not thread-safe.
+ * report of its machine or from its order. A node that is in no report is unreachable, and otherwise as it was last
+ * reported, until its order is deleted. Memory is thus bounded by the size of the store. Not thread-safe.
  */
 final class FleetState {
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<String, MachineReport> reportsByMachine = new TreeMap<>(); // by machine, those with a valid lease
-    private final Map<String, NodeState> lastStateByNode = new HashMap<>(); // by node, as last reported
+    private final Map<String, MachineReport> reportsByMachine = new TreeMap<>(); // of the machines whose lease is valid
+    private final Map<String, NodeState> lastStateByNode = new HashMap<>(); // also of nodes in no report now
     private final Map<String, Order> ordersByNode = new TreeMap<>();
     private final Map<String, NodeFigures> metricsByNode = new TreeMap<>();
     private long version;
 
     /**
-     * Applies the result of a list or watch of the prefix ""; a value that cannot be parsed leaves the previous one in
-     * place.
+     * Applies the result of a list or watch of the prefix "". A value that cannot be parsed leaves the previous one in
+     * place, except that the report of a machine is dropped.
      */
     void apply(Store.Changes changes) {
         if (changes.complete()) {
@@ -77,9 +77,8 @@
                         RolloutCodec.parse(NodeFigures.parser(), entry.key(), entry.value()));
             }
         } catch (RolloutException e) {
-            reportsByMachine.remove(nameAfterPrefix(
-                    entry.key(),
-                    StoreKeys.MACHINE_PREFIX)); // its nodes are unreachable while the report cannot be parsed
+            // The nodes of a machine are unreachable while its report cannot be parsed.
+            reportsByMachine.remove(nameAfterPrefix(entry.key(), StoreKeys.MACHINE_PREFIX));
         }
     }
 
@@ -171,7 +170,7 @@
         return statuses;
     }
 
-    /** A node without any report since this leader took over; its version is taken from its last metrics. */
+    /** A node that was in no report since this state was first listed; its version is taken from its last metrics. */
     private NodeStatus unreportedNode(String node, String orderedVersion) {
         NodeFigures lastMetrics = metricsByNode.get(node);
         return new NodeStatus(
--- a/src/main/java/olivechute/controller/OutOfDateNodes.java
+++ b/src/main/java/olivechute/controller/OutOfDateNodes.java
@@ -7,9 +7,10 @@
 import olivechute.rollout.NodeStatus;
 
 /**
- * Orders for nodes whose order differs from the desired one, as they joined or are out of date. Orders that restart
- * nothing are given at once. Those that do are left to an active change and its budget; without one, one node at a time
- * is brought to the base version.
+ * Orders for nodes whose order is missing or names another version than the desired one, as they joined or are out of
+ * date. Without an active change, orders that restart no process are given at once, and the others to one node at a
+ * time. During a change only nodes without an order get one, if it restarts no process; all else is left to the change
+ * and its budget.
  */
 final class OutOfDateNodes {
     private OutOfDateNodes() {}
--- a/src/main/java/olivechute/controller/ReconcilePlan.java
+++ b/src/main/java/olivechute/controller/ReconcilePlan.java
@@ -28,6 +28,7 @@
  */
 record ReconcilePlan(List<Write> writes, ChangeRecord updatedChange) {
     static final int MAX_PAST_CHANGES = 20;
+    /** Maximum size of a change record; above it the evidence is left out. */
     private static final int MAX_RECORD_BYTES = 63 << 10;
 
     /** Decides the next step of an active change; times in ms since the epoch. */
@@ -37,8 +38,8 @@
     }
 
     /**
-     * {@code updatedChange}: the record that is written of the active change, null for none. Throws MALFORMED if the
-     * record cannot be interpreted.
+     * {@code updatedChange}: the active change's record as the plan writes it, null if it does not. Throws MALFORMED if
+     * the record cannot be interpreted.
      */
     static ReconcilePlan of(FleetState fleet, StepFunction stepFunction, long clockMs, long fence)
             throws RolloutException {
@@ -54,7 +55,7 @@
         if (current.isPresent()) {
             ChangeRecord previousRecord = current.get();
             changeId = previousRecord.getSpec().getId();
-            nowMs = Math.max(clockMs, previousRecord.getUpdatedMs());
+            nowMs = Math.max(clockMs, previousRecord.getUpdatedMs()); // this leader's clock may be behind
             RolloutState state = RolloutCodec.toState(previousRecord);
             RolloutDecision decision = state.phase().ended()
                     ? new RolloutDecision(state, Map.of())
@@ -86,7 +87,7 @@
         return new ReconcilePlan(writes, updatedChange);
     }
 
-    /** Takes a higher number than any previous order: the store's version has grown with each of them. */
+    /** The order's number is higher than that of any previous one: the store's version has grown with each of them. */
     private static Write orderWrite(FleetState fleet, String node, String version, String changeId, long nowMs) {
         long number = Math.max(fleet.version(), fleet.lastOrderNumber(node)) + 1;
         Order order = Order.newBuilder()
--- a/src/main/java/olivechute/controller/RolloutClient.java
+++ b/src/main/java/olivechute/controller/RolloutClient.java
@@ -56,7 +56,7 @@
                 ErrorCode.CONFLICT, subject + ": conflicts with other writers, " + MAX_ATTEMPTS + " attempts");
     }
 
-    /** The present state of the fleet and its changes, linearizable. */
+    /** Reads the present state of the fleet and its changes; the read is linearizable. */
     FleetState fleetState() throws StoreException {
         FleetState fleet = new FleetState();
         fleet.apply(store.list(""));
@@ -135,8 +135,9 @@
                                     withBaseDefaults(fleet, baseVersion, version)
                                             .toByteArray(),
                                     0),
+                            // Requires that the base is still the one that was read.
                             Write.putIf(StoreKeys.BASE_VERSION, baseValue, fleet.version(StoreKeys.BASE_VERSION))),
-                    List.of()); // requires that the base is still the one that was read
+                    List.of());
             return record;
         });
     }
@@ -155,7 +156,7 @@
         return builder.build();
     }
 
-    /** No node moves and nothing is evaluated until {@link #resume}. */
+    /** Moves no further nodes until {@link #resume}; a detected regression still causes a rollback. */
     public ChangeRecord pause() throws StoreException, RolloutException {
         return updateState(Rollout::pause);
     }
--- a/src/main/java/olivechute/controller/RolloutController.java
+++ b/src/main/java/olivechute/controller/RolloutController.java
@@ -22,8 +22,8 @@
  */
 public final class RolloutController implements AutoCloseable {
     /**
-     * Three ticks of the default interval: a tick that is late by two thirds of it, on a busy machine, does not lose
-     * the lease.
+     * Three times the default tick interval, so that a tick that is late by two thirds of this time, 2 s, on a busy
+     * machine does not lose the lease.
      */
     static final Duration LEASE_TTL = Duration.ofSeconds(3);
 
@@ -36,13 +36,13 @@
     private final CountDownLatch closing = new CountDownLatch(1);
     private Store.Lease lease;
     private FleetState fleet; // null: to be listed again
-    private long nowMs;
-    private String lastMessage = ""; // the last logged message, so that each is logged once
+    private long nowMs; // the highest clock reading, so that a clock that is set back does not matter
+    private String lastMessage = ""; // the last logged message, which is not logged twice in a row
     private Thread thread;
 
     /**
-     * {@code isLeader}: whether this process's replica leads; {@code clockMs}: ms since the epoch; {@code replica}: its
-     * ID.
+     * {@code isLeader}: whether this process's replica leads; {@code clockMs}: ms since the epoch; {@code replica}: ID
+     * of that replica.
      */
     public RolloutController(
             Store store, BooleanSupplier isLeader, LongSupplier clockMs, ControllerSettings settings, String replica) {
@@ -77,7 +77,8 @@
                     tick();
                 } catch (RuntimeException e) {
                     fleet = null;
-                    Logger.error(e, "rollout controller tick failed"); // rethrown, it would end the controller's thread
+                    // Not rethrown, as that would end the controller's thread.
+                    Logger.error(e, "rollout controller tick failed");
                 }
             } while (!closing.await(tickInterval.toMillis(), TimeUnit.MILLISECONDS));
         } catch (InterruptedException e) {
--- a/src/main/java/olivechute/rollout/AbortConditions.java
+++ b/src/main/java/olivechute/rollout/AbortConditions.java
@@ -7,12 +7,15 @@
 
 /**
  * Conditions that abort a rollout at once, whatever the comparison of old and new nodes says. {@link Rollout} checks
- * them on each step.
+ * them on each step except during a rollback.
  */
 final class AbortConditions {
     private AbortConditions() {}
 
-    /** The first condition that holds, as a sentence. Needs {@link #updateNotReadySince} to have run for this step. */
+    /**
+     * The first condition that holds for a moved node, as a sentence. {@link #updateNotReadySince} must have run for
+     * this step.
+     */
     static Optional<String> findAbortReason(
             RolloutSpec spec,
             Collection<NodeStatus> nodes,
--- a/src/main/java/olivechute/rollout/Comparison.java
+++ b/src/main/java/olivechute/rollout/Comparison.java
@@ -6,47 +6,50 @@
 import java.util.Set;
 
 /**
- * Sequential test on the sums in {@link Evidence}. The relative effect of a series is the new nodes' residual over
- * their expected value; around it lies a confidence sequence with a normal mixture boundary (Robbins; Howard and
- * Ramdas), so that the test may run after each block without inflating the error probability. docs/rollout-design.md
- * gives the reasons.
+ * Sequential test on the sums in {@link Evidence}, which defines blocks and series. The relative effect of a series is
+ * the new nodes' residual over their expected value; around it lies a confidence sequence with a normal mixture
+ * boundary (Robbins; Howard and Ramdas), so that the test may run after each block without inflating the error
+ * probability. docs/rollout-design.md gives the reasons. Created by {@link Rollout} for one step.
  */
 final class Comparison {
     /** Probability of a false stop, allotted to a whole rollout. */
     static final double FALSE_STOP_PROBABILITY = 0.005;
     /** Probability that a stage passes although a significant loss exists. */
     static final double FALSE_PASS_PROBABILITY = 0.05;
-    /** Fraction of a class's weighted value whose loss is significant. */
+    /** Relative loss of a class's weighted served requests from which on it is significant. */
     static final double SIGNIFICANT_LOSS = 0.05;
-    /** Fraction of all requests from which on a class must be shown not to lose. */
+    /**
+     * Share of all requests from which on a class must be shown not to have a significant loss; smaller classes do not
+     * delay a stage.
+     */
     static final double MIN_CLASS_SHARE = 0.05;
     /**
-     * Standard deviation by which a node's ratio to other nodes changes by itself, as at a restart; lower bound of the
-     * estimated drift.
+     * Lower bound of the estimated drift: relative standard deviation by which a node's ratio to other nodes changes by
+     * itself, as at a restart.
      */
     private static final double MIN_DRIFT_STDDEV = 0.003;
 
+    /** Size of the effects to detect in fractions of requests or streams, relative to the expected value. */
     private static final double SHARE_EFFECT_SCALE = 0.05;
+    /** Size of the effects to detect in the mean delay, relative to the expected value. */
     private static final double DELAY_EFFECT_SCALE = 0.5;
-    /**
-     * Least number of moved nodes for a test of the delay tail. {@link #MIN_BLOCKS} is the least number of blocks for
-     * any test.
-     */
+    /** Minimum number of moved nodes for a test of the delay tail. */
     private static final int MIN_TAIL_NODES = 2;
-
+    /** Minimum number of blocks for any test. */
     private static final int MIN_BLOCKS = 4;
+    /** In the order of the series of a class. */
     private static final String[] OUTCOME_NAMES = {"served", "not failed", "not refused", "not late"};
 
     /**
-     * An effect relative to the expected value, its variance, the expected and observed means, and the number of
-     * requests or streams behind them.
+     * An effect relative to the expected value, its variance, the expected and the observed mean per request or stream,
+     * and the number of requests or streams at new nodes.
      */
     record EffectEstimate(
             double relativeEffect, double variance, double expectedMean, double observedMean, long sampleSize) {
         /**
-         * Half width of the interval that holds at all times with this error probability. {@code effectScale}: size of
-         * the effects to detect; {@code maxDeviation}: how far one request can deviate, for events too rare for a
-         * normal approximation (Bernstein's term).
+         * Half width of the interval around the effect that holds over all blocks together with this error probability.
+         * {@code effectScale}: size of the effects to detect; {@code maxDeviation}: how far one request can deviate,
+         * for events too rare for a normal approximation (Bernstein's term).
          */
         double halfWidth(double errorProbability, double effectScale, double maxDeviation) {
             double mixtureVariance = effectScale * effectScale;
@@ -73,6 +76,8 @@
         for (int c = 0; c < evidence.classes.size(); c++) {
             for (int outcome = 0; outcome < Evidence.SERIES_PER_CLASS; outcome++) {
                 int series = c * Evidence.SERIES_PER_CLASS + outcome;
+                // Tolerated increase of the fraction of requests: 0.2 % for failed ones, 1 % for rejected or late ones.
+                // A loss of served requests needs no minimum size.
                 double tolerance = outcome == 0 ? 0 : outcome == 1 ? 0.002 : 0.01;
                 EffectEstimate effect = estimateEffect(series, evidence.newRequests[c]);
                 if (effect != null) {
@@ -97,8 +102,10 @@
     }
 
     /**
-     * Compares delays with {@link DelayTailThreshold#SIGNIFICANT_DELAY_MS} added to each. Added delays are usually near
-     * zero, where any unevenness is large in relative terms, and a real increase would never be proven as a multiple.
+     * Tests the mean added delay, then the fraction of streams up to the threshold of {@link DelayTailThreshold}. For
+     * the mean, {@link DelayTailThreshold#SIGNIFICANT_DELAY_MS} is added to each delay: added delays are usually near
+     * zero, where random differences are large relative to the mean, so that a real increase would never be proven as a
+     * multiple.
      */
     private Optional<String> findDelayRegression() {
         if (evidence.seriesCount() == 0) {
@@ -124,6 +131,7 @@
         if (tail != null) {
             double upperBound =
                     (tail.relativeEffect + tail.halfWidth(errorProbability, SHARE_EFFECT_SCALE, 1)) * tail.expectedMean;
+            // Up to 1 % more of the streams may lie above the threshold than at old nodes.
             if (upperBound < -0.01) {
                 return Optional.of(format(
                         "streams within the old nodes' 99th percentile of added delay and %d ms: %.3f at new nodes against "
@@ -138,7 +146,7 @@
         return Optional.empty();
     }
 
-    /** The class for which a significant loss is not excluded yet, as a clause; empty when there is none. */
+    /** Why a significant loss of some class is not excluded yet, as a clause; empty when it is excluded for all. */
     Optional<String> findInconclusiveClass() {
         long allRequests = 0;
         for (int c = 0; c < evidence.classes.size(); c++) {
@@ -168,6 +176,10 @@
         return Optional.empty();
     }
 
+    /**
+     * The effect of the new version on a series; null while there are too few samples or blocks. {@code sampleSize}:
+     * requests or streams at new nodes.
+     */
     private EffectEstimate estimateEffect(int series, long sampleSize) {
         VarianceEstimator estimator = evidence.estimators[series];
         if (!estimator.hasEnoughSamples() || estimator.blockCount < MIN_BLOCKS || sampleSize <= 0) {
@@ -203,7 +215,10 @@
                 sampleSize);
     }
 
-    /** Variance of the old nodes' ratio to their baseline beyond sampling variance. */
+    /**
+     * Variance of the old nodes' ratio to their baseline beyond sampling variance; its lower bound while fewer than 5
+     * old nodes can be compared.
+     */
     private double estimateDriftVariance(int series, double varianceRate) {
         double sum = 0;
         int count = 0;
--- a/src/main/java/olivechute/rollout/DelayTailThreshold.java
+++ b/src/main/java/olivechute/rollout/DelayTailThreshold.java
@@ -10,13 +10,14 @@
     /** Increase of the added delay that is significant. */
     static final long SIGNIFICANT_DELAY_MS = 10;
 
+    /** Minimum number of streams at old nodes for an estimate of their 99th percentile. */
     private static final long MIN_STREAMS = 1000;
 
     private DelayTailThreshold() {}
 
     /**
-     * Index of the last fast bucket: more than 1 % of streams beyond it means that the 99th percentile grew by over
-     * {@link #SIGNIFICANT_DELAY_MS}. -1 while too few streams are counted.
+     * Index of the last bucket that counts as fast: more than 1 % of streams beyond it means that the 99th percentile
+     * grew by over {@link #SIGNIFICANT_DELAY_MS}. -1 while too few streams are counted.
      */
     static int lastFastBucket(Collection<NodeMetrics> oldNodes, long[] boundsUs) {
         long[] bucketCounts = new long[boundsUs.length + 1];
--- a/src/main/java/olivechute/rollout/DisruptionBudget.java
+++ b/src/main/java/olivechute/rollout/DisruptionBudget.java
@@ -8,8 +8,9 @@
 import java.util.Set;
 
 /**
- * Limits how many nodes are unavailable at once: gives orders only while fewer than {@code maxUnavailable} nodes of the
- * fleet are, counting the node of each order given.
+ * Limits how many nodes are unavailable at once, for the orders of one step. An available node gets an order only while
+ * fewer than {@code maxUnavailable} nodes of the fleet are unavailable, and counts as unavailable from then on.
+ * Unavailable nodes get orders at any time.
  */
 final class DisruptionBudget {
     private final RolloutSpec spec;
@@ -43,7 +44,7 @@
         return unavailable >= spec.maxUnavailable();
     }
 
-    /** Orders a version unless it is ordered already; false if the budget does not allow it now. */
+    /** Orders a version unless the node is to run it already; false if the budget does not allow it now. */
     boolean tryOrder(NodeStatus node, String version) {
         String desiredVersion = node.orderedVersion() == null ? node.version() : node.orderedVersion();
         if (version.equals(desiredVersion)) {
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Orders each node, also one that joined or is out of date, to the version that its stage requires, as the budget
-     * allows.
+     * Orders each node that got no order in this step, also one that joined or is out of date, to the version that its
+     * stage requires, as far as the budget allows.
      */
     void orderStageVersions(Set<String> moved) {
         for (NodeStatus node : nodesByName.values().stream()
--- a/src/main/java/olivechute/rollout/EvidenceCodec.java
+++ b/src/main/java/olivechute/rollout/EvidenceCodec.java
@@ -22,6 +22,10 @@
 
     private EvidenceCodec() {}
 
+    /**
+     * If the evidence does not fit, also resets the comparison and the times since when nodes have not been ready in
+     * the argument.
+     */
     static byte[] encode(Evidence evidence) {
         ByteBuffer buffer = ByteBuffer.allocate(EvidenceLimits.MAX_BYTES);
         try {
--- a/src/main/java/olivechute/rollout/MetricsAggregator.java
+++ b/src/main/java/olivechute/rollout/MetricsAggregator.java
@@ -16,7 +16,7 @@
     /** A node is not compared for so long after it became ready, while it warms up. */
     static final long WARMUP_MS = 5_000;
 
-    /** The counts of one node in one block. */
+    /** The counts of one node in one block. {@code isNew}: whether the node has moved. */
     private record BlockSample(NodeEvidence node, long[] counts, boolean isNew) {}
 
     private final Evidence evidence;
@@ -31,7 +31,10 @@
         this.weights = weights;
     }
 
-    /** Whether a block ended. {@code learningBaseline}: no node has moved yet and the baseline is measured. */
+    /**
+     * Adds the samples of the block that ended; false if none ended or no class is known yet. {@code learningBaseline}:
+     * no node has moved yet and the baseline is measured.
+     */
     boolean collect(
             Collection<NodeStatus> nodes,
             Map<String, NodeMetrics> metricsByNode,
@@ -87,6 +90,7 @@
                             classNames.add(name);
                         }
                     }));
+            // The sums are kept per class, so that a new class starts them over.
             if (classNames.size() > evidence.classes.size()) {
                 evidence.startComparison(new ArrayList<>(classNames));
                 evidence.nodes.clear();
@@ -98,12 +102,17 @@
                             .filter(metrics -> metrics.version().equals(spec.fromVersion()))
                             .toList(),
                     weights.delayBoundsUs());
+            // Totals counted without the threshold cannot be subtracted from those counted with it.
             if (evidence.lastFastBucket >= 0) {
                 evidence.nodes.values().forEach(node -> node.blockStartTotals = null);
             }
         }
     }
 
+    /**
+     * Adds the node's counts since the last block boundary to its zone's samples if it was comparable at both ends of
+     * the block.
+     */
     private void addSample(
             NodeStatus status, NodeMetrics metrics, long nowMs, Map<String, List<BlockSample>> samplesByZone) {
         NodeEvidence node =
@@ -170,7 +179,10 @@
         }
     }
 
-    /** Adds the residuals of old nodes, against what the other old nodes of the zone predict, to the variance. */
+    /**
+     * Adds the residual of each old node, against what the other old nodes of the zone predict, to the variance and,
+     * during a stage, to the sums of the node.
+     */
     private void addOldNodeResiduals(List<BlockSample> samples, int series, boolean learningBaseline) {
         double observed = 0;
         long total = 0;
@@ -239,6 +251,7 @@
                 zoneExpected += expected;
             }
         }
+        // The old nodes' error affects all new nodes of the zone alike.
         VarianceEstimator estimator = evidence.estimators[series];
         estimator.controlBlockSum += zoneExpected * zoneExpected / (baselineWeightedTotal * observed / total);
         estimator.controlBaselineSum += zoneExpected / Math.sqrt(baselineExpected);
--- a/src/main/java/olivechute/rollout/MetricsSample.java
+++ b/src/main/java/olivechute/rollout/MetricsSample.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A node's counts as one array: for each class served in time, late, rejected, failed, cancelled; then the streams with
- * a delay, their summed delay in us, and the fast ones among them.
+ * A node's counts, cumulative or of one block, as one array: for each class served in time, late, rejected, failed,
+ * cancelled; then the streams with a delay, their summed delay in us, and the fast ones among them.
  */
 final class MetricsSample {
     private static final int COUNTS_PER_CLASS = 5;
@@ -35,7 +35,10 @@
         return counts;
     }
 
-    /** A stream counts with the midpoint of its bucket; beyond the last bound with 1.5 times that bound. */
+    /**
+     * A stream counts with the midpoint of its bucket; beyond the last bound with 1.5 times that bound; in a bucket
+     * whose bound is {@link Long#MAX_VALUE} with 1.25 times the bound before.
+     */
     private static long bucketMidpointUs(long[] delayBoundsUs, int bucket) {
         if (bucket >= delayBoundsUs.length) {
             return delayBoundsUs[delayBoundsUs.length - 1] + delayBoundsUs[delayBoundsUs.length - 1] / 2;
--- a/src/main/java/olivechute/rollout/NodeEvidence.java
+++ b/src/main/java/olivechute/rollout/NodeEvidence.java
@@ -1,11 +1,11 @@
 package olivechute.rollout;
 
 /**
- * The comparison's state of one node. {@code blockStartTotals}: its counts at the last block boundary, in the layout of
- * {@link MetricsSample}, null if no block can begin there. Per series: {@code baselineExpected} sums the value
- * predicted from the mean of the node's zone while all nodes ran the old version, and {@code baselineResidual} the
- * deviation from it; {@code stageExpected} and {@code stageResidual} are the same since the stage began, with the
- * node's baseline ratio applied.
+ * The comparison's state of one node. {@code incarnation} and {@code sequence}: those of the last metrics used.
+ * {@code blockStartTotals}: its counts at the last block boundary, in the layout of {@link MetricsSample}, null if no
+ * block can begin there. Per series: {@code baselineExpected} sums the value predicted from the mean of the node's zone
+ * while all nodes ran the old version, and {@code baselineResidual} the deviation from it; {@code stageExpected} and
+ * {@code stageResidual} are the same since the stage began, with the node's baseline ratio applied.
  */
 final class NodeEvidence {
     long incarnation;
--- a/src/main/java/olivechute/rollout/NodeMetrics.java
+++ b/src/main/java/olivechute/rollout/NodeMetrics.java
@@ -4,8 +4,8 @@
 
 /**
  * Counts of one process of a node since its start. {@code incarnation} identifies the process, {@code sequence} grows
- * with its reports. {@code delayCounts}: streams by the node's own added delay, in the buckets of
- * {@code olivechute.metrics.DelayBuckets}.
+ * with each of its reports. {@code ruleViolations}: invariant violations that the node counted. {@code delayCounts}:
+ * streams by the node's own added delay, in the buckets of {@code olivechute.metrics.DelayBuckets}.
  */
 public record NodeMetrics(
         String node,
--- a/src/main/java/olivechute/rollout/NodeSelection.java
+++ b/src/main/java/olivechute/rollout/NodeSelection.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Selects the nodes of a stage: spread over the zones by the fraction of each that has moved, then by a hash of the
- * rollout's ID and the node's name.
+ * Selects the nodes of a stage: always from the zone with the smallest fraction of moved nodes, and within a zone in
+ * the order of a hash of the rollout's ID and the node's name.
  */
 final class NodeSelection {
     private NodeSelection() {}
@@ -25,7 +25,7 @@
     /** All nodes that have not moved, in the order in which they are to be updated. */
     static List<NodeStatus> updateOrder(String changeId, Collection<NodeStatus> nodes, Set<String> moved) {
         Map<String, List<NodeStatus>> remainingByZone = new TreeMap<>();
-        Map<String, int[]> countsByZone = new TreeMap<>();
+        Map<String, int[]> countsByZone = new TreeMap<>(); // moved nodes, all nodes
         for (NodeStatus node : nodes) {
             int[] count = countsByZone.computeIfAbsent(node.zone(), zone -> new int[2]);
             count[1]++;
@@ -57,7 +57,10 @@
         return ordered;
     }
 
-    /** The same on every machine and in every release: FNV-1a over both names, followed by a mixing step. */
+    /**
+     * Hash of a node's or zone's name within a rollout. It is the same on every machine and in every release, so that
+     * each leader selects the same nodes: FNV-1a over both names, followed by a mixing step.
+     */
     static long hash(String changeId, String name) {
         long hash = 0xcbf29ce484222325L;
         String text = changeId + '\n' + name;
--- a/src/main/java/olivechute/rollout/PriorityWeights.java
+++ b/src/main/java/olivechute/rollout/PriorityWeights.java
@@ -18,7 +18,7 @@
         delayBoundsUs = delayBoundsUs.clone();
     }
 
-    /** The same weight for all classes. */
+    /** Weight 1 and late fraction 0.2 for all classes. */
     public static PriorityWeights equalWeights(List<Long> delayBoundsUs) {
         return new PriorityWeights(
                 Map.of(),
--- a/src/main/java/olivechute/rollout/RollbackStep.java
+++ b/src/main/java/olivechute/rollout/RollbackStep.java
@@ -57,7 +57,10 @@
         return remaining;
     }
 
-    /** Whether all reachable nodes run the old version, or had the time to become ready. */
+    /**
+     * Whether all nodes are ordered back, and each reachable one is ready at the version of its order or has used up
+     * its time to become ready.
+     */
     boolean complete() {
         return complete;
     }
--- a/src/main/java/olivechute/rollout/Rollout.java
+++ b/src/main/java/olivechute/rollout/Rollout.java
@@ -55,21 +55,24 @@
 
     /**
      * Moves no further nodes until {@link #resume}; a detected regression still causes a rollback. Throws
-     * CHANGE_UNKNOWN, CHANGE_INVALID.
+     * CHANGE_UNKNOWN if the rollout has ended, CHANGE_INVALID during a rollback.
      */
     public static RolloutState pause(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.pause(state, nowMs);
     }
 
     /**
-     * Continues after a pause, or past a stage that is held for too little evidence, by the operator's own judgement;
-     * no effect on a rollout that is proceeding. Throws CHANGE_UNKNOWN, CHANGE_INVALID.
+     * Continues after a pause, or by the operator's own judgement where the rollout is held for missing metrics or too
+     * little evidence; otherwise no effect. Throws CHANGE_UNKNOWN if the rollout has ended, CHANGE_INVALID during a
+     * rollback.
      */
     public static RolloutState resume(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.resume(state, nowMs);
     }
 
-    /** Starts a rollback; ends the rollout at once if no node has moved. Throws CHANGE_UNKNOWN. */
+    /**
+     * Starts a rollback; ends the rollout at once if no node has moved. Throws CHANGE_UNKNOWN if the rollout has ended.
+     */
     public static RolloutState stop(RolloutState state, long nowMs) throws RolloutException {
         return OperatorActions.stop(state, nowMs);
     }
@@ -187,7 +190,7 @@
         if (evidence.firstMoveMs == 0) {
             evidence.firstMoveMs = nowMs;
         }
-        evidence.notReadySinceMs.put(nodeName, nowMs);
+        evidence.notReadySinceMs.put(nodeName, nowMs); // its time to become ready starts with the order
         NodeEvidence node = evidence.nodes.get(nodeName);
         if (node != null) {
             node.nextStage(true);
--- a/src/main/java/olivechute/rollout/RolloutPhase.java
+++ b/src/main/java/olivechute/rollout/RolloutPhase.java
@@ -2,7 +2,7 @@
 
 /** Phase of a rollout. Stored by name. */
 public enum RolloutPhase {
-    /** Accepted; no node has moved yet. */
+    /** Accepted; the baseline is measured and no node has moved yet. */
     PROPOSED,
     /** Nodes of the stage are being updated to the new version. */
     MOVING,
@@ -16,13 +16,16 @@
     /** Paused by an operator. */
     PAUSED,
     /**
-     * The new version did worse, broke a rule or was stopped: the new nodes are ordered back in steps within the
-     * disruption budget.
+     * The new version regressed or met an abort condition, such as a broken rule, or an operator stopped the rollout:
+     * the new nodes are ordered back in steps within the disruption budget.
      */
     ROLLING_BACK,
-    /** Ended: all nodes run the new version, which is now the base. */
+    /** Ended: all nodes run the new version, which is now the base version. */
     DONE,
-    /** Ended: all reachable nodes run the old version again. */
+    /**
+     * Ended: no node had moved, or all were ordered back and the reachable ones run the old version again or did not
+     * become ready in time.
+     */
     STOPPED;
 
     /** Whether the rollout is over and no more decisions are made. */
--- a/src/main/java/olivechute/rollout/RolloutSpecValidator.java
+++ b/src/main/java/olivechute/rollout/RolloutSpecValidator.java
@@ -21,11 +21,11 @@
                 !spec.fromVersion().equals(spec.toVersion()),
                 "version " + spec.fromVersion() + " is both the old and the new version");
         validator.require(nodeCount > 0, "no node is known");
-        validator.require(spec.maxUnavailable() > 0, "mostAway is " + spec.maxUnavailable() + ", no node could move");
+        validator.require(spec.maxUnavailable() > 0, "most_away is " + spec.maxUnavailable() + ", no node could move");
         validator.require(
                 nodeCount == 0 || spec.maxUnavailable() < nodeCount || nodeCount == 1,
-                "mostAway is " + spec.maxUnavailable() + " of " + nodeCount + " nodes, none would serve");
-        validator.require(spec.readyTimeoutMs() > 0, "readyWithinMs is " + spec.readyTimeoutMs());
+                "most_away is " + spec.maxUnavailable() + " of " + nodeCount + " nodes, none would serve");
+        validator.require(spec.readyTimeoutMs() > 0, "ready_within must be over 0 ms, not " + spec.readyTimeoutMs());
         validator.require(
                 !spec.stages().isEmpty() && spec.stages().size() <= MAX_STAGES,
                 "it has " + spec.stages().size() + " stages, 1 to " + MAX_STAGES + " are allowed");
@@ -43,7 +43,8 @@
                     stage.minDurationMs() >= 0
                             && stage.maxDurationMs() >= stage.minDurationMs()
                             && stage.maxDurationMs() > 0,
-                    stageName + " lasts from " + stage.minDurationMs() + " to " + stage.maxDurationMs() + " ms");
+                    stageName + " has a minimum duration of " + stage.minDurationMs() + " ms and a maximum of "
+                            + stage.maxDurationMs() + " ms");
             validator.require(stage.minRequests() >= 0, stageName + " requires " + stage.minRequests() + " requests");
             int size = NodeSelection.targetNodeCount(stage, nodeCount);
             validator.require(size >= previousSize, stageName + " has fewer nodes than the one before");
--- a/src/main/java/olivechute/rollout/VarianceEstimator.java
+++ b/src/main/java/olivechute/rollout/VarianceEstimator.java
@@ -2,7 +2,8 @@
 
 /**
  * Sums over blocks from which the variance of one series is estimated. {@code baseline...}: from before the stage;
- * {@code stage...}: since the stage began.
+ * {@code stage...}: since the stage began; both of old nodes: squared residuals, expected values, and the number of
+ * samples.
  */
 final class VarianceEstimator {
     double baselineSquares;
@@ -11,24 +12,26 @@
     double stageSquares;
     double stageExpected;
     long stageCount;
+    /** Number of blocks of the stage with samples of new nodes. */
+    long blockCount;
     /**
-     * Over all new nodes together: number of blocks, squared residuals, residual times expected, squared expected
+     * Sums over these blocks, of all new nodes together: squared residuals, residual times expected, squared expected
      * values.
      */
-    long blockCount;
-
     double residualSquares;
+
     double residualTimesExpected;
     double expectedSquares;
     /**
-     * Variance that the old nodes contribute as controls: per block, by their baseline, by their drift. The errors of
-     * different zones are added as if fully correlated.
+     * Factors of the variance that the old nodes contribute as controls, see {@link #controlVariance}: per block, by
+     * their baseline, by their drift. The errors of different zones are added as if fully correlated.
      */
     double controlBlockSum;
 
     double controlBaselineSum;
     double controlDriftSum;
 
+    /** Minimum number of samples of old nodes for an estimate. */
     private static final long MIN_SAMPLES = 20;
 
     boolean hasEnoughSamples() {
@@ -66,6 +69,7 @@
                 + driftVariance * controlDriftSum * controlDriftSum;
     }
 
+    /** Adds the stage's sums of old nodes to the baseline and resets all others. */
     void nextStage() {
         baselineSquares += stageSquares;
         baselineExpected += stageExpected;
--- a/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
+++ b/src/main/java/olivechute/supervisor/LaunchSpecFactory.java
@@ -18,8 +18,8 @@
     }
 
     /**
-     * Creates the event for the node's state machine. Program and settings are checked here, so that an order that
-     * cannot be carried out carries its error before any process is ended for it.
+     * Creates the event for the node's state machine. Program and settings are checked here, so that the error of an
+     * order that cannot be carried out is known before any process is ended for it.
      */
     NodeEvent.OrderReceived createOrder(ManagedNode node, VersionSpec spec, long orderNumber) {
         String program = spec.getProgram().isEmpty() ? defaultJar : spec.getProgram();
--- a/src/main/java/olivechute/supervisor/LeaseRenewer.java
+++ b/src/main/java/olivechute/supervisor/LeaseRenewer.java
@@ -36,7 +36,10 @@
     private boolean closed;
     private ErrorCode lastLoggedError;
 
-    /** {@code monotonicClock}: milliseconds. */
+    /**
+     * {@code owner}: the name under which the lease is held; {@code output}: prints a line for the operator;
+     * {@code monotonicClock}: in milliseconds.
+     */
     LeaseRenewer(
             SupervisorSettings settings,
             Store store,
@@ -62,7 +65,7 @@
         return heldByOther;
     }
 
-    /** Requests that the report is written again without waiting for the interval. */
+    /** Requests that the report is written without waiting for the interval. */
     synchronized void reportChanged() {
         reportChanged = true;
         notifyAll();
--- a/src/main/java/olivechute/supervisor/MetricsBuffer.java
+++ b/src/main/java/olivechute/supervisor/MetricsBuffer.java
@@ -15,7 +15,7 @@
 final class MetricsBuffer {
     private final Set<String> nodes;
     private final Map<String, NodeFigures> latest = new HashMap<>();
-    private final Map<String, Map<String, String>> versionOverride = new HashMap<>();
+    private final Map<String, Map<String, String>> versionOverride = new HashMap<>(); // started version -> present one
     private final Set<String> unpublished = new HashSet<>();
 
     MetricsBuffer(Set<String> nodes) {
@@ -48,7 +48,7 @@
         return newIncarnation ? UpdateResult.NEW_INCARNATION : UpdateResult.NEWER;
     }
 
-    /** A process of the node was started: the version that it reports is right from now on. */
+    /** Ends the override by {@link #versionOverride}: a new process of the node reports the right version itself. */
     synchronized void processStarted(String node) {
         versionOverride.remove(node);
     }
--- a/src/main/java/olivechute/supervisor/MetricsPublisher.java
+++ b/src/main/java/olivechute/supervisor/MetricsPublisher.java
@@ -11,8 +11,8 @@
 import org.tinylog.Logger;
 
 /**
- * Writes the nodes' new metrics to the store once a second, all in one write, on a thread of its own. While the store
- * is slow, seconds are skipped.
+ * Writes the nodes' new metrics to the store once a second, all in one write, on a thread of its own. While a write
+ * takes longer, none is started, and of the metrics that arrive meanwhile the newest of each node are written next.
  */
 final class MetricsPublisher {
     private static final long INTERVAL_MS = 1000;
--- a/src/main/java/olivechute/supervisor/MetricsReceiver.java
+++ b/src/main/java/olivechute/supervisor/MetricsReceiver.java
@@ -21,8 +21,8 @@
 
 /**
  * Accepts connections on which the nodes send their metrics, and puts these into a {@link MetricsBuffer}. Runs a thread
- * that accepts and a thread per connection. A sender that is slow or sends an invalid message is disconnected. It never
- * waits for the store.
+ * that accepts and a thread per connection. A sender that is slow or sends an invalid message is disconnected. The
+ * receiver never waits for the store.
  */
 final class MetricsReceiver implements AutoCloseable {
     private static final int MAX_MESSAGE_BYTES = 64 * 1024;
@@ -81,7 +81,7 @@
                 serveOnThread(socket);
             } catch (IOException e) {
                 if (!listener.isClosed()) {
-                    Logger.warn("metrics: {}", e.toString());
+                    Logger.warn("metrics: cannot accept a connection: {}", e.toString());
                 }
             }
         }
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Reads one message, which is preceded by its length in 7 bits per byte (varint); null at the end of the stream.
+     * Reads one message, which is preceded by its length as a varint (7 bits per byte); null at the end of the stream.
      * The timeout applies to the whole message, however many pieces it arrives in.
      */
     private byte[] readMessage(Socket socket, InputStream in) throws IOException, SupervisionException {
@@ -189,7 +189,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            Logger.debug("metrics: {}", e.toString());
+            Logger.debug("metrics: cannot close a socket: {}", e.toString());
         }
     }
 }
--- a/src/main/java/olivechute/supervisor/NodeEvent.java
+++ b/src/main/java/olivechute/supervisor/NodeEvent.java
@@ -1,8 +1,8 @@
 package olivechute.supervisor;
 
 /**
- * An event for {@link NodeStateMachine}. A run is one process of the node; its id is assigned by the state machine when
- * it requests the start.
+ * An event for {@link NodeStateMachine}. A run is one process of the node; the state machine assigns its id when it
+ * requests the start or the adoption.
  */
 sealed interface NodeEvent {
     /** An order arrived; {@code error} says why it cannot be carried out and is empty if it can. */
--- a/src/main/java/olivechute/supervisor/NodeLog.java
+++ b/src/main/java/olivechute/supervisor/NodeLog.java
@@ -10,9 +10,9 @@
 import org.tinylog.Logger;
 
 /**
- * The log file of a node's process. The process writes it directly, so that it can go on when the supervisor ends. A
- * file that exceeds the size limit is copied to a second file and truncated; lines written between the copy and the
- * truncation are lost.
+ * The log file of a node's process. The process writes it directly, so that the process can continue when the
+ * supervisor ends. A file that exceeds the size limit is copied to a second file and truncated; lines written between
+ * the copy and the truncation are lost.
  */
 final class NodeLog {
     private static final int MAX_TAIL_BYTES = 8 * 1024;
--- a/src/main/java/olivechute/supervisor/NodeRunner.java
+++ b/src/main/java/olivechute/supervisor/NodeRunner.java
@@ -24,11 +24,13 @@
  * the supervisor's thread; its own threads only post events.
  */
 @SuppressWarnings({"ReferenceEquality", "FutureReturnValueIgnored"
-}) // the same process object is meant; a failed task is logged by what it runs
+}) // logs and targets are compared by identity; a failed task is logged by the code that it runs
 final class NodeRunner {
     private static final long MAX_LOG_BYTES = 16 * 1024 * 1024;
     private static final long POLL_INTERVAL_MS = 50;
+    /** Line in the log of a node that applied its changed configuration. */
     private static final String RELOADED_MESSAGE = "configuration read again";
+    /** Start of the line in the log of a node that rejected its changed configuration; the error follows. */
     private static final String RELOAD_FAILED_PREFIX = "configuration not changed: ";
 
     private final ManagedNode node;
@@ -84,7 +86,7 @@
         return node;
     }
 
-    /** Returns what an earlier supervisor last accepted for this node. */
+    /** Returns the launch of the last order that an earlier supervisor accepted for this node. */
     Optional<LaunchSpec> storedLaunch() {
         return Optional.ofNullable(storedLaunch);
     }
@@ -119,7 +121,7 @@
         return directory.file(node.name() + "." + addressIndex + ".pid");
     }
 
-    /** Passes an event to the state machine and executes the resulting actions. */
+    /** Passes an event to the state machine, stores a new target, and executes the resulting actions. */
     void handle(NodeEvent event, long nowMs) {
         pendingEvents.add(event);
         while (!pendingEvents.isEmpty()) {
@@ -227,6 +229,7 @@
         }
     }
 
+    /** Makes the process reload, and waits for the result in its log on another thread. */
     private void reload(long runId, NodeProcess process, LaunchSpec launch) {
         long logOffset = process.log().size();
         try {
@@ -282,7 +285,7 @@
         }
     }
 
-    /** Truncates the logs that exceed the size limit. */
+    /** Rotates the logs that exceed the size limit. */
     void rotateLogs() {
         logs.forEach(NodeLog::rotate);
     }
--- a/src/main/java/olivechute/supervisor/NodeStateMachine.java
+++ b/src/main/java/olivechute/supervisor/NodeStateMachine.java
@@ -28,7 +28,7 @@
     private final long minOrderNumber;
     private LaunchSpec target;
     private boolean rejected;
-    private boolean reloadTimedOut; // the reload to the target timed out, so it takes a new process
+    private boolean reloadTimedOut; // the reload to the target timed out: a new process must be started
     private boolean targetWasReady; // the target has been ready on this node before
     private boolean stopping;
     private int consecutiveFailures;
--- a/src/main/java/olivechute/supervisor/NodeTimeouts.java
+++ b/src/main/java/olivechute/supervisor/NodeTimeouts.java
@@ -3,7 +3,10 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Time limits for starting and draining a node, and bounds of the backoff between a failure and the next start. */
+/**
+ * Time limits for starting, reloading and draining a node, and bounds of the backoff between a failure and the next
+ * start.
+ */
 record NodeTimeouts(Duration readyTimeout, Duration drainTimeout, Duration minBackoff, Duration maxBackoff) {
     private static final int MAX_DOUBLINGS = 20;
 
--- a/src/main/java/olivechute/supervisor/OrderWatcher.java
+++ b/src/main/java/olivechute/supervisor/OrderWatcher.java
@@ -35,7 +35,7 @@
     private final ToLongFunction<String> currentOrderNumber;
     private final Consumer<NodeOrder> orderSink;
     private final Map<String, Order> orders = new HashMap<>();
-    private final Map<String, Long> missingVersionOrders = new HashMap<>();
+    private final Map<String, Long> missingVersionOrders = new HashMap<>(); // whose missing version was logged
     private long lastSession;
     private long sinceVersion = -1;
     private ErrorCode lastLoggedError;
@@ -135,6 +135,7 @@
                         .build();
                 orderSink.accept(new NodeOrder(node.name(), launchSpecFactory.createOrder(node, spec, orderNumber)));
             } else if (orderNumber == 0) {
+                // An initial version that is not in the store has the default jar and no settings.
                 orderSink.accept(new NodeOrder(
                         node.name(),
                         launchSpecFactory.createOrder(
--- a/src/main/java/olivechute/supervisor/StartFailureClassifier.java
+++ b/src/main/java/olivechute/supervisor/StartFailureClassifier.java
@@ -4,6 +4,7 @@
 
 /** Tells nodes that reject their program or settings from nodes that crash. */
 final class StartFailureClassifier {
+    /** A line KEY: ERROR, with which a node reports a setting that it cannot use. */
     private static final Pattern SETTINGS_ERROR = Pattern.compile("[A-Za-z_][A-Za-z0-9_.\\[\\]-]*: .*");
     /** Another process may hold the address for a moment, so another start is worthwhile. */
     private static final String ADDRESS_IN_USE_PREFIX = "LB_LISTEN: cannot listen";
--- a/src/main/java/olivechute/supervisor/Supervisor.java
+++ b/src/main/java/olivechute/supervisor/Supervisor.java
@@ -29,6 +29,7 @@
     private static final long HOUSEKEEPING_INTERVAL_MS = 1000;
     private static final int METRICS_MESSAGE_TIMEOUT_MS = 5000;
 
+    /** {@code node}: null for all nodes. */
     private record QueuedEvent(String node, NodeEvent event) {}
 
     private final SupervisorSettings settings;
@@ -185,8 +186,9 @@
     }
 
     /**
-     * Starts nodes without orders from the store after one lease time: with what they were last ordered to run, or with
-     * their initial version.
+     * Starts the nodes that received no order within one lease TTL, as when the store is down: with the last order that
+     * an earlier supervisor accepted, or with their initial version. None is started while another process holds the
+     * lease.
      */
     private void startWithoutStore(long waitedMs, long nowMs) {
         if (waitedMs < settings.leaseTtl().toMillis() || leaseRenewer.heldByOther() || stopping) {
--- a/src/main/java/olivechute/supervisor/SupervisorDirectory.java
+++ b/src/main/java/olivechute/supervisor/SupervisorDirectory.java
@@ -23,8 +23,8 @@
 import org.tinylog.Logger;
 
 /**
- * The directory in which a supervisor stores its state. A lock gives it to one process at a time, and files are
- * replaced atomically.
+ * The directory in which a supervisor stores its state. A lock ensures that one process at a time uses it, and files
+ * are replaced atomically.
  */
 final class SupervisorDirectory implements AutoCloseable {
     private final Path path;
--- a/src/main/java/olivechute/supervisor/SupervisorSettings.java
+++ b/src/main/java/olivechute/supervisor/SupervisorSettings.java
@@ -19,9 +19,13 @@
 /**
  * The settings of a supervisor, in HOCON; deploy/supervise.conf has every key.
  *
+ * @param region as in the replicas' settings
+ * @param storeTimeout time limit of one store call
  * @param leaseTtl time to live of the machine's lease
  * @param programJar the jar for versions that name no program; null for the one that the supervisor runs from
  * @param javaCommand the java command and its flags before {@code -jar}
+ * @param directory where the supervisor stores its state
+ * @param metricsAddress loopback address at which it accepts the nodes' metrics
  */
 record SupervisorSettings(
         String machine,
