--- a/src/main/java/olivechute/benchmark/AllocationProfile.java
+++ b/src/main/java/olivechute/benchmark/AllocationProfile.java
@@ -7,7 +7,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Prints what a request allocates by class, from heap histograms, dead objects included, before and after a run. */
+/**
+ * Prints the allocations per request by class: the difference of heap histograms, which include unreachable objects,
+ * taken before and after a run.
+ */
 final class AllocationProfile {
     private static final int MAX_CLASSES = 40;
 
@@ -42,13 +45,17 @@
         }
     }
 
-    /** Returns the allocations since {@code before}, less those of taking a histogram. */
+    /**
+     * Returns the objects and bytes allocated between {@code before} and {@code after}, less those of taking a
+     * histogram, which are the difference between {@code first} and {@code before}.
+     */
     private static long[] used(long[] after, long[] before, long[] first) {
         long[] b = before == null ? new long[2] : before;
         long[] f = first == null ? new long[2] : first;
         return new long[] {after[0] - 2 * b[0] + f[0], after[1] - 2 * b[1] + f[1]};
     }
 
+    /** Returns the number of objects and their bytes by class. */
     private static Map<String, long[]> read(List<String> lines) {
         Map<String, long[]> classes = new HashMap<>();
         for (String line : lines) {
--- a/src/main/java/olivechute/benchmark/BenchmarkCommand.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkCommand.java
@@ -187,8 +187,8 @@
         out.println(Table.heading());
         for (Scenario s : scenarios) {
             Counts counts = CountingBenchmark.count(subject, s);
-            // Disturbances only add to a count, so the minimum of several runs is the true one; a real increase stays
-            // in all.
+            // Disturbances can only increase a count, so the minimum of several runs is closest to the true value; a
+            // real increase shows in all of them.
             for (int i = 0;
                     i < MAX_RECOUNTS
                             && recorded != null
--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -17,7 +17,10 @@
  * thread.
  */
 final class BenchmarkRig implements AutoCloseable {
-    /** Open connections at the node's limit for {@link Scenario#SHED}: its descriptors less 64, less a quarter. */
+    /**
+     * Client connections at the node's limit for {@link Scenario#SHED}: its descriptors less 64 that it reserves, less
+     * a quarter that it keeps for upstream connections.
+     */
     private static final int SHED_BOUND = (Scenario.SHED.maxSockets() - 64) * 3 / 4;
 
     /** The first usage queries load classes in the node; from then on each costs the same. */
@@ -26,8 +29,8 @@
     private static final int WARMUP_REQUESTS = 200;
 
     /**
-     * More than two of the load balancer's intervals of 500 ms: its periodic work has then run after requests, and its
-     * classes are loaded.
+     * Pause of more than two of the node's periodic intervals of 500 ms: the periodic work that follows requests has
+     * then run, and its classes are loaded.
      */
     private static final long PERIODIC_WORK_MILLIS = 1100;
 
@@ -111,12 +114,9 @@
     /** Warms the node up before counting, so that all classes are loaded and all buffers have their size. */
     void warmUp() throws IOException, InterruptedException {
         if (scenario.rejectionsPerRequest() > 0) {
-            drive(
-                    clients.get(0),
-                    WARMUP_REQUESTS,
-                    newHistogram(),
-                    true,
-                    false); // puts every endpoint in backoff after its rejection
+            // Rejections of so many requests would put every endpoint in backoff, so none of these is rejected, only
+            // the next two are.
+            drive(clients.get(0), WARMUP_REQUESTS, newHistogram(), true, false);
             drive(2);
         } else {
             drive(scenario.requests() / 2, newHistogram(), usesTls());
@@ -130,6 +130,7 @@
         drive(requests, newHistogram(), false);
     }
 
+    /** Returns a histogram of latencies in microseconds, up to 10 s, with 3 significant digits. */
     private static Histogram newHistogram() {
         return new ConcurrentHistogram(10_000_000, 3);
     }
@@ -172,7 +173,9 @@
         }
     }
 
-    /** Opens one connection and waits until the node has ended it, or ended the one that it sheds for it. */
+    /**
+     * Opens one connection and waits until the node has closed it or, in {@link Scenario#SHED}, the oldest open one.
+     */
     private void connectAndAwaitClose() throws IOException {
         BlockingHttpConnection wire = openConnection();
         if (scenario == Scenario.SHED) {
--- a/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -122,6 +122,9 @@
         }
     }
 
+    /**
+     * Discards the buffer, which has been read completely, and reads into it; returns false at the end of the stream.
+     */
     private boolean refill() throws IOException {
         readPosition = 0;
         readLimit = 0;
@@ -130,6 +133,7 @@
         return n >= 0;
     }
 
+    /** Reads more bytes behind those not consumed yet; fails at the end of the stream. */
     private void fill() throws IOException {
         if (readPosition > 0) {
             System.arraycopy(buffer, readPosition, buffer, 0, readLimit - readPosition);
--- a/src/main/java/olivechute/benchmark/CopyAgent.java
+++ b/src/main/java/olivechute/benchmark/CopyAgent.java
@@ -11,9 +11,9 @@
 import org.objectweb.asm.Opcodes;
 
 /**
- * A Java agent that redirects the calls by which the node's classes and its JSON parser copy bytes to
- * {@link CopyCounter}, and every store of one byte. Copies inside other platform calls, such as creating a String, are
- * not seen; they show among the allocations.
+ * A Java agent that counts byte copies: in the classes of the node and of its JSON parser, it replaces calls that copy
+ * bytes, and every store of one byte, by calls of {@link CopyCounter}. Copies inside other platform calls, such as
+ * creating a String, are not counted; they show among the allocations.
  */
 public final class CopyAgent implements ClassFileTransformer {
     private static final String COUNTER = "olivechute/benchmark/CopyCounter";
@@ -21,8 +21,8 @@
     private static final String CHANNEL = "java/nio/channels/SocketChannel";
     private static final String BUFFER = "java/nio/ByteBuffer";
     /**
-     * Calls that copy: owner, name and descriptor, and the type of the receiver that becomes the counter method's first
-     * parameter, if any.
+     * Calls that copy bytes, as owner, name and descriptor, with the type of the receiver, which becomes the first
+     * parameter of the counter method; empty for static calls.
      */
     private static final Map<String, String> CALLS = Map.ofEntries(
             Map.entry("java/lang/System.arraycopy(Ljava/lang/Object;ILjava/lang/Object;II)V", ""),
--- a/src/main/java/olivechute/benchmark/CopyCounter.java
+++ b/src/main/java/olivechute/benchmark/CopyCounter.java
@@ -30,7 +30,7 @@
     private static void count(byte[] bytes, int from, int length) {
         int body = 0;
         for (int i = from; i < from + length; i++) {
-            body += bytes[i] >>> 31;
+            body += bytes[i] >>> 31; // 1 if the high bit of the byte is set
         }
         if (length > 0) {
             COPIES.incrementAndGet();
--- a/src/main/java/olivechute/benchmark/NodeProbe.java
+++ b/src/main/java/olivechute/benchmark/NodeProbe.java
@@ -17,9 +17,10 @@
 import javax.management.ObjectName;
 
 /**
- * Main class of the measured process: starts the node, then answers each line on standard input with the resources that
- * the process has used since its start. Without thread-local allocation buffers, the fill level of the young generation
- * is the sum of all allocations, those of ended threads included, as long as there is no garbage collection.
+ * Main class of the measured process: starts the node, then answers each line on standard input: {@code objects} with
+ * the number of objects on the heap, {@code classes} with a heap histogram, any other line with the resources that the
+ * process has used since its start. Without thread-local allocation buffers, the fill level of the young generation is
+ * the sum of all allocations, those of ended threads included, as long as there is no garbage collection.
  */
 public final class NodeProbe {
     /** Prefix that tells answers from the node's log lines. */
--- a/src/main/java/olivechute/benchmark/NodeProcess.java
+++ b/src/main/java/olivechute/benchmark/NodeProcess.java
@@ -113,7 +113,7 @@
         String[] f = await(NodeProbe.ANSWER_PREFIX)
                 .substring(NodeProbe.ANSWER_PREFIX.length())
                 .split(" ");
-        long[] v = new long[9];
+        long[] v = new long[9]; // in the order in which NodeProbe prints them
         for (int i = 0; i < v.length; i++) {
             v[i] = Long.parseLong(f[i]);
         }
@@ -125,12 +125,14 @@
         return new Usage(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7], v[8], count);
     }
 
-    /** Returns its resident memory in KiB, read from outside the process: a query from within would add to it. */
+    /**
+     * Returns the node's resident memory in KiB, read from outside the process: a query from within would add to it.
+     */
     long residentKib() throws IOException {
         return NodeProbe.kernelCounter(Path.of("/proc/" + process.pid() + "/status"), "VmRSS");
     }
 
-    /** Returns its current number of threads. */
+    /** Returns the node's current number of threads. */
     int threads() throws IOException {
         try (var tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
             return (int) tasks.count();
--- a/src/main/java/olivechute/benchmark/RotationBenchmark.java
+++ b/src/main/java/olivechute/benchmark/RotationBenchmark.java
@@ -21,8 +21,8 @@
     private static final int CLIENTS = 16;
     private static final int ENDPOINT_COUNT = 24;
     /**
-     * The node polls its SVID folder every 50 ms; a tool that rotates certificates must leave at least that time
-     * between the steps.
+     * Pause between the steps of a rotation. The node polls its SVID folder every 50 ms; a tool that rotates
+     * certificates must leave at least that time between the steps.
      */
     private static final long STEP_MILLIS = 250;
 
--- a/src/main/java/olivechute/benchmark/Scenario.java
+++ b/src/main/java/olivechute/benchmark/Scenario.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns by how much more chance moves this scenario's counts than those of others, as 20 runs of each showed; see
-     * docs/cost-design.md.
+     * Returns the factor by which this scenario's timing-dependent counts vary more than those of other scenarios, as
+     * measured in 20 runs of each; see docs/cost-design.md.
      */
     double marginFactor() {
         return switch (this) {
--- a/src/main/java/olivechute/benchmark/TimingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/TimingBenchmark.java
@@ -42,6 +42,8 @@
     }
 
     private void measure(Scenario scenario, NodeUnderTest subject) throws IOException, InterruptedException {
+        // The given number is for a scenario whose short run has 400 requests, and is scaled for the others; one with
+        // rejections does its short run.
         int n = scenario.rejectionsPerRequest() > 0 ? scenario.requests() : requests * scenario.requests() / 400;
         try (BenchmarkRig rig = new BenchmarkRig(subject, Mode.SERVICE, core, scenario)) {
             rig.warmUp();
--- a/src/main/java/olivechute/grpc/GrpcConnection.java
+++ b/src/main/java/olivechute/grpc/GrpcConnection.java
@@ -298,7 +298,7 @@
             case HEADERS -> {
                 removePadding(flags, payload);
                 if ((flags & PRIORITY) != 0) {
-                    skip(payload, 5);
+                    skip(payload, 5); // stream dependency and weight
                 }
                 acceptStream(stream);
                 block = stream;
@@ -478,7 +478,7 @@
 
     private void room(int stream, ByteBuffer payload) throws GrpcException {
         if (payload.remaining() != 4) {
-            throw new GrpcException("a frame that is too short");
+            throw new GrpcException("a WINDOW_UPDATE frame whose payload is not 4 bytes");
         }
         int more = payload.getInt() & Integer.MAX_VALUE;
         if (stream == 0) {
--- a/src/main/java/olivechute/grpc/Http2Frame.java
+++ b/src/main/java/olivechute/grpc/Http2Frame.java
@@ -2,6 +2,7 @@
 
 /** Types, flags and sizes of the HTTP/2 frames in use, with the numbers of RFC 9113, section 6. */
 final class Http2Frame {
+    // Frame types
     static final int DATA = 0;
     static final int HEADERS = 1;
     static final int RST_STREAM = 3;
@@ -12,7 +13,8 @@
     static final int WINDOW_UPDATE = 8;
     static final int CONTINUATION = 9;
 
-    static final int END_STREAM = 1; // flags, as those below
+    // Flags
+    static final int END_STREAM = 1;
     static final int ACK = 1;
     static final int END_HEADERS = 4;
     static final int PADDED = 8;
--- a/src/main/java/olivechute/identity/SpiffeId.java
+++ b/src/main/java/olivechute/identity/SpiffeId.java
@@ -4,14 +4,13 @@
 
 /**
  * A SPIFFE ID: {@code spiffe://}, a trust domain and a path that is empty or begins with a slash. The text must match
- * the SPIFFE-ID standard exactly: case is not folded, nothing is percent-decoded or normalized, as two parsers might do
- * so differently.
+ * the SPIFFE-ID standard exactly: case is not folded and nothing is percent-decoded or normalized, because parsers
+ * differ in how they do that.
  */
 public record SpiffeId(String trustDomain, String path) {
     private static final String SCHEME = "spiffe://";
-    /** Maximum length in bytes of an ID and of a trust domain. */
+    // Limits of the SPIFFE-ID standard
     private static final int MAX_BYTES = 2048;
-
     private static final int MAX_DOMAIN_BYTES = 255;
 
     /** Parses an ID; throws an {@link IdentityRejectedException} with the reason if the text is not valid. */
--- a/src/main/java/olivechute/identity/X509Check.java
+++ b/src/main/java/olivechute/identity/X509Check.java
@@ -31,14 +31,15 @@
 /** Validates a certificate chain by the X509-SVID standard, at a given time and against the given trust bundles. */
 public final class X509Check {
     /**
-     * Longer chains are rejected unchecked: an unauthenticated peer could otherwise cause work with each certificate.
+     * Longer chains are rejected before any certificate is checked, as an unauthenticated peer could otherwise cause
+     * work with each certificate.
      */
     private static final int MAX_CHAIN_LENGTH = 6;
 
     private static final int MIN_RSA_BITS = 2048;
     private static final int MIN_EC_BITS = 256;
-    private static final int GENERAL_NAME_URI = 6; // of a GeneralName, RFC 5280
-    private static final int DIGITAL_SIGNATURE = 0; // bits of the key usage, RFC 5280
+    private static final int GENERAL_NAME_URI = 6; // tag of a URI in a GeneralName, RFC 5280
+    private static final int DIGITAL_SIGNATURE = 0; // bit positions in the key usage, RFC 5280, as the next two
     private static final int KEY_CERT_SIGN = 5;
     private static final int CRL_SIGN = 6;
     private static final String NAME_CONSTRAINTS_OID = "2.5.29.30";
@@ -187,10 +188,9 @@
         if (wrapped == null) {
             return true;
         }
-        int lengthOctets = wrapped[1] >= 0
-                ? 0
-                : wrapped[1]
-                        & 0x7f; // DER: a tag, then the length in one octet or in the number of octets that it gives
+        // DER: a tag byte, then the length, either in one byte or in as many further bytes as the low 7 bits of that
+        // byte give.
+        int lengthOctets = wrapped[1] >= 0 ? 0 : wrapped[1] & 0x7f;
         X509CertSelector selector = new X509CertSelector();
         try {
             selector.setNameConstraints(Arrays.copyOfRange(wrapped, 2 + lengthOctets, wrapped.length));
@@ -219,7 +219,7 @@
         }
         try {
             PKIXParameters parameters = new PKIXParameters(anchors);
-            parameters.setRevocationEnabled(false); // SVIDs are short-lived instead
+            parameters.setRevocationEnabled(false); // SVIDs are short-lived instead of being revoked
             parameters.setDate(Date.from(now));
             CertPath path = CertificateFactory.getInstance("X.509").generateCertPath(chain);
             CertPathValidator.getInstance("PKIX").validate(path, parameters);
--- a/src/main/java/olivechute/security/IdentityManager.java
+++ b/src/main/java/olivechute/security/IdentityManager.java
@@ -26,7 +26,7 @@
     private final Supplier<Instant> clock;
     private volatile ActiveIdentity active;
     private volatile String lastFailure; // last logged reason, so that a repeated failure is logged once
-    private Instant lastExpiryWarning; // last logged expiry threshold; used by one thread only
+    private Instant lastExpiryWarning; // threshold of the last warning; used by one thread only
 
     /** The node's identity, the TLS context built from it, and the time from which it is active. */
     record ActiveIdentity(OwnIdentity identity, TlsContext context, Instant since) {}
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Logs that the identity is about to expire: once when a third of the time since it became active is left, and once
-     * when it has expired. Returns true if it logged. Must be called from one thread only.
+     * Logs that the identity is about to expire: once when a third of the time between its activation and its expiry is
+     * left, and once when it has expired. Returns true if it logged. Must be called from one thread only.
      */
     boolean warnOfExpiry() {
         ActiveIdentity current = active;
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -81,12 +81,12 @@
     }
 
     /**
-     * Logs an identity that is about to expire, and has the Workload API called again then. The node calls this
-     * periodically on its event loop.
+     * Logs when the identity is about to expire or has expired, and then reconnects to the Workload API if that is the
+     * source. The node calls this periodically on its event loop.
      */
     public void warnOfExpiry() {
         if (identities.warnOfExpiry() && workloadApiSource != null) {
-            workloadApiSource.reconnect(); // connected, or apparently so, but the renewal that is due has not arrived
+            workloadApiSource.reconnect(); // the connection may look open, but the renewal due has not arrived
         }
     }
 
@@ -100,7 +100,10 @@
         });
     }
 
-    /** Returns the authenticator of the platform's listen address. */
+    /**
+     * Returns the authenticator of the listen address in the node's configuration. The TLS listen address of the
+     * identity settings has its own, {@link #tlsAuthenticator}.
+     */
     public PeerIdentity.Authenticator platformAuthenticator() {
         return settings.downstream().mode() == Mode.ONLY
                 ? tlsAuthenticator()
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -71,7 +71,7 @@
         this.peerCheck = wanted;
     }
 
-    /** Wraps an accepted connection, whose handshake must complete within this time. */
+    /** Wraps an accepted connection, whose handshake must complete within {@code handshakeTimeoutMillis}. */
     static TlsConnection server(
             SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
             throws IOException {
@@ -81,17 +81,20 @@
     }
 
     /**
-     * Creates a connection to be connected to the named peer. Sessions are resumed only with a peer of the same name.
+     * Creates an unconnected connection for the peer of this name. Sessions are resumed only with a peer of the same
+     * name.
      */
     static TlsConnection client(
             IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
             throws IOException {
         IdentityManager.ActiveIdentity own = identities.active();
+        // The JDK caches sessions by name and port; the name alone identifies the peer, so the port is the same for
+        // all.
         return new TlsConnection(
                 SocketChannel.open(), identities, own, own.context().client(name, 1), handshakePermits, 0, peerCheck);
     }
 
-    /** Connects and performs the handshake, both within this time. */
+    /** Connects and performs the handshake, both together within {@code timeoutMillis}. */
     @Override
     public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
@@ -109,10 +112,11 @@
     }
 
     private void handshake(long deadlineNanos, int timeoutMillis) throws IOException {
+        // Read before the handshake, so that the next check of the peer notices a change of the bundles during it.
         SvidManager.State state = identities.state();
         try {
             InputStream in = socket().getInputStream();
-            boolean first = acceptTimeoutMillis == 0;
+            boolean first = acceptTimeoutMillis == 0; // the client sends before it reads
             while (first || !stateMachine.isOpen()) {
                 if (!first) {
                     socket().setSoTimeout(remainingMillis(deadlineNanos, timeoutMillis));
--- a/src/main/java/olivechute/store/BatchExecutor.java
+++ b/src/main/java/olivechute/store/BatchExecutor.java
@@ -8,7 +8,8 @@
 import olivechute.store.wire.Put;
 
 /**
- * Executes batches of writes atomically: all checks come before the first write. Called by {@link StoreStateMachine}.
+ * Executes batches of writes atomically: a rejected batch leaves the state unchanged. Called by
+ * {@link StoreStateMachine}.
  */
 final class BatchExecutor {
     private final StoreLimits limits;
--- a/src/main/java/olivechute/store/FeatureLevels.java
+++ b/src/main/java/olivechute/store/FeatureLevels.java
@@ -36,6 +36,7 @@
         return transaction.commit();
     }
 
+    /** Raises the group's feature level; a level at or below the present one is accepted and changes nothing. */
     StoreState raise(StoreState state, int level) throws CommandRejectedException {
         if (Integer.compareUnsigned(level, state.featureLevel()) <= 0) {
             return state;
--- a/src/main/java/olivechute/store/MemoryStore.java
+++ b/src/main/java/olivechute/store/MemoryStore.java
@@ -16,8 +16,8 @@
 
 /**
  * A store within one process, over the same state machine as the replicated store, for tests and for standalone use.
- * Leases expire by the given clock, at each write and at {@link #tick}; watches wait by the machine's own clock. Safe
- * for use by several threads.
+ * Leases expire by the given clock, at each write and at {@link #tick}; watches time out by {@link System#nanoTime}.
+ * Safe for use by several threads.
  */
 public final class MemoryStore implements Store {
     private final LongSupplier clockMs;
--- a/src/main/java/olivechute/store/QueryExecutor.java
+++ b/src/main/java/olivechute/store/QueryExecutor.java
@@ -10,7 +10,7 @@
 import olivechute.store.wire.Status;
 
 /** Builds the replies to queries from a state, without side effects. */
-@SuppressWarnings("NonApiType") // only the library's own sorted set type has the range view
+@SuppressWarnings("NonApiType") // changedKeys returns TreeSet to state in its type that the keys are ordered
 final class QueryExecutor {
     private QueryExecutor() {}
 
--- a/src/main/java/olivechute/store/StateTransaction.java
+++ b/src/main/java/olivechute/store/StateTransaction.java
@@ -6,7 +6,8 @@
 import org.pcollections.TreePSet;
 
 /**
- * Collects the changes of one command to a state. Not thread-safe. A transaction that is not committed has no effect.
+ * Collects the changes that one command makes to a state. Not thread-safe. A transaction that is not committed has no
+ * effect.
  */
 final class StateTransaction {
     private final StoreLimits limits;
--- a/src/main/java/olivechute/store/StoreLimits.java
+++ b/src/main/java/olivechute/store/StoreLimits.java
@@ -11,7 +11,8 @@
  * @param maxTotalBytes maximum bytes of all keys and values together
  * @param maxLeases maximum leases held at once; the fencing tokens of as many ended leases are remembered too
  * @param maxReplicas maximum replicas that have announced their feature level
- * @param maxHistoryKeys maximum changes of single keys that are kept for watches
+ * @param maxHistoryKeys maximum key changes kept in the history for watches; a key counts once for each version that
+ *     changed it
  * @param maxWatches maximum watches that wait at once at one replica
  */
 public record StoreLimits(
--- a/src/main/java/olivechute/store/StoreState.java
+++ b/src/main/java/olivechute/store/StoreState.java
@@ -10,7 +10,8 @@
  * @param index log index of the last applied command
  * @param version the store's version, which increases with each change of keys and with each lease acquired
  * @param clockMs highest clock seen in a command, in ms since the epoch
- * @param featureLevel the group's feature level
+ * @param featureLevel the group's feature level: the highest level of a command that it accepts, raised only to a level
+ *     that every announced replica supports
  * @param entries values by key
  * @param totalBytes bytes of all keys and values
  * @param keysBySession keys by the session that they belong to
--- a/src/main/java/olivechute/store/WatchRegistry.java
+++ b/src/main/java/olivechute/store/WatchRegistry.java
@@ -19,7 +19,7 @@
         final String prefix;
         final long deadlineMs;
         final CompletableFuture<Reply> future = new CompletableFuture<>();
-        long since;
+        long since; // advances to the version of each state that had no change for this watch
 
         PendingWatch(String prefix, long since, long deadlineMs) {
             this.prefix = prefix;
--- a/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
+++ b/src/main/java/olivechute/store/raft/DeadlineRetryPolicy.java
@@ -10,7 +10,10 @@
 import org.apache.ratis.protocol.exceptions.ReadIndexException;
 import org.apache.ratis.retry.RetryPolicy;
 
-/** Retry policy of the Raft client: retries until the time-out of the call on this thread, with short random pauses. */
+/**
+ * Retry policy of the Raft client: retries until the time-out of the call on this thread, with short random pauses. For
+ * the blocking client API only, which consults the policy on the caller's thread.
+ */
 final class DeadlineRetryPolicy implements RetryPolicy {
     private static final int MIN_PAUSE_MS = 20;
     private static final int MAX_PAUSE_MS = 120;
--- a/src/main/java/olivechute/store/raft/DiskProbe.java
+++ b/src/main/java/olivechute/store/raft/DiskProbe.java
@@ -12,9 +12,9 @@
 import org.tinylog.Logger;
 
 /**
- * Probes whether a replica's data directory is writable: writes a block and forces it to disk, at the same file offset
- * that log files reach, since a limit on file sizes counts too. Also keeps a reserve file, which is deleted once the
- * disk is full so that work in progress can finish.
+ * Probes whether a replica's data directory is writable: writes a block and forces it to disk, at the offset up to
+ * which log files grow, so that a limit on file sizes is detected too. Also keeps a reserve file, which is deleted once
+ * the disk is full so that work in progress can finish.
  */
 final class DiskProbe {
     private static final int BLOCK_BYTES = 4096;
--- a/src/main/java/olivechute/store/raft/LogTail.java
+++ b/src/main/java/olivechute/store/raft/LogTail.java
@@ -17,8 +17,8 @@
  * left for the library to reject.
  */
 final class LogTail {
-    private static final int HEADER_BYTES = 8;
-    private static final int CHECKSUM_BYTES = 4;
+    private static final int HEADER_BYTES = 8; // of a log file
+    private static final int CHECKSUM_BYTES = 4; // of a log entry: CRC32C, big-endian
 
     private LogTail() {}
 
@@ -49,6 +49,7 @@
     /** Returns the offset of a torn entry, or -1 if there is none. */
     static int findTornEntry(byte[] file) {
         for (int offset = HEADER_BYTES; offset < file.length && file[offset] != 0; ) {
+            // An entry begins with its length, a protobuf varint of at most 5 bytes.
             long length = 0;
             int dataOffset = offset;
             for (int shift = 0; dataOffset < file.length && shift < 35; shift += 7) {
--- a/src/main/java/olivechute/store/raft/RaftMember.java
+++ b/src/main/java/olivechute/store/raft/RaftMember.java
@@ -27,8 +27,8 @@
 import org.tinylog.Logger;
 
 /**
- * The Raft server of one replica, from one start to its end. A disk fault ends a member, and the recovery of the disk
- * starts a new one.
+ * The Raft server of one replica, from its start to its shutdown. A disk fault shuts a member down; when the disk has
+ * recovered, {@link Replica} starts a new one.
  */
 final class RaftMember implements AutoCloseable {
     private static final int SNAPSHOT_TIMEOUT_MS = 60_000;
@@ -88,6 +88,7 @@
     }
 
     private CompletableFuture<?> requestSnapshot() {
+        // The last argument, the creation gap, permits a snapshot as soon as one entry was applied since the last one.
         return server.snapshotManagementAsync(SnapshotManagementRequest.newCreate(
                 clientId, id, group.getGroupId(), lastCallId.incrementAndGet(), SNAPSHOT_TIMEOUT_MS, 1));
     }
@@ -110,7 +111,7 @@
         }
     }
 
-    /** Returns the current term, or the last one after the server has ended. */
+    /** Returns the current term, or the last known term if the server has ended. */
     long term() {
         try {
             term = server.getDivision(group.getGroupId()).getInfo().getCurrentTerm();
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Transfers leadership to another replica, trying each for a short time. */
+    /** Transfers leadership to another replica, trying each for up to {@link #TRANSFER_TIMEOUT_MS}. */
     void transferLeadership() {
         for (ReplicaAddress each : settings.replicas()) {
             if (isLeaderReady() && !each.id().equals(settings.id())) {
@@ -163,7 +164,9 @@
         }
     }
 
-    /** Called every quarter of a second: expires watches and, on the leader, submits a tick that expires leases. */
+    /**
+     * Called every 250 ms by {@link Replica}: expires watches and, on the leader, submits a tick that expires leases.
+     */
     void tick() {
         stateMachine.expireWatches();
         if (isLeaderReady() && pendingTick.isDone() && stateMachine.leaseCount() > 0) {
--- a/src/main/java/olivechute/store/raft/RatisConfiguration.java
+++ b/src/main/java/olivechute/store/raft/RatisConfiguration.java
@@ -26,9 +26,9 @@
 final class RatisConfiguration {
     private static final int MIB = 1024 * 1024;
     private static final int CACHED_SEGMENTS = 2;
-    private static final int MAX_COMMAND_BYTES = 4 * MIB; // maximum size of a command
-    private static final int PREALLOCATED_BYTES = 64 * 1024; // of a log file, ahead of the last write
-    private static final int SNAPSHOT_CHUNK_BYTES = MIB; // of a snapshot sent to another replica
+    private static final int MAX_COMMAND_BYTES = 4 * MIB;
+    private static final int PREALLOCATED_BYTES = 64 * 1024; // preallocated in a log file ahead of the last write
+    private static final int SNAPSHOT_CHUNK_BYTES = MIB; // size of the chunks in which a snapshot is sent to a replica
 
     private RatisConfiguration() {}
 
@@ -58,8 +58,8 @@
         GrpcConfigKeys.Server.setPort(properties, Integer.parseInt(address.substring(colon + 1)));
         GrpcConfigKeys.setMessageSizeMax(properties, SizeInBytes.valueOf(2L * MAX_COMMAND_BYTES));
         GrpcConfigKeys.setFlowControlWindow(properties, SizeInBytes.valueOf(MIB));
-        // One append at a time carries all pending entries; several can overtake each other on the way and are rejected
-        // for it.
+        // One append request at a time carries all pending entries. Several at once can arrive out of order, and the
+        // follower rejects them then.
         GrpcConfigKeys.Server.setLeaderOutstandingAppendsMax(properties, 1);
         RaftServerConfigKeys.setStorageDir(properties, List.of(logDirectory.toFile()));
         RaftServerConfigKeys.Rpc.setTimeoutMin(
@@ -70,7 +70,8 @@
                 properties, millis(settings.maxElectionTimeout().toMillis()));
         RaftServerConfigKeys.LeaderElection.setLeaderStepDownWaitTime(properties, millis(2_000));
         RaftServerConfigKeys.Read.setOption(properties, RaftServerConfigKeys.Read.Option.LINEARIZABLE);
-        // A pause of the machine must not shut down the server; the supervisor of the process handles that.
+        // Ratis shuts a server down after a JVM pause longer than this threshold. One hour rules that out in practice:
+        // a stalled process is the concern of its supervisor.
         RaftServerConfigKeys.setCloseThreshold(properties, millis(3_600_000));
         setMemoryLimits(properties, settings);
         return properties;
--- a/src/main/java/olivechute/store/raft/RatisStateMachine.java
+++ b/src/main/java/olivechute/store/raft/RatisStateMachine.java
@@ -97,7 +97,7 @@
         watches.expire(clockMs.getAsLong());
     }
 
-    /** Completes all watches, since no more changes are applied here. */
+    /** Completes all watches, since this replica applies no more changes. */
     void completeWatches() {
         watches.expire(Long.MAX_VALUE);
     }
--- a/src/main/java/olivechute/store/raft/RatisStore.java
+++ b/src/main/java/olivechute/store/raft/RatisStore.java
@@ -31,7 +31,7 @@
  */
 public final class RatisStore implements Store {
     private static final int MIN_ATTEMPTS = 4; // attempts that fit into a time-out if each of them hangs
-    private static final Duration WATCH_SLACK = Duration.ofSeconds(1);
+    private static final Duration WATCH_SLACK = Duration.ofSeconds(1); // for the reply to arrive after the wait
 
     private final Duration timeout;
     private final RaftClient callClient;
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -22,7 +22,8 @@
 
 /**
  * One replica of the replicated store: acquires its data directory, runs its Raft member and reports leadership. Leaves
- * the group on a disk fault and rejoins it on recovery. {@link #terminated} completes when it cannot continue.
+ * the group on a disk fault and rejoins it on recovery. {@link #terminated} completes when the replica cannot continue
+ * or is closed.
  */
 @SuppressWarnings(
         "FutureReturnValueIgnored") // the periodic tasks run until the replica is closed, and log what they throw
@@ -40,7 +41,7 @@
     private DataDirectory dataDirectory;
     private DiskMonitor diskMonitor;
     private volatile RaftMember member;
-    private RaftMember closedMember; // the one that was closed on the last disk fault
+    private RaftMember closedMember; // member closed on the last disk fault; null if there was none
     private volatile boolean isLeader;
 
     /** Creates a replica; {@code eventLines} receives a line for each event. */
@@ -59,7 +60,8 @@
 
     /**
      * Registers a listener that is called with true when this replica becomes leader and with false when it no longer
-     * is. The calls come one after the other on one thread, which must not be blocked for long.
+     * is. Calls come one at a time from the event thread, which must not be blocked for long, except for the call that
+     * {@link #close} makes on the caller's thread.
      */
     public void onLeadershipChange(Consumer<Boolean> listener) {
         onLeadershipChange.add(listener);
@@ -107,7 +109,10 @@
         }
     }
 
-    /** Returns the exception for a failed start; a failed read mostly means corrupt data. */
+    /**
+     * Returns the exception for a failed start; a failure of unknown cause counts as corrupt data, the usual reason for
+     * a failed read.
+     */
     private FleetException toStartFailure(Exception failure) {
         for (Throwable each = failure; each != null; each = each.getCause()) {
             if (each instanceof BindException) {
@@ -192,7 +197,7 @@
         }
     }
 
-    /** Returns whether this replica is the leader and has every write acknowledged before. */
+    /** Returns whether this replica is the leader and has applied every write that was acknowledged before. */
     public boolean isLeader() {
         return isLeader;
     }
--- a/src/main/java/olivechute/store/raft/ReplicaSettings.java
+++ b/src/main/java/olivechute/store/raft/ReplicaSettings.java
@@ -19,7 +19,7 @@
  * Settings of one replica; deploy/store.conf documents each key.
  *
  * @param region separates groups of replicas with the same ids; clients must name the same region
- * @param quotaBytes maximum size of the data directory in bytes, 0 for no limit of this program
+ * @param quotaBytes maximum size of the data directory in bytes, 0 for no limit
  * @param snapshotEntries log entries after which a snapshot is taken
  * @param snapshotBytes bytes of log entries after which a snapshot is taken
  */
@@ -88,7 +88,7 @@
                 bounds.integer("leases", 1_000, 1, 100_000),
                 bounds.integer("watches", 500, 1, 10_000));
         bounds.rejectUnknownKeys();
-        root.has("rollout"); // read by the rollout driver
+        root.has("rollout"); // marks the key as known; its value is read by the rollout driver
         root.rejectUnknownKeys();
         if (faults.isEmpty() && replicas.stream().noneMatch(r -> r.id().equals(settings.id()))) {
             root.addError("id", "must be one of the replicas");
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Returns the bytes that the data directory may need: the reserve, three snapshots, and twice the log between two
-     * snapshots with its last segment.
+     * Returns the bytes that the data directory may need: the reserve file, three snapshots (two kept and one being
+     * written), and twice the log between two snapshots, including its last segment.
      */
     long minQuotaBytes() {
         return DiskProbe.RESERVE_BYTES + 3 * maxTotalBytes + 2 * (snapshotBytes + segmentBytes);
--- a/src/main/java/olivechute/store/raft/SnapshotStorage.java
+++ b/src/main/java/olivechute/store/raft/SnapshotStorage.java
@@ -32,9 +32,9 @@
 import org.tinylog.Logger;
 
 /**
- * Takes and loads snapshots. As the state is immutable, writing one blocks nobody: after a number of log entries or
- * bytes a thread of its own writes the state to a temporary file and syncs it to disk; then the Raft server is asked to
- * take a snapshot, which only renames the finished file.
+ * Takes and loads snapshots. The state is immutable, so writing it does not block the commands that follow: after a
+ * number of log entries or bytes a dedicated thread writes the state to a temporary file and syncs it to disk; then the
+ * Raft server is asked to take a snapshot, which only renames the finished file.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // a snapshot that failed is retried when the next one is due
 final class SnapshotStorage implements AutoCloseable {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** Starts a snapshot if one is due. */
+    /** Starts a snapshot if one is due. Called by the thread that applies commands. */
     void onApplied(StoreState state, TermIndex entry, long entryBytes) {
         bytesSinceSnapshot += entryBytes;
         if ((entry.getIndex() - lastIndex < entryInterval && bytesSinceSnapshot < byteInterval)
--- a/src/main/java/olivechute/store/raft/VoteFile.java
+++ b/src/main/java/olivechute/store/raft/VoteFile.java
@@ -11,9 +11,10 @@
 import org.tinylog.Logger;
 
 /**
- * The Raft library's file of a replica's term and vote. When it is written to a full disk, a truncated file replaces
- * the complete one. As long as the process lives, its term is known: it has not voted in a higher term, and recording a
- * vote for itself in that term cannot grant a second vote to another replica.
+ * The file in which the Raft library stores a replica's term and vote. When the library writes it to a full disk, a
+ * truncated file replaces the complete one. While the process runs, the replica's last term is known: the replica has
+ * not voted in a higher term, and recording a vote for itself in that term cannot grant a second vote to another
+ * replica.
  */
 final class VoteFile {
     private VoteFile() {}
--- a/src/main/java/olivechute/svid/FolderSvidSource.java
+++ b/src/main/java/olivechute/svid/FolderSvidSource.java
@@ -35,7 +35,7 @@
 
     private final Path folder;
     private final String trustDomain;
-    private Map<String, String> appliedStamps = Map.of(); // stamps by file name of the last accepted offer
+    private Map<String, String> appliedStamps = Map.of(); // file stamps of the last accepted offer
 
     /** {@code folder} may be a symbolic link and need not exist yet. */
     public FolderSvidSource(Path folder, String trustDomain) {
@@ -81,6 +81,10 @@
         }
     }
 
+    /**
+     * Returns a stamp of each file by its path: the file key, modification time and size, which change when the file is
+     * replaced or rewritten.
+     */
     private static Map<String, String> fileStamps(Path directory) throws IOException {
         Map<String, String> stamps = new TreeMap<>();
         for (Path file : files(directory)) {
--- a/src/main/java/olivechute/svid/WorkloadApiMessages.java
+++ b/src/main/java/olivechute/svid/WorkloadApiMessages.java
@@ -30,14 +30,16 @@
     /** Metadata required on each call, so that a browser cannot be made to call the API. */
     public static final Map<String, String> METADATA = Map.of("workload.spiffe.io", "true");
 
-    private static final int SVIDS = 1; // of X509SVIDResponse
+    // Field numbers of X509SVIDResponse
+    private static final int SVIDS = 1;
     private static final int FEDERATED = 3;
-    private static final int ID = 1; // of X509SVID
+    // Field numbers of X509SVID
+    private static final int ID = 1;
     private static final int CHAIN = 2;
     private static final int KEY = 3;
     private static final int BUNDLE = 4;
     private static final int HINT = 5;
-    private static final int BUNDLES = 1; // of JWTBundlesResponse
+    private static final int BUNDLES = 1; // field number of JWTBundlesResponse
     private static final String SCHEME = "spiffe://";
 
     private WorkloadApiMessages() {}
@@ -51,7 +53,7 @@
         try {
             CodedInputStream in = CodedInputStream.newInstance(message);
             for (int tag = in.readTag(); tag != 0; tag = in.readTag()) {
-                if ((tag & 7) == 2) {
+                if ((tag & 7) == 2) { // wire type 2: length-delimited
                     fields.add(new Field(tag >>> 3, in.readByteArray()));
                 } else {
                     in.skipField(tag);
@@ -63,6 +65,10 @@
         return fields;
     }
 
+    /**
+     * Returns the last value of a field, which is the one that counts in protobuf, or an empty array if the field is
+     * missing.
+     */
     private static byte[] lastValue(List<Field> fields, int number) {
         byte[] found = new byte[0];
         for (Field field : fields) {
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -25,7 +25,7 @@
  * Receives SVIDs from the SPIFFE Workload API over one connection to a local agent, whose streams deliver each renewal.
  * When the connection ends or violates the protocol, it is opened again after a backoff.
  */
-@SuppressWarnings("WaitNotInLoop") // the caller waits in a loop that reads the state again
+@SuppressWarnings("WaitNotInLoop") // a spurious wakeup only shortens one retry delay
 public final class WorkloadApiSvidSource {
     private static final long MIN_RETRY_DELAY_MS = 250;
     private static final long MAX_RETRY_DELAY_MS = 30_000;
@@ -113,7 +113,7 @@
         private final GrpcConnection connection = GrpcConnection.client(this);
         private int x509Stream;
         private Offer offer;
-        private Map<String, Map<String, PublicKey>> keys = Map.of();
+        private Map<String, Map<String, PublicKey>> keys = Map.of(); // by trust domain and key id
         private String endReason; // why the connection is over, null while it is open
 
         Session(SvidListener sink) {
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -38,7 +38,7 @@
     /** An issued SVID: the certificate chain, leaf first and without the root, and the private key of the leaf. */
     public record Issued(List<X509Certificate> chain, PrivateKey key) {}
 
-    /** Creates a root with a new key that is valid within these times. */
+    /** Creates a root with a new key, valid from {@code from} to {@code to}. */
     public static CertificateAuthority root(String trustDomain, Instant from, Instant to) {
         return root(trustDomain, authorityContent(trustDomain, "root", CertificateBuilder.newEcKeyPair(), from, to));
     }
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -87,7 +87,7 @@
     }),
     LONG_CHAIN(Reason.TOO_LARGE, g -> {
         CertificateAuthority at = g.root;
-        for (int i = 0; i < 6; i++) {
+        for (int i = 0; i < 6; i++) { // with the leaf, one certificate more than X509Check accepts
             at = at.intermediate(g.from, g.to);
         }
         return at.issue(g.leaf());
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -161,7 +161,7 @@
             String method = headers.get(":path");
             boolean named = headers.entrySet().containsAll(WorkloadApiMessages.METADATA.entrySet());
             try {
-                int end = rejectStatus != 0 ? rejectStatus : !named ? 3 : 0;
+                int end = rejectStatus != 0 ? rejectStatus : !named ? 3 : 0; // 3: invalid argument
                 if (unresponsive) {
                     return;
                 }
--- a/src/main/java/olivechute/tls/TlsContext.java
+++ b/src/main/java/olivechute/tls/TlsContext.java
@@ -31,9 +31,7 @@
  * calls no trust manager, so the peer's chain from the original handshake is checked again.
  */
 public final class TlsContext {
-    /** The protocol versions; TLS 1.2 only if the settings allow it. */
     private static final String[] TLS_1_3_ONLY = {"TLSv1.3"};
-
     private static final String[] TLS_1_3_AND_1_2 = {"TLSv1.3", "TLSv1.2"};
     private static final int SESSION_CACHE_SIZE = 512;
 
@@ -90,8 +88,8 @@
     }
 
     /**
-     * Returns the context for blocking JDK sockets, as test doubles use it; there a resumed session is not checked
-     * again.
+     * Returns the JDK's context for the blocking sockets of test doubles. On these sockets the peer of a resumed
+     * session is not checked again.
      */
     public SSLContext sslContext() {
         return context;
--- a/src/test/java/olivechute/grpc/GrpcConnectionTest.java
+++ b/src/test/java/olivechute/grpc/GrpcConnectionTest.java
@@ -120,7 +120,7 @@
         "000001 01 04 00000001 ff, headers that cannot be read",
         "000001 01 0c 00000001 05, more padding than payload",
         "000001 01 24 00000001 05, too short",
-        "000002 08 00 00000001 0005, too short",
+        "000002 08 00 00000001 0005, a WINDOW_UPDATE frame whose payload is not 4 bytes",
         "000006 04 00 00000000 0004ffffffff, a window over",
         "000004 05 04 00000001 00000002, a push",
         "000008 07 00 00000000 0000000000000000, sent GOAWAY",
