--- a/src/main/java/olivechute/authorization/EndpointIdentityRules.java
+++ b/src/main/java/olivechute/authorization/EndpointIdentityRules.java
@@ -43,17 +43,19 @@
         }
 
         /** Returns true if this ID results from the rule for some name to which the rule applies. */
-        boolean matchesId(String shown) {
-            int at = id.indexOf(PLACEHOLDER);
-            if (at < 0) {
-                return id.equals(shown);
+        boolean matchesId(String presentedId) {
+            int placeholderStart = id.indexOf(PLACEHOLDER);
+            if (placeholderStart < 0) {
+                return id.equals(presentedId);
             }
-            int after = id.length() - at - PLACEHOLDER.length();
-            String name = shown.length() <= at + after ? "" : shown.substring(at, shown.length() - after);
+            int suffixLength = id.length() - placeholderStart - PLACEHOLDER.length();
+            String name = presentedId.length() <= placeholderStart + suffixLength
+                    ? ""
+                    : presentedId.substring(placeholderStart, presentedId.length() - suffixLength);
             return !name.isEmpty()
                     && name.indexOf('/') < 0
                     && appliesTo(name)
-                    && id.replace(PLACEHOLDER, name).equals(shown);
+                    && id.replace(PLACEHOLDER, name).equals(presentedId);
         }
 
         boolean appliesTo(String name) {
@@ -74,7 +76,7 @@
             if (rule.appliesTo(endpoint)) {
                 try {
                     return endpoint.indexOf('/') >= 0 ? null : SpiffeId.parse(rule.id.replace(PLACEHOLDER, endpoint));
-                } catch (IdentityRejectedException unfit) {
+                } catch (IdentityRejectedException invalidId) {
                     return null; // the name cannot be part of a SPIFFE ID
                 }
             }
--- a/src/main/java/olivechute/authorization/SpiffeIdPattern.java
+++ b/src/main/java/olivechute/authorization/SpiffeIdPattern.java
@@ -40,9 +40,11 @@
                         key + ": a trust domain must not contain a wildcard: '" + text + "'");
             }
             for (int i = 0; i < segments.size(); i++) {
-                String s = segments.get(i);
-                boolean star = s.indexOf('*') >= 0;
-                if (star && !s.equals(ANY_SEGMENT) && !(s.equals(ANY_SEGMENTS) && i == segments.size() - 1)) {
+                String segment = segments.get(i);
+                boolean hasStar = segment.indexOf('*') >= 0;
+                if (hasStar
+                        && !segment.equals(ANY_SEGMENT)
+                        && !(segment.equals(ANY_SEGMENTS) && i == segments.size() - 1)) {
                     throw new IllegalArgumentException(
                             key + ": * stands for a whole segment and ** for the last ones: '" + text + "'");
                 }
--- a/src/main/java/olivechute/benchmark/AllocationProfile.java
+++ b/src/main/java/olivechute/benchmark/AllocationProfile.java
@@ -59,9 +59,9 @@
     private static Map<String, long[]> read(List<String> lines) {
         Map<String, long[]> classes = new HashMap<>();
         for (String line : lines) {
-            String[] f = line.strip().split("\\s+");
-            if (f.length >= 4 && f[0].endsWith(":")) {
-                classes.merge(f[3], new long[] {Long.parseLong(f[1]), Long.parseLong(f[2])}, (x, y) ->
+            String[] columns = line.strip().split("\\s+");
+            if (columns.length >= 4 && columns[0].endsWith(":")) {
+                classes.merge(columns[3], new long[] {Long.parseLong(columns[1]), Long.parseLong(columns[2])}, (x, y) ->
                         new long[] {x[0] + y[0], x[1] + y[1]});
             }
         }
--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -36,7 +36,7 @@
 
     private final Scenario scenario;
     private final ConnectionFactory connectionFactory;
-    private final StandInEndpoints hosts;
+    private final StandInEndpoints endpoints;
     private final StandInDiscovery discovery;
     private final NodeProcess node;
     private final List<StandInClient> clients = new ArrayList<>();
@@ -52,21 +52,21 @@
     BenchmarkRig(NodeUnderTest subject, Mode mode, int core, Scenario scenario) throws IOException {
         this.scenario = scenario;
         connectionFactory = subject.connectionFactory();
-        hosts = new StandInEndpoints(
+        endpoints = new StandInEndpoints(
                 connectionFactory,
                 scenario.endpoints(),
                 scenario.rejectionsPerRequest(),
                 scenario.newConnectionPerStatusEvent());
-        discovery = new StandInDiscovery(hosts.entries());
+        discovery = new StandInDiscovery(endpoints.entries());
         node = new NodeProcess(
                 subject.jar(),
                 mode,
                 core,
                 scenario.maxSockets(),
                 discovery.addressText(),
-                hosts.entries(),
+                endpoints.entries(),
                 connectionFactory.settings());
-        hosts.nodeAddress(node.address());
+        endpoints.nodeAddress(node.address());
         for (int i = 0; i < (scenario.connectionsOnly() ? 0 : scenario.clients()); i++) {
             clients.add(new StandInClient(scenario, connectionFactory, node.address()));
         }
@@ -98,17 +98,17 @@
         }
         Usage first = node.usage(countObjects);
         Usage before = node.usage(countObjects);
-        long connectsBefore = hosts.acceptedConnections();
-        long endpointTimeBeforeUs = hosts.endpointTimeUs();
+        long connectsBefore = endpoints.acceptedConnections();
+        long endpointTimeBeforeUs = endpoints.endpointTimeUs();
         Histogram latenciesUs = newHistogram();
         drive(requests, latenciesUs, false);
         Usage used = node.usage(countObjects).since(before, before.minus(first));
         return new Run(
                 requests,
                 used,
-                hosts.acceptedConnections() - connectsBefore,
+                endpoints.acceptedConnections() - connectsBefore,
                 latenciesUs,
-                (double) (hosts.endpointTimeUs() - endpointTimeBeforeUs) / requests);
+                (double) (endpoints.endpointTimeUs() - endpointTimeBeforeUs) / requests);
     }
 
     /** Warms the node up before counting, so that all classes are loaded and all buffers have their size. */
@@ -121,7 +121,7 @@
         } else {
             drive(scenario.requests() / 2, newHistogram(), usesTls());
             Thread.sleep(PERIODIC_WORK_MILLIS);
-            hosts.reportedRequests();
+            endpoints.reportedRequests();
         }
     }
 
@@ -168,7 +168,7 @@
         for (int i = 0; i < requests; i++) {
             client.request(latenciesUs, skipRejections, warmup);
             if (scenario.reachesEndpoint() && !warmup) {
-                hosts.awaitRequestReported();
+                endpoints.awaitRequestReported();
             }
         }
     }
@@ -177,15 +177,15 @@
      * Opens one connection and waits until the node has closed it or, in {@link Scenario#SHED}, the oldest open one.
      */
     private void connectAndAwaitClose() throws IOException {
-        BlockingHttpConnection wire = openConnection();
+        BlockingHttpConnection connection = openConnection();
         if (scenario == Scenario.SHED) {
-            openConnections.add(wire);
-            wire = openConnections.remove();
+            openConnections.add(connection);
+            connection = openConnections.remove();
         } else {
-            wire.shutdownOutput();
+            connection.shutdownOutput();
         }
-        wire.awaitEnd();
-        wire.close();
+        connection.awaitEnd();
+        connection.close();
     }
 
     @Override
@@ -195,10 +195,10 @@
         for (StandInClient client : clients) {
             client.close();
         }
-        for (BlockingHttpConnection wire : openConnections) {
-            wire.close();
+        for (BlockingHttpConnection connection : openConnections) {
+            connection.close();
         }
-        hosts.close();
+        endpoints.close();
         discovery.close();
         connectionFactory.close();
     }
--- a/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -74,16 +74,16 @@
         }
         String head = new String(buffer, readPosition, end - readPosition, StandardCharsets.ISO_8859_1);
         readPosition = end + 4;
-        Message plain = new Message(head, 0);
-        String length = plain.field("Content-Length");
+        Message withoutBody = new Message(head, 0);
+        String length = withoutBody.field("Content-Length");
         int body = length == null ? 0 : Integer.parseInt(length);
-        for (int left = body; left > 0; ) {
+        for (int remaining = body; remaining > 0; ) {
             if (readPosition == readLimit) {
                 fill();
             }
-            int n = Math.min(left, readLimit - readPosition);
+            int n = Math.min(remaining, readLimit - readPosition);
             readPosition += n;
-            left -= n;
+            remaining -= n;
         }
         return new Message(head, body);
     }
--- a/src/main/java/olivechute/benchmark/CallTrace.java
+++ b/src/main/java/olivechute/benchmark/CallTrace.java
@@ -70,16 +70,16 @@
         throw new IOException("strace: did not attach");
     }
 
-    private void print(Scenario scenario, int n, List<String> lines) {
+    private void print(Scenario scenario, int requests, List<String> lines) {
         StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-12s", scenario.key()));
         double total = 0;
         for (String row : lines) {
-            String[] f = row.strip().split("\\s+");
-            if (f.length == 2 && f[1].matches("[0-9]+") && !f[0].equals("total")) {
-                double perRequest = Long.parseLong(f[1]) / (double) n;
+            String[] columns = row.strip().split("\\s+");
+            if (columns.length == 2 && columns[1].matches("[0-9]+") && !columns[0].equals("total")) {
+                double perRequest = Long.parseLong(columns[1]) / (double) requests;
                 total += perRequest;
                 if (perRequest >= MIN_CALLS_PER_REQUEST) {
-                    line.append(String.format(Locale.ROOT, " %s %.2f", f[0], perRequest));
+                    line.append(String.format(Locale.ROOT, " %s %.2f", columns[0], perRequest));
                 }
             }
         }
--- a/src/main/java/olivechute/benchmark/ConnectBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ConnectBenchmark.java
@@ -48,15 +48,15 @@
         Histogram latenciesUs = new Histogram(10_000_000, 3);
         for (int i = 0; i < connections; i++) {
             long startNanos = System.nanoTime();
-            try (BlockingHttpConnection wire = rig.openConnection()) {
+            try (BlockingHttpConnection connection = rig.openConnection()) {
                 if (!rig.usesTls()) {
-                    wire.write(
+                    connection.write(
                             BlockingHttpConnection
                                     .READINESS_REQUEST); // with TLS this is part of opening the connection
-                    wire.read();
+                    connection.read();
                 }
                 latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
-                if (!resumes && wire.socket() instanceof SSLSocket secured) {
+                if (!resumes && connection.socket() instanceof SSLSocket secured) {
                     secured.getSession().invalidate();
                 }
             }
--- a/src/main/java/olivechute/benchmark/CostRecord.java
+++ b/src/main/java/olivechute/benchmark/CostRecord.java
@@ -25,10 +25,10 @@
             JsonFields all = JsonFields.parse("record", Files.readAllBytes(file));
             for (Scenario s : Scenario.values()) {
                 if (all.has(s.key())) {
-                    JsonFields of = all.node(s.key());
+                    JsonFields fields = all.node(s.key());
                     double[] values = new double[Count.values().length];
                     for (Count c : Count.values()) {
-                        values[c.ordinal()] = of.number(c.key());
+                        values[c.ordinal()] = fields.number(c.key());
                     }
                     counts.put(s, new Counts(values));
                 }
--- a/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
+++ b/src/main/java/olivechute/benchmark/HandshakeBenchmark.java
@@ -63,26 +63,26 @@
         TlsStateMachine create(int i);
     }
 
-    private void measure(String name, int handshakes, ClientFactory dial, Supplier<TlsStateMachine> accept)
+    private void measure(String name, int handshakes, ClientFactory clients, Supplier<TlsStateMachine> servers)
             throws TlsException {
         for (int i = 0; i < WARMUP_HANDSHAKES; i++) {
-            handshake(dial.create(-i), accept.get());
+            handshake(clients.create(-i), servers.get());
         }
-        long cpu = threads.getCurrentThreadCpuTime();
-        long heap = ((com.sun.management.ThreadMXBean) threads)
+        long cpuBeforeNanos = threads.getCurrentThreadCpuTime();
+        long allocatedBefore = ((com.sun.management.ThreadMXBean) threads)
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
         for (int i = 1; i <= handshakes; i++) {
-            handshake(dial.create(i), accept.get());
+            handshake(clients.create(i), servers.get());
         }
-        long used = threads.getCurrentThreadCpuTime() - cpu;
+        long cpuNanos = threads.getCurrentThreadCpuTime() - cpuBeforeNanos;
         long allocated = ((com.sun.management.ThreadMXBean) threads)
                         .getThreadAllocatedBytes(Thread.currentThread().getId())
-                - heap;
+                - allocatedBefore;
         out.printf(
                 Locale.ROOT,
                 "%-8s %8.0f us of CPU, %8d bytes allocated, both sides together%n",
                 name,
-                used / 1000.0 / handshakes,
+                cpuNanos / 1000.0 / handshakes,
                 allocated / handshakes);
         out.flush();
     }
--- a/src/main/java/olivechute/benchmark/Listener.java
+++ b/src/main/java/olivechute/benchmark/Listener.java
@@ -20,10 +20,10 @@
 
     /** Handles one connection from its first byte to its end. */
     interface ConnectionHandler {
-        void serve(BlockingHttpConnection wire) throws IOException, InterruptedException;
+        void serve(BlockingHttpConnection connection) throws IOException, InterruptedException;
     }
 
-    Listener(String name, ServerSocket listener, ConnectionHandler service) {
+    Listener(String name, ServerSocket listener, ConnectionHandler handler) {
         server = listener;
         Threads.start(name, () -> {
             try {
@@ -31,7 +31,7 @@
                     Socket socket = server.accept();
                     acceptedConnections.incrementAndGet();
                     sockets.add(socket);
-                    Threads.start(name, () -> run(socket, service));
+                    Threads.start(name, () -> run(socket, handler));
                 }
             } catch (IOException closed) {
                 return;
@@ -39,9 +39,9 @@
         });
     }
 
-    private void run(Socket socket, ConnectionHandler service) {
+    private void run(Socket socket, ConnectionHandler handler) {
         try (socket) {
-            service.serve(new BlockingHttpConnection(socket));
+            handler.serve(new BlockingHttpConnection(socket));
         } catch (IOException | InterruptedException ended) {
             return;
         } finally {
--- a/src/main/java/olivechute/benchmark/NodeProcess.java
+++ b/src/main/java/olivechute/benchmark/NodeProcess.java
@@ -110,19 +110,29 @@
     /** Returns the resources used so far; {@code objects} requires a walk through the heap. */
     Usage usage(boolean objects) throws IOException {
         stdin.println("usage");
-        String[] f = await(NodeProbe.ANSWER_PREFIX)
+        String[] fields = await(NodeProbe.ANSWER_PREFIX)
                 .substring(NodeProbe.ANSWER_PREFIX.length())
                 .split(" ");
-        long[] v = new long[9]; // in the order in which NodeProbe prints them
-        for (int i = 0; i < v.length; i++) {
-            v[i] = Long.parseLong(f[i]);
+        long[] values = new long[9]; // in the order in which NodeProbe prints them
+        for (int i = 0; i < values.length; i++) {
+            values[i] = Long.parseLong(fields[i]);
         }
-        long count = 0;
+        long objectCount = 0;
         if (objects) {
             stdin.println("objects");
-            count = Long.parseLong(await(NodeProbe.ANSWER_PREFIX).substring(NodeProbe.ANSWER_PREFIX.length()));
+            objectCount = Long.parseLong(await(NodeProbe.ANSWER_PREFIX).substring(NodeProbe.ANSWER_PREFIX.length()));
         }
-        return new Usage(v[0], v[1], v[2], v[3], v[4], v[5], v[6], v[7], v[8], count);
+        return new Usage(
+                values[0],
+                values[1],
+                values[2],
+                values[3],
+                values[4],
+                values[5],
+                values[6],
+                values[7],
+                values[8],
+                objectCount);
     }
 
     /**
--- a/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
+++ b/src/main/java/olivechute/benchmark/ResidentMemoryBenchmark.java
@@ -38,8 +38,8 @@
                     threads);
             out.flush();
         } finally {
-            for (BlockingHttpConnection wire : openConnections) {
-                wire.close();
+            for (BlockingHttpConnection connection : openConnections) {
+                connection.close();
             }
         }
     }
@@ -47,10 +47,10 @@
     private static void open(BenchmarkRig rig, List<BlockingHttpConnection> openConnections, int connections)
             throws IOException {
         for (int i = 0; i < connections; i++) {
-            BlockingHttpConnection wire = rig.openConnection();
-            wire.write(BlockingHttpConnection.READINESS_REQUEST);
-            wire.read();
-            openConnections.add(wire);
+            BlockingHttpConnection connection = rig.openConnection();
+            connection.write(BlockingHttpConnection.READINESS_REQUEST);
+            connection.read();
+            openConnections.add(connection);
         }
     }
 }
--- a/src/main/java/olivechute/benchmark/RotationBenchmark.java
+++ b/src/main/java/olivechute/benchmark/RotationBenchmark.java
@@ -81,27 +81,27 @@
     }
 
     private void load(TestTrustDomain trust, NodeProcess node) {
-        BlockingHttpConnection wire = null;
+        BlockingHttpConnection connection = null;
         TlsContext identity = null;
         while (!stopped.get()) {
             byte[] request = newRequest();
             for (int retries = 0; ; retries++) {
                 try {
-                    if (wire == null || identity != trust.client()) {
-                        close(wire);
+                    if (connection == null || identity != trust.client()) {
+                        close(connection);
                         identity = trust.client();
-                        wire = trust.client(node.address());
+                        connection = trust.client(node.address());
                     }
-                    wire.write(request);
-                    BlockingHttpConnection.Message answer = wire.read();
+                    connection.write(request);
+                    BlockingHttpConnection.Message answer = connection.read();
                     if (answer == null) {
                         throw new IOException("connection ended");
                     }
                     count(answer);
                     break;
                 } catch (IOException e) {
-                    close(wire);
-                    wire = null;
+                    close(connection);
+                    connection = null;
                     if (retries > 0) {
                         lost("no answer on a new connection: " + e.getMessage());
                         break;
@@ -110,7 +110,7 @@
                 }
             }
         }
-        close(wire);
+        close(connection);
     }
 
     private void count(BlockingHttpConnection.Message answer) {
@@ -126,10 +126,10 @@
         out.println("lost: " + why);
     }
 
-    private static void close(BlockingHttpConnection wire) {
+    private static void close(BlockingHttpConnection connection) {
         try {
-            if (wire != null) {
-                wire.close();
+            if (connection != null) {
+                connection.close();
             }
         } catch (IOException e) {
             return; // the connection is no longer needed
--- a/src/main/java/olivechute/benchmark/Scenario.java
+++ b/src/main/java/olivechute/benchmark/Scenario.java
@@ -23,9 +23,9 @@
     private final String description;
     private final int body;
 
-    Scenario(String key, String text, int body) {
+    Scenario(String key, String description, int body) {
         this.key = key;
-        this.description = text;
+        this.description = description;
         this.body = body;
     }
 
--- a/src/main/java/olivechute/benchmark/StandInClient.java
+++ b/src/main/java/olivechute/benchmark/StandInClient.java
@@ -17,12 +17,12 @@
     private static final long GAP_NANOS = 30_000;
 
     private final Scenario scenario;
-    private final BlockingHttpConnection wire;
+    private final BlockingHttpConnection connection;
     private final byte[] body;
 
     StandInClient(Scenario scenario, ConnectionFactory connectionFactory, InetSocketAddress node) throws IOException {
         this.scenario = scenario;
-        this.wire = connectionFactory.client(node);
+        this.connection = connectionFactory.client(node);
         this.body = new byte[scenario.body()];
         Arrays.fill(body, (byte) 0xb5); // the high bit tells body bytes from others, see CopyCounter
     }
@@ -39,7 +39,7 @@
                         : StandInEndpoints.REJECTION_MARKER);
         long startNanos = System.nanoTime();
         send(head);
-        BlockingHttpConnection.Message answer = wire.read();
+        BlockingHttpConnection.Message answer = connection.read();
         latenciesUs.recordValue((System.nanoTime() - startNanos) / 1000);
         int expectedStatus = scenario == Scenario.REFUSED ? 503 : 200;
         if (answer == null || (answer.status() != expectedStatus && !warmup)) {
@@ -60,24 +60,24 @@
     private void send(byte[] head) throws IOException {
         switch (scenario) {
             case PIECES -> {
-                wire.write(head);
+                connection.write(head);
                 for (int at = 0; at < body.length; at += PIECE_BYTES) {
                     pause();
-                    wire.write(body, at, PIECE_BYTES);
+                    connection.write(body, at, PIECE_BYTES);
                 }
             }
             case HEAD_OCTETS -> {
                 for (int at = 0; at < head.length; at++) {
-                    wire.write(head, at, 1);
+                    connection.write(head, at, 1);
                     pause();
                 }
-                wire.write(body);
+                connection.write(body);
             }
-            case CHUNKED -> wire.write(chunked(head));
+            case CHUNKED -> connection.write(chunked(head));
             default -> {
                 byte[] message = Arrays.copyOf(head, head.length + body.length);
                 System.arraycopy(body, 0, message, head.length, body.length);
-                wire.write(message);
+                connection.write(message);
             }
         }
     }
@@ -105,6 +105,6 @@
 
     @Override
     public void close() throws IOException {
-        wire.close();
+        connection.close();
     }
 }
--- a/src/main/java/olivechute/benchmark/StandInDiscovery.java
+++ b/src/main/java/olivechute/benchmark/StandInDiscovery.java
@@ -21,14 +21,14 @@
         String list = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries + "]}";
         byte[] fullList = response(list);
         byte[] emptyUpdate = response("{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
-        listener = new Listener("stand-in-discovery", ConnectionFactory.PLAINTEXT.listener(), wire -> {
-            for (BlockingHttpConnection.Message m = wire.read(); m != null; m = wire.read()) {
+        listener = new Listener("stand-in-discovery", ConnectionFactory.PLAINTEXT.listener(), connection -> {
+            for (BlockingHttpConnection.Message m = connection.read(); m != null; m = connection.read()) {
                 Matcher wait = WAIT.matcher(m.head());
                 boolean watch = wait.find();
                 if (watch) {
                     closed.await(Long.parseLong(wait.group(1)), TimeUnit.MILLISECONDS);
                 }
-                wire.write(watch ? emptyUpdate : fullList);
+                connection.write(watch ? emptyUpdate : fullList);
             }
         });
     }
--- a/src/main/java/olivechute/benchmark/StandInEndpoints.java
+++ b/src/main/java/olivechute/benchmark/StandInEndpoints.java
@@ -54,7 +54,8 @@
         this.newConnectionPerStatusEvent = newConnectionPerStatusEvent;
         for (int i = 0; i < count; i++) {
             String name = "w" + i;
-            listeners.add(new Listener("stand-in-host", connectionFactory.listener(), wire -> serve(name, wire)));
+            listeners.add(new Listener(
+                    "stand-in-host", connectionFactory.listener(), connection -> serve(name, connection)));
         }
     }
 
@@ -111,25 +112,25 @@
         reportedRequests.drainPermits();
     }
 
-    private void serve(String name, BlockingHttpConnection wire) throws IOException, InterruptedException {
+    private void serve(String name, BlockingHttpConnection connection) throws IOException, InterruptedException {
         BlockingHttpConnection statusConnection = null;
         try {
-            for (BlockingHttpConnection.Message m = wire.read(); m != null; m = wire.read()) {
+            for (BlockingHttpConnection.Message m = connection.read(); m != null; m = connection.read()) {
                 long startNanos = System.nanoTime();
                 if (m.head().startsWith("DELETE")) {
-                    wire.write(CANCELLED_RESPONSE);
+                    connection.write(CANCELLED_RESPONSE);
                     continue;
                 }
                 String id = m.field("X-Txn");
                 if (m.head().contains(REJECTION_MARKER)
                         && rejectionsById.merge(id, 1, Integer::sum) <= rejectionsPerRequest) {
-                    wire.write(REJECTED_RESPONSE);
+                    connection.write(REJECTED_RESPONSE);
                     continue;
                 }
                 rejectionsById.remove(id);
                 acceptedRequests.incrementAndGet();
                 requestIds.add(id);
-                wire.write(ACCEPTED_RESPONSE);
+                connection.write(ACCEPTED_RESPONSE);
                 for (String state : new String[] {
                     "\"started\"",
                     "\"done\",\"result\":\"a signature\",\"load\":{\"x0\":64,"
@@ -158,23 +159,23 @@
      * returns the last one used.
      */
     private BlockingHttpConnection sendStatusEvent(BlockingHttpConnection existing, byte[] event) throws IOException {
-        BlockingHttpConnection wire = existing;
+        BlockingHttpConnection connection = existing;
         for (int attempt = 1; ; attempt++) {
             try {
-                wire = wire == null ? connectionFactory.endpoint(nodeAddress) : wire;
-                wire.write(event);
-                if (wire.read() != null) {
-                    return wire;
+                connection = connection == null ? connectionFactory.endpoint(nodeAddress) : connection;
+                connection.write(event);
+                if (connection.read() != null) {
+                    return connection;
                 }
                 throw new IOException("job status event not answered");
             } catch (IOException e) {
                 if (attempt == MAX_SEND_ATTEMPTS) {
                     throw e;
                 }
-                if (wire != null) {
-                    wire.close();
+                if (connection != null) {
+                    connection.close();
                 }
-                wire = null;
+                connection = null;
             }
         }
     }
--- a/src/main/java/olivechute/benchmark/TestTrustDomain.java
+++ b/src/main/java/olivechute/benchmark/TestTrustDomain.java
@@ -116,18 +116,18 @@
      * the node.
      */
     @Override
-    public BlockingHttpConnection client(InetSocketAddress at) throws IOException {
-        BlockingHttpConnection wire = connect(client, at);
-        wire.write(BlockingHttpConnection.READINESS_REQUEST);
-        if (wire.read() == null) {
+    public BlockingHttpConnection client(InetSocketAddress nodeAddress) throws IOException {
+        BlockingHttpConnection connection = connect(client, nodeAddress);
+        connection.write(BlockingHttpConnection.READINESS_REQUEST);
+        if (connection.read() == null) {
             throw new IOException("no answer on a new connection");
         }
-        return wire;
+        return connection;
     }
 
     @Override
-    public BlockingHttpConnection endpoint(InetSocketAddress at) throws IOException {
-        return connect(endpoint, at);
+    public BlockingHttpConnection endpoint(InetSocketAddress nodeAddress) throws IOException {
+        return connect(endpoint, nodeAddress);
     }
 
     /** Each connection is accepted with the SVID that is current at that moment. */
--- a/src/main/java/olivechute/benchmark/TimingBenchmark.java
+++ b/src/main/java/olivechute/benchmark/TimingBenchmark.java
@@ -25,7 +25,7 @@
     }
 
     /** Prints a line for each scenario, jar and round: timings vary, so no round is left out. */
-    void run(List<Scenario> scenarios, NodeUnderTest subject, NodeUnderTest against)
+    void run(List<Scenario> scenarios, NodeUnderTest subject, NodeUnderTest baseline)
             throws IOException, InterruptedException {
         out.printf(
                 "%-12s %-24s %8s %8s %9s %9s %9s%n",
@@ -33,7 +33,7 @@
         for (Scenario s : scenarios) {
             for (int round = 0; round < rounds; round++) {
                 List<NodeUnderTest> subjects =
-                        new ArrayList<>(against == null ? List.of(subject) : List.of(against, subject));
+                        new ArrayList<>(baseline == null ? List.of(subject) : List.of(baseline, subject));
                 for (NodeUnderTest each : subjects) {
                     measure(s, each);
                 }
@@ -49,7 +49,7 @@
             rig.warmUp();
             rig.drive(n);
             BenchmarkRig.Run run = rig.run(n, false);
-            Histogram t = run.latenciesUs();
+            Histogram latenciesUs = run.latenciesUs();
             out.printf(
                     Locale.ROOT,
                     "%-12s %-24s %8.1f %8.2f %9.0f %9.0f %9.0f%n",
@@ -57,9 +57,9 @@
                     subject.jar().getFileName() + (subject.tls() ? " tls" : ""),
                     run.usage().cpuUs() / (double) n,
                     run.usage().waits() / (double) n,
-                    Math.max(0, t.getValueAtPercentile(50) - run.meanEndpointTimeUs()),
-                    Math.max(0, t.getValueAtPercentile(99) - run.meanEndpointTimeUs()),
-                    Math.max(0, t.getValueAtPercentile(99.9) - run.meanEndpointTimeUs()));
+                    Math.max(0, latenciesUs.getValueAtPercentile(50) - run.meanEndpointTimeUs()),
+                    Math.max(0, latenciesUs.getValueAtPercentile(99) - run.meanEndpointTimeUs()),
+                    Math.max(0, latenciesUs.getValueAtPercentile(99.9) - run.meanEndpointTimeUs()));
             out.flush();
         }
     }
--- a/src/main/java/olivechute/grpc/GrpcConnection.java
+++ b/src/main/java/olivechute/grpc/GrpcConnection.java
@@ -78,8 +78,8 @@
     private int bufferedBytes;
     private int prefaceBytesLeft; // bytes of the client's connection preface that the server has not received yet
     private int nextStream = 1;
-    private int block; // the stream whose header block is incomplete, 0 for none
-    private boolean blockEndsStream;
+    private int headerBlockStream; // the stream whose header block is incomplete, 0 for none
+    private boolean headerBlockEndsStream;
     private final ByteArrayOutputStream headerBlock = new ByteArrayOutputStream();
     private long sendWindow = DEFAULT_WINDOW_BYTES; // bytes that may be sent on the connection
     private int initialSendWindow = DEFAULT_WINDOW_BYTES; // bytes that may be sent on a new stream
@@ -101,7 +101,7 @@
         if (client) {
             out.writeBytes(PREFACE);
         }
-        frame(
+        writeFrame(
                 SETTINGS,
                 0,
                 0,
@@ -109,7 +109,7 @@
                         .putShort((short) INITIAL_WINDOW)
                         .putInt(RECEIVE_WINDOW_BYTES)
                         .array());
-        frame(WINDOW_UPDATE, 0, 0, int32(RECEIVE_WINDOW_BYTES - DEFAULT_WINDOW_BYTES));
+        writeFrame(WINDOW_UPDATE, 0, 0, int32(RECEIVE_WINDOW_BYTES - DEFAULT_WINDOW_BYTES));
     }
 
     /** Creates the side that makes calls. */
@@ -144,7 +144,7 @@
         headers.put("te", "trailers");
         headers.put("content-type", "application/grpc");
         headers.putAll(metadata);
-        headers(stream, headers, false);
+        writeHeaders(stream, headers, false);
         sendMessage(stream, request);
         finish(stream, null);
         return stream;
@@ -155,10 +155,10 @@
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put(":status", "200");
         headers.put("content-type", "application/grpc");
-        headers(stream, headers, false);
+        writeHeaders(stream, headers, false);
     }
 
-    private void headers(int stream, Map<String, String> headers, boolean ends) throws GrpcException {
+    private void writeHeaders(int stream, Map<String, String> headers, boolean ends) throws GrpcException {
         try {
             ByteArrayBuffer encoded = new ByteArrayBuffer(256);
             for (Map.Entry<String, String> each : headers.entrySet()) {
@@ -167,7 +167,7 @@
             if (encoded.length() > MAX_PAYLOAD_BYTES) {
                 throw new GrpcException("headers over " + MAX_PAYLOAD_BYTES + " bytes");
             }
-            frame(HEADERS, END_HEADERS | (ends ? END_STREAM : 0), stream, encoded.toByteArray());
+            writeFrame(HEADERS, END_HEADERS | (ends ? END_STREAM : 0), stream, encoded.toByteArray());
         } catch (CharacterCodingException e) {
             throw new GrpcException("headers: " + e.getMessage());
         }
@@ -202,9 +202,9 @@
     private void flush(int stream, Stream s) throws GrpcException {
         byte[] bytes = s.pending.toByteArray();
         int at = 0;
-        for (int n = room(s, bytes.length); n > 0; n = room(s, bytes.length - at)) {
+        for (int n = sendableBytes(s, bytes.length); n > 0; n = sendableBytes(s, bytes.length - at)) {
             boolean last = s.endPending && s.trailers == null && at + n == bytes.length;
-            frame(DATA, last ? END_STREAM : 0, stream, Arrays.copyOfRange(bytes, at, at + n));
+            writeFrame(DATA, last ? END_STREAM : 0, stream, Arrays.copyOfRange(bytes, at, at + n));
             s.endPending &= !last;
             at += n;
             s.sendWindow -= n;
@@ -218,19 +218,19 @@
         if (s.endPending && at == bytes.length) {
             s.endPending = false;
             if (s.trailers == null) {
-                frame(DATA, END_STREAM, stream, new byte[0]);
+                writeFrame(DATA, END_STREAM, stream, new byte[0]);
             } else {
-                headers(stream, s.trailers, true);
+                writeHeaders(stream, s.trailers, true);
                 streams.remove(stream);
             }
         }
     }
 
-    private int room(Stream s, int limit) {
+    private int sendableBytes(Stream s, int limit) {
         return (int) Math.max(0, Math.min(Math.min(limit, MAX_PAYLOAD_BYTES), Math.min(s.sendWindow, sendWindow)));
     }
 
-    private void frame(int type, int flags, int stream, byte[] payload) {
+    private void writeFrame(int type, int flags, int stream, byte[] payload) {
         out.write(payload.length >> 16);
         out.write(payload.length >> 8);
         out.write(payload.length);
@@ -278,7 +278,7 @@
                 break;
             }
             int stream = ByteBuffer.wrap(in, from + 5, 4).getInt() & Integer.MAX_VALUE;
-            frame(
+            handleFrame(
                     in[from + 3] & 0xff,
                     in[from + 4] & 0xff,
                     stream,
@@ -289,8 +289,8 @@
         System.arraycopy(in, from, in, 0, bufferedBytes);
     }
 
-    private void frame(int type, int flags, int stream, ByteBuffer payload) throws GrpcException {
-        if (block != 0 && (type != CONTINUATION || stream != block)) {
+    private void handleFrame(int type, int flags, int stream, ByteBuffer payload) throws GrpcException {
+        if (headerBlockStream != 0 && (type != CONTINUATION || stream != headerBlockStream)) {
             throw new GrpcException("a header block is interrupted by another frame");
         }
         switch (type) {
@@ -301,25 +301,25 @@
                     skip(payload, 5); // stream dependency and weight
                 }
                 acceptStream(stream);
-                block = stream;
-                blockEndsStream = (flags & END_STREAM) != 0;
-                block(flags, payload);
+                headerBlockStream = stream;
+                headerBlockEndsStream = (flags & END_STREAM) != 0;
+                handleHeaderFragment(flags, payload);
             }
             case CONTINUATION -> {
-                if (block == 0) {
+                if (headerBlockStream == 0) {
                     throw new GrpcException("a CONTINUATION frame without an open header block");
                 }
-                block(flags, payload);
+                handleHeaderFragment(flags, payload);
             }
             case SETTINGS -> handleSettings(flags, payload);
             case PING -> {
                 if ((flags & ACK) == 0) {
                     byte[] opaqueData = new byte[payload.remaining()];
                     payload.get(opaqueData);
-                    frame(PING, ACK, 0, opaqueData);
+                    writeFrame(PING, ACK, 0, opaqueData);
                 }
             }
-            case WINDOW_UPDATE -> room(stream, payload);
+            case WINDOW_UPDATE -> handleWindowUpdate(stream, payload);
             case RST_STREAM -> {
                 if (streams.containsKey(stream)) {
                     closeStream(
@@ -341,11 +341,11 @@
 
     private static void removePadding(int flags, ByteBuffer payload) throws GrpcException {
         if ((flags & PADDED) != 0) {
-            int pad = payload.hasRemaining() ? payload.get() & 0xff : 1;
-            if (payload.remaining() < pad) {
+            int paddingBytes = payload.hasRemaining() ? payload.get() & 0xff : 1;
+            if (payload.remaining() < paddingBytes) {
                 throw new GrpcException("more padding than payload");
             }
-            payload.limit(payload.limit() - pad);
+            payload.limit(payload.limit() - paddingBytes);
         }
     }
 
@@ -369,7 +369,7 @@
         streams.put(stream, s);
     }
 
-    private void block(int flags, ByteBuffer payload) throws GrpcException {
+    private void handleHeaderFragment(int flags, ByteBuffer payload) throws GrpcException {
         headerBlock.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
         if (headerBlock.size() > MAX_HEADER_BLOCK_BYTES) {
             throw new GrpcException("headers over " + MAX_HEADER_BLOCK_BYTES + " bytes");
@@ -387,14 +387,14 @@
                     "headers that cannot be read: " + e.getMessage()); // the library also throws undeclared exceptions
         }
         headerBlock.reset();
-        int stream = block;
-        block = 0;
+        int stream = headerBlockStream;
+        headerBlockStream = 0;
         // A response may consist of trailers only.
-        if (client && blockEndsStream) {
+        if (client && headerBlockEndsStream) {
             closeStream(stream, headers);
         } else {
             listener.onHeaders(stream, headers);
-            if (blockEndsStream) {
+            if (headerBlockEndsStream) {
                 listener.onEnd(stream, Map.of());
             }
         }
@@ -409,7 +409,7 @@
     private void handleData(int flags, int stream, ByteBuffer payload) throws GrpcException {
         int length = payload.remaining();
         if (length > 0) {
-            frame(WINDOW_UPDATE, 0, 0, int32(length));
+            writeFrame(WINDOW_UPDATE, 0, 0, int32(length));
         }
         Stream s = streams.get(stream);
         if (s == null) {
@@ -417,7 +417,7 @@
         }
         removePadding(flags, payload);
         if (length > 0) {
-            frame(WINDOW_UPDATE, 0, stream, int32(length));
+            writeFrame(WINDOW_UPDATE, 0, stream, int32(length));
         }
         s.partialMessage.write(payload.array(), payload.arrayOffset() + payload.position(), payload.remaining());
         deliverMessages(stream, s);
@@ -472,20 +472,20 @@
                 initialSendWindow = value;
             }
         }
-        frame(SETTINGS, ACK, 0, new byte[0]);
+        writeFrame(SETTINGS, ACK, 0, new byte[0]);
         flushAll();
     }
 
-    private void room(int stream, ByteBuffer payload) throws GrpcException {
+    private void handleWindowUpdate(int stream, ByteBuffer payload) throws GrpcException {
         if (payload.remaining() != 4) {
             throw new GrpcException("a WINDOW_UPDATE frame whose payload is not 4 bytes");
         }
-        int more = payload.getInt() & Integer.MAX_VALUE;
+        int increment = payload.getInt() & Integer.MAX_VALUE;
         if (stream == 0) {
-            sendWindow = Math.min(Integer.MAX_VALUE, sendWindow + more);
+            sendWindow = Math.min(Integer.MAX_VALUE, sendWindow + increment);
         } else if (streams.containsKey(stream)) {
             Stream s = streams.get(stream);
-            s.sendWindow = Math.min(Integer.MAX_VALUE, s.sendWindow + more);
+            s.sendWindow = Math.min(Integer.MAX_VALUE, s.sendWindow + increment);
         }
         flushAll();
     }
--- a/src/main/java/olivechute/identity/SpiffeId.java
+++ b/src/main/java/olivechute/identity/SpiffeId.java
@@ -10,7 +10,7 @@
 public record SpiffeId(String trustDomain, String path) {
     private static final String SCHEME = "spiffe://";
     // Limits of the SPIFFE-ID standard
-    private static final int MAX_BYTES = 2048;
+    private static final int MAX_ID_BYTES = 2048;
     private static final int MAX_DOMAIN_BYTES = 255;
 
     /** Parses an ID; throws an {@link IdentityRejectedException} with the reason if the text is not valid. */
@@ -18,8 +18,8 @@
         if (text == null || text.isEmpty()) {
             throw invalid("empty");
         }
-        if (text.length() > MAX_BYTES) {
-            throw invalid("over " + MAX_BYTES + " bytes");
+        if (text.length() > MAX_ID_BYTES) {
+            throw invalid("over " + MAX_ID_BYTES + " bytes");
         }
         if (!text.startsWith(SCHEME)) {
             throw invalid("must begin with " + SCHEME);
--- a/src/main/java/olivechute/identity/X509Check.java
+++ b/src/main/java/olivechute/identity/X509Check.java
@@ -190,10 +190,10 @@
         }
         // DER: a tag byte, then the length, either in one byte or in as many further bytes as the low 7 bits of that
         // byte give.
-        int lengthOctets = wrapped[1] >= 0 ? 0 : wrapped[1] & 0x7f;
+        int extraLengthBytes = wrapped[1] >= 0 ? 0 : wrapped[1] & 0x7f;
         X509CertSelector selector = new X509CertSelector();
         try {
-            selector.setNameConstraints(Arrays.copyOfRange(wrapped, 2 + lengthOctets, wrapped.length));
+            selector.setNameConstraints(Arrays.copyOfRange(wrapped, 2 + extraLengthBytes, wrapped.length));
         } catch (IOException e) {
             throw new IdentityRejectedException(
                     Reason.NOT_VOUCHED, "the name constraints of an authority cannot be parsed");
--- a/src/main/java/olivechute/security/IdentityManager.java
+++ b/src/main/java/olivechute/security/IdentityManager.java
@@ -31,9 +31,9 @@
     /** The node's identity, the TLS context built from it, and the time from which it is active. */
     record ActiveIdentity(OwnIdentity identity, TlsContext context, Instant since) {}
 
-    IdentityManager(String trustDomain, boolean lenient, Supplier<Instant> clock) throws IdentityRejectedException {
+    IdentityManager(String trustDomain, boolean allowTls12, Supplier<Instant> clock) throws IdentityRejectedException {
         this.svidManager = new SvidManager(trustDomain);
-        this.allowTls12 = lenient;
+        this.allowTls12 = allowTls12;
         this.clock = clock;
     }
 
--- a/src/main/java/olivechute/security/NodeSecurity.java
+++ b/src/main/java/olivechute/security/NodeSecurity.java
@@ -26,7 +26,7 @@
  * connects to upstream endpoints over TLS.
  */
 public final class NodeSecurity {
-    private static final String SCHEME = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
     private static final String AUTHORIZATION = "Authorization";
 
     private final IdentitySettings settings;
@@ -126,17 +126,17 @@
             }
 
             @Override
-            public PeerIdentity authenticate(Connection link) throws IOException {
-                X509Svid peer = ((TlsConnection) link).peer();
-                Rules now = rules;
-                if (!now.clientAuthorization().isClient(peer.id())
-                        && !now.endpointIdentities().isEndpoint(peer.id())
-                        && !isProxy(now, peer.id())) {
+            public PeerIdentity authenticate(Connection connection) throws IOException {
+                X509Svid peer = ((TlsConnection) connection).peer();
+                Rules currentRules = rules;
+                if (!currentRules.clientAuthorization().isClient(peer.id())
+                        && !currentRules.endpointIdentities().isEndpoint(peer.id())
+                        && !isProxy(currentRules, peer.id())) {
                     String reason = "no rule matches " + peer.id();
-                    RejectionLog.log(link.socket().getRemoteSocketAddress(), reason);
+                    RejectionLog.log(connection.socket().getRemoteSocketAddress(), reason);
                     throw new IOException(reason);
                 }
-                return new AuthenticatedPeer((TlsConnection) link, peer.id());
+                return new AuthenticatedPeer((TlsConnection) connection, peer.id());
             }
         };
     }
@@ -166,8 +166,8 @@
         private final TlsConnection connection;
         private final SpiffeId id;
 
-        AuthenticatedPeer(TlsConnection link, SpiffeId id) {
-            this.connection = link;
+        AuthenticatedPeer(TlsConnection connection, SpiffeId id) {
+            this.connection = connection;
             this.id = id;
         }
 
@@ -199,12 +199,12 @@
         String authorization = message.headers().hasSeveral(AUTHORIZATION)
                 ? null
                 : message.headers().get(AUTHORIZATION);
-        if (authorization == null || !authorization.startsWith(SCHEME)) {
+        if (authorization == null || !authorization.startsWith(BEARER_PREFIX)) {
             return new PeerIdentity.Rejection(403, "Authorization: one bearer token is needed");
         }
         try {
             SpiffeId id = tokens.check(
-                            authorization.substring(SCHEME.length()),
+                            authorization.substring(BEARER_PREFIX.length()),
                             rules.audience(),
                             identities.bundles(),
                             identities.now())
@@ -222,7 +222,7 @@
      */
     private final class TokenAuthenticator implements PeerIdentity.Authenticator, PeerIdentity {
         @Override
-        public PeerIdentity authenticate(Connection link) {
+        public PeerIdentity authenticate(Connection connection) {
             return this;
         }
 
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -57,18 +57,18 @@
     private TlsConnection(
             SocketChannel channel,
             IdentityManager identities,
-            IdentityManager.ActiveIdentity own,
-            TlsStateMachine machine,
-            Semaphore gate,
-            int acceptMillis,
-            PeerCheck wanted) {
+            IdentityManager.ActiveIdentity ownIdentity,
+            TlsStateMachine stateMachine,
+            Semaphore handshakePermits,
+            int acceptTimeoutMillis,
+            PeerCheck peerCheck) {
         super(channel);
         this.identities = identities;
-        this.ownIdentity = own;
-        this.stateMachine = machine;
-        this.handshakePermits = gate;
-        this.acceptTimeoutMillis = acceptMillis;
-        this.peerCheck = wanted;
+        this.ownIdentity = ownIdentity;
+        this.stateMachine = stateMachine;
+        this.handshakePermits = handshakePermits;
+        this.acceptTimeoutMillis = acceptTimeoutMillis;
+        this.peerCheck = peerCheck;
     }
 
     /** Wraps an accepted connection, whose handshake must complete within {@code handshakeTimeoutMillis}. */
@@ -116,9 +116,9 @@
         SvidManager.State state = identities.state();
         try {
             InputStream in = socket().getInputStream();
-            boolean first = acceptTimeoutMillis == 0; // the client sends before it reads
-            while (first || !stateMachine.isOpen()) {
-                if (!first) {
+            boolean sendsFirst = acceptTimeoutMillis == 0; // the client sends before it reads
+            while (sendsFirst || !stateMachine.isOpen()) {
+                if (!sendsFirst) {
                     socket().setSoTimeout(remainingMillis(deadlineNanos, timeoutMillis));
                     ByteBuffer buffer = stateMachine.receiveBuffer();
                     int n = TimedReads.read(in, buffer.array(), buffer.position(), buffer.remaining());
@@ -127,7 +127,7 @@
                     }
                     buffer.position(buffer.position() + n);
                 }
-                first = false;
+                sendsFirst = false;
                 advanceWithPermit(deadlineNanos, timeoutMillis);
             }
             peerCheck.check(stateMachine.peer());
@@ -139,11 +139,11 @@
     }
 
     private static int remainingMillis(long deadlineNanos, int timeoutMillis) throws IOException {
-        long left = (deadlineNanos - System.nanoTime()) / 1_000_000;
-        if (left <= 0) {
+        long remaining = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (remaining <= 0) {
             throw new SocketTimeoutException("no handshake within " + timeoutMillis + " ms");
         }
-        return (int) left;
+        return (int) remaining;
     }
 
     /** Performs one step of the handshake once a permit is free, which bounds how many run at once. */
--- a/src/main/java/olivechute/store/FeatureLevels.java
+++ b/src/main/java/olivechute/store/FeatureLevels.java
@@ -44,12 +44,12 @@
         if (state.announcedLevels().isEmpty()) {
             throw new CommandRejectedException(ErrorCode.LEVEL_TOO_LOW, "no replica has announced a feature level");
         }
-        int lowestKnown = Collections.min(state.announcedLevels().values(), Integer::compareUnsigned);
-        if (Integer.compareUnsigned(lowestKnown, level) < 0) {
+        int lowestSupported = Collections.min(state.announcedLevels().values(), Integer::compareUnsigned);
+        if (Integer.compareUnsigned(lowestSupported, level) < 0) {
             throw new CommandRejectedException(
                     ErrorCode.LEVEL_TOO_LOW,
                     "level " + Integer.toUnsignedString(level) + ", but a replica supports only "
-                            + Integer.toUnsignedString(lowestKnown) + ": " + state.announcedLevels());
+                            + Integer.toUnsignedString(lowestSupported) + ": " + state.announcedLevels());
         }
         StateTransaction transaction = new StateTransaction(state, limits);
         transaction.featureLevel(level);
--- a/src/main/java/olivechute/store/SnapshotCodec.java
+++ b/src/main/java/olivechute/store/SnapshotCodec.java
@@ -94,8 +94,8 @@
                 .setLevel(state.featureLevel())
                 .setIndex(state.index());
         state.announcedLevels()
-                .forEach((replica, knows) -> header.addAnnounced(
-                        Announce.newBuilder().setReplica(replica).setKnows(knows)));
+                .forEach((replica, level) -> header.addAnnounced(
+                        Announce.newBuilder().setReplica(replica).setKnows(level)));
         return header.build().toByteArray();
     }
 
--- a/src/main/java/olivechute/store/StoreMessages.java
+++ b/src/main/java/olivechute/store/StoreMessages.java
@@ -76,11 +76,11 @@
     }
 
     /** Builds a command that announces the feature level a replica supports; level 0 removes the replica. */
-    public static Command announce(String replica, int knownLevel) throws StoreException {
+    public static Command announce(String replica, int supportedLevel) throws StoreException {
         return newCommand()
                 .setAnnounce(Announce.newBuilder()
                         .setReplica(requireEncodable(replica))
-                        .setKnows(knownLevel))
+                        .setKnows(supportedLevel))
                 .build();
     }
 
--- a/src/main/java/olivechute/store/raft/LogTail.java
+++ b/src/main/java/olivechute/store/raft/LogTail.java
@@ -53,9 +53,9 @@
             long length = 0;
             int dataOffset = offset;
             for (int shift = 0; dataOffset < file.length && shift < 35; shift += 7) {
-                byte octet = file[dataOffset++];
-                length |= (long) (octet & 0x7f) << shift;
-                if (octet >= 0) {
+                byte varintByte = file[dataOffset++];
+                length |= (long) (varintByte & 0x7f) << shift;
+                if (varintByte >= 0) {
                     break;
                 }
             }
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -33,9 +33,9 @@
 
     private final ReplicaSettings settings;
     private final Consumer<String> eventLines;
-    private final CopyOnWriteArrayList<Consumer<Boolean>> onLeadershipChange = new CopyOnWriteArrayList<>();
+    private final CopyOnWriteArrayList<Consumer<Boolean>> leadershipListeners = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService eventExecutor = newExecutor("events");
-    private final ScheduledExecutorService disk = newExecutor("disk");
+    private final ScheduledExecutorService diskExecutor = newExecutor("disk");
     private final Thread announcer = new Thread(this::announceLevel, "announce");
     private final CompletableFuture<FleetException> terminated = new CompletableFuture<>();
     private DataDirectory dataDirectory;
@@ -64,7 +64,7 @@
      * {@link #close} makes on the caller's thread.
      */
     public void onLeadershipChange(Consumer<Boolean> listener) {
-        onLeadershipChange.add(listener);
+        leadershipListeners.add(listener);
     }
 
     /**
@@ -79,7 +79,9 @@
                                 .getGroupId()
                                 .getUuid());
         diskMonitor = new DiskMonitor(
-                new DiskProbe(settings.dataDirectory(), settings.segmentBytes()), settings.quotaBytes(), this::disk);
+                new DiskProbe(settings.dataDirectory(), settings.segmentBytes()),
+                settings.quotaBytes(),
+                this::onDiskChange);
         try {
             if (diskMonitor.check()) {
                 startMember();
@@ -89,7 +91,7 @@
             throw e;
         }
         eventExecutor.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        disk.scheduleWithFixedDelay(this::checkDisk, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        diskExecutor.scheduleWithFixedDelay(this::checkDisk, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         announcer.setDaemon(true);
         announcer.start();
     }
@@ -142,7 +144,7 @@
     }
 
     /** Leaves the group on a fault, or rejoins it on recovery. Runs on the disk thread. */
-    private void disk(ErrorCode error) {
+    private void onDiskChange(ErrorCode error) {
         if (member == null && error == null) {
             eventLines.accept("disk: well");
             try {
@@ -150,7 +152,7 @@
             } catch (FleetException e) {
                 leaveGroup();
                 if (e.code() == ErrorCode.DISK_FULL) {
-                    disk.execute(() -> diskMonitor.writeFailed(e));
+                    diskExecutor.execute(() -> diskMonitor.writeFailed(e));
                 } else {
                     terminated.complete(e);
                 }
@@ -210,7 +212,7 @@
     private void setLeader(boolean leading) {
         if (isLeader != leading) {
             isLeader = leading;
-            onLeadershipChange.forEach(each -> each.accept(leading));
+            leadershipListeners.forEach(each -> each.accept(leading));
         }
     }
 
@@ -247,7 +249,7 @@
         @Override
         public void onLogFailure(Throwable cause) {
             Logger.error("Raft log failed: {}", String.valueOf(cause));
-            disk.execute(() -> diskMonitor.writeFailed(cause));
+            diskExecutor.execute(() -> diskMonitor.writeFailed(cause));
         }
 
         @Override
@@ -275,7 +277,7 @@
     @Override
     public void close() {
         terminated.complete(null);
-        disk.shutdownNow();
+        diskExecutor.shutdownNow();
         eventExecutor.shutdownNow();
         RaftMember current = member;
         if (current != null) {
--- a/src/main/java/olivechute/store/raft/SnapshotStorage.java
+++ b/src/main/java/olivechute/store/raft/SnapshotStorage.java
@@ -156,8 +156,8 @@
                     .toPath();
             MD5FileUtil.saveMD5File(file.toFile(), snapshot.digest);
             Files.move(snapshot.file, file, StandardCopyOption.ATOMIC_MOVE);
-            try (FileChannel folder = FileChannel.open(file.getParent())) {
-                folder.force(true);
+            try (FileChannel directory = FileChannel.open(file.getParent())) {
+                directory.force(true);
             }
             storage.updateLatestSnapshot(
                     new SingleFileSnapshotInfo(new FileInfo(file, snapshot.digest), snapshot.lastEntry));
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -40,10 +40,10 @@
     private boolean reconnectRequested; // guarded by this
 
     /** {@code fetchJwtBundles}: the keys that verify JWT SVIDs are fetched too. */
-    public WorkloadApiSvidSource(SocketAddress address, String hint, boolean tokens, RandomGenerator random) {
+    public WorkloadApiSvidSource(SocketAddress address, String hint, boolean fetchJwtBundles, RandomGenerator random) {
         this.address = address;
         this.hint = hint;
-        this.fetchJwtBundles = tokens;
+        this.fetchJwtBundles = fetchJwtBundles;
         this.backoff = new Backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, random);
     }
 
@@ -116,13 +116,13 @@
         private Map<String, Map<String, PublicKey>> keys = Map.of(); // by trust domain and key id
         private String endReason; // why the connection is over, null while it is open
 
-        Session(SvidListener sink) {
-            this.listener = sink;
+        Session(SvidListener listener) {
+            this.listener = listener;
         }
 
         void run() throws IOException, GrpcException {
-            SocketChannel dialled = openChannel();
-            dialled.connect(address);
+            SocketChannel sessionChannel = openChannel();
+            sessionChannel.connect(address);
             x509Stream = connection.call(
                     "localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
             if (fetchJwtBundles) {
@@ -132,17 +132,17 @@
                         WorkloadApiMessages.METADATA,
                         EMPTY_REQUEST);
             }
-            ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
+            ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
             while (endReason == null) {
-                ByteBuffer ready = ByteBuffer.wrap(connection.toSend());
-                while (ready.hasRemaining()) {
-                    dialled.write(ready);
+                ByteBuffer output = ByteBuffer.wrap(connection.toSend());
+                while (output.hasRemaining()) {
+                    sessionChannel.write(output);
                 }
-                int n = dialled.read(room.clear());
+                int n = sessionChannel.read(readBuffer.clear());
                 if (n < 0) {
                     throw new EOFException("connection closed by the agent");
                 }
-                connection.feed(room.array(), 0, n);
+                connection.feed(readBuffer.array(), 0, n);
             }
             throw new IOException(endReason);
         }
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -28,11 +28,11 @@
     private final List<X509Certificate> issuerChain;
 
     private CertificateAuthority(
-            String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> above) {
+            String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> issuerChain) {
         this.trustDomain = trustDomain;
         this.keys = keys;
         this.certificate = certificate;
-        this.issuerChain = above;
+        this.issuerChain = issuerChain;
     }
 
     /** An issued SVID: the certificate chain, leaf first and without the root, and the private key of the leaf. */
--- a/src/main/java/olivechute/testca/ForgedIdentity.java
+++ b/src/main/java/olivechute/testca/ForgedIdentity.java
@@ -59,10 +59,10 @@
     OVER_LONG(Reason.BAD_ID, g -> g.root.issue(g.leaf().uris(g.id + "x".repeat(2048)))),
     LONG_DOMAIN(Reason.BAD_ID, g -> g.root.issue(g.leaf().uris("spiffe://" + "d".repeat(256) + "/w"))),
     LEAF_AS_INTERMEDIATE(Reason.UNFIT_SIGNER, g -> {
-        Issued thief = g.root.issue(g.leaf());
-        List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(g.leaf(), signer(thief))));
-        chain.addAll(thief.chain());
-        return new Issued(chain, thief.key());
+        Issued issuer = g.root.issue(g.leaf());
+        List<X509Certificate> chain = new ArrayList<>(List.of(CertificateBuilder.sign(g.leaf(), signer(issuer))));
+        chain.addAll(issuer.chain());
+        return new Issued(chain, issuer.key());
     }),
     INTERMEDIATE_WITHOUT_RIGHT(
             Reason.UNFIT_SIGNER,
@@ -77,25 +77,25 @@
             Reason.NOT_VOUCHED,
             g -> g.intermediateWith(c -> c.permitted("elsewhere.example")).issue(g.leaf())),
     MISSING_INTERMEDIATE(Reason.NOT_VOUCHED, g -> {
-        Issued whole = g.root.intermediate(g.from, g.to).issue(g.leaf());
-        return new Issued(whole.chain().subList(0, 1), whole.key());
+        Issued complete = g.root.intermediate(g.from, g.to).issue(g.leaf());
+        return new Issued(complete.chain().subList(0, 1), complete.key());
     }),
     SHORT_RSA(Reason.WEAK, g -> g.root.issue(g.leaf().keys(CertificateBuilder.newRsaKeyPair(1024)))),
     SIGNED_WITH_SHA1(Reason.WEAK, g -> {
-        Signer by = g.root.signer();
-        return g.root.issue(g.leaf(), new Signer(by.name(), by.key(), "SHA1withECDSA"));
+        Signer signer = g.root.signer();
+        return g.root.issue(g.leaf(), new Signer(signer.name(), signer.key(), "SHA1withECDSA"));
     }),
     LONG_CHAIN(Reason.TOO_LARGE, g -> {
-        CertificateAuthority at = g.root;
+        CertificateAuthority authority = g.root;
         for (int i = 0; i < 6; i++) { // with the leaf, one certificate more than X509Check accepts
-            at = at.intermediate(g.from, g.to);
+            authority = authority.intermediate(g.from, g.to);
         }
-        return at.issue(g.leaf());
+        return authority.issue(g.leaf());
     }),
     EMPTY_CHAIN(Reason.UNREADABLE, g -> new Issued(List.of(), null));
 
     private interface Factory {
-        Issued make(ForgeryContext ground);
+        Issued make(ForgeryContext context);
     }
 
     private interface ContentChange {
@@ -160,7 +160,7 @@
     }
 
     /** Creates a forgery of this kind. */
-    public Issued make(ForgeryContext ground) {
-        return make.make(ground);
+    public Issued make(ForgeryContext context) {
+        return make.make(context);
     }
 }
--- a/src/main/java/olivechute/testca/WorkloadApiServer.java
+++ b/src/main/java/olivechute/testca/WorkloadApiServer.java
@@ -120,11 +120,11 @@
         }
 
         void run() {
-            ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
+            ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
             try (channel) {
-                for (int n = 0; n >= 0; n = channel.read(room.clear())) {
+                for (int n = 0; n >= 0; n = channel.read(readBuffer.clear())) {
                     synchronized (this) {
-                        connection.feed(room.array(), 0, n);
+                        connection.feed(readBuffer.array(), 0, n);
                         send();
                     }
                 }
@@ -136,9 +136,9 @@
         }
 
         private void send() throws IOException {
-            ByteBuffer ready = ByteBuffer.wrap(connection.toSend());
-            while (ready.hasRemaining()) {
-                channel.write(ready);
+            ByteBuffer output = ByteBuffer.wrap(connection.toSend());
+            while (output.hasRemaining()) {
+                channel.write(output);
             }
         }
 
@@ -159,16 +159,16 @@
         public void onHeaders(int stream, Map<String, String> headers) {
             calls.incrementAndGet();
             String method = headers.get(":path");
-            boolean named = headers.entrySet().containsAll(WorkloadApiMessages.METADATA.entrySet());
+            boolean hasRequiredMetadata = headers.entrySet().containsAll(WorkloadApiMessages.METADATA.entrySet());
             try {
-                int end = rejectStatus != 0 ? rejectStatus : !named ? 3 : 0; // 3: invalid argument
+                int grpcStatus = rejectStatus != 0 ? rejectStatus : !hasRequiredMetadata ? 3 : 0; // 3: invalid argument
                 if (unresponsive) {
                     return;
                 }
                 connection.sendResponseHeaders(stream);
-                if (end != 0) {
+                if (grpcStatus != 0) {
                     connection.finish(
-                            stream, Map.of("grpc-status", String.valueOf(end), "grpc-message", "turned away"));
+                            stream, Map.of("grpc-status", String.valueOf(grpcStatus), "grpc-message", "turned away"));
                     return;
                 }
                 methodByStream.put(stream, method);
