--- a/src/main/java/olivechute/benchmark/StandInEndpoints.java
+++ b/src/main/java/olivechute/benchmark/StandInEndpoints.java
@@ -54,8 +54,8 @@
         this.newConnectionPerStatusEvent = newConnectionPerStatusEvent;
         for (int i = 0; i < count; i++) {
             String name = "w" + i;
-            listeners.add(new Listener(
-                    "stand-in-host", connectionFactory.listener(), connection -> serve(name, connection)));
+            listeners.add(
+                    new Listener("stand-in-host", connectionFactory.listener(), connection -> serve(name, connection)));
         }
     }
 
