--- a/src/main/java/olivechute/benchmark/BenchmarkRig.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkRig.java
@@ -17,7 +17,10 @@
  * thread.
  */
 final class BenchmarkRig implements AutoCloseable {
-    /** Open connections at the node's limit for {@link Scenario#SHED}: its descriptors less 64, less a quarter. */
+    /**
+     * Client connections at the node's limit for {@link Scenario#SHED}: its descriptors less 64 that it reserves, less
+     * a quarter that it keeps for upstream connections.
+     */
     private static final int SHED_BOUND = (Scenario.SHED.maxSockets() - 64) * 3 / 4;
 
     /** The first usage queries load classes in the node; from then on each costs the same. */
@@ -26,14 +29,14 @@
     private static final int WARMUP_REQUESTS = 200;
 
     /**
-     * More than two of the load balancer's intervals of 500 ms: its periodic work has then run after requests, and its
-     * classes are loaded.
+     * Pause of more than two of the node's periodic intervals of 500 ms: the periodic work that follows requests has
+     * then run, and its classes are loaded.
      */
     private static final long PERIODIC_WORK_MILLIS = 1100;
 
     private final Scenario scenario;
     private final ConnectionFactory connectionFactory;
-    private final StandInEndpoints hosts;
+    private final StandInEndpoints endpoints;
     private final StandInDiscovery discovery;
     private final NodeProcess node;
     private final List<StandInClient> clients = new ArrayList<>();
@@ -49,21 +52,21 @@
     BenchmarkRig(NodeUnderTest subject, Mode mode, int core, Scenario scenario) throws IOException {
         this.scenario = scenario;
         connectionFactory = subject.connectionFactory();
-        hosts = new StandInEndpoints(
+        endpoints = new StandInEndpoints(
                 connectionFactory,
                 scenario.endpoints(),
                 scenario.rejectionsPerRequest(),
                 scenario.newConnectionPerStatusEvent());
-        discovery = new StandInDiscovery(hosts.entries());
+        discovery = new StandInDiscovery(endpoints.entries());
         node = new NodeProcess(
                 subject.jar(),
                 mode,
                 core,
                 scenario.maxSockets(),
                 discovery.addressText(),
-                hosts.entries(),
+                endpoints.entries(),
                 connectionFactory.settings());
-        hosts.nodeAddress(node.address());
+        endpoints.nodeAddress(node.address());
         for (int i = 0; i < (scenario.connectionsOnly() ? 0 : scenario.clients()); i++) {
             clients.add(new StandInClient(scenario, connectionFactory, node.address()));
         }
@@ -95,33 +98,30 @@
         }
         Usage first = node.usage(countObjects);
         Usage before = node.usage(countObjects);
-        long connectsBefore = hosts.acceptedConnections();
-        long endpointTimeBeforeUs = hosts.endpointTimeUs();
+        long connectsBefore = endpoints.acceptedConnections();
+        long endpointTimeBeforeUs = endpoints.endpointTimeUs();
         Histogram latenciesUs = newHistogram();
         drive(requests, latenciesUs, false);
         Usage used = node.usage(countObjects).since(before, before.minus(first));
         return new Run(
                 requests,
                 used,
-                hosts.acceptedConnections() - connectsBefore,
+                endpoints.acceptedConnections() - connectsBefore,
                 latenciesUs,
-                (double) (hosts.endpointTimeUs() - endpointTimeBeforeUs) / requests);
+                (double) (endpoints.endpointTimeUs() - endpointTimeBeforeUs) / requests);
     }
 
     /** Warms the node up before counting, so that all classes are loaded and all buffers have their size. */
     void warmUp() throws IOException, InterruptedException {
         if (scenario.rejectionsPerRequest() > 0) {
-            drive(
-                    clients.get(0),
-                    WARMUP_REQUESTS,
-                    newHistogram(),
-                    true,
-                    false); // puts every endpoint in backoff after its rejection
+            // Rejections of so many requests would put every endpoint in backoff, so none of these is rejected, only
+            // the next two are.
+            drive(clients.get(0), WARMUP_REQUESTS, newHistogram(), true, false);
             drive(2);
         } else {
             drive(scenario.requests() / 2, newHistogram(), usesTls());
             Thread.sleep(PERIODIC_WORK_MILLIS);
-            hosts.reportedRequests();
+            endpoints.reportedRequests();
         }
     }
 
@@ -130,6 +130,7 @@
         drive(requests, newHistogram(), false);
     }
 
+    /** Returns a histogram of latencies in microseconds, up to 10 s, with 3 significant digits. */
     private static Histogram newHistogram() {
         return new ConcurrentHistogram(10_000_000, 3);
     }
@@ -167,22 +168,24 @@
         for (int i = 0; i < requests; i++) {
             client.request(latenciesUs, skipRejections, warmup);
             if (scenario.reachesEndpoint() && !warmup) {
-                hosts.awaitRequestReported();
+                endpoints.awaitRequestReported();
             }
         }
     }
 
-    /** Opens one connection and waits until the node has ended it, or ended the one that it sheds for it. */
+    /**
+     * Opens one connection and waits until the node has closed it or, in {@link Scenario#SHED}, the oldest open one.
+     */
     private void connectAndAwaitClose() throws IOException {
-        BlockingHttpConnection wire = openConnection();
+        BlockingHttpConnection connection = openConnection();
         if (scenario == Scenario.SHED) {
-            openConnections.add(wire);
-            wire = openConnections.remove();
+            openConnections.add(connection);
+            connection = openConnections.remove();
         } else {
-            wire.shutdownOutput();
+            connection.shutdownOutput();
         }
-        wire.awaitEnd();
-        wire.close();
+        connection.awaitEnd();
+        connection.close();
     }
 
     @Override
@@ -192,10 +195,10 @@
         for (StandInClient client : clients) {
             client.close();
         }
-        for (BlockingHttpConnection wire : openConnections) {
-            wire.close();
+        for (BlockingHttpConnection connection : openConnections) {
+            connection.close();
         }
-        hosts.close();
+        endpoints.close();
         discovery.close();
         connectionFactory.close();
     }
--- a/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
+++ b/src/main/java/olivechute/benchmark/BlockingHttpConnection.java
@@ -74,16 +74,16 @@
         }
         String head = new String(buffer, readPosition, end - readPosition, StandardCharsets.ISO_8859_1);
         readPosition = end + 4;
-        Message plain = new Message(head, 0);
-        String length = plain.field("Content-Length");
+        Message withoutBody = new Message(head, 0);
+        String length = withoutBody.field("Content-Length");
         int body = length == null ? 0 : Integer.parseInt(length);
-        for (int left = body; left > 0; ) {
+        for (int remaining = body; remaining > 0; ) {
             if (readPosition == readLimit) {
                 fill();
             }
-            int n = Math.min(left, readLimit - readPosition);
+            int n = Math.min(remaining, readLimit - readPosition);
             readPosition += n;
-            left -= n;
+            remaining -= n;
         }
         return new Message(head, body);
     }
@@ -122,6 +122,9 @@
         }
     }
 
+    /**
+     * Discards the buffer, which has been read completely, and reads into it; returns false at the end of the stream.
+     */
     private boolean refill() throws IOException {
         readPosition = 0;
         readLimit = 0;
@@ -130,6 +133,7 @@
         return n >= 0;
     }
 
+    /** Reads more bytes behind those not consumed yet; fails at the end of the stream. */
     private void fill() throws IOException {
         if (readPosition > 0) {
             System.arraycopy(buffer, readPosition, buffer, 0, readLimit - readPosition);
--- a/src/main/java/olivechute/benchmark/Scenario.java
+++ b/src/main/java/olivechute/benchmark/Scenario.java
@@ -23,9 +23,9 @@
     private final String description;
     private final int body;
 
-    Scenario(String key, String text, int body) {
+    Scenario(String key, String description, int body) {
         this.key = key;
-        this.description = text;
+        this.description = description;
         this.body = body;
     }
 
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns by how much more chance moves this scenario's counts than those of others, as 20 runs of each showed; see
-     * docs/cost-design.md.
+     * Returns the factor by which this scenario's timing-dependent counts vary more than those of other scenarios, as
+     * measured in 20 runs of each; see docs/cost-design.md.
      */
     double marginFactor() {
         return switch (this) {
--- a/src/main/java/olivechute/security/TlsConnection.java
+++ b/src/main/java/olivechute/security/TlsConnection.java
@@ -57,21 +57,21 @@
     private TlsConnection(
             SocketChannel channel,
             IdentityManager identities,
-            IdentityManager.ActiveIdentity own,
-            TlsStateMachine machine,
-            Semaphore gate,
-            int acceptMillis,
-            PeerCheck wanted) {
+            IdentityManager.ActiveIdentity ownIdentity,
+            TlsStateMachine stateMachine,
+            Semaphore handshakePermits,
+            int acceptTimeoutMillis,
+            PeerCheck peerCheck) {
         super(channel);
         this.identities = identities;
-        this.ownIdentity = own;
-        this.stateMachine = machine;
-        this.handshakePermits = gate;
-        this.acceptTimeoutMillis = acceptMillis;
-        this.peerCheck = wanted;
+        this.ownIdentity = ownIdentity;
+        this.stateMachine = stateMachine;
+        this.handshakePermits = handshakePermits;
+        this.acceptTimeoutMillis = acceptTimeoutMillis;
+        this.peerCheck = peerCheck;
     }
 
-    /** Wraps an accepted connection, whose handshake must complete within this time. */
+    /** Wraps an accepted connection, whose handshake must complete within {@code handshakeTimeoutMillis}. */
     static TlsConnection server(
             SocketChannel channel, IdentityManager identities, Semaphore handshakePermits, int handshakeTimeoutMillis)
             throws IOException {
@@ -81,17 +81,20 @@
     }
 
     /**
-     * Creates a connection to be connected to the named peer. Sessions are resumed only with a peer of the same name.
+     * Creates an unconnected connection for the peer of this name. Sessions are resumed only with a peer of the same
+     * name.
      */
     static TlsConnection client(
             IdentityManager identities, Semaphore handshakePermits, String name, PeerCheck peerCheck)
             throws IOException {
         IdentityManager.ActiveIdentity own = identities.active();
+        // The JDK caches sessions by name and port; the name alone identifies the peer, so the port is the same for
+        // all.
         return new TlsConnection(
                 SocketChannel.open(), identities, own, own.context().client(name, 1), handshakePermits, 0, peerCheck);
     }
 
-    /** Connects and performs the handshake, both within this time. */
+    /** Connects and performs the handshake, both together within {@code timeoutMillis}. */
     @Override
     public void connect(InetSocketAddress address, int timeoutMillis) throws IOException {
         long deadlineNanos = System.nanoTime() + timeoutMillis * 1_000_000L;
@@ -109,12 +112,13 @@
     }
 
     private void handshake(long deadlineNanos, int timeoutMillis) throws IOException {
+        // Read before the handshake, so that the next check of the peer notices a change of the bundles during it.
         SvidManager.State state = identities.state();
         try {
             InputStream in = socket().getInputStream();
-            boolean first = acceptTimeoutMillis == 0;
-            while (first || !stateMachine.isOpen()) {
-                if (!first) {
+            boolean sendsFirst = acceptTimeoutMillis == 0; // the client sends before it reads
+            while (sendsFirst || !stateMachine.isOpen()) {
+                if (!sendsFirst) {
                     socket().setSoTimeout(remainingMillis(deadlineNanos, timeoutMillis));
                     ByteBuffer buffer = stateMachine.receiveBuffer();
                     int n = TimedReads.read(in, buffer.array(), buffer.position(), buffer.remaining());
@@ -123,7 +127,7 @@
                     }
                     buffer.position(buffer.position() + n);
                 }
-                first = false;
+                sendsFirst = false;
                 advanceWithPermit(deadlineNanos, timeoutMillis);
             }
             peerCheck.check(stateMachine.peer());
@@ -135,11 +139,11 @@
     }
 
     private static int remainingMillis(long deadlineNanos, int timeoutMillis) throws IOException {
-        long left = (deadlineNanos - System.nanoTime()) / 1_000_000;
-        if (left <= 0) {
+        long remaining = (deadlineNanos - System.nanoTime()) / 1_000_000;
+        if (remaining <= 0) {
             throw new SocketTimeoutException("no handshake within " + timeoutMillis + " ms");
         }
-        return (int) left;
+        return (int) remaining;
     }
 
     /** Performs one step of the handshake once a permit is free, which bounds how many run at once. */
--- a/src/main/java/olivechute/store/raft/Replica.java
+++ b/src/main/java/olivechute/store/raft/Replica.java
@@ -22,7 +22,8 @@
 
 /**
  * One replica of the replicated store: acquires its data directory, runs its Raft member and reports leadership. Leaves
- * the group on a disk fault and rejoins it on recovery. {@link #terminated} completes when it cannot continue.
+ * the group on a disk fault and rejoins it on recovery. {@link #terminated} completes when the replica cannot continue
+ * or is closed.
  */
 @SuppressWarnings(
         "FutureReturnValueIgnored") // the periodic tasks run until the replica is closed, and log what they throw
@@ -32,15 +33,15 @@
 
     private final ReplicaSettings settings;
     private final Consumer<String> eventLines;
-    private final CopyOnWriteArrayList<Consumer<Boolean>> onLeadershipChange = new CopyOnWriteArrayList<>();
+    private final CopyOnWriteArrayList<Consumer<Boolean>> leadershipListeners = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService eventExecutor = newExecutor("events");
-    private final ScheduledExecutorService disk = newExecutor("disk");
+    private final ScheduledExecutorService diskExecutor = newExecutor("disk");
     private final Thread announcer = new Thread(this::announceLevel, "announce");
     private final CompletableFuture<FleetException> terminated = new CompletableFuture<>();
     private DataDirectory dataDirectory;
     private DiskMonitor diskMonitor;
     private volatile RaftMember member;
-    private RaftMember closedMember; // the one that was closed on the last disk fault
+    private RaftMember closedMember; // member closed on the last disk fault; null if there was none
     private volatile boolean isLeader;
 
     /** Creates a replica; {@code eventLines} receives a line for each event. */
@@ -59,10 +60,11 @@
 
     /**
      * Registers a listener that is called with true when this replica becomes leader and with false when it no longer
-     * is. The calls come one after the other on one thread, which must not be blocked for long.
+     * is. Calls come one at a time from the event thread, which must not be blocked for long, except for the call that
+     * {@link #close} makes on the caller's thread.
      */
     public void onLeadershipChange(Consumer<Boolean> listener) {
-        onLeadershipChange.add(listener);
+        leadershipListeners.add(listener);
     }
 
     /**
@@ -77,7 +79,9 @@
                                 .getGroupId()
                                 .getUuid());
         diskMonitor = new DiskMonitor(
-                new DiskProbe(settings.dataDirectory(), settings.segmentBytes()), settings.quotaBytes(), this::disk);
+                new DiskProbe(settings.dataDirectory(), settings.segmentBytes()),
+                settings.quotaBytes(),
+                this::onDiskChange);
         try {
             if (diskMonitor.check()) {
                 startMember();
@@ -87,7 +91,7 @@
             throw e;
         }
         eventExecutor.scheduleWithFixedDelay(this::tick, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
-        disk.scheduleWithFixedDelay(this::checkDisk, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
+        diskExecutor.scheduleWithFixedDelay(this::checkDisk, TICK_MS, TICK_MS, TimeUnit.MILLISECONDS);
         announcer.setDaemon(true);
         announcer.start();
     }
@@ -107,7 +111,10 @@
         }
     }
 
-    /** Returns the exception for a failed start; a failed read mostly means corrupt data. */
+    /**
+     * Returns the exception for a failed start; a failure of unknown cause counts as corrupt data, the usual reason for
+     * a failed read.
+     */
     private FleetException toStartFailure(Exception failure) {
         for (Throwable each = failure; each != null; each = each.getCause()) {
             if (each instanceof BindException) {
@@ -137,7 +144,7 @@
     }
 
     /** Leaves the group on a fault, or rejoins it on recovery. Runs on the disk thread. */
-    private void disk(ErrorCode error) {
+    private void onDiskChange(ErrorCode error) {
         if (member == null && error == null) {
             eventLines.accept("disk: well");
             try {
@@ -145,7 +152,7 @@
             } catch (FleetException e) {
                 leaveGroup();
                 if (e.code() == ErrorCode.DISK_FULL) {
-                    disk.execute(() -> diskMonitor.writeFailed(e));
+                    diskExecutor.execute(() -> diskMonitor.writeFailed(e));
                 } else {
                     terminated.complete(e);
                 }
@@ -192,7 +199,7 @@
         }
     }
 
-    /** Returns whether this replica is the leader and has every write acknowledged before. */
+    /** Returns whether this replica is the leader and has applied every write that was acknowledged before. */
     public boolean isLeader() {
         return isLeader;
     }
@@ -205,7 +212,7 @@
     private void setLeader(boolean leading) {
         if (isLeader != leading) {
             isLeader = leading;
-            onLeadershipChange.forEach(each -> each.accept(leading));
+            leadershipListeners.forEach(each -> each.accept(leading));
         }
     }
 
@@ -242,7 +249,7 @@
         @Override
         public void onLogFailure(Throwable cause) {
             Logger.error("Raft log failed: {}", String.valueOf(cause));
-            disk.execute(() -> diskMonitor.writeFailed(cause));
+            diskExecutor.execute(() -> diskMonitor.writeFailed(cause));
         }
 
         @Override
@@ -270,7 +277,7 @@
     @Override
     public void close() {
         terminated.complete(null);
-        disk.shutdownNow();
+        diskExecutor.shutdownNow();
         eventExecutor.shutdownNow();
         RaftMember current = member;
         if (current != null) {
--- a/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
+++ b/src/main/java/olivechute/svid/WorkloadApiSvidSource.java
@@ -25,7 +25,7 @@
  * Receives SVIDs from the SPIFFE Workload API over one connection to a local agent, whose streams deliver each renewal.
  * When the connection ends or violates the protocol, it is opened again after a backoff.
  */
-@SuppressWarnings("WaitNotInLoop") // the caller waits in a loop that reads the state again
+@SuppressWarnings("WaitNotInLoop") // a spurious wakeup only shortens one retry delay
 public final class WorkloadApiSvidSource {
     private static final long MIN_RETRY_DELAY_MS = 250;
     private static final long MAX_RETRY_DELAY_MS = 30_000;
@@ -40,10 +40,10 @@
     private boolean reconnectRequested; // guarded by this
 
     /** {@code fetchJwtBundles}: the keys that verify JWT SVIDs are fetched too. */
-    public WorkloadApiSvidSource(SocketAddress address, String hint, boolean tokens, RandomGenerator random) {
+    public WorkloadApiSvidSource(SocketAddress address, String hint, boolean fetchJwtBundles, RandomGenerator random) {
         this.address = address;
         this.hint = hint;
-        this.fetchJwtBundles = tokens;
+        this.fetchJwtBundles = fetchJwtBundles;
         this.backoff = new Backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS, random);
     }
 
@@ -113,16 +113,16 @@
         private final GrpcConnection connection = GrpcConnection.client(this);
         private int x509Stream;
         private Offer offer;
-        private Map<String, Map<String, PublicKey>> keys = Map.of();
+        private Map<String, Map<String, PublicKey>> keys = Map.of(); // by trust domain and key id
         private String endReason; // why the connection is over, null while it is open
 
-        Session(SvidListener sink) {
-            this.listener = sink;
+        Session(SvidListener listener) {
+            this.listener = listener;
         }
 
         void run() throws IOException, GrpcException {
-            SocketChannel dialled = openChannel();
-            dialled.connect(address);
+            SocketChannel sessionChannel = openChannel();
+            sessionChannel.connect(address);
             x509Stream = connection.call(
                     "localhost", WorkloadApiMessages.FETCH_X509, WorkloadApiMessages.METADATA, EMPTY_REQUEST);
             if (fetchJwtBundles) {
@@ -132,17 +132,17 @@
                         WorkloadApiMessages.METADATA,
                         EMPTY_REQUEST);
             }
-            ByteBuffer room = ByteBuffer.allocate(READ_BUFFER_BYTES);
+            ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
             while (endReason == null) {
-                ByteBuffer ready = ByteBuffer.wrap(connection.toSend());
-                while (ready.hasRemaining()) {
-                    dialled.write(ready);
+                ByteBuffer output = ByteBuffer.wrap(connection.toSend());
+                while (output.hasRemaining()) {
+                    sessionChannel.write(output);
                 }
-                int n = dialled.read(room.clear());
+                int n = sessionChannel.read(readBuffer.clear());
                 if (n < 0) {
                     throw new EOFException("connection closed by the agent");
                 }
-                connection.feed(room.array(), 0, n);
+                connection.feed(readBuffer.array(), 0, n);
             }
             throw new IOException(endReason);
         }
--- a/src/main/java/olivechute/testca/CertificateAuthority.java
+++ b/src/main/java/olivechute/testca/CertificateAuthority.java
@@ -28,17 +28,17 @@
     private final List<X509Certificate> issuerChain;
 
     private CertificateAuthority(
-            String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> above) {
+            String trustDomain, KeyPair keys, X509Certificate certificate, List<X509Certificate> issuerChain) {
         this.trustDomain = trustDomain;
         this.keys = keys;
         this.certificate = certificate;
-        this.issuerChain = above;
+        this.issuerChain = issuerChain;
     }
 
     /** An issued SVID: the certificate chain, leaf first and without the root, and the private key of the leaf. */
     public record Issued(List<X509Certificate> chain, PrivateKey key) {}
 
-    /** Creates a root with a new key that is valid within these times. */
+    /** Creates a root with a new key, valid from {@code from} to {@code to}. */
     public static CertificateAuthority root(String trustDomain, Instant from, Instant to) {
         return root(trustDomain, authorityContent(trustDomain, "root", CertificateBuilder.newEcKeyPair(), from, to));
     }
