--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -99,9 +99,9 @@
                 out.println("names " + id);
                 TrustBundle trustBundle =
                         new TrustBundle(id.trustDomain(), PemReader.certificates(readText(bundle)), Map.of());
-                X509Svid svid =
+                X509Svid checkedSvid =
                         X509Check.check(chain, TrustBundles.EMPTY.with(trustBundle), at == null ? Instant.now() : at);
-                out.println("holds until " + svid.notAfter());
+                out.println("holds until " + checkedSvid.notAfter());
                 return 0;
             } catch (IdentityRejectedException e) {
                 out.println("refused: " + e.getMessage());
--- a/src/main/java/olivechute/config/IdentitySettings.java
+++ b/src/main/java/olivechute/config/IdentitySettings.java
@@ -177,11 +177,11 @@
         for (HoconObject rule : object.nodes("hosts")) {
             String host = rule.requiredText("host");
             String id = rule.requiredText("id");
-            EndpointIdentityRules.Rule read = rule.convert(
+            EndpointIdentityRules.Rule parsed = rule.convert(
                     "host", key -> EndpointIdentityRules.Rule.parse(key.substring(0, key.lastIndexOf('.')), host, id));
             rule.rejectUnknownKeys();
-            if (read != null) {
-                hosts.add(read);
+            if (parsed != null) {
+                hosts.add(parsed);
             }
         }
         HoconObject jwt = object.node("jwt");
--- a/src/main/java/olivechute/config/NodeConfig.java
+++ b/src/main/java/olivechute/config/NodeConfig.java
@@ -152,28 +152,28 @@
             return List.of(e.getMessage());
         }
         Set<String> errors = new LinkedHashSet<>();
-        note(errors, () -> text(config, environment, "name", "LB_NAME"));
-        note(errors, () -> Address.parse("listen", text(config, environment, "listen", "LB_LISTEN")));
-        note(errors, () -> Address.parse("discovery", text(config, environment, "discovery", "LB_DISCOVERY")));
-        note(errors, () -> seed(config));
-        note(errors, () -> maxConnections(config.node("limits"), false));
-        note(errors, () -> initialEndpoints(config));
+        collectError(errors, () -> text(config, environment, "name", "LB_NAME"));
+        collectError(errors, () -> Address.parse("listen", text(config, environment, "listen", "LB_LISTEN")));
+        collectError(errors, () -> Address.parse("discovery", text(config, environment, "discovery", "LB_DISCOVERY")));
+        collectError(errors, () -> seed(config));
+        collectError(errors, () -> maxConnections(config.node("limits"), false));
+        collectError(errors, () -> initialEndpoints(config));
         if (config.has("settings")) {
-            note(errors, () -> {
+            collectError(errors, () -> {
                 List<Runnable> sections = LoadBalancerSettingsDecoder.sectionReaders(config.node("settings"));
                 for (int i = 0; i < sections.size(); i++) {
-                    note(errors, sections.get(i)); // a reader may add further readers to the list
+                    collectError(errors, sections.get(i)); // a reader may add further readers to the list
                 }
             });
         }
-        note(errors, () -> MetricsSettings.read(environment));
+        collectError(errors, () -> MetricsSettings.read(environment));
         if (OperatorSettingsFile.isConfigured(environment)) {
             List<String> operatorErrors = new ArrayList<>();
             OperatorSettingsFile.read(environment, operatorErrors);
             errors.addAll(operatorErrors);
         }
         // Errors that show only across sections or in the top-level object.
-        note(errors, () -> read(config, environment));
+        collectError(errors, () -> read(config, environment));
         return List.copyOf(errors);
     }
 
@@ -189,7 +189,7 @@
         return identity == null ? "identities: off, as identity.enabled is false" : identity.describe();
     }
 
-    private static void note(Set<String> errors, Runnable reader) {
+    private static void collectError(Set<String> errors, Runnable reader) {
         try {
             reader.run();
         } catch (InvalidValueException e) {
@@ -250,12 +250,12 @@
         try {
             return LoadBalancerSettingsDecoder.settings(settings);
         } catch (IllegalArgumentException e) {
-            throw new InvalidValueException(wireKey(e.getMessage()));
+            throw new InvalidValueException(withJsonKey(e.getMessage()));
         }
     }
 
     /** Replaces the load balancer's field name at the start of an error message by the JSON key that was read. */
-    private static String wireKey(String message) {
+    private static String withJsonKey(String message) {
         String text = message;
         for (String[] name : SETTINGS_KEYS) {
             text = text.replaceFirst("^" + name[0] + "\\b", name[1]);
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -136,7 +136,7 @@
      * event loop. A writer thread writes it if the write might block on a client that does not read.
      */
     void sendResponse(ByteBuffer head, ByteBuffer body, boolean keepAlive) {
-        boolean writeOnEventLoop;
+        boolean deferWrite;
         boolean mayBlock;
         synchronized (this) {
             if (state.isClosed()) {
@@ -148,10 +148,10 @@
             // A client that sends its next request only after the last response does read; a client that pipelines may
             // not.
             mayBlock = responseBytes > NONBLOCKING_WRITE_BYTES;
-            writeOnEventLoop = !mayBlock || (!pipelined && !server.loop.onLoopThread());
+            deferWrite = !mayBlock || (!pipelined && !server.loop.onLoopThread());
         }
         Runnable write = () -> write(head, body, keepAlive, mayBlock);
-        if (writeOnEventLoop) {
+        if (deferWrite) {
             server.loop.defer(write);
         } else {
             offerWrite(write);
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -57,7 +57,7 @@
      */
     private final AtomicInteger retainedCount = new AtomicInteger();
 
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openStreams = new AtomicInteger();
     private volatile boolean ready;
     private volatile boolean draining;
     private volatile long lastRequestAtUs;
@@ -178,7 +178,7 @@
 
     /** Number of requests whose response is not sent. */
     public int unansweredRequests() {
-        return open.get();
+        return openStreams.get();
     }
 
     private void accept(ServerSocketChannel listener, PeerIdentity.Authenticator authenticator) {
@@ -389,11 +389,11 @@
         if (rejection != null) {
             throw new LocalReply(rejection.status(), rejection.text());
         }
-        open.incrementAndGet();
+        openStreams.incrementAndGet();
         lastRequestAtUs = loop.now();
-        HttpClientStream stream = new HttpClientStream(connection, request.id(), message.keepAlive(), open);
+        HttpClientStream stream = new HttpClientStream(connection, request.id(), message.keepAlive(), openStreams);
         if (!connection.openStream(stream)) {
-            open.decrementAndGet();
+            openStreams.decrementAndGet();
             return null;
         }
         loop.post(requestArrived(message, request, stream, lastRequestAtUs));
--- a/src/main/java/olivechute/downstream/PeerIdentity.java
+++ b/src/main/java/olivechute/downstream/PeerIdentity.java
@@ -18,7 +18,7 @@
         }
 
         @Override
-        public boolean mayReportJobStatus(String host) {
+        public boolean mayReportJobStatus(String endpoint) {
             return true;
         }
     };
@@ -37,7 +37,7 @@
         /** Plain TCP for every client, without authentication. */
         Authenticator PLAINTEXT = new Authenticator() {
             @Override
-            public PeerIdentity authenticate(Connection link) {
+            public PeerIdentity authenticate(Connection transport) {
                 return UNRESTRICTED;
             }
         };
--- a/src/main/java/olivechute/http/MessageParser.java
+++ b/src/main/java/olivechute/http/MessageParser.java
@@ -114,12 +114,13 @@
      * array. The head stays at its position.
      */
     private void ensureSpace() {
-        int keep = headEnd == 0 ? dataEnd : headEnd;
-        int from = headEnd == 0 ? dataEnd : state == State.CHUNK || state == State.UNTIL_CLOSE ? position : lineStart;
-        System.arraycopy(buffer, from, buffer, keep, dataEnd - from);
-        position -= from - keep;
-        lineStart -= from - keep;
-        dataEnd -= from - keep;
+        int keptEnd = headEnd == 0 ? dataEnd : headEnd;
+        int unparsedStart =
+                headEnd == 0 ? dataEnd : state == State.CHUNK || state == State.UNTIL_CLOSE ? position : lineStart;
+        System.arraycopy(buffer, unparsedStart, buffer, keptEnd, dataEnd - unparsedStart);
+        position -= unparsedStart - keptEnd;
+        lineStart -= unparsedStart - keptEnd;
+        dataEnd -= unparsedStart - keptEnd;
         if (dataEnd == buffer.length) {
             buffer = Arrays.copyOf(buffer, 2 * dataEnd);
             headers.setBuffer(buffer);
--- a/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
+++ b/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
@@ -37,22 +37,24 @@
 
     void add(String node, LogEntry entry) {
         nodes.add(node);
-        if (entry instanceof LogEntry.AttemptEnded e) {
-            attemptsByOutcome.merge(e.outcome(), 1, Integer::sum);
-            attemptsByRequest.merge(e.request(), 1, Integer::sum);
-            acceptedButTimedOut += e.outcome().equals("TIMEOUT") && e.acceptedAfterUs() >= 0 ? 1 : 0;
+        if (entry instanceof LogEntry.AttemptEnded attempt) {
+            attemptsByOutcome.merge(attempt.outcome(), 1, Integer::sum);
+            attemptsByRequest.merge(attempt.request(), 1, Integer::sum);
+            acceptedButTimedOut += attempt.outcome().equals("TIMEOUT") && attempt.acceptedAfterUs() >= 0 ? 1 : 0;
             attemptEnds
-                    .computeIfAbsent(new NodeEndpoint(node, e.endpoint()), p -> new ArrayList<>())
-                    .add(e);
-            sentAttempts.add(new SentAttempt(e.sentAtUs(), e.endpoint()));
-        } else if (entry instanceof LogEntry.RequestRejected r) {
-            rejectionsByLastOutcome.merge(r.lastOutcome(), 1, Integer::sum);
-        } else if (entry instanceof LogEntry.EndpointConnected d) {
+                    .computeIfAbsent(new NodeEndpoint(node, attempt.endpoint()), key -> new ArrayList<>())
+                    .add(attempt);
+            sentAttempts.add(new SentAttempt(attempt.sentAtUs(), attempt.endpoint()));
+        } else if (entry instanceof LogEntry.RequestRejected rejection) {
+            rejectionsByLastOutcome.merge(rejection.lastOutcome(), 1, Integer::sum);
+        } else if (entry instanceof LogEntry.EndpointConnected connect) {
             connectsByEndpoint
-                    .computeIfAbsent(d.endpoint(), h -> new TreeMap<>())
-                    .merge(d.atUs() / SECOND_US, 1, Integer::sum);
-        } else if (entry instanceof LogEntry.EndpointListed l && l.state().equals("ACTIVE") && l.startedUs() > 0) {
-            firstListedUs.merge(l.endpoint() + " " + l.startedUs(), l.atUs(), Math::min);
+                    .computeIfAbsent(connect.endpoint(), key -> new TreeMap<>())
+                    .merge(connect.atUs() / SECOND_US, 1, Integer::sum);
+        } else if (entry instanceof LogEntry.EndpointListed listed
+                && listed.state().equals("ACTIVE")
+                && listed.startedUs() > 0) {
+            firstListedUs.merge(listed.endpoint() + " " + listed.startedUs(), listed.atUs(), Math::min);
         } else if (entry instanceof LogEntry.DiscoveryCalled) {
             discoveryCalls.merge(entry.atUs() / TENTH_SECOND_US, 1, Integer::sum);
         } else if (entry instanceof LogEntry.DiscoveryCallFailed) {
--- a/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
+++ b/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
@@ -51,7 +51,7 @@
     private static void read(FleetLogAnalysis analysis, Path log) throws IOException {
         String node = log.getFileName().toString().replaceFirst("\\.log$", "");
         try (Stream<String> lines = Files.lines(log, StandardCharsets.ISO_8859_1)) {
-            lines.map(LogEntry::parse).filter(line -> line != null).forEach(line -> analysis.add(node, line));
+            lines.map(LogEntry::parse).filter(entry -> entry != null).forEach(entry -> analysis.add(node, entry));
         }
     }
 }
--- a/src/main/java/olivechute/metrics/RequestCounters.java
+++ b/src/main/java/olivechute/metrics/RequestCounters.java
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public void onFirstSend(long micros) {
-        delayCounts[DelayBuckets.bucketIndex(micros)]++;
+    public void onFirstSend(long delayUs) {
+        delayCounts[DelayBuckets.bucketIndex(delayUs)]++;
     }
 
     @Override
--- a/src/main/java/olivechute/upstream/UpstreamConnection.java
+++ b/src/main/java/olivechute/upstream/UpstreamConnection.java
@@ -151,12 +151,12 @@
                 written |= currentExchange == exchange;
             }
         } catch (IOException e) {
-            boolean interrupted;
+            boolean exchangeUnfinished;
             synchronized (this) {
-                interrupted = currentExchange == exchange;
-                writeStarted &= !interrupted; // its last byte was not sent, nor will be
+                exchangeUnfinished = currentExchange == exchange;
+                writeStarted &= !exchangeUnfinished; // its last byte was not sent, nor will be
             }
-            close(!interrupted);
+            close(!exchangeUnfinished);
         }
     }
 
