--- a/src/main/java/olivechute/Main.java
+++ b/src/main/java/olivechute/Main.java
@@ -13,8 +13,8 @@
     private Main() {}
 
     /**
-     * Runs the named command; exits with 2 on a wrong call, 1 on an invalid input line or configuration, and 0 at the
-     * end of input.
+     * Runs the named command; exits with 2 on invalid arguments, 1 on an invalid configuration or input line or another
+     * reported error, and 0 on success, such as at the end of the input.
      */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
--- a/src/main/java/olivechute/benchmark/BenchmarkCommand.java
+++ b/src/main/java/olivechute/benchmark/BenchmarkCommand.java
@@ -25,7 +25,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description = "Counts what a request costs a node, with simulated clients and endpoints on loopback.",
-        footer = "Exit status: 0 within the record, 1 over it or not measured, 2 wrong call.")
+        footer = "Exit status: 0 success, 1 a count over the record, a request lost or run twice, or a reported error, "
+                + "2 invalid arguments.")
 public final class BenchmarkCommand implements Callable<Integer> {
     private static final int MAX_RECOUNTS = 3;
 
--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -52,7 +52,7 @@
             mixinStandardHelpOptions = true,
             sortOptions = false,
             description = "Prints an X.509-SVID, and why it would be rejected.",
-            footer = "Exit status: 0 valid, 1 would be rejected or cannot be read, 2 wrong call.")
+            footer = "Exit status: 0 valid, 1 would be rejected or cannot be read, 2 invalid arguments.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/olivechute/cli/RootCommand.java
+++ b/src/main/java/olivechute/cli/RootCommand.java
@@ -43,7 +43,7 @@
             RolloutCommand.class
         },
         description = "A load balancer node that dispatches jobs to sign workers.",
-        footer = "Exit status: 0 done, 1 a configuration or input that cannot be used, 2 wrong call.")
+        footer = "Exit status: 0 success, 1 invalid configuration or input, or a reported error, 2 invalid arguments.")
 public final class RootCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -70,8 +70,9 @@
             name = "serve",
             mixinStandardHelpOptions = true,
             sortOptions = false,
-            description = "Runs a node as LB_CONFIG, LB_NAME, LB_LISTEN and LB_DISCOVERY say, until SIGTERM.",
-            footer = "Exit status: 1 a configuration that cannot be used, 2 wrong call, 143 after SIGTERM.")
+            description = "Runs a node configured by LB_CONFIG, LB_NAME, LB_LISTEN and LB_DISCOVERY until SIGTERM.",
+            footer = "Exit status: 1 invalid configuration or a reported error, 2 invalid arguments, "
+                    + "143 after SIGTERM.")
     static final class Serve implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -108,7 +109,8 @@
             name = "check",
             mixinStandardHelpOptions = true,
             description = "Reads a configuration as serve would and prints each error with its key.",
-            footer = "Exit status: 0 a node would start, 1 it would not, 2 wrong call.")
+            footer = "Exit status: 0 valid configuration, with which a node would start, 1 invalid configuration, "
+                    + "2 invalid arguments.")
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/olivechute/cli/StoreCommand.java
+++ b/src/main/java/olivechute/cli/StoreCommand.java
@@ -23,7 +23,7 @@
         name = "store",
         mixinStandardHelpOptions = true,
         description = "Runs one replica of the shared store.",
-        footer = "Exit status: 0 done, 1 invalid settings or an error that is printed, 2 wrong call.")
+        footer = "Exit status: 1 invalid settings or a reported error, 2 invalid arguments, 143 after SIGTERM.")
 final class StoreCommand implements Callable<Integer> {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
--- a/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
+++ b/src/main/java/olivechute/loganalysis/LogAnalysisCommand.java
@@ -18,7 +18,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Counts across the logs of a fleet, one file NODE.log for each, written with OLIVECHUTE_LOG_LEVEL=debug.",
-        footer = "Exit status: 0 done, 1 no such logs, 2 wrong call.")
+        footer = "Exit status: 0 success, 1 no logs found or a reported error, 2 invalid arguments.")
 public final class LogAnalysisCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
--- a/src/main/java/olivechute/supervisor/SupervisorCommand.java
+++ b/src/main/java/olivechute/supervisor/SupervisorCommand.java
@@ -20,7 +20,7 @@
         name = "supervise",
         mixinStandardHelpOptions = true,
         description = "Runs the nodes of one machine according to the orders in the store.",
-        footer = "Exit status: 1 invalid settings or a reported error, 2 invalid usage, "
+        footer = "Exit status: 1 invalid settings or a reported error, 2 invalid arguments, "
                 + "143 after SIGTERM, once its nodes have ended.")
 public final class SupervisorCommand implements Callable<Integer> {
     @Spec
--- a/src/main/java/olivechute/testca/TestCaCommand.java
+++ b/src/main/java/olivechute/testca/TestCaCommand.java
@@ -31,7 +31,7 @@
         footer = {
             "Each ID's folder is named after its path, with dashes for slashes. The root's key is not kept: another call creates "
                     + "a different trust domain of the same name.",
-            "Exit status: 0 written, 1 not written, 2 wrong call."
+            "Exit status: 0 success, 1 a reported error, 2 invalid arguments."
         })
 public final class TestCaCommand implements Callable<Integer> {
     @Spec
