--- a/src/main/java/olivechute/config/IdentitySettings.java
+++ b/src/main/java/olivechute/config/IdentitySettings.java
@@ -195,7 +195,7 @@
         String audience = jwt.text("audience", "");
         boolean plain = jwt.flag("plain", false);
         if (audience.isEmpty() && (plain || !proxies.isEmpty())) {
-            jwt.addError("audience", "missing, must be what tokens are made out for");
+            jwt.addError("audience", "missing, must be the audience of the tokens");
         }
         jwt.rejectUnknownKeys();
         return new Rules(
@@ -210,12 +210,12 @@
     String describe() {
         String clients =
                 switch (downstream.mode) {
-                    case OFF -> "off towards clients, as downstream.mode is off";
-                    case ONLY -> "asked of every client";
-                    case BESIDE -> "asked of clients at " + downstream.tlsListen + " only";
+                    case OFF -> "off for clients, as downstream.mode is off";
+                    case ONLY -> "required of every client";
+                    case BESIDE -> "required of clients at " + downstream.tlsListen + " only";
                 };
         return "identities: " + clients + "; "
-                + (upstreamTls ? "asked of every sign worker" : "off towards sign workers, as upstream is false")
+                + (upstreamTls ? "required of every sign worker" : "off for sign workers, as upstream is false")
                 + "; tokens "
                 + (rules.audience == null ? "off, as jwt.audience is not given" : "for " + rules.audience);
     }
--- a/src/main/java/olivechute/config/JsonFields.java
+++ b/src/main/java/olivechute/config/JsonFields.java
@@ -37,6 +37,7 @@
         return fields.get(field) != null;
     }
 
+    /** Returns the exception for a field that is missing or is not what {@code expected} says. */
     public InvalidValueException invalid(String field, String expected) {
         return new InvalidValueException(
                 name + "." + field + ": " + (has(field) ? "must be " : "missing, must be ") + expected);
@@ -95,6 +96,7 @@
         return has(field) ? integer(field) : defaultValue;
     }
 
+    /** Returns a duration in microseconds; the field holds seconds. */
     public long micros(String field) {
         return Math.round(number(field) * 1e6);
     }
@@ -168,7 +170,7 @@
             }
             JsonFields fields = new JsonFields(name, object(parser));
             if (parser.nextToken() != null) {
-                throw new InvalidValueException("more than one value on a line");
+                throw new InvalidValueException("more than one value");
             }
             return fields;
         }
--- a/src/main/java/olivechute/config/NodeConfig.java
+++ b/src/main/java/olivechute/config/NodeConfig.java
@@ -227,8 +227,8 @@
     }
 
     /**
-     * Returns the number of connections that both limits allow. If the memory limit is too small for
-     * {@link #MIN_CONNECTIONS}, this is logged and the node starts anyway.
+     * Returns the number of connections that {@code limits.sockets} and {@code limits.memory_mb} both allow. If the
+     * memory limit is too small for {@link #MIN_CONNECTIONS}, this is logged and the node starts anyway.
      */
     private static int maxConnections(JsonFields limits, boolean withIdentity) {
         int sockets =
--- a/src/main/java/olivechute/downstream/CloseReason.java
+++ b/src/main/java/olivechute/downstream/CloseReason.java
@@ -8,7 +8,7 @@
     READ_FAILED(true),
     /** A write failed. */
     WRITE_FAILED(true),
-    /** The last response was sent, and the input that followed was discarded for long enough. */
+    /** The last response was sent, and the input that followed ended or was discarded up to a time or size limit. */
     AFTER_LAST_ANSWER(false),
     /** The client does not read its responses, so that a write does not complete. */
     PEER_READS_NOTHING(true),
--- a/src/main/java/olivechute/downstream/CodecWarmup.java
+++ b/src/main/java/olivechute/downstream/CodecWarmup.java
@@ -16,7 +16,8 @@
 /**
  * Passes synthetic requests and job status events through the parsers, decoders and writers that client traffic uses,
  * without a socket, so that these classes are loaded and compiled before the first client connects. A node that starts
- * under full load with only a part of a core has no time for that afterwards.
+ * under full load with only a part of a core has no time for that afterwards. Used by {@code node.Warmup}, on the
+ * thread that starts the node.
  */
 public final class CodecWarmup {
     private static final byte[] BODY = "rehearsed".getBytes(StandardCharsets.UTF_8);
@@ -34,8 +35,9 @@
     }
 
     /**
-     * Runs one request of the classes in turn, chosen by {@code index}. Its event goes to {@code eventSink}, the
-     * encoded response to {@code responseSink}; {@code nowUs} is when it arrived.
+     * Encodes and decodes one request; {@code index} determines its class and tenant, each in turn, and its id. The
+     * event of the request goes to {@code eventSink}, the encoded response to {@code responseSink}; {@code nowUs} is
+     * when the request arrived.
      */
     public void request(int index, long nowUs, Consumer<ProxyEvent> eventSink, Consumer<byte[]> responseSink) {
         var requestClass = settings.classes().get(index % settings.classes().size());
--- a/src/main/java/olivechute/downstream/ConnectionLimit.java
+++ b/src/main/java/olivechute/downstream/ConnectionLimit.java
@@ -24,7 +24,7 @@
 
     private final int maxConnections;
     private int limit; // guarded by this, like the fields below
-    private int checkedConnections = UNCHECKED_CONNECTIONS;
+    private int checkedConnections = UNCHECKED_CONNECTIONS; // up to this number no further check is due
     private long reducedAtUs;
 
     ConnectionLimit(int maxConnections) {
@@ -50,7 +50,10 @@
         return due;
     }
 
-    /** Reduces the limit because the system refused a thread while this number of connections was open. */
+    /**
+     * Reduces the limit because the system refused a thread while this number of connections was open: to half of that
+     * number, but by at most {@link #CHECK_THREADS}.
+     */
     synchronized void onThreadUnavailable(int connections, long nowUs) {
         limit = Math.min(maxConnections, Math.max(1, Math.max(connections / 2, connections - CHECK_THREADS)));
         reducedAtUs = nowUs;
--- a/src/main/java/olivechute/downstream/ConnectionReader.java
+++ b/src/main/java/olivechute/downstream/ConnectionReader.java
@@ -16,7 +16,9 @@
  * knows that no message is being processed. Accesses the connection's state under the connection's monitor.
  */
 final class ConnectionReader implements Runnable {
-    private static final int MAX_DISCARD_BYTES = 64 * 1024 * 1024; // of input that follows the last message
+    /** Limit of the input after the last message; at this limit the connection is closed. */
+    private static final int MAX_DISCARD_BYTES = 64 * 1024 * 1024;
+
     private static final int DISCARD_BUFFER_BYTES = 8 * 1024;
     /**
      * How often a client with waiting pipelined requests is checked, in microseconds: well within the 0.1 s after which
@@ -240,7 +242,7 @@
         return true;
     }
 
-    /** Makes the response in progress the last one; if it is already sent, it was the last one. */
+    /** Makes the response in progress the last one; if no response is in progress, ends the output now. */
     private void onReadAheadExceeded() throws IOException {
         synchronized (connection) {
             connection.nextResponseIsLast = true;
--- a/src/main/java/olivechute/downstream/ConnectionState.java
+++ b/src/main/java/olivechute/downstream/ConnectionState.java
@@ -10,8 +10,8 @@
     /** How long a message may be incomplete before its connection may be closed to make room. */
     static final long SETTLE_TIME_US = 100_000;
     /**
-     * The longest time for receiving a message, and for the first message to begin after the connection was accepted;
-     * longer ones are abandoned, as both hold a thread.
+     * The longest time that receiving a message may take, and that may pass from accepting a connection to the start of
+     * its first message. After that the message is abandoned or the connection ended, as either occupies a thread.
      */
     static final long MESSAGE_TIMEOUT_US = 2_000_000;
     /** How long a response may take to arrive at the client. */
@@ -138,7 +138,7 @@
         return true;
     }
 
-    /** False if it was closed before. */
+    /** The connection is closed; false if it was closed before. */
     boolean close() {
         boolean first = phase != Phase.CLOSED;
         phase = Phase.CLOSED;
@@ -146,9 +146,9 @@
     }
 
     /**
-     * Requests that the reader ends the connection, as only the reader knows that no message is being processed. True
-     * if the connection is between messages and its last response has had time to arrive; the latter is not required
-     * when room is needed.
+     * Requests that the reader ends the connection, as only the reader knows that no message is being processed. False
+     * if the end was requested before, if the connection is not between messages, or if its last response has not had
+     * time to arrive; the last condition does not apply when room is needed.
      */
     boolean requestEnd(CloseReason reason, long nowUs) {
         boolean responseArrived =
@@ -170,7 +170,7 @@
         return phase == Phase.RECEIVING && nowUs - messageStartUs > MESSAGE_TIMEOUT_US;
     }
 
-    /** Whether the connection was accepted too long ago for no message to have begun. */
+    /** Whether the connection was accepted longer than {@link #MESSAGE_TIMEOUT_US} ago and no message has begun. */
     boolean isUnused(long nowUs) {
         return !used && phase == Phase.BETWEEN_MESSAGES && nowUs - acceptedAtUs > MESSAGE_TIMEOUT_US;
     }
--- a/src/main/java/olivechute/downstream/DownstreamConnection.java
+++ b/src/main/java/olivechute/downstream/DownstreamConnection.java
@@ -31,10 +31,10 @@
     private final IdleConnections.Entry<DownstreamConnection> idleEntry = new IdleConnections.Entry<>(this);
     final ConnectionState state; // guarded by this, like the fields below
     private HttpClientStream stream;
-    private HttpClientStream respondingStream; // whose response is being written; null while there is none
+    private HttpClientStream respondingStream; // the stream whose response is being written, or null
     private Runnable pendingWrite; // a response that found no writer thread
-    private boolean sendsJobStatus; // a job status event arrived here
-    boolean pipelined; // it sent a request before the previous response
+    private boolean sendsJobStatus; // a job status event has arrived on this connection
+    boolean pipelined; // the client has sent a request before the previous response
     volatile boolean nextResponseIsLast; // the connection ends after the next response
     private long responseBytes; // sent in all responses so far
     private long blockingWriteSinceUs = NOT_WRITING; // start of a write that may block
@@ -104,7 +104,10 @@
         return state.endReason() != null;
     }
 
-    /** False if it was finished or closed before. The caller holds this monitor. */
+    /**
+     * No message is accepted from now on; false if the connection was finished or closed before. The caller holds this
+     * monitor.
+     */
     boolean beginFinish() {
         boolean finishedHere = state.finish(server.loop.now());
         if (finishedHere) {
@@ -132,8 +135,9 @@
     }
 
     /**
-     * Writes the response to the open stream after the event loop's turn, unless the client has gone. Called on the
-     * event loop. A writer thread writes it if the write might block on a client that does not read.
+     * Writes the response to the open stream, unless the client has gone. Called on the event loop; the write is
+     * deferred until the loop's execution lock is released, or left to a writer thread if it might block on a client
+     * that does not read.
      */
     void sendResponse(ByteBuffer head, ByteBuffer body, boolean keepAlive) {
         boolean deferWrite;
@@ -361,8 +365,8 @@
             RequestLogFields.logClosedUnderRequest(
                     unansweredStream.requestId, reason.name(), server.loop.now() - state.acceptedAtUs());
         } else if (Logger.isDebugEnabled()) {
-            String request = unansweredStream == null ? "no request" : unansweredStream.requestId;
-            Logger.debug("downstream connection closed: {}, open: {}", reason, request);
+            String request = unansweredStream == null ? "none" : unansweredStream.requestId;
+            Logger.debug("downstream connection closed: {}, open request: {}", reason, request);
         }
     }
 
--- a/src/main/java/olivechute/downstream/DownstreamServer.java
+++ b/src/main/java/olivechute/downstream/DownstreamServer.java
@@ -135,7 +135,11 @@
         loop.post(new ProxyEvent.Task(this::sweep));
     }
 
-    /** Accepts no more messages once all that were read are answered; clients send unread ones again. */
+    /**
+     * Ends the connections that have no accepted request and no unread input. An incomplete message is rejected; a
+     * message that arrives while its connection ends stays unread, and its client sends it again. The other connections
+     * end after their response, as the node is draining.
+     */
     public void endConnections() {
         loop.post(new ProxyEvent.Task(() -> connections.forEach(DownstreamConnection::end)));
     }
@@ -187,7 +191,9 @@
             try {
                 accepted = listener.accept();
                 while (retainedCount.get() >= connectionLimit.limitAt(loop.now()) && !shedConnection()) {
-                    Thread.sleep(10); // all have open streams; those are limited to half the connections
+                    // All are in use; open streams are limited to half the connections, so the others are free again
+                    // soon.
+                    Thread.sleep(10);
                 }
                 DownstreamConnection connection =
                         new DownstreamConnection(this, authenticator.createTransport(accepted), authenticator);
@@ -221,7 +227,7 @@
 
     /**
      * Reduces the number of connections because the system refused a thread or the heap is full, as {@code reason}
-     * says, so that signals, writes and requests get theirs.
+     * says, so that enough threads remain for signals, writes and requests.
      */
     private void onThreadShortage(String reason) {
         int connectionsBefore = retainedCount.get();
--- a/src/main/java/olivechute/downstream/IdleConnections.java
+++ b/src/main/java/olivechute/downstream/IdleConnections.java
@@ -38,7 +38,7 @@
     private final Entry<C>[] newest = newEntryArray();
 
     /**
-     * Creates an empty set. {@code settleTimeUs}: for so many microseconds a connection that is new or receives a
+     * Creates an empty set. {@code settleTimeUs}: how long, in microseconds, a connection that is new or receives a
      * message may be about to open a stream.
      */
     IdleConnections(long settleTimeUs) {
@@ -100,9 +100,10 @@
     }
 
     /**
-     * The connection to close next, null if there is none. The order is: finished ones; ones without a message, once
-     * they have settled; ones with an incomplete message, once they have settled; ones between requests; new ones; ones
-     * of endpoints. Among equals it is the one that has been so for longest.
+     * The connection to close next, null if there is none. The order is: finished connections; connections without a
+     * message and then connections with an incomplete one, each if in that state for at least the settle time;
+     * connections between requests; newer connections without a message; connections of endpoints. Of several it is the
+     * one that has been in its state for longest.
      */
     synchronized Entry<C> nextToClose(long nowUs) {
         Entry<C> unused = oldest[Kind.UNUSED.ordinal()];
--- a/src/main/java/olivechute/downstream/PeerIdentity.java
+++ b/src/main/java/olivechute/downstream/PeerIdentity.java
@@ -26,7 +26,10 @@
     /** The local reply to a request that is not authorized. */
     record Rejection(int status, String text) {}
 
-    /** Null if this message may send a request of this tenant; the tenant is null if none is named. */
+    /**
+     * Returns null if the peer may send this request of this tenant, which is null if the request names none; otherwise
+     * the reply.
+     */
     Rejection checkRequest(HttpRequest message, String tenant);
 
     /** True if the peer may send job status events of this endpoint. */
--- a/src/main/java/olivechute/downstream/RequestDecoder.java
+++ b/src/main/java/olivechute/downstream/RequestDecoder.java
@@ -14,7 +14,7 @@
     private static final int MAX_ID_LENGTH = 128;
     private static final int MAX_KEY_LENGTH = 256;
     private static final int MAX_REMAINING_DIGITS = 12;
-    private static final double MAX_LABEL_VALUE = 1_000_000;
+    private static final double MAX_LABEL_VALUE = 1_000_000; // of cost in seconds, slots and memory
 
     private final List<RequestClass> classes;
 
@@ -98,8 +98,8 @@
     }
 
     /**
-     * The remaining time of a request in microseconds, at most the deadline of its class: the load balancer takes the
-     * longest wait seen for the usual one.
+     * The remaining time of a request in microseconds, at most the deadline of its class, as the load balancer takes
+     * the longest remaining time seen for that of a client's first attempt.
      */
     private static long parseRemainingUs(String text, long maxUs) throws LocalReply {
         if (text == null) {
--- a/src/main/java/olivechute/http/MessageParser.java
+++ b/src/main/java/olivechute/http/MessageParser.java
@@ -21,7 +21,7 @@
     /** Initial size of the buffer, enough for an ordinary message; longer ones are read in pieces. */
     private static final int INITIAL_BUFFER_BYTES = 2048;
 
-    private static final int MAX_READ_BYTES = 8192;
+    private static final int MAX_READ_BYTES = 8192; // of one read into a body
     private static final int MAX_CHUNK_LINE_BYTES = 256;
     private static final int MAX_FIELDS = 100;
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
@@ -51,13 +51,13 @@
     private final int maxBodyBytes;
     private byte[] buffer; // received for the current message, and what may follow it
     private ByteBuffer bufferView; // of buffer, to read into
-    private int position;
-    private int dataEnd;
+    private int position; // of the next byte to parse
+    private int dataEnd; // end of the bytes received
     private int lineStart; // start of the current line
     private int headEnd; // 0 until the head is complete
-    private int headSize;
+    private int headSize; // bytes parsed so far of the head, or of the current chunk line
     private State state = State.START;
-    private long remaining;
+    private long remaining; // bytes of the body or of the current chunk that are still to come
     private byte[] body; // null while the body lies in buffer, or without a body
     private ByteBuffer bodyView; // of body while it is read into; null while chunks are appended
     private int bodyOffset;
@@ -238,7 +238,10 @@
         return message;
     }
 
-    /** Nobody needs the message that was taken last any more; with {@code includingBody}, nor its body. */
+    /**
+     * Allows the header fields of the message taken last to be reused, and with {@code includingBody} its buffer too;
+     * called once nobody needs them any more.
+     */
     public final void releaseMessage(boolean includingBody) {
         if (includingBody && buffer == null) {
             buffer = takenBuffer;
--- a/src/main/java/olivechute/http/RequestParser.java
+++ b/src/main/java/olivechute/http/RequestParser.java
@@ -47,8 +47,8 @@
 
     @Override
     HttpRequest createMessage(Headers fields, Body content, boolean keepAlive) {
-        // The response to a HEAD request must have no body. A response with a body closes the connection, so that
-        // nobody misreads it.
+        // The response to a HEAD request must have no body. As the responses sent here may have one, the connection is
+        // closed after it, so that the client does not read the body as the next response.
         return new HttpRequest(method, target, fields, content, keepAlive && !method.equals("HEAD"));
     }
 }
--- a/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
+++ b/src/main/java/olivechute/loganalysis/FleetLogAnalysis.java
@@ -31,7 +31,7 @@
     private final Map<NodeEndpoint, List<LogEntry.AttemptEnded>> attemptEnds = new HashMap<>();
     private final Map<String, Integer> attemptsByRequest = new HashMap<>();
     private final Map<String, Long> firstListedUs =
-            new HashMap<>(); // endpoints with a start time, by name and start time: when a node first listed them
+            new HashMap<>(); // when a node first listed each endpoint that has a start time, by name and start time
     private final List<SentAttempt> sentAttempts = new ArrayList<>();
     private int acceptedButTimedOut;
 
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Reports the attempts that endpoints which started while the logs ran received in the second after a node first
-     * listed them.
+     * Reports the endpoints that started while the logs were written, and how many attempts they received in the second
+     * after a node first listed them.
      */
     private String startedEndpointsLine() {
         int max = 0;
--- a/src/main/java/olivechute/loganalysis/LogEntry.java
+++ b/src/main/java/olivechute/loganalysis/LogEntry.java
@@ -27,7 +27,7 @@
     /** An endpoint in an endpoint list. {@code startedUs} is Unix time in microseconds, 0 for long ago. */
     record EndpointListed(long atUs, String endpoint, String state, long startedUs) implements LogEntry {}
 
-    /** A call to discovery was answered. */
+    /** A call to discovery began. */
     record DiscoveryCalled(long atUs) implements LogEntry {}
 
     /** A call to discovery failed. */
--- a/src/main/java/olivechute/metrics/DelayBuckets.java
+++ b/src/main/java/olivechute/metrics/DelayBuckets.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Histogram buckets for added delays in microseconds. Each bucket counts delays above the upper bound of the previous
- * one and up to its own; the last one counts all longer delays too. The 40 bounds grow by a constant factor from 50 us
- * to 10 s, which gives a delay to within 37 %.
+ * Histogram buckets for the delays, in microseconds, from the arrival of a request to the send of its first attempt.
+ * Each bucket counts delays above the upper bound of the previous one and up to its own; the last one counts all longer
+ * delays too. The 40 bounds grow by a constant factor from 50 us to 10 s, which gives a delay to within 37 %.
  */
 public final class DelayBuckets {
     /** Number of buckets. */
--- a/src/main/java/olivechute/net/Connection.java
+++ b/src/main/java/olivechute/net/Connection.java
@@ -16,7 +16,10 @@
  */
 @SuppressWarnings("ByteBufferBackingArray") // the buffer is allocated on the heap here
 public class Connection {
-    /** Holds a whole message of any allowed size, so that a write blocks only if the peer does not read. */
+    /**
+     * Size of the send buffer in bytes: holds a whole message of any allowed size, so that a write blocks only if the
+     * peer does not read.
+     */
     public static final int SEND_BUFFER = 128 * 1024;
 
     private final SocketChannel channel;
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Reads the available bytes; 0 if there are none, negative at the end of the input. The buffer must be backed by an
-     * array with offset 0.
+     * Reads the available bytes, waiting at most 1 ms for some; 0 if there are none, negative at the end of the input.
+     * The buffer must be backed by an array with offset 0.
      */
     public int readAvailable(ByteBuffer buffer) throws IOException {
         try {
--- a/src/main/java/olivechute/net/ConnectionThreads.java
+++ b/src/main/java/olivechute/net/ConnectionThreads.java
@@ -8,8 +8,8 @@
 import org.tinylog.Logger;
 
 /**
- * A pool of threads for connections and writes. A thread whose task has ended waits for a moment for another one, as
- * starting a thread is expensive.
+ * A pool of threads for connections and writes. A thread whose task has ended waits {@value #KEEP_ALIVE_MILLIS} ms for
+ * the next one, as starting a thread is expensive.
  */
 public final class ConnectionThreads {
     private static final long KEEP_ALIVE_MILLIS = 1000;
@@ -72,7 +72,7 @@
             try {
                 task.run();
             } catch (RuntimeException e) {
-                Logger.error(e, "connection task failed"); // an exception that is thrown on ends the thread
+                Logger.error(e, "connection task failed"); // rethrown, the exception would end the thread
             }
         });
     }
--- a/src/main/java/olivechute/net/WriterThreads.java
+++ b/src/main/java/olivechute/net/WriterThreads.java
@@ -9,7 +9,7 @@
  * Runs writes that may block on a peer, so that they block neither the event loop's own thread nor that of a
  * connection. Such writes are rare, so threads are taken only while there are some. The queue holds at most one write
  * for each connection. A peer that does not read occupies one of the threads until its connection is given up, and
- * delays all other writes here: peers that may do so have writer threads of their own.
+ * delays all other writes here, so clients, which may not read, and endpoints have separate instances.
  */
 public final class WriterThreads {
     private static final int MAX_THREADS = 3;
--- a/src/main/java/olivechute/node/Node.java
+++ b/src/main/java/olivechute/node/Node.java
@@ -32,7 +32,7 @@
  */
 public final class Node {
     private static final long SWEEP_PERIOD_US = 100_000;
-    /** Request bodies of open requests may take this fraction of the heap: one in so many. */
+    /** The bodies of open requests may take up this fraction of the heap: one part in so many. */
     private static final long BODY_HEAP_DIVISOR = 4;
 
     private static final long IDENTITY_CHECK_PERIOD_US = 1_000_000;
@@ -42,12 +42,14 @@
      */
     private static final long SERVE_AFTER_SIGTERM_MS = 2200;
     /**
-     * After SIGTERM a node has its longest request deadline, at most 3 s of it, plus 0.7 s; the last answers are sent
-     * 0.2 s before that ends.
+     * After SIGTERM a node may run for its longest request deadline, of which at most 3 s count, plus 0.7 s; it sends
+     * the last answers 0.2 s before that time is over.
      */
     private static final long MAX_DRAIN_DEADLINE_US = 3_000_000;
 
+    /** The part of the 0.7 s that passes before the last answers are sent. */
     private static final long DRAIN_EXTRA_US = 500_000;
+    /** How long no request must have arrived before the listeners are closed. */
     private static final long QUIET_BEFORE_CLOSE_US = 500_000;
     /**
      * Of the 0.2 s that remain, this much is kept for the process to exit and {@link #LAST_ANSWER_RESERVE_US} for the
@@ -71,7 +73,7 @@
     private final InetSocketAddress address;
     private InetSocketAddress tlsAddress;
 
-    /** Starts a node that reads identity expiry from the system clock. */
+    /** Starts a node that checks the validity of certificates against the system clock. */
     public Node(NodeConfig config) throws IOException {
         this(config, Instant::now);
     }
--- a/src/main/java/olivechute/node/NodeLifecycle.java
+++ b/src/main/java/olivechute/node/NodeLifecycle.java
@@ -17,7 +17,8 @@
 @SuppressWarnings("FutureReturnValueIgnored") // exceptions of the task are logged by the task
 public final class NodeLifecycle {
     /**
-     * How long shutdown waits for a start in progress, in ms. A node whose start takes longer owes no client an answer.
+     * How long shutdown waits for a start in progress, in ms. A node whose start takes longer has no client that waits
+     * for an answer.
      */
     private static final long START_WAIT_MS = 2000;
 
--- a/src/main/java/olivechute/upstream/ConnectionPools.java
+++ b/src/main/java/olivechute/upstream/ConnectionPools.java
@@ -33,8 +33,8 @@
     private static final int MAX_UNLISTED_POOLS = 256;
 
     /**
-     * A connection that was idle for at most so many microseconds counts as good as new: little longer than the settle
-     * time.
+     * A connection that was idle for at most so many microseconds may be used where a new one is required; a little
+     * longer than the settle time.
      */
     private static final long FRESH_IDLE_US = UpstreamConnection.SETTLE_TIME_US + 20_000;
 
@@ -139,11 +139,11 @@
                 return true;
             }
             if (connection.drop(request) == DropResult.WRITTEN) {
-                closeIdleConnections(request.endpoint()); // which may be as unresponsive
+                closeIdleConnections(request.endpoint()); // the others may be as unresponsive
             }
         }
-        // Also sent before the acceptance is known: it may be on its way, and the endpoint then continues the job
-        // whatever happens to the connection.
+        // Also sent while no acceptance is known: the acceptance may be on its way, and the endpoint then continues the
+        // job whatever happens to the connection.
         submit(request.endpoint(), Exchange.cancellationOf(request, false, loop.now()));
         return false;
     }
@@ -179,7 +179,7 @@
             if (dropped != DropResult.WRITTEN) {
                 return; // if it is not carried, its response or its end is already posted
             }
-            closeIdleConnections(request.endpoint()); // which may be as unresponsive
+            closeIdleConnections(request.endpoint()); // the others may be as unresponsive
         }
         submit(request.endpoint(), Exchange.cancellationOf(request, true, loop.now()));
     }
@@ -270,8 +270,8 @@
     }
 
     /**
-     * Submits an exchange of which nothing was written on another connection to the same endpoint; {@code takeExchange}
-     * takes it from its old connection and returns null if it was given up meanwhile.
+     * Submits an exchange, of which nothing was written, again on another connection to the same endpoint;
+     * {@code takeExchange} takes it from its old connection and returns null if it was given up meanwhile.
      */
     void resubmit(Supplier<Exchange> takeExchange) {
         loop.post(new ProxyEvent.Task(() -> {
--- a/src/main/java/olivechute/upstream/EndpointConnectionPool.java
+++ b/src/main/java/olivechute/upstream/EndpointConnectionPool.java
@@ -8,7 +8,10 @@
 import olivechute.health.IdleReusePolicy;
 import olivechute.loadbalancing.EndpointState;
 
-/** The connections to one endpoint, and its state in the latest endpoint list. */
+/**
+ * The connections to one endpoint, and its state in the latest endpoint list. Thread-safe, except for {@code listed}
+ * and the two update methods, which are for the event loop.
+ */
 final class EndpointConnectionPool {
     /**
      * Where a process of the endpoint listens, and its address as in the Host header. The next process has another
@@ -17,8 +20,8 @@
     record Location(InetSocketAddress address, String hostHeader, long startedAtUs) {}
 
     /**
-     * While connects are quick, an endpoint that gets more requests than this within
-     * {@link UpstreamConnection#SETTLE_TIME_US} gets no further connections for them.
+     * While at least this many connections are settling, see {@link UpstreamConnection#SETTLE_TIME_US}, a request waits
+     * for the first of them, even if a new connection would be quicker.
      */
     static final int MAX_SETTLING = 8;
 
@@ -96,7 +99,7 @@
         if (connections.contains(connection)) {
             int index = idleConnections.size();
             while (index > 0 && idleConnections.get(index - 1).idleSinceUs() > connection.idleSinceUs()) {
-                index--; // a withdrawn exchange: the endpoint saw it idle all the time
+                index--; // after a withdrawn exchange: for the endpoint the connection was idle all the time
             }
             idleConnections.add(index, connection);
         }
--- a/src/main/java/olivechute/upstream/UpstreamConnection.java
+++ b/src/main/java/olivechute/upstream/UpstreamConnection.java
@@ -154,7 +154,7 @@
             boolean exchangeUnfinished;
             synchronized (this) {
                 exchangeUnfinished = currentExchange == exchange;
-                writeStarted &= !exchangeUnfinished; // its last byte was not sent, nor will be
+                writeStarted &= !exchangeUnfinished; // the exchange's last byte was not sent, nor will be
             }
             close(!exchangeUnfinished);
         }
@@ -165,7 +165,8 @@
      * written.
      */
     private boolean hasUnsolicitedInput() {
-        return transport.hasUnreadInput() || inputPending; // in this order: bytes leave the one only for the other
+        // In this order, as bytes that the reader takes from the unread input then show in inputPending.
+        return transport.hasUnreadInput() || inputPending;
     }
 
     /**
@@ -428,7 +429,7 @@
         }
         if (exchange != null && Logger.isDebugEnabled()) {
             Logger.debug(
-                    "endpoint {} connection closed under {} {}: {}, {}",
+                    "connection to endpoint {} closed during {} {}: {}, {}",
                     pool.name,
                     exchange.isCancellation() ? "the cancellation of" : "request",
                     exchange.request().requestId(),
@@ -446,8 +447,9 @@
         if (resubmit) {
             pools.resubmit(this::takeExchange);
         } else if (exchange != null) {
-            // The connection broke or fell silent during an exchange: as far as is known, the other idle connections to
-            // that endpoint are no better, or those idle for at least as long.
+            // The connection broke or got no response during an exchange: presumably the other idle connections to that
+            // endpoint are no better. After a stale connection, only those that were idle for at least as long are
+            // closed.
             pool.closeIdle(outcome == AttemptOutcome.STALE_CONNECTION ? exchangeStartUs - idleBeforeExchangeUs + 1 : 0);
             pools.unregister(exchange, this);
             if (outcome == AttemptOutcome.STALE_CONNECTION) {
--- a/src/test/java/olivechute/config/OperatorFileTest.java
+++ b/src/test/java/olivechute/config/OperatorFileTest.java
@@ -50,7 +50,7 @@
         assertEquals("node", read.rules().audience());
         assertEquals(1, read.rules().trustedProxies().size());
         assertEquals(
-                "identities: asked of clients at /127.0.0.1:7443 only; asked of every sign worker; tokens for node",
+                "identities: required of clients at /127.0.0.1:7443 only; required of every sign worker; tokens for node",
                 read.describe());
         assertEquals(List.of(), IdentitySettings.restartRequiredKeys(read, read(GOOD)));
         assertEquals(
@@ -93,7 +93,7 @@
                 "tenants = [acme, bolt]|tenant = [acme]|identity.clients[0].tenants: missing|list",
                 "s-*|s-*-x|identity.hosts[0].host: must be a name|star",
                 "spiffe://td/w/{host}|spiffe://{host}/w|identity.hosts[0].id: a trust domain|name",
-                "audience = \"node\", |''|identity.jwt.audience: missing|made out",
+                "audience = \"node\", |''|identity.jwt.audience: missing|must be the audience of the tokens",
                 "identity {|identty {|identty: unknown key|did you mean identity?",
                 "identity {|include \"other.conf\", identity {|settings: |",
             })
