--- a/src/main/java/olivechute/cli/IdentityCommand.java
+++ b/src/main/java/olivechute/cli/IdentityCommand.java
@@ -52,7 +52,7 @@
             mixinStandardHelpOptions = true,
             sortOptions = false,
             description = "Prints an X.509-SVID, and why it would be rejected.",
-            footer = "Exit status: 0 valid, 1 would be rejected or cannot be read, 2 wrong call.")
+            footer = "Exit status: 0 valid, 1 would be rejected or cannot be read, 2 invalid arguments.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -99,9 +99,9 @@
                 out.println("names " + id);
                 TrustBundle trustBundle =
                         new TrustBundle(id.trustDomain(), PemReader.certificates(readText(bundle)), Map.of());
-                X509Svid svid =
+                X509Svid checkedSvid =
                         X509Check.check(chain, TrustBundles.EMPTY.with(trustBundle), at == null ? Instant.now() : at);
-                out.println("holds until " + svid.notAfter());
+                out.println("holds until " + checkedSvid.notAfter());
                 return 0;
             } catch (IdentityRejectedException e) {
                 out.println("refused: " + e.getMessage());
