--- a/src/test/java/olivechute/ShutdownTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -10,7 +10,6 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.ConnectException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.SocketException;
@@ -24,6 +23,7 @@
 import olivechute.http.HttpResponse;
 import olivechute.net.Connection;
 import olivechute.net.Threads;
+import olivechute.rig.Ports;
 import org.testng.annotations.Test;
 
 /**
@@ -228,8 +228,8 @@
     @Test
     public void listenRetriesWhileAddressIsInUse() throws Exception {
         listen(Connection::new);
-        ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        InetSocketAddress taken = (InetSocketAddress) other.getLocalSocketAddress();
+        InetSocketAddress taken = Ports.free();
+        ServerSocket other = new ServerSocket(taken.getPort(), 1, taken.getAddress());
         Threads.start("other", () -> {
             try (other) {
                 Thread.sleep(500);
--- a/src/test/java/olivechute/metrics/MetricsSenderTest.java
+++ b/src/test/java/olivechute/metrics/MetricsSenderTest.java
@@ -22,6 +22,7 @@
 import olivechute.metrics.MetricsSender.Limits;
 import olivechute.proxy.EventLoop;
 import olivechute.proxy.ProxyEvent;
+import olivechute.rig.Ports;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -43,7 +44,7 @@
         counters = new RequestCounters(CLASSES);
         supervisor = new ServerSocket();
         supervisor.setReceiveBufferSize(4096);
-        supervisor.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        supervisor.bind(Ports.free());
         supervisor.setSoTimeout(TIMEOUT_MS);
         sender = sender(new Limits(500, 300, 10, 40));
     }
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -1,9 +1,7 @@
 package olivechute.soak;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -17,12 +15,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import olivechute.rig.Ports;
 import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestDirectory;
 import olivechute.rig.TestProcess;
-import olivechute.rig.TestSetupException;
 
 /**
  * A run of one seed: two nodes with their clients, servers and discovery, the faults of the scenario, and the check of
@@ -50,9 +46,6 @@
            {"name":"pay","credit":8,"deadline":DEADLINE,"goal_time":0.15,"effect":"fragile","group":"all"}]}}
         """;
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int LAST_PORT = 32_000;
-    private static final AtomicInteger NEXT_PORT =
-            new AtomicInteger(12_000 + (int) (ProcessHandle.current().pid() % 100) * 150);
     private static final int SOCKETS = 1024;
     private static final int SOCKETS_IN_A_CROWD = 160;
     private static final long WARM_UP_MILLIS = 700;
@@ -82,7 +75,7 @@
         scenario = SoakScenario.of(seed);
         random = new SplittableRandom(seed + 7);
         for (String node : List.of("n0", "n1")) {
-            addresses.put(node, reserved());
+            addresses.put(node, Ports.free());
             shims.put(node, new FaultShim(folder, node, seed));
             moved.put(node, false);
         }
@@ -91,21 +84,6 @@
         clients = new SoakClients(history, scenario, addresses);
     }
 
-    /** Returns a port that no stub gets while a node is down: below the range from which the system assigns ports. */
-    private static InetSocketAddress reserved() {
-        for (int port = NEXT_PORT.getAndIncrement(); ; port = NEXT_PORT.getAndIncrement()) {
-            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            try (ServerSocket free = new ServerSocket()) {
-                free.bind(address);
-                return address;
-            } catch (IOException taken) {
-                if (port > LAST_PORT) {
-                    throw new TestSetupException("no free port", taken);
-                }
-            }
-        }
-    }
-
     private static Thread daemon(Runnable task) {
         Thread thread = new Thread(task, "soak-clock");
         thread.setDaemon(true);
--- a/src/test/java/olivechute/store/raft/StoreGroup.java
+++ b/src/test/java/olivechute/store/raft/StoreGroup.java
@@ -2,8 +2,6 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -13,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
+import olivechute.rig.Ports;
 import olivechute.store.ReplicaAddress;
 
 /**
@@ -37,14 +36,8 @@
         this.extraSettings = extraSettings;
         processes = new Process[count];
         runs = new int[count];
-        List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-            sockets.add(socket);
-            replicas.add(new ReplicaAddress("r" + i, "127.0.0.1:" + socket.getLocalPort()));
-        }
-        for (ServerSocket each : sockets) {
-            each.close();
+            replicas.add(new ReplicaAddress("r" + i, Ports.hostAndPort(Ports.free())));
         }
     }
 
--- a/src/test/java/olivechute/store/raft/StoredLogTest.java
+++ b/src/test/java/olivechute/store/raft/StoredLogTest.java
@@ -6,8 +6,6 @@
 
 import java.io.IOException;
 import java.io.InputStream;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -15,6 +13,7 @@
 import java.util.List;
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipInputStream;
+import olivechute.rig.Ports;
 import olivechute.store.ReplicaAddress;
 import olivechute.store.Store;
 import org.junit.jupiter.api.Test;
@@ -45,16 +44,10 @@
         }
     }
 
-    private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return socket.getLocalPort();
-        }
-    }
-
     @Test
     void replicaServesDataOfEarlierBuild() throws Exception {
         unzipDataDirectory();
-        String address = "127.0.0.1:" + freePort();
+        String address = Ports.hostAndPort(Ports.free());
         ReplicaSettings settings = ReplicaSettings.parse(
                 "id = r0, folder = \"" + dataDirectory + "\", replicas = [{ id = r0, address = \"" + address + "\" }]");
         try (Replica replica = new Replica(settings, line -> {});
--- a/src/test/java/olivechute/supervisor/SuperviseIT.java
+++ b/src/test/java/olivechute/supervisor/SuperviseIT.java
@@ -8,8 +8,6 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -22,6 +20,7 @@
 import olivechute.fleet.wire.Order;
 import olivechute.fleet.wire.VersionSpec;
 import olivechute.net.Threads;
+import olivechute.rig.Ports;
 import olivechute.store.ReplicaAddress;
 import olivechute.store.Store;
 import olivechute.store.raft.RatisStore;
@@ -47,7 +46,7 @@
     @BeforeEach
     void setUp() throws Exception {
         rig = new SupervisorRig(dir);
-        String address = freeAddress();
+        String address = Ports.hostAndPort(Ports.free());
         String replicas = "replicas = [{ id = a, address = \"" + address + "\" }]";
         Path file = Files.writeString(
                 dir.resolve("store.conf"), "id = a, folder = \"" + dir.resolve("a") + "\", " + replicas);
@@ -56,7 +55,8 @@
         store = RatisStore.connect(List.of(new ReplicaAddress("a", address)), Duration.ofSeconds(5));
         Files.writeString(
                 dir.resolve("supervise.conf"),
-                "machine = m, folder = \"" + dir.resolve("run") + "\", figures = \"" + freeAddress() + "\"\n"
+                "machine = m, folder = \"" + dir.resolve("run") + "\", figures = \""
+                        + Ports.hostAndPort(Ports.free()) + "\"\n"
                         + "store { " + replicas
                         + " }, program.java = [java, -Xmx64m, \"-XX:+UseSerialGC\", \"-XX:TieredStopAtLevel=1\"]\n"
                         + "nodes = [{ name = n, config = \""
@@ -64,12 +64,6 @@
                         + "\", second = \"" + rig.secondAddress + "\", version = v1 }]\n");
     }
 
-    private static String freeAddress() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "127.0.0.1:" + socket.getLocalPort();
-        }
-    }
-
     private Process run(String command, Path settings) throws IOException {
         Process process = new ProcessBuilder(
                         "java", "-Xmx192m", "-jar", JAR.toString(), command, "--settings", settings.toString())
--- a/src/test/java/olivechute/supervisor/SupervisorRig.java
+++ b/src/test/java/olivechute/supervisor/SupervisorRig.java
@@ -3,8 +3,6 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -22,6 +20,7 @@
 import olivechute.fleet.wire.NodeState;
 import olivechute.fleet.wire.Order;
 import olivechute.fleet.wire.VersionSpec;
+import olivechute.rig.Ports;
 import olivechute.store.Store;
 
 /** Provides a machine's directory, the jar of the fake node, free addresses, and waits that fail on timeout. */
@@ -40,11 +39,8 @@
         this.dir = dir;
         jar = jar(dir.resolve("stand-in.jar"));
         Files.writeString(dir.resolve("base.json"), BASE_CONFIG);
-        try (ServerSocket a = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                ServerSocket b = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            firstAddress = "127.0.0.1:" + a.getLocalPort();
-            secondAddress = "127.0.0.1:" + b.getLocalPort();
-        }
+        firstAddress = Ports.hostAndPort(Ports.free());
+        secondAddress = Ports.hostAndPort(Ports.free());
     }
 
     private static Path jar(Path file) throws IOException {
