--- a/src/test/java/olivechute/ClientDisconnectTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -27,9 +27,9 @@
  * disconnect is detected promptly, and nothing is done for the client afterwards.
  */
 public class ClientDisconnectTest extends DownstreamServerTestBase {
-    private static final long DISCONNECT_DETECTION_MILLIS =
-            100; // upper bound for detecting a disconnect; PeerCheckIntervalTest covers how often connections are
-    // checked
+    /** Upper bound for detecting a disconnect; {@code PeerCheckIntervalTest} covers how often a client is checked. */
+    private static final long DISCONNECT_DETECTION_MILLIS = 100;
+
     private static final int FLOOD_BYTES = 1 << 20; // more than a connection buffers behind a request
 
     private static byte[] jobRequests(String... ids) {
@@ -114,8 +114,8 @@
             sent += job.length;
         }
         int allBytes = sent;
-        await(() -> bytesRead.get()
-                == allBytes); // a response before the first read behind it would let one request be accepted
+        // A response before the node has read behind its request would let the next request be accepted.
+        await(() -> bytesRead.get() == allBytes);
         assertTrue(first.client().isPresent());
         TestClient other = connect().send(jobRequests("other"));
         sendResult(awaitRequest(), "ok");
@@ -165,7 +165,7 @@
     }
 
     /**
-     * As above behind requests that the node answers itself, where no request is forwarded: the connection is closed
+     * Excess data behind requests that the node answers itself, of which none is forwarded: the connection is closed
      * after their responses.
      */
     @Test
@@ -183,7 +183,7 @@
                 return;
             }
         });
-        Thread.sleep(50); // longer than a check of the connection is postponed
+        Thread.sleep(50); // longer than the interval between two checks of the connection
         go.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
@@ -209,7 +209,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** Data pipelined behind the last response is not accepted and does not truncate that response. */
+    /** Data pipelined behind the last request of a connection is not accepted and does not truncate its response. */
     @Test
     public void finalResponseIsCompleteDespitePipelinedData() throws Exception {
         listen(Connection::new);
@@ -228,8 +228,8 @@
     }
 
     /**
-     * As above, where the node has not read the pipelined data. It used to close the connection with unread data, and
-     * the resulting reset discarded the rest of the response.
+     * As above, but the node has not read the pipelined data. Regression test: it closed the connection with unread
+     * data, and the resulting reset discarded the rest of the response.
      */
     @Test
     public void finalResponseIsCompleteDespiteUnreadData() throws Exception {
@@ -273,8 +273,8 @@
         ProxyEvent.RequestArrived first = awaitRequest();
         Threads.start("answer", () -> sendResult(first, "x".repeat(60_000)));
         assertTrue(writes.await(2, TimeUnit.SECONDS));
-        assertEquals(
-                server.unansweredRequests(), 1); // handed to the writer but not written: still counts as unanswered
+        // Handed to the writer but not written: still counts as unanswered.
+        assertEquals(server.unansweredRequests(), 1);
         client.close();
         Thread.sleep(DISCONNECT_DETECTION_MILLIS);
         go.countDown();
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -18,15 +18,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that no connection is closed once the node has read a request from it, whatever the node decides at that
- * moment.
+ * Tests that a connection from which the node has read a request stays open until the response, even if the node was
+ * about to close it at that moment.
  */
 public class ConnectionCloseTest extends DownstreamServerTestBase {
     private static final byte[] READINESS_REQUEST = "GET /health/ready HTTP/1.1\r\n\r\n".getBytes(UTF_8);
     /** Time after which an incomplete message, or a connection that never carried one, is given up. */
     private static final int STALL_TIMEOUT_MILLIS = 2000;
 
+    /** Time by which a thread of the node is delayed; with the pause before the request more than the stall timeout. */
     private static final int THREAD_DELAY_MILLIS = 900;
+
     /** Time after which an idle connection may be evicted in favour of a new one. */
     private static final int EVICTABLE_AFTER_MILLIS = 150;
 
--- a/src/test/java/olivechute/DelayedNodeTest.java
+++ b/src/test/java/olivechute/DelayedNodeTest.java
@@ -18,10 +18,10 @@
 import olivechute.proxy.ProxyEvent;
 import org.testng.annotations.Test;
 
-/** Tests a node that is delayed for lack of processor time: this must not be held against its clients. */
+/** Tests a node that is delayed for lack of processor time, which must not count as a delay of its clients. */
 public class DelayedNodeTest extends NodeTestBase {
     private static final long SWEEP_INTERVAL_US = 20_000;
-    private static final int DELAY_MILLIS = 900; // longer than a client that does not read is tolerated
+    private static final int DELAY_MILLIS = 900; // longer than the node waits for a client that does not read
 
     private InetSocketAddress startServer(EventLoop loop, java.util.function.Consumer<ProxyEvent.RequestArrived> opened)
             throws Exception {
--- a/src/test/java/olivechute/DownstreamServerTestBase.java
+++ b/src/test/java/olivechute/DownstreamServerTestBase.java
@@ -27,7 +27,7 @@
 
 /**
  * Base class of tests of a downstream server on real sockets without a node: the test receives its requests, answers
- * them when it wants, and may block its connections.
+ * them at any time, and may block reads and writes of its connections.
  */
 abstract class DownstreamServerTestBase extends NodeTestBase {
     private static final long SWEEP_INTERVAL_US = 20_000;
--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -11,8 +11,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests a real process that misses the signal to reload its configuration: the virtual machine drops a signal for which
- * it gets no thread, which the shell's {@code trap} forces here for every SIGHUP. Discovery moves, and a server drains.
+ * Tests a real process that misses the signal to reload its configuration, as the virtual machine drops a signal for
+ * which it gets no thread. Here the shell's {@code trap} makes the process ignore every SIGHUP. Discovery moves, and a
+ * server drains.
  */
 public class LostSignalProcessTest extends NodeProcessTestBase {
     private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
--- a/src/test/java/olivechute/NodeProcessTest.java
+++ b/src/test/java/olivechute/NodeProcessTest.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Each signal is sent once more than needed, all at once: open requests are answered, and the process exits as one
-     * that was asked to terminate.
+     * SIGTERM, SIGHUP and another SIGTERM arrive at once: open requests are answered, and the process exits with the
+     * status of SIGTERM.
      */
     @Test
     public void simultaneousRepeatedSignalsLoseNoRequest() throws Exception {
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -34,7 +34,7 @@
  * Tests the main rules of a node on real sockets, one test each, between test clients, upstream servers and discovery.
  */
 @SuppressWarnings({"ReferenceEquality", "ModifiedButNotUsed", "EmptyCatch"
-}) // identity is what is checked; collections hold connections open; a closed socket is expected
+}) // identity is what is checked; collections hold connections open; a read timeout shows an open connection
 public class NodeTest extends NodeTestBase {
     /**
      * Raises the latency objective of class verify, so that jobs are queued for up to 4 s until a server has capacity.
@@ -245,9 +245,9 @@
         TestServer host = startServer(r -> {
             if ("last".equals(r.headers().get("X-Txn"))) {
                 slow.countDown();
-                Thread.sleep(
-                        350); // longer than such a server takes on an established connection, shorter than that plus a
-                // connect
+                // Longer than a server has to accept a job on an established connection, shorter than that plus the
+                // time of a connect.
+                Thread.sleep(350);
             }
             Threads.start("news", () -> sendStatusEvents(r.headers().get("X-Txn"), "s1", doneEvent("ok")));
             return MessageWriter.response(202, new byte[0], false); // so that each request uses a new connection
@@ -329,9 +329,8 @@
         long before = System.nanoTime();
         for (int i = 0; i < 20; i++) {
             assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t" + i, 5000))), "200 ok");
-            Thread.sleep(
-                    40); // a connection is not reused right after a response: wait, so that the kept one is used and
-            // breaks
+            // A connection is not reused right after a response: waits, so that the kept one is used and breaks.
+            Thread.sleep(40);
         }
         assertTrue(host.requests().size() > 25, host.requests().size() + " requests");
         // Each break would have excluded the only server for a longer time, which adds up to far more than this.
@@ -833,8 +832,8 @@
         start(endpointEntry("s1", host, "active", 0));
         TestClient bad = connectClient();
         assertEquals(bad.exchange(bytes.getBytes(StandardCharsets.ISO_8859_1)).status(), status);
-        assertTrue(bad.isClosedByServer()); // the connection is closed: hundreds of them would exhaust the connection
-        // limit
+        // Must be closed, as hundreds of such connections would exhaust the connection limit.
+        assertTrue(bad.isClosedByServer());
         assertEquals(
                 connectClient()
                         .exchange(TestClient.jobRequest("verify", "t1", 5000))
@@ -903,8 +902,8 @@
     }
 
     /**
-     * The load balancer takes the longest wait that it has seen for the usual one, so a client's own deadline must not
-     * extend it.
+     * The load balancer takes the longest remaining time that it has seen for that of a first attempt, so a client's
+     * own is limited to the deadline of its class.
      */
     @Test
     public void noClientWaitsLongerThanItsClassAllows() throws Exception {
--- a/src/test/java/olivechute/NodeTestBase.java
+++ b/src/test/java/olivechute/NodeTestBase.java
@@ -132,6 +132,7 @@
         return "\"state\":\"done\",\"result\":\"" + result + "\",\"load\":{\"x0\":3,\"depth\":0}";
     }
 
+    /** Waits up to about 3 s for the condition; fails if it does not hold then. */
     static void await(BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; i < 300 && !condition.getAsBoolean(); i++) {
             Thread.sleep(10);
--- a/src/test/java/olivechute/PackageDependencyTest.java
+++ b/src/test/java/olivechute/PackageDependencyTest.java
@@ -257,8 +257,8 @@
     }
 
     /**
-     * Only the node and the command line report to the supervisor: no lower layer may load the messages' library for
-     * it.
+     * Only the node and the command line report to the supervisor: no lower layer may load the library of the messages
+     * (Protocol Buffers) for that.
      */
     @Test
     public void onlyTheNodeDependsOnMetricsReporting() {
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -387,9 +387,8 @@
         BlockingQueue<Integer> told = new LinkedBlockingQueue<>();
         TlsContext[] worker = {workloadContext("/sign-worker/pool")};
         List<String> known = new ArrayList<>();
-        for (int h = 0;
-                h < HOSTS;
-                h++) { // more than jobs, as an endpoint without any response yet gets one job at a time
+        // More servers than jobs, as an endpoint without any response yet gets one job at a time.
+        for (int h = 0; h < HOSTS; h++) {
             String name = "s" + h;
             known.add(endpointEntry(
                     name,
@@ -412,8 +411,8 @@
         for (int i = 0; i < JOBS; i++) {
             clients.add(client(acme).send(TestClient.jobRequest("sign", "t" + i, 50_000)));
             int sent = i + 1;
-            if (sent % BATCH_SIZE
-                    == 0) { // each job takes three handshakes, one of them within the time to accept the job
+            // Each job takes three handshakes, one of them within the time to accept the job.
+            if (sent % BATCH_SIZE == 0) {
                 await(() -> started.size() == sent);
             }
         }
--- a/src/test/java/olivechute/ShutdownTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -156,9 +156,7 @@
         assertTrue(drained.await(1500, TimeUnit.MILLISECONDS));
     }
 
-    /**
-     * An unsent response delays the shutdown, as does its arrival; after the shutdown the node accepts no connections.
-     */
+    /** The shutdown waits until all responses are written and received; after it the node accepts no connections. */
     @Test
     public void drainedNodeRefusesConnections() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
--- a/src/test/java/olivechute/ThreadLimitTest.java
+++ b/src/test/java/olivechute/ThreadLimitTest.java
@@ -44,7 +44,7 @@
                         }
                     },
                     "limited",
-                    192 * 1024);
+                    192 * 1024); // stack size in bytes
             setDaemon(true);
         }
 
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -50,8 +50,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests races between the decision to send a request and its first byte, and between a response and its end: the
- * connection pools run on real connections whose connects and reads wait at gates until the test opens them.
+ * Tests races between the decision to send a request and its first byte, between a cancellation and the server's
+ * acceptance, and between a late or duplicate response and the next request: the connection pools run on real
+ * connections whose connects and reads wait at gates until the test opens them.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // the events and server logs show whether the tasks ran
 public class UpstreamRaceTest {
@@ -68,13 +69,15 @@
     private volatile List<GatedConnection> connections; // replaced for each test, as the counter below
     private final List<String> events = new CopyOnWriteArrayList<>();
     private volatile CountDownLatch dialGate; // connects wait for this gate
-    private volatile CountDownLatch readGate;
-    private volatile CountDownLatch
-            firstConnectionReadGate; // reads of the first connection wait for this gate before they read
+    private volatile CountDownLatch readGate; // reads wait for this gate after they have read
+    /** Reads of the first connection wait for this gate before they read. */
+    private volatile CountDownLatch firstConnectionReadGate;
+
     private volatile CountDownLatch dialStarted;
-    private volatile boolean noDescriptors;
-    private volatile AtomicInteger
-            readsStarted; // replaced for each test, as a connection of an earlier test may still read
+    private volatile boolean noDescriptors; // no connection can be created
+    /** Replaced for each test, as a connection of an earlier test may still read. */
+    private volatile AtomicInteger readsStarted;
+
     private EventLoop loop;
     private ConnectionPools pools;
     private RequestDispatcher dispatcher; // null if the test sends requests itself
@@ -655,7 +658,7 @@
         spinUntil(() -> peer.openConnections.get() == 0 || readsStarted.get() == 3);
     }
 
-    /** Its connection got an unsolicited response, and the event loop has not yet sent the request on another one. */
+    /** The chosen connection gets an unsolicited response; the event loop has not used another one yet. */
     @Test
     public void requestSuppressedBetweenConnectionsIsNotSent() throws Exception {
         TestServer peer = startServer(acceptAll());
--- a/src/test/java/olivechute/fleet/ServeIT.java
+++ b/src/test/java/olivechute/fleet/ServeIT.java
@@ -20,7 +20,7 @@
 @Timeout(60)
 class ServeIT {
     private static final long SEED = 20261203;
-    private static final int RATE = 120;
+    private static final int RATE = 120; // jobs per second
     private static final long TIMEOUT_MILLIS = 20_000;
 
     private final TestNodes nodes = new TestNodes(3, SEED);
--- a/src/test/java/olivechute/rig/EventLedger.java
+++ b/src/test/java/olivechute/rig/EventLedger.java
@@ -7,7 +7,7 @@
 
 /** Events recorded by clients and workers for {@link FleetInvariants}. Times are ms of {@link #now}. Thread-safe. */
 public final class EventLedger {
-    private static final int MAX_ENTRIES = 200_000;
+    private static final int MAX_ENTRIES = 200_000; // of each kind
 
     /** Outcome of a job for its client. */
     public enum Outcome {
@@ -27,7 +27,7 @@
     public record Job(
             String id, String requestClass, String key, String node, long sent, long ended, Outcome end, int status) {}
 
-    /** A response to this job that a client read, whichever response it waited for. */
+    /** A response that a client read; {@code id} is the job that it answers, which may be another than was awaited. */
     public record Answer(String id, String node, long atMs) {}
 
     /** One execution of a job by a worker; {@code done} if it completed and was not cancelled before. */
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Checks the invariants of a fleet during changes against the ledger. Only certain violations are reported: a node that
- * was ready before counts as unavailable from the first to the last of consecutive probes that found it not ready.
+ * Checks the invariants of a fleet during changes against the ledger. Reports only violations that the entries prove: a
+ * node counts as unavailable from the answer to the first to the sending of the last of consecutive probes that found
+ * it not ready, and only once a probe has found it ready.
  */
 public final class FleetInvariants {
     /** An invariant of the fleet. */
@@ -84,7 +85,7 @@
                 .forEach(probe -> byNode.computeIfAbsent(probe.node(), n -> new ArrayList<>())
                         .add(probe));
         TreeMap<Long, List<String>> steps =
-                new TreeMap<>(); // "+node" where its unavailability begins, "-node" where it ends
+                new TreeMap<>(); // by time: "+node" where its unavailability begins, "-node" where it ends
         byNode.forEach((node, probes) -> {
             probes.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
             int first = 0;
--- a/src/test/java/olivechute/rig/HttpTestConnection.java
+++ b/src/test/java/olivechute/rig/HttpTestConnection.java
@@ -12,8 +12,8 @@
     private final Socket socket = new Socket();
     private final ResponseParser parser = new ResponseParser();
     private final byte[] buffer = new byte[8192];
-    private int from;
-    private int to;
+    private int from; // the first byte of the buffer that is not parsed yet
+    private int to; // the end of the received bytes in the buffer
 
     HttpTestConnection(InetSocketAddress address, int dialMillis) throws IOException {
         try {
@@ -29,7 +29,7 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Returns the next response, or null if the connection ends cleanly before its first byte. */
+    /** Returns the next response, or null if the connection ends before it is complete; a timeout throws. */
     HttpResponse receive(int withinMillis) throws IOException, HttpException {
         long end = EventLedger.now() + withinMillis;
         boolean begun = false;
--- a/src/test/java/olivechute/rig/InjectedFaults.java
+++ b/src/test/java/olivechute/rig/InjectedFaults.java
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Blocks the calling thread, which read a job, for this time. */
+    /** Blocks the calling thread, which has read a request, for this time in ms. */
     public static void delay(int millis) {
         try {
             Thread.sleep(millis);
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Ends the process with status 3 after this time. */
+    /** Ends the process with status 3 after this time in ms. */
     public static void crashAfter(int millis) {
         Thread thread = new Thread(
                 () -> {
--- a/src/test/java/olivechute/rig/LinkFaults.java
+++ b/src/test/java/olivechute/rig/LinkFaults.java
@@ -1,14 +1,14 @@
 package olivechute.rig;
 
 /**
- * The faults of one direction of a link, shared by all its connections; changes take effect on waiting data too.
- * Thread-safe.
+ * The faults of one direction of a link, shared by all its connections; a change also applies to data that waits to be
+ * forwarded. Thread-safe.
  */
 final class LinkFaults {
     private static final long NS_PER_SECOND = 1_000_000_000;
 
     private boolean partitioned;
-    private long delayNs; // ns
+    private long delayNs;
     private int maxBytesPerSecond; // 0 for no limit
 
     synchronized void partitioned(boolean now) {
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -94,7 +94,7 @@
         await(() -> holds.test(ready), withinMillis, "nodes ready: ");
     }
 
-    /** Waits until this many jobs were answered. */
+    /** Waits until this many responses were received in all, whatever their status. */
     public void awaitServed(long jobs, long withinMillis) {
         await(() -> ledger.answers().size() >= jobs, withinMillis, "served: " + ledger.counts() + ", nodes ready: ");
     }
@@ -105,8 +105,8 @@
             while (!holds.getAsBoolean()) {
                 long left = end - EventLedger.now();
                 if (left <= 0) {
-                    throw new TestSetupException(
-                            "not within " + withinMillis + " ms; " + what + ready + ", jobs " + ledger.counts());
+                    throw new TestSetupException("the awaited condition did not hold within " + withinMillis + " ms; "
+                            + what + ready + ", jobs " + ledger.counts());
                 }
                 try {
                     lock.wait(left);
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -37,7 +37,7 @@
         return ++startNumber;
     }
 
-    /** Marks the end of the output of that start. */
+    /** Marks the end of the output of a start, unless the process was started again since. */
     synchronized void onEnd(int of) {
         ended |= of == startNumber;
         notifyAll();
@@ -77,7 +77,7 @@
             long left = (end - System.nanoTime()) / 1_000_000;
             if (ended || left <= 0) {
                 throw new TestSetupException(processName
-                        + (ended ? " ended" : " took over " + within.toMillis() + " ms") + " without a line matching /"
+                        + (ended ? " ended" : " ran for " + within.toMillis() + " ms") + " without a line matching /"
                         + pattern + "/; its last lines:\n" + String.join("\n", tail()));
             }
             try {
--- a/src/test/java/olivechute/rig/ProcessSpec.java
+++ b/src/test/java/olivechute/rig/ProcessSpec.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Specification of a process: {@code prefix} (a command that finally executes its arguments in its place, as
- * {@link TestDirectory#fileLimit} returns), then {@code command}; {@code environment} is added to this process's own;
- * {@code directory} is cleared by a clean restart, null for none.
+ * Specification of a process: {@code command}, which is appended to {@code prefix} if that is not empty (a command that
+ * replaces itself by its arguments, such as {@link TestDirectory#fileLimit}); {@code environment} is added to that of
+ * the tests; {@code directory}, which may be null, is cleared by {@link TestProcess#restartEmpty}.
  */
 public record ProcessSpec(
         String name,
--- a/src/test/java/olivechute/rig/TestVersions.java
+++ b/src/test/java/olivechute/rig/TestVersions.java
@@ -58,7 +58,7 @@
                                     if (!call.targets("olivechute/loadbalancing/LoadBalancer", "onRequest")) {
                                         return call.writeUnchanged(method);
                                     }
-                                    method.visitVarInsn(Opcodes.ALOAD, 0);
+                                    method.visitVarInsn(Opcodes.ALOAD, 0); // this, the dispatcher
                                     method.visitMethodInsn(
                                             Opcodes.INVOKESTATIC,
                                             INJECTED_FAULTS,
@@ -113,7 +113,7 @@
                                     if (!call.targets(DOWNSTREAM_SERVER, "ready")) {
                                         return call.writeUnchanged(method);
                                     }
-                                    method.visitInsn(Opcodes.POP);
+                                    method.visitInsn(Opcodes.POP); // the receiver of the removed call
                                     return true;
                                 },
                                 null)));
@@ -139,6 +139,7 @@
             return owner.equals(type) && name.equals(method);
         }
 
+        /** Returns false, which as the result of a patch means that nothing was changed. */
         boolean writeUnchanged(MethodVisitor method) {
             method.visitMethodInsn(opcode, owner, name, descriptor, ofInterface);
             return false;
--- a/src/test/java/olivechute/rig/TestVersionsIT.java
+++ b/src/test/java/olivechute/rig/TestVersionsIT.java
@@ -21,7 +21,7 @@
 @Timeout(40)
 class TestVersionsIT {
     private static final long SEED = 20261202;
-    private static final int RATE = 100;
+    private static final int RATE = 100; // jobs per second
     /** Prefix of the ids of a node's own warm-up jobs. */
     private static final String WARMUP_ID_PREFIX = "0000000000000000";
 
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -12,7 +12,7 @@
 /** Tests a node whose configuration file is temporarily unreadable (EIO). */
 class FailingFileIT {
     private static final int ALWAYS_PER_MILLION = 1_000_000;
-    private static final long FAULT_MILLIS = 700;
+    private static final long FAULT_MILLIS = 700; // less than the second for which a node retries to read the file
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private interface Scenario {
--- a/src/test/java/olivechute/soak/FaultShim.java
+++ b/src/test/java/olivechute/soak/FaultShim.java
@@ -25,7 +25,9 @@
     private static final Path SOURCE = Path.of("src", "test", "c", "faultshim.c");
     private static final Path LIBRARY = Path.of("target", "faultshim.so").toAbsolutePath();
     private static final int COMPILE_SECONDS = 60;
+    /** Offset of the rates in the control file, whose layout is {@code struct control} of the library. */
     private static final int RATES_AT = Long.BYTES;
+
     private static final int CONTROL_BYTES = 4096;
 
     /** The faults, in the order of the library's control file. */
--- a/src/test/java/olivechute/soak/History.java
+++ b/src/test/java/olivechute/soak/History.java
@@ -22,7 +22,10 @@
         NOT_SENT
     }
 
-    /** A request as its client saw it; {@code port} is the client's own, {@code sentUs} the time of the last byte. */
+    /**
+     * A request as its client saw it; {@code port} is the client's own, {@code first} tells whether it was the first on
+     * its connection, {@code sentUs} is the time of its last byte.
+     */
     record ClientRequest(
             String id,
             String requestClass,
@@ -42,6 +45,7 @@
         FAILED,
         /** Returned or rejected: it never ran. */
         RETURNED,
+        /** The server reported that it lost the job. */
         LOST,
         /** The server reset the connection before its response. */
         RESET,
@@ -51,7 +55,10 @@
         OPEN
     }
 
-    /** An attempt as its server saw it. */
+    /**
+     * An attempt as its server saw it: the first byte arrived at {@code beganUs}, the last at {@code completeUs}, and
+     * it told the server that {@code remainingUs} were left until its deadline.
+     */
     static final class Attempt {
         final String id;
         final String requestClass;
@@ -110,13 +117,18 @@
     record Notice(String node, String server, boolean takes, long atUs) {}
 
     /**
-     * A process of a node from its start until SIGKILL, which was sent between two times; {@code Long.MAX_VALUE} if the
-     * process had ended before.
+     * A process of a node: started, ready, sent SIGTERM at {@code termUs}, sent SIGKILL between {@code killFromUs} and
+     * {@code killedUs}. A time is {@code Long.MAX_VALUE} if it has not come, as that of SIGKILL if the process had
+     * ended before. Only a process that gets no SIGTERM is not {@code planned}. A process is recorded at the end of the
+     * wait until it is ready, and again when it is stopped, then with {@code startedUs} as {@code readyUs}.
      */
     record Incarnation(
             String node, long startedUs, long termUs, long killFromUs, long killedUs, boolean planned, long readyUs) {}
 
-    /** A client that stalled mid-request, and when it got a response or the end of the connection. */
+    /**
+     * A client that stalled mid-request, and when it got a response or the end of the connection; {@code nodeLived} if
+     * the node was not killed meanwhile.
+     */
     record StalledClient(String node, long stoppedUs, long endedUs, boolean nodeLived) {}
 
     private final List<ClientRequest> requests = new ArrayList<>();
--- a/src/test/java/olivechute/soak/SoakClients.java
+++ b/src/test/java/olivechute/soak/SoakClients.java
@@ -29,7 +29,10 @@
     private static final int DIAL_MILLIS = 1000;
     /** Time for which a client keeps listening after its deadline, so that late responses are detected. */
     private static final int LATE_ANSWER_MILLIS = 800;
-    /** A client that stalls mid-request must get an error or the end of the connection within about this time. */
+    /**
+     * Time for which a client that stalled mid-request waits for an error or the end of the connection: more than
+     * {@link SoakInvariants} allows the node.
+     */
     private static final int STALLED_TIMEOUT_MILLIS = 3500;
 
     private static final String[] CLASSES = {"verify", "sign", "pay"};
@@ -244,8 +247,8 @@
                 result = receive(line, deadlineMillis);
             }
             if (!result.keepAlive()) {
-                drop(line); // close before the end is recorded: nothing may begin for a disconnected client after
-                // that time
+                // Closed before the end is recorded: no attempt may begin for a disconnected client after that time.
+                drop(line);
             }
             history.add(new History.ClientRequest(
                     id,
--- a/src/test/java/olivechute/soak/SoakDiscovery.java
+++ b/src/test/java/olivechute/soak/SoakDiscovery.java
@@ -117,6 +117,7 @@
             body = "{\"index\":" + index + ",\"snapshot\":" + snapshot + ",\"endpoints\":["
                     + entries(snapshot ? 0 : heldIndex) + "]}";
         }
+        // Each of four faults takes a quarter of the fault rate.
         if (draw < faultRate / 4) {
             exchange.reply(MessageWriter.response(503, new byte[0], true));
             return;
--- a/src/test/java/olivechute/soak/SoakInvariants.java
+++ b/src/test/java/olivechute/soak/SoakInvariants.java
@@ -7,15 +7,16 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Checks the invariants against the history of one run. On sockets every time limit gets a tolerance of 50 ms. */
+/** Checks the invariants against the history of one run. Limits of times seen at sockets get a tolerance of 50 ms. */
 final class SoakInvariants {
     private static final long SOCKET_TOLERANCE_US = 50_000;
-    private static final long MAX_LATENESS_US = 500_000;
+    private static final long MAX_LATENESS_US = 500_000; // of a response, after the deadline of its request
     private static final long DISCONNECT_DETECTION_US = 100_000;
-    private static final long DEADLINE_SLACK_US = 150_000;
+    private static final long DEADLINE_SLACK_US =
+            150_000; // excess of the time that a server is told over the time left
     private static final long STALLED_CLIENT_TIMEOUT_US = 3_000_000;
     private static final long READY_TIMEOUT_US = 10_000_000;
-    private static final long DRAIN_GRACE_US = 500_000;
+    private static final long DRAIN_GRACE_US = 500_000; // drain_grace of the nodes' configuration
     /** Requests in progress this shortly before an unannounced kill may be lost. */
     private static final long KILL_TOLERANCE_US = 50_000;
     /** Records of a port up to this long before a request belong to the same connection, not to an earlier one. */
@@ -81,8 +82,9 @@
     }
 
     /**
-     * A connection may be closed while idle, although an unread request arrives on it, and where the library broke it
-     * for the node too.
+     * Checks a request whose connection ended without a response. The node may close an idle connection although a
+     * request that it has not read arrives on it. It is not responsible for connections that the fault library broke or
+     * that ended with a kill without SIGTERM.
      */
     private void checkConnectionEnd(History.ClientRequest request) {
         if (connectionFaultInjected(request) || killedWithoutWarning(request)) {
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -49,7 +49,7 @@
     private static final int SOCKETS = 1024;
     private static final int SOCKETS_IN_A_CROWD = 160;
     private static final long WARM_UP_MILLIS = 700;
-    private static final long FIRST_DISCOVERY_ENDS_MILLIS = 1500;
+    private static final long FIRST_DISCOVERY_ENDS_MILLIS = 1500; // after the node was told of the second address
     private static final long READY_WITHIN_MILLIS = 30_000;
     private static final byte[] READINESS_REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -280,7 +280,7 @@
         List<String> logs = new ArrayList<>();
         programs.values().forEach(program -> logs.addAll(program.lines()));
         String summary = "seed " + scenario.seed() + ": " + history.requests().size() + " requests " + endings + ", "
-                + history.attempts().size() + " attempts, faults " + faults + ", " + violations.size() + " breaks";
+                + history.attempts().size() + " attempts, faults " + faults + ", " + violations.size() + " violations";
         return new Report(scenario, violations, summary, logs);
     }
 
--- a/src/test/java/olivechute/soak/SoakScenario.java
+++ b/src/test/java/olivechute/soak/SoakScenario.java
@@ -25,7 +25,7 @@
         Map<FaultShim.Fault, Integer> rates) {
     /** Minimum time in ms for which both nodes run under faults. */
     static final long MIN_DURATION_MILLIS = 9000;
-    /** SIGKILL follows SIGTERM no sooner than the longest deadline plus this time in ms. */
+    /** SIGKILL follows SIGTERM after the usual deadline of a request, at most 3 s, plus this time in ms. */
     static final long KILL_DELAY_AFTER_DEADLINE_MILLIS = 700;
 
     private static final long[] DEADLINES = {400, 700, 1200, 3000, 5000};
--- a/src/test/java/olivechute/soak/SoakServers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -143,6 +143,7 @@
         answer(behaviour(), attempt, exchange);
     }
 
+    /** Parses a remaining time: a number and its unit, u for microseconds or m for milliseconds. */
     private static long micros(String remaining) {
         long number = Long.parseLong(remaining.substring(0, remaining.length() - 1));
         return remaining.endsWith("u") ? number : number * 1000;
