--- a/src/test/java/olivechute/ClientDisconnectTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -171,11 +171,11 @@
     @Test
     public void excessDataAfterLocalReplyClosesTheConnection() throws Exception {
         byte[] two = "GET /health/ready HTTP/1.1\r\n\r\n".repeat(2).getBytes(UTF_8);
-        CountDownLatch writes = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenWithBlockedWrites(writes, go);
+        CountDownLatch writeStarted = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenWithBlockedWrites(writeStarted, release);
         TestClient flood = connect().send(two);
-        assertTrue(writes.await(2, TimeUnit.SECONDS));
+        assertTrue(writeStarted.await(2, TimeUnit.SECONDS));
         Threads.start("flood", () -> {
             try {
                 flood.send(new byte[FLOOD_BYTES]);
@@ -184,7 +184,7 @@
             }
         });
         Thread.sleep(50); // longer than the interval between two checks of the connection
-        go.countDown();
+        release.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
             assertTrue(server.unansweredRequests() == 0);
@@ -233,31 +233,31 @@
      */
     @Test
     public void finalResponseIsCompleteDespiteUnreadData() throws Exception {
-        AtomicReference<Connection> link = new AtomicReference<>();
+        AtomicReference<Connection> connection = new AtomicReference<>();
         AtomicInteger reads = new AtomicInteger();
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         listen(channel -> {
-            ObservedConnection made = new ObservedConnection(channel) {
+            ObservedConnection created = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (reads.incrementAndGet() == 2) {
-                        awaitLatch(go);
+                        awaitLatch(release);
                     }
                 }
             };
-            link.set(made);
-            return made;
+            connection.set(created);
+            return created;
         });
         TestClient client = connect();
         client.socket.setReceiveBufferSize(4096);
         client.send(MessageWriter.request("POST", "/verify", "b", null, "X-Txn", "t1", "Connection", "close"));
         ProxyEvent.RequestArrived first = awaitRequest();
         client.send(jobRequests("t2"));
-        await(() -> link.get().hasUnreadInput());
+        await(() -> connection.get().hasUnreadInput());
         String large = "x".repeat(60_000);
         sendResult(first, large);
         await(() -> server.unansweredRequests() == 0);
-        go.countDown();
+        release.countDown();
         assertEquals(statusAndBody(client.receive()), "200 " + large);
         assertNull(client.receive());
         assertEquals(arrivedRequests.size(), 0);
@@ -266,18 +266,18 @@
     /** A response to a client that has disconnected is dropped, and the request no longer counts as unanswered. */
     @Test
     public void disconnectDuringResponseReleasesTheRequest() throws Exception {
-        CountDownLatch writes = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenWithBlockedWrites(writes, go);
+        CountDownLatch writeStarted = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenWithBlockedWrites(writeStarted, release);
         TestClient client = connect().send(jobRequests("t1", "t2"));
         ProxyEvent.RequestArrived first = awaitRequest();
         Threads.start("answer", () -> sendResult(first, "x".repeat(60_000)));
-        assertTrue(writes.await(2, TimeUnit.SECONDS));
+        assertTrue(writeStarted.await(2, TimeUnit.SECONDS));
         // Handed to the writer but not written: still counts as unanswered.
         assertEquals(server.unansweredRequests(), 1);
         client.close();
         Thread.sleep(DISCONNECT_DETECTION_MILLIS);
-        go.countDown();
+        release.countDown();
         await(server::isQuiescent);
         assertEquals(arrivedRequests.size(), 0);
     }
--- a/src/test/java/olivechute/ConnectionCloseTest.java
+++ b/src/test/java/olivechute/ConnectionCloseTest.java
@@ -79,14 +79,14 @@
 
     @Test
     public void firstRequestDuringUnusedConnectionCheckIsNotClosed() throws Exception {
-        AtomicBoolean asked = new AtomicBoolean();
-        CountDownLatch decides = new CountDownLatch(1);
+        AtomicBoolean checked = new AtomicBoolean();
+        CountDownLatch checkStarted = new CountDownLatch(1);
         CountDownLatch taken = new CountDownLatch(1);
         listen(channel -> new Connection(channel) {
             @Override
             public boolean hasUnreadInput() {
-                if (!asked.getAndSet(true)) {
-                    decides.countDown();
+                if (!checked.getAndSet(true)) {
+                    checkStarted.countDown();
                     awaitLatch(taken, THREAD_DELAY_MILLIS);
                 }
                 return super.hasUnreadInput();
@@ -94,7 +94,7 @@
         });
         onRequest = taken::countDown;
         TestClient client = connect();
-        assertTrue(decides.await(STALL_TIMEOUT_MILLIS + 1000, TimeUnit.MILLISECONDS));
+        assertTrue(checkStarted.await(STALL_TIMEOUT_MILLIS + 1000, TimeUnit.MILLISECONDS));
         client.send(TestClient.jobRequest("verify", "t1", 5000));
         assertAnsweredOrUnread(client);
     }
@@ -133,16 +133,16 @@
 
     @Test
     public void requestBeingReadIsAnsweredDuringDrain() throws Exception {
-        CountDownLatch has = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenBlockingAfterRead(2, has, go, 100);
+        CountDownLatch readDone = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenBlockingAfterRead(2, readDone, release, 100);
         TestClient client = connect();
         assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
         client.send(TestClient.jobRequest("verify", "t1", 5000));
-        assertTrue(has.await(2, TimeUnit.SECONDS));
+        assertTrue(readDone.await(2, TimeUnit.SECONDS));
         server.drain();
         Thread.sleep(300); // several sweep intervals
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
         assertEquals(statusAndBody(answer), "200 ok");
@@ -152,33 +152,33 @@
 
     @Test
     public void firstRequestBeingReadIsAnsweredAtConnectionLimit() throws Exception {
-        CountDownLatch has = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenBlockingAfterRead(1, has, go, 1);
+        CountDownLatch readDone = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenBlockingAfterRead(1, readDone, release, 1);
         TestClient client = connect();
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
         client.send(TestClient.jobRequest("verify", "t1", 5000));
-        assertTrue(has.await(2, TimeUnit.SECONDS));
+        assertTrue(readDone.await(2, TimeUnit.SECONDS));
         connect(); // above the connection limit, so a connection has to be evicted
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         assertEquals(statusAndBody(client.receive()), "200 ok");
     }
 
     @Test
     public void laterRequestBeingReadIsAnsweredAtConnectionLimit() throws Exception {
-        CountDownLatch has = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenBlockingAfterRead(2, has, go, 1);
+        CountDownLatch readDone = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenBlockingAfterRead(2, readDone, release, 1);
         TestClient client = connect();
         assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
         client.send(TestClient.jobRequest("verify", "t1", 5000));
-        assertTrue(has.await(2, TimeUnit.SECONDS));
+        assertTrue(readDone.await(2, TimeUnit.SECONDS));
         connect();
         Thread.sleep(EVICTABLE_AFTER_MILLIS);
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         assertEquals(statusAndBody(client.receive()), "200 ok");
     }
--- a/src/test/java/olivechute/DelayedNodeTest.java
+++ b/src/test/java/olivechute/DelayedNodeTest.java
@@ -23,25 +23,25 @@
     private static final long SWEEP_INTERVAL_US = 20_000;
     private static final int DELAY_MILLIS = 900; // longer than the node waits for a client that does not read
 
-    private InetSocketAddress startServer(EventLoop loop, java.util.function.Consumer<ProxyEvent.RequestArrived> opened)
-            throws Exception {
+    private InetSocketAddress startServer(
+            EventLoop loop, java.util.function.Consumer<ProxyEvent.RequestArrived> onRequest) throws Exception {
         Path file = writeConfig(startServer(r -> null), 1024);
         NodeConfig config = NodeConfig.load(Map.of("LB_CONFIG", file.toString()));
         Files.delete(file);
-        DownstreamServer front = new DownstreamServer(
+        DownstreamServer server = new DownstreamServer(
                 loop,
                 new WriterThreads(100),
                 Threads.connectionThreads(),
                 config.settings(),
                 config.loadReportFields(),
                 100);
-        loop.runPeriodically(SWEEP_INTERVAL_US, front::sweep);
+        loop.runPeriodically(SWEEP_INTERVAL_US, server::sweep);
         loop.start(event -> {
             if (event instanceof ProxyEvent.RequestArrived e) {
-                opened.accept(e);
+                onRequest.accept(e);
             }
         });
-        return front.listen(
+        return server.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), PeerIdentity.Authenticator.PLAINTEXT);
     }
 
@@ -60,11 +60,11 @@
     @Test
     public void delayedResponseIsStillWritten() throws Exception {
         EventLoop loop = new EventLoop();
-        InetSocketAddress at = startServer(loop, e -> {
+        InetSocketAddress address = startServer(loop, e -> {
             loop.defer(DelayedNodeTest::delay);
             e.client().sendResult("signed".getBytes(StandardCharsets.UTF_8));
         });
-        try (TestClient client = new TestClient(at)) {
+        try (TestClient client = new TestClient(address)) {
             assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t1", 5000))), "200 signed");
             assertEquals(statusAndBody(client.exchange(TestClient.jobRequest("sign", "t2", 5000))), "200 signed");
         }
@@ -75,8 +75,8 @@
     public void clientThatReadsNothingIsDisconnected() throws Exception {
         EventLoop loop = new EventLoop();
         byte[] large = new byte[60_000];
-        InetSocketAddress at = startServer(loop, e -> e.client().sendResult(large));
-        try (TestClient client = new TestClient(at)) {
+        InetSocketAddress address = startServer(loop, e -> e.client().sendResult(large));
+        try (TestClient client = new TestClient(address)) {
             client.socket.setReceiveBufferSize(4096);
             long before = System.nanoTime();
             try {
--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -31,8 +31,8 @@
         TestServer second = startServer(null);
         first.handler = acceptAndReportToProcess("s1", "first");
         second.handler = acceptAndReportToProcess("s2", "second");
-        AtomicReference<byte[]> told = new AtomicReference<>(endpointListResponse(1, false));
-        discovery = startServer(r -> told.get());
+        AtomicReference<byte[]> oldAnswer = new AtomicReference<>(endpointListResponse(1, false));
+        discovery = startServer(r -> oldAnswer.get());
         Path file = writeConfig(discovery, 1024, endpointEntry("s1", first, "active", 0));
         startProcess("trap '' HUP", file);
         assertEquals(runJob(), "200 first");
@@ -40,10 +40,10 @@
         byte[] drained = endpointListResponse(
                 2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
         byte[] none = endpointListResponse(2, false);
-        TestServer moved = startServer(r -> r.target().contains("since=1&") ? drained : none);
-        Files.move(writeConfig(moved, 1024), file, StandardCopyOption.REPLACE_EXISTING);
+        TestServer newDiscovery = startServer(r -> r.target().contains("since=1&") ? drained : none);
+        Files.move(writeConfig(newDiscovery, 1024), file, StandardCopyOption.REPLACE_EXISTING);
         sendHangupSignal();
-        told.set(answer);
+        oldAnswer.set(answer);
         if (closed) {
             discovery.close();
         }
--- a/src/test/java/olivechute/NodeProcessLifecycleTest.java
+++ b/src/test/java/olivechute/NodeProcessLifecycleTest.java
@@ -28,44 +28,44 @@
         TestServer host = startServer(null);
         host.handler = r -> acceptAndReport("s1", doneEvent("ok")).respond(r);
         CountDownLatch listens = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        NodeLifecycle life = new NodeLifecycle();
-        AtomicInteger asked = new AtomicInteger();
+        CountDownLatch release = new CountDownLatch(1);
+        NodeLifecycle lifecycle = new NodeLifecycle();
+        AtomicInteger reloads = new AtomicInteger();
         Threads.start("start", () -> {
             try {
-                life.start(shutdownHook::set, () -> {
+                lifecycle.start(shutdownHook::set, () -> {
                     assertNotNull(shutdownHook.get()); // installed before the node listens
                     start(endpointEntry("s1", host, "active", 0));
                     listens.countDown();
-                    DownstreamServerTestBase.awaitLatch(go);
+                    DownstreamServerTestBase.awaitLatch(release);
                     return node;
                 });
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
         });
-        life.whenStarted(n -> asked.incrementAndGet()); // SIGHUP during the start
+        lifecycle.whenStarted(n -> reloads.incrementAndGet()); // SIGHUP during the start
         assertTrue(listens.await(5, TimeUnit.SECONDS));
         TestClient client = connectClient().send(TestClient.jobRequest("sign", "t1", 5000));
         shutdownHook.get().start(); // SIGTERM
-        life.whenStarted(n -> asked.incrementAndGet()); // a second SIGHUP
+        lifecycle.whenStarted(n -> reloads.incrementAndGet()); // a second SIGHUP
         assertFalse(hasEnded(100));
-        go.countDown();
+        release.countDown();
         assertEquals(statusAndBody(client.receive()), "200 ok");
         assertFalse(hasEnded(500)); // it drains like a node that has been running for a while
         assertTrue(hasEnded(4000));
-        assertEquals(asked.get(), 2);
+        assertEquals(reloads.get(), 2);
     }
 
     @Test
     public void failedStartDoesNotDelayShutdown() throws Exception {
-        NodeLifecycle life = new NodeLifecycle();
+        NodeLifecycle lifecycle = new NodeLifecycle();
         assertThrows(
                 IOException.class,
-                () -> life.start(shutdownHook::set, () -> {
+                () -> lifecycle.start(shutdownHook::set, () -> {
                     throw new IOException("in use");
                 }));
-        life.whenStarted(n -> {
+        lifecycle.whenStarted(n -> {
             throw new AssertionError("has not started");
         });
         shutdownHook.get().start();
@@ -75,20 +75,20 @@
     @Test
     public void hangingStartDelaysShutdownForABoundedTime() throws Exception {
         CountDownLatch starts = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         Threads.start(
                 "start",
                 () -> assertThrows(
                         IOException.class,
                         () -> new NodeLifecycle().start(shutdownHook::set, () -> {
                             starts.countDown();
-                            DownstreamServerTestBase.awaitLatch(go);
+                            DownstreamServerTestBase.awaitLatch(release);
                             throw new IOException("given up");
                         })));
         assertTrue(starts.await(2, TimeUnit.SECONDS));
         shutdownHook.get().start();
         assertTrue(hasEnded(3000));
-        go.countDown();
+        release.countDown();
     }
 
     private boolean hasEnded(long millis) throws InterruptedException {
--- a/src/test/java/olivechute/NodeTest.java
+++ b/src/test/java/olivechute/NodeTest.java
@@ -100,16 +100,16 @@
         long before = System.nanoTime();
         HttpResponse refused = connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000));
         assertEquals(refused.status(), 503);
-        double advice = Double.parseDouble(refused.headers().get("Retry-After"));
-        assertTrue(advice > 0 && advice <= 2, "advice " + advice);
+        double retryAfter = Double.parseDouble(refused.headers().get("Retry-After"));
+        assertTrue(retryAfter > 0 && retryAfter <= 2, "advice " + retryAfter);
         assertTrue(System.nanoTime() - before < 1_500_000_000L);
     }
 
     @Test
     public void idInUseIsRejected() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         TestServer host = startServer(r -> {
-            go.await(3, TimeUnit.SECONDS);
+            release.await(3, TimeUnit.SECONDS);
             return acceptAndReport("s1", doneEvent("ok")).respond(r);
         });
         start(endpointEntry("s1", host, "active", 0));
@@ -120,7 +120,7 @@
                         .exchange(TestClient.jobRequest("verify", "t1", 5000))
                         .status(),
                 409);
-        go.countDown();
+        release.countDown();
         assertEquals(statusAndBody(first.receive()), "200 ok");
     }
 
@@ -156,8 +156,8 @@
      * At most three attempts, never two at once, and only if the class allows repeating an attempt that may have run.
      */
     @Test(dataProvider = "outcomes")
-    public void failedAttemptIsRetriedAsItsClassAllows(String kind, byte[] reply, String news, int requests, int status)
-            throws Exception {
+    public void failedAttemptIsRetriedAsItsClassAllows(
+            String requestClass, byte[] reply, String news, int requests, int status) throws Exception {
         List<String> known = new ArrayList<>();
         List<TestServer> hosts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
@@ -170,7 +170,7 @@
         start(known.toArray(new String[0]));
         assertEquals(
                 connectClient()
-                        .exchange(TestClient.jobRequest(kind, "t1", 2500))
+                        .exchange(TestClient.jobRequest(requestClass, "t1", 2500))
                         .status(),
                 status);
         assertEquals(hosts.stream().mapToInt(h -> h.requests().size()).sum(), requests);
@@ -305,9 +305,12 @@
         start(endpointEntry("s1", deaf, "active", 0), endpointEntry("s2", host, "active", 0));
         TestClient client = connectClient();
         for (int i = 0; i < 40; i++) {
-            String kind = i % 2 == 0 ? "sign" : "verify";
+            String requestClass = i % 2 == 0 ? "sign" : "verify";
             assertEquals(
-                    client.exchange(TestClient.jobRequest(kind, "t" + i, 5000)).status(), 200, kind + " " + i);
+                    client.exchange(TestClient.jobRequest(requestClass, "t" + i, 5000))
+                            .status(),
+                    200,
+                    requestClass + " " + i);
         }
         long tried =
                 deaf.requests().stream().filter(r -> r.path().equals("/sign")).count();
@@ -320,8 +323,8 @@
      */
     @Test
     public void brokenKeptConnectionsCostNoJobs() throws Exception {
-        AtomicInteger come = new AtomicInteger();
-        TestServer host = startServer(r -> come.incrementAndGet() % 3 == 2
+        AtomicInteger requestCount = new AtomicInteger();
+        TestServer host = startServer(r -> requestCount.incrementAndGet() % 3 == 2
                 ? TestServer.HANG_UP
                 : acceptAndReport("s1", doneEvent("ok")).respond(r));
         start(endpointEntry("s1", host, "active", 0));
@@ -357,16 +360,16 @@
     public void emptyListIsRequestedAgain() throws Exception {
         TestServer one = startServer(acceptAndReport("s1", doneEvent("ok")));
         TestServer two = startServer(acceptAndReport("s2", doneEvent("ok")));
-        AtomicInteger whole = new AtomicInteger();
-        CountDownLatch tell = new CountDownLatch(1);
+        AtomicInteger snapshotRequests = new AtomicInteger();
+        CountDownLatch release = new CountDownLatch(1);
         discovery = startServer(emptyUpdateThen(r -> {
             if (r.target().contains("since=1&")) {
-                tell.await(5, TimeUnit.SECONDS);
+                release.await(5, TimeUnit.SECONDS);
                 return endpointListResponse(2, true);
             }
             return r.target().contains("since")
                     ? null
-                    : whole.incrementAndGet() == 1
+                    : snapshotRequests.incrementAndGet() == 1
                             ? endpointListResponse(
                                     3,
                                     true,
@@ -375,9 +378,9 @@
                             : endpointListResponse(3, true);
         }));
         start(endpointEntry("s1", one, "active", 0), endpointEntry("s2", two, "active", 0));
-        tell.countDown();
+        release.countDown();
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=3&")));
-        assertEquals(whole.get(), 1);
+        assertEquals(snapshotRequests.get(), 1);
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t1", 5000))), "200 ok");
     }
 
@@ -385,9 +388,9 @@
     public void drainingOrRemovedServerGetsNoNewRequests() throws Exception {
         TestServer leaving = startServer(acceptAndReport("s1", doneEvent("old")));
         TestServer staying = startServer(acceptAndReport("s2", doneEvent("new")));
-        CountDownLatch tell = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         discovery = startServer(emptyUpdateThen(r -> {
-            tell.await(5, TimeUnit.SECONDS);
+            release.await(5, TimeUnit.SECONDS);
             return r.target().contains("since=1&")
                     ? endpointListResponse(
                             2,
@@ -398,7 +401,7 @@
         }));
         start(endpointEntry("s1", leaving, "active", 0));
         assertEquals(statusAndBody(connectClient().exchange(TestClient.jobRequest("verify", "t0", 5000))), "200 old");
-        tell.countDown();
+        release.countDown();
         await(() -> discovery.requests().stream().anyMatch(r -> r.target().contains("since=2&")));
         for (int i = 1; i < 6; i++) {
             assertEquals(
@@ -685,8 +688,8 @@
      */
     @Test
     public void cancellationDoesNotWaitForClientsThatStopReading() throws Exception {
-        Set<String> out = ConcurrentHashMap.newKeySet();
-        Set<String> told = ConcurrentHashMap.newKeySet();
+        Set<String> acceptedLate = ConcurrentHashMap.newKeySet();
+        Set<String> cancelled = ConcurrentHashMap.newKeySet();
         AtomicInteger bigs = new AtomicInteger();
         String[] hosts = new String[12];
         for (int i = 0; i < hosts.length; i++) {
@@ -695,12 +698,12 @@
                     name,
                     startServer(r -> {
                         if (r.method().equals("DELETE")) {
-                            told.add(r.target().substring("/jobs/".length()));
+                            cancelled.add(r.target().substring("/jobs/".length()));
                             return MessageWriter.response(204, null, true);
                         }
                         String id = r.headers().get("X-Txn");
                         if (id.startsWith("late")) {
-                            out.add(id);
+                            acceptedLate.add(id);
                             return ACCEPTED;
                         }
                         bigs.incrementAndGet();
@@ -722,7 +725,8 @@
             before = bigs.get();
             Thread.sleep(100);
         }
-        for (int i = 0; i < 10 && out.isEmpty(); i++) { // repeated only if a stalled machine let none reach a server
+        // Repeated only if a stalled machine let none reach a server.
+        for (int i = 0; i < 10 && acceptedLate.isEmpty(); i++) {
             List<TestClient> late = new ArrayList<>();
             for (int j = 0; j < 6; j++) {
                 late.add(connectClient().send(TestClient.jobRequest("verify", "late-" + i + "-" + j, 500)));
@@ -731,11 +735,12 @@
                 assertTrue(client.receive().status() >= 502); // 503, or 502 if the node itself was delayed
             }
         }
-        assertFalse(out.isEmpty());
-        for (long end = System.nanoTime() + 1_000_000_000L; System.nanoTime() < end && !told.containsAll(out); ) {
+        assertFalse(acceptedLate.isEmpty());
+        for (long end = System.nanoTime() + 1_000_000_000L;
+                System.nanoTime() < end && !cancelled.containsAll(acceptedLate); ) {
             Thread.sleep(10);
         }
-        assertTrue(told.containsAll(out), out + " but cancelled " + told);
+        assertTrue(cancelled.containsAll(acceptedLate), acceptedLate + " but cancelled " + cancelled);
     }
 
     /** After a restart a server does not answer on connections to its previous process. */
@@ -950,7 +955,7 @@
 
     @Test
     public void drainingNodeAnswersOpenAndNewRequests() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         TestServer one = startServer(null);
         TestServer two = startServer(null);
         for (TestServer host : List.of(one, two)) {
@@ -964,7 +969,7 @@
                         return; // never completes
                     }
                     try {
-                        assertTrue(!id.equals("t1") || go.await(8, TimeUnit.SECONDS));
+                        assertTrue(!id.equals("t1") || release.await(8, TimeUnit.SECONDS));
                     } catch (InterruptedException e) {
                         throw new IllegalStateException(e);
                     }
@@ -1014,6 +1019,6 @@
         assertNull(busy.receive());
         assertTrue(System.nanoTime() - before < 3_700_000_000L); // SIGKILL may follow from here on
         assertTrue(drained.await(2, TimeUnit.SECONDS));
-        go.countDown();
+        release.countDown();
     }
 }
--- a/src/test/java/olivechute/SecureNodeTest.java
+++ b/src/test/java/olivechute/SecureNodeTest.java
@@ -381,10 +381,10 @@
     @Test
     public void jobsInFlightSurviveAuthorityRotation() throws Exception {
         CertificateAuthority first = root;
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         AtomicInteger runs = new AtomicInteger();
         Set<String> started = ConcurrentHashMap.newKeySet();
-        BlockingQueue<Integer> told = new LinkedBlockingQueue<>();
+        BlockingQueue<Integer> reportStatuses = new LinkedBlockingQueue<>();
         TlsContext[] worker = {workloadContext("/sign-worker/pool")};
         List<String> known = new ArrayList<>();
         // More servers than jobs, as an endpoint without any response yet gets one job at a time.
@@ -395,7 +395,8 @@
                     secureServer(worker[0], r -> {
                         runs.incrementAndGet();
                         String id = r.headers().get("X-Txn");
-                        olivechute.net.Threads.start("job", () -> reportJob(worker, name, id, started, go, told));
+                        olivechute.net.Threads.start(
+                                "job", () -> reportJob(worker, name, id, started, release, reportStatuses));
                         return ACCEPTED;
                     }),
                     "active",
@@ -428,9 +429,9 @@
         await(() -> accepts(withoutFirst));
         trust(second);
         await(() -> !accepts(acme));
-        go.countDown();
+        release.countDown();
         for (int i = 0; i < JOBS; i++) {
-            assertEquals(told.poll(20, TimeUnit.SECONDS), Integer.valueOf(204));
+            assertEquals(reportStatuses.poll(20, TimeUnit.SECONDS), Integer.valueOf(204));
         }
         for (int i = 0; i < JOBS; i++) {
             assertEquals(statusAndBody(clients.get(i).receive()), "200 t" + i);
@@ -444,8 +445,8 @@
             String from,
             String id,
             Set<String> started,
-            CountDownLatch go,
-            BlockingQueue<Integer> told) {
+            CountDownLatch release,
+            BlockingQueue<Integer> reportStatuses) {
         String ends = "\"state\":\"done\",\"result\":\"" + id + "\",\"load\":{\"x0\":64,\"depth\":0}";
         try (TestClient before = client(identity[0])) {
             assertEquals(
@@ -453,8 +454,8 @@
                             .status(),
                     204);
             started.add(id);
-            go.await(50, TimeUnit.SECONDS);
-            told.add(sendStatusEventAs(identity[0], id, from, ends));
+            release.await(50, TimeUnit.SECONDS);
+            reportStatuses.add(sendStatusEventAs(identity[0], id, from, ends));
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/olivechute/SecureNodeTestBase.java
+++ b/src/test/java/olivechute/SecureNodeTestBase.java
@@ -71,7 +71,7 @@
         folder = Files.createTempDirectory("svid");
         nodeTrustDirectory =
                 new TrustDirectory(folder).svid(issue("/node", HOUR)).bundle(List.of(root.certificate()));
-        warmedUp();
+        warmUp();
     }
 
     /**
@@ -79,7 +79,7 @@
      * has to accept a job. As this is not what the tests are about, a separate node runs jobs that may fail until one
      * succeeds.
      */
-    private void warmedUp() throws Exception {
+    private void warmUp() throws Exception {
         if (warmedUp) {
             return;
         }
--- a/src/test/java/olivechute/ShutdownTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -36,30 +36,30 @@
     /** The bytes are still unread when the node looks for idle connections to close, so this connection is not idle. */
     @Test
     public void unreadRequestIsServedDuringDrain() throws Exception {
-        CountDownLatch waits = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        AtomicReference<Connection> link = new AtomicReference<>();
+        CountDownLatch readerWaits = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        AtomicReference<Connection> connection = new AtomicReference<>();
         AtomicBoolean first = new AtomicBoolean(true);
         listen(channel -> {
-            ObservedConnection made = new ObservedConnection(channel) {
+            ObservedConnection created = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (!first.getAndSet(false)) {
-                        waits.countDown();
-                        awaitLatch(go);
+                        readerWaits.countDown();
+                        awaitLatch(release);
                     }
                 }
             };
-            link.set(made);
-            return made;
+            connection.set(created);
+            return created;
         });
         TestClient client = connect();
         assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
-        assertTrue(waits.await(2, TimeUnit.SECONDS));
+        assertTrue(readerWaits.await(2, TimeUnit.SECONDS));
         client.send(TestClient.jobRequest("sign", "t1", 5000));
-        await(() -> link.get().hasUnreadInput());
+        await(() -> connection.get().hasUnreadInput());
         server.drain();
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         assertEquals(statusAndBody(client.receive()), "200 ok");
         assertNull(client.receive());
@@ -71,13 +71,13 @@
     @Test
     public void readRequestIsServedAndCrossingRequestIsNotForwarded() throws Exception {
         CountDownLatch read = new CountDownLatch(2);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         listen(channel -> new ObservedConnection(channel) {
             @Override
             void afterRead(int n) {
                 read.countDown();
                 if (read.getCount() == 0) {
-                    awaitLatch(go);
+                    awaitLatch(release);
                 }
             }
         });
@@ -88,7 +88,7 @@
         server.drain();
         Thread.sleep(300); // several sweep intervals
         client.send(TestClient.jobRequest("sign", "t2", 5000));
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
         assertEquals(statusAndBody(answer), "200 ok");
--- a/src/test/java/olivechute/StaleEndpointListProcessTest.java
+++ b/src/test/java/olivechute/StaleEndpointListProcessTest.java
@@ -42,14 +42,14 @@
         first.handler = acceptAndReportToProcess("s1", "first");
         second.handler = acceptAndReportToProcess("s2", "second");
         third.handler = acceptAndReportToProcess("s3", "third");
-        AtomicBoolean tells = new AtomicBoolean(true);
-        discovery = startServer(r -> tells.get() ? endpointListResponse(1, false) : nothing);
+        AtomicBoolean discoveryAnswers = new AtomicBoolean(true);
+        discovery = startServer(r -> discoveryAnswers.get() ? endpointListResponse(1, false) : nothing);
         Path file = writeConfig(discovery, 1024, endpointEntry("s1", first, "active", 0));
         startProcess(1024, file);
         assertEquals(runJob(), "200 first");
 
         // Kills and restarts the node with its initial list; by now the only server on it is draining.
-        tells.set(false);
+        discoveryAnswers.set(false);
         program.kill();
         startProcess(1024, file);
         assertReceivesNoRequests(first);
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -125,11 +125,11 @@
         startWith(100, false);
     }
 
-    private void startWith(int most, boolean onlyDrainingBinds) {
-        startWith(most, onlyDrainingBinds, 250 * US_PER_MS);
+    private void startWith(int maxConnections, boolean onlyDrainingBinds) {
+        startWith(maxConnections, onlyDrainingBinds, 250 * US_PER_MS);
     }
 
-    private void startWith(int most, boolean onlyDrainingBinds, long dialTimeout) {
+    private void startWith(int maxConnections, boolean onlyDrainingBinds, long dialTimeout) {
         events.clear();
         dialGate = OPEN_GATE;
         readGate = OPEN_GATE;
@@ -154,7 +154,7 @@
                 new LoadReportHeader(new LoadReportFields(List.of(), null, null)),
                 5 * US_PER_S,
                 dialTimeout,
-                most,
+                maxConnections,
                 onlyDrainingBinds);
         loop.start(event -> {
             if (event instanceof ProxyEvent.AttemptAccepted e) {
@@ -212,16 +212,16 @@
         done.get(5, TimeUnit.SECONDS);
     }
 
-    private static UpstreamRequest request(String id, String host, PreSendCheck look) {
+    private static UpstreamRequest request(String id, String host, PreSendCheck check) {
         return new UpstreamRequest(
-                id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, look);
+                id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, check);
     }
 
-    private static void await(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 500 && !holds.getAsBoolean(); i++) {
+    private static void await(BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
             Thread.sleep(10);
         }
-        assertTrue(holds.getAsBoolean());
+        assertTrue(condition.getAsBoolean());
     }
 
     /** Lists the endpoint and sends the request; returns while its connect waits at the gate. */
@@ -580,8 +580,8 @@
         Thread.sleep(60);
     }
 
-    private void spinUntil(BooleanSupplier holds) {
-        for (long end = System.nanoTime() + 5_000_000_000L; !holds.getAsBoolean() && System.nanoTime() < end; ) {
+    private void spinUntil(BooleanSupplier condition) {
+        for (long end = System.nanoTime() + 5_000_000_000L; !condition.getAsBoolean() && System.nanoTime() < end; ) {
             Thread.onSpinWait();
         }
     }
@@ -613,22 +613,22 @@
     public void lateResponseBeingReadIsNotTakenForTheNextRequests() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
-        CountDownLatch looks = newGate();
-        CountDownLatch looking = new CountDownLatch(1);
+        CountDownLatch checkReleased = newGate();
+        CountDownLatch checkStarted = new CountDownLatch(1);
         PreSendCheck waits = (request, now, transit) -> {
-            looking.countDown();
+            checkStarted.countDown();
             try {
-                return looks.await(5, TimeUnit.SECONDS);
+                return checkReleased.await(5, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 return false;
             }
         };
         CompletableFuture.runAsync(() -> loop.post(new ProxyEvent.Task(() -> pools.send(request("b", "s1", waits)))));
-        looking.await();
+        checkStarted.await();
         peer.sendUnsolicited(0, ERROR);
         await(() -> !connections.get(0).hasUnreadInput()
                 && connections.get(0).reader.getState() == Thread.State.BLOCKED);
-        looks.countDown();
+        checkReleased.countDown();
         await(() -> events.size() == 2);
         assertEquals(events, List.of("a accepted", "b accepted"));
         assertEquals(peer.connectionCount.get(), 2);
@@ -664,14 +664,14 @@
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
         UpstreamRequest request = request("b", "s1", ALLOW);
-        AtomicBoolean begun = new AtomicBoolean(true);
+        AtomicBoolean written = new AtomicBoolean(true);
         runOnLoop(() -> {
             pools.send(request);
             sendUnsolicitedAndAwaitRead(peer);
-            begun.set(pools.hasWrittenBytes(request));
+            written.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
-        assertFalse(begun.get());
+        assertFalse(written.get());
         await(() -> events.contains("b SUPPRESSED"));
         assertNextRequestSent("s1", peer, 1);
         assertEquals(events, List.of("a accepted", "b SUPPRESSED", "last accepted"));
@@ -729,13 +729,13 @@
     public void requestSuppressedWhileWaitingIsNotWrittenAndTheConnectionIsKept() throws Exception {
         TestServer peer = serverWithSlowDial();
         UpstreamRequest request = request("c", "s1", ALLOW);
-        AtomicBoolean begun = new AtomicBoolean(true);
+        AtomicBoolean written = new AtomicBoolean(true);
         runOnLoop(() -> {
             pools.send(request);
-            begun.set(pools.hasWrittenBytes(request));
+            written.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
-        assertFalse(begun.get());
+        assertFalse(written.get());
         await(() -> events.contains("c SUPPRESSED"));
         Thread.sleep(60);
         assertNextRequestSent("s1", peer, 2);
--- a/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
+++ b/src/test/java/olivechute/fleet/ConcurrentChangesIT.java
@@ -30,21 +30,21 @@
             try (TestProcess first = fleet.startCall("propose", "--id", ids.get(0), "--program", program);
                     TestProcess second = fleet.startCall("propose", "--id", ids.get(1), "--program", program)) {
                 List<TestProcess> calls = List.of(first, second);
-                List<Integer> ends =
+                List<Integer> exitCodes =
                         calls.stream().map(call -> call.awaitExit(CALL_TIMEOUT)).toList();
                 calls.forEach(TestProcess::awaitOutputEnd);
-                assertEquals(List.of(0, 1), ends.stream().sorted().toList(), first.lines() + " " + second.lines());
-                int taken = ends.indexOf(0);
+                assertEquals(List.of(0, 1), exitCodes.stream().sorted().toList(), first.lines() + " " + second.lines());
+                int accepted = exitCodes.indexOf(0);
                 assertTrue(
-                        calls.get(taken).lines().contains("phase: PROPOSED"),
-                        calls.get(taken).lines().toString());
-                String rejection = "CHANGE_UNDER_WAY: change " + ids.get(taken) + " (";
+                        calls.get(accepted).lines().contains("phase: PROPOSED"),
+                        calls.get(accepted).lines().toString());
+                String rejection = "CHANGE_UNDER_WAY: change " + ids.get(accepted) + " (";
                 assertTrue(
-                        calls.get(1 - taken).lines().stream().anyMatch(line -> line.startsWith(rejection)),
-                        calls.get(1 - taken).lines().toString());
+                        calls.get(1 - accepted).lines().stream().anyMatch(line -> line.startsWith(rejection)),
+                        calls.get(1 - accepted).lines().toString());
                 List<String> stopped = fleet.call("stop");
                 assertTrue(
-                        stopped.containsAll(List.of("change: " + ids.get(taken), "phase: STOPPED")),
+                        stopped.containsAll(List.of("change: " + ids.get(accepted), "phase: STOPPED")),
                         stopped.toString());
             }
             assertChangeEnds("STOPPED", Fleet.BASE);
--- a/src/test/java/olivechute/fleet/MachineFailureIT.java
+++ b/src/test/java/olivechute/fleet/MachineFailureIT.java
@@ -52,12 +52,12 @@
     }
 
     private static String onlyNodeAt(List<String> shown, String version) {
-        String begin = "nodes: 1 ready at " + version + ": ";
+        String prefix = "nodes: 1 ready at " + version + ": ";
         return shown.stream()
-                .filter(line -> line.startsWith(begin))
+                .filter(line -> line.startsWith(prefix))
                 .findFirst()
                 .orElse(shown + "")
-                .substring(begin.length());
+                .substring(prefix.length());
     }
 
     private static void assertHeld(List<String> shown, String moved) {
--- a/src/test/java/olivechute/fleet/StoreOutageIT.java
+++ b/src/test/java/olivechute/fleet/StoreOutageIT.java
@@ -15,7 +15,7 @@
     @Test
     void machineIsPartitionedDuringRollback() {
         fleet.proposeProgram("v2", versions.equivalent());
-        Set<String> away = new TreeSet<>();
+        Set<String> seenUnready = new TreeSet<>();
         // Both conditions in one wait, as a node may be ready again before a second wait begins.
         fleet.nodes()
                 .clients()
@@ -23,13 +23,13 @@
                         ready -> {
                             ready.forEach((node, is) -> {
                                 if (!is) {
-                                    away.add(node);
+                                    seenUnready.add(node);
                                 }
                             });
-                            return !away.isEmpty() && !ready.containsValue(false);
+                            return !seenUnready.isEmpty() && !ready.containsValue(false);
                         },
                         TIMEOUT_MILLIS);
-        String machine = fleet.machineOf(away.iterator().next());
+        String machine = fleet.machineOf(seenUnready.iterator().next());
         fleet.partition(machine);
         fleet.call("stop");
         awaitMoreJobs(200);
--- a/src/test/java/olivechute/rig/DiscoveryStub.java
+++ b/src/test/java/olivechute/rig/DiscoveryStub.java
@@ -16,8 +16,8 @@
 
     private final WorkerStubs workers;
     private final String zone;
-    private final Map<String, HttpStub> peers = new HashMap<>();
-    private final CountDownLatch end = new CountDownLatch(1);
+    private final Map<String, HttpStub> listeners = new HashMap<>();
+    private final CountDownLatch closed = new CountDownLatch(1);
 
     public DiscoveryStub(WorkerStubs workers, String zone) {
         this.workers = workers;
@@ -28,16 +28,16 @@
     public synchronized String addNode(String node) {
         byte[] fullList = list(true, workers.entries(node, zone));
         byte[] emptyUpdate = list(false, "");
-        HttpStub peer = new HttpStub("discovery", request -> {
+        HttpStub listener = new HttpStub("discovery", request -> {
             if (!INDEX.equals(request.queryParameter("since"))) {
                 return fullList;
             }
             String wait = request.queryParameter("timeout_ms");
-            end.await(wait == null ? 1000 : Math.min(60_000, Long.parseLong(wait)), TimeUnit.MILLISECONDS);
+            closed.await(wait == null ? 1000 : Math.min(60_000, Long.parseLong(wait)), TimeUnit.MILLISECONDS);
             return emptyUpdate;
         });
-        peers.put(node, peer);
-        return peer.hostAndPort();
+        listeners.put(node, listener);
+        return listener.hostAndPort();
     }
 
     private static byte[] list(boolean snapshot, String entries) {
@@ -50,7 +50,7 @@
 
     @Override
     public synchronized void close() {
-        end.countDown();
-        peers.values().forEach(HttpStub::close);
+        closed.countDown();
+        listeners.values().forEach(HttpStub::close);
     }
 }
--- a/src/test/java/olivechute/rig/EventLedger.java
+++ b/src/test/java/olivechute/rig/EventLedger.java
@@ -73,12 +73,12 @@
         add(answers, answer);
     }
 
-    public void add(Execution run) {
-        add(executions, run);
+    public void add(Execution execution) {
+        add(executions, execution);
     }
 
-    public void add(ReadinessProbe look) {
-        add(probes, look);
+    public void add(ReadinessProbe probe) {
+        add(probes, probe);
     }
 
     /** Excludes the jobs of this node in this period from the check for lost jobs. */
--- a/src/test/java/olivechute/rig/Fleet.java
+++ b/src/test/java/olivechute/rig/Fleet.java
@@ -24,7 +24,7 @@
 
     private final TestDirectory folder = new TestDirectory("fleet");
     private final TestNodes nodes;
-    private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+    private final Map<String, InetSocketAddress> replicaAddresses = new LinkedHashMap<>();
     private final Map<String, TestProcess> replicas = new LinkedHashMap<>();
     private final Map<String, TestProcess> supervisors = new LinkedHashMap<>();
     private final Map<String, List<LinkProxy>> links = new LinkedHashMap<>();
@@ -55,7 +55,7 @@
         nodes = new TestNodes(machines * nodesEach, seed);
         try {
             startStore();
-            folder.write("change.conf", store(addresses) + changeSettings());
+            folder.write("change.conf", store(replicaAddresses) + changeSettings());
             call("base", "--id", BASE);
             for (int m = 0; m < machines; m++) {
                 startMachine("m" + m, nodes.names().subList(m * nodesEach, (m + 1) * nodesEach));
@@ -71,14 +71,14 @@
     }
 
     private void startStore() {
-        REPLICAS.forEach(id -> addresses.put(id, Ports.free()));
+        REPLICAS.forEach(id -> replicaAddresses.put(id, Ports.free()));
         for (String id : REPLICAS) {
             TestDirectory disk = new TestDirectory("replica-" + id);
             disks.add(disk);
             data.put(id, disk.resolve("data"));
             Path settings = folder.write(
                     "store-" + id + ".conf",
-                    "id = " + id + "\nfolder = \"" + disk.resolve("data") + "\"\n" + replicas(addresses)
+                    "id = " + id + "\nfolder = \"" + disk.resolve("data") + "\"\n" + replicas(replicaAddresses)
                             + "election { least = 600ms, most = 1000ms }\n");
             replicas.put(
                     id,
@@ -90,19 +90,19 @@
     }
 
     private void startMachine(String machine, List<String> names) {
-        Map<String, InetSocketAddress> over = new LinkedHashMap<>();
-        List<LinkProxy> own = new ArrayList<>();
-        addresses.forEach((id, address) -> {
+        Map<String, InetSocketAddress> linkAddresses = new LinkedHashMap<>();
+        List<LinkProxy> machineLinks = new ArrayList<>();
+        replicaAddresses.forEach((id, address) -> {
             LinkProxy link = new LinkProxy(address);
-            own.add(link);
-            over.put(id, link.address());
+            machineLinks.add(link);
+            linkAddresses.put(id, link.address());
         });
-        links.put(machine, own);
+        links.put(machine, machineLinks);
         TestDirectory disk = new TestDirectory(machine);
         disks.add(disk);
         StringBuilder text = new StringBuilder("machine = " + machine + "\nzone = a\nfolder = \"" + disk.resolve("data")
                 + "\"\nfigures = \""
-                + Ports.hostAndPort(Ports.free()) + "\"\n" + store(over)
+                + Ports.hostAndPort(Ports.free()) + "\"\n" + store(linkAddresses)
                 + "ready_within = 8s\ndrain_within = 8s\nbackoff { least = 200ms, most = 1s }\n"
                 + "program { java = [\"" + ProcessSpec.java() + "\", "
                 + String.join(
@@ -129,9 +129,9 @@
                         .withDirectory(disk)));
     }
 
-    private static String replicas(Map<String, InetSocketAddress> at) {
+    private static String replicas(Map<String, InetSocketAddress> addresses) {
         StringBuilder text = new StringBuilder("replicas = [");
-        at.forEach((id, address) -> text.append(" { id = ")
+        addresses.forEach((id, address) -> text.append(" { id = ")
                 .append(id)
                 .append(", address = \"")
                 .append(Ports.hostAndPort(address))
@@ -139,8 +139,8 @@
         return text.append(" ]\n").toString();
     }
 
-    private static String store(Map<String, InetSocketAddress> at) {
-        return "store {\n  " + replicas(at) + "}\n";
+    private static String store(Map<String, InetSocketAddress> addresses) {
+        return "store {\n  " + replicas(addresses) + "}\n";
     }
 
     private String changeSettings() {
@@ -261,25 +261,25 @@
 
     /** Returns the last output lines of all processes, for the report of a failed test. */
     public String recentOutput() {
-        StringBuilder story = new StringBuilder();
-        replicas.values().forEach(p -> appendOutput(story, p));
-        supervisors.values().forEach(p -> appendOutput(story, p));
-        return story.toString();
+        StringBuilder output = new StringBuilder();
+        replicas.values().forEach(p -> appendOutput(output, p));
+        supervisors.values().forEach(p -> appendOutput(output, p));
+        return output.toString();
     }
 
-    private static void appendOutput(StringBuilder story, TestProcess program) {
+    private static void appendOutput(StringBuilder output, TestProcess program) {
         List<String> lines = program.lines();
-        story.append("---- ").append(program.name()).append('\n');
+        output.append("---- ").append(program.name()).append('\n');
         lines.subList(Math.max(0, lines.size() - 40), lines.size())
-                .forEach(line -> story.append(line).append('\n'));
+                .forEach(line -> output.append(line).append('\n'));
     }
 
     @Override
     public void close() {
-        links.values().forEach(own -> own.forEach(LinkProxy::heal));
+        links.values().forEach(machineLinks -> machineLinks.forEach(LinkProxy::heal));
         supervisors.values().forEach(TestProcess::close);
         replicas.values().forEach(TestProcess::close);
-        links.values().forEach(own -> own.forEach(LinkProxy::close));
+        links.values().forEach(machineLinks -> machineLinks.forEach(LinkProxy::close));
         nodes.close();
         folder.close();
         disks.forEach(TestDirectory::close);
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -38,20 +38,21 @@
         checkAnsweredTwice(ledger, found);
         checkSignedTwice(ledger, found);
         if (maxUnavailable >= 0) {
-            checkAway(ledger, maxUnavailable, found);
+            checkUnavailableNodes(ledger, maxUnavailable, found);
         }
         return found;
     }
 
     private static void checkLost(EventLedger ledger, List<Violation> found) {
-        Map<String, List<EventLedger.Outage>> excuses = new HashMap<>();
+        Map<String, List<EventLedger.Outage>> outagesByNode = new HashMap<>();
         ledger.outages()
-                .forEach(e -> excuses.computeIfAbsent(e.node(), n -> new ArrayList<>())
+                .forEach(e -> outagesByNode
+                        .computeIfAbsent(e.node(), n -> new ArrayList<>())
                         .add(e));
         for (EventLedger.Job job : ledger.jobs()) {
-            boolean excused = excuses.getOrDefault(job.node(), List.of()).stream()
+            boolean duringOutage = outagesByNode.getOrDefault(job.node(), List.of()).stream()
                     .anyMatch(e -> e.from() <= job.ended() && e.to() >= job.sent());
-            if (job.end() == EventLedger.Outcome.LOST && !excused) {
+            if (job.end() == EventLedger.Outcome.LOST && !duringOutage) {
                 found.add(new Violation(Rule.LOST, job.toString()));
             }
         }
@@ -79,7 +80,7 @@
         }
     }
 
-    private static void checkAway(EventLedger ledger, int maxUnavailable, List<Violation> found) {
+    private static void checkUnavailableNodes(EventLedger ledger, int maxUnavailable, List<Violation> found) {
         Map<String, List<EventLedger.ReadinessProbe>> byNode = new LinkedHashMap<>();
         ledger.probes()
                 .forEach(probe -> byNode.computeIfAbsent(probe.node(), n -> new ArrayList<>())
@@ -107,21 +108,21 @@
                 i = Math.max(i, last);
             }
         });
-        List<String> away = new ArrayList<>();
-        boolean over = false;
+        List<String> unavailable = new ArrayList<>();
+        boolean exceeded = false;
         for (var step : steps.entrySet()) {
-            for (String what : step.getValue()) {
-                if (what.startsWith("-")) {
-                    away.remove(what.substring(1));
+            for (String entry : step.getValue()) {
+                if (entry.startsWith("-")) {
+                    unavailable.remove(entry.substring(1));
                 } else {
-                    away.add(what.substring(1));
+                    unavailable.add(entry.substring(1));
                 }
             }
-            if (away.size() > maxUnavailable && !over) {
+            if (unavailable.size() > maxUnavailable && !exceeded) {
                 found.add(new Violation(
-                        Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + maxUnavailable + " allowed"));
+                        Rule.TOO_MANY_AWAY, unavailable + " at " + step.getKey() + ", " + maxUnavailable + " allowed"));
             }
-            over = away.size() > maxUnavailable;
+            exceeded = unavailable.size() > maxUnavailable;
         }
     }
 }
--- a/src/test/java/olivechute/rig/FleetInvariantsTest.java
+++ b/src/test/java/olivechute/rig/FleetInvariantsTest.java
@@ -29,7 +29,7 @@
      * Adds jobs that are served, rejected and failed, a cancelled attempt beside a completed one, and a killed node
      * with its jobs.
      */
-    private void clean() {
+    private void addValidHistory() {
         for (int n = 0; n < JOBS; n++) {
             EventLedger.Outcome end = n % 10 == 3
                     ? EventLedger.Outcome.REFUSED
@@ -49,82 +49,82 @@
         ledger.add(run(43, true));
     }
 
-    private void looks(int node, int awayFrom, int awayTo) {
+    private void addProbes(int node, int notReadyFrom, int notReadyTo) {
         for (int t = 0; t < 1000; t += 20) {
-            ledger.add(new EventLedger.ReadinessProbe("n" + node, t, t + 3, t < awayFrom || t >= awayTo));
+            ledger.add(new EventLedger.ReadinessProbe("n" + node, t, t + 3, t < notReadyFrom || t >= notReadyTo));
         }
     }
 
-    private List<Rule> found(int mostAway) {
-        return FleetInvariants.check(ledger, mostAway).stream()
+    private List<Rule> violatedRules(int maxUnavailable) {
+        return FleetInvariants.check(ledger, maxUnavailable).stream()
                 .map(FleetInvariants.Violation::rule)
                 .toList();
     }
 
     @Test
     void passesWhatKeepsTheRules() {
-        clean();
-        looks(0, 100, 300);
-        looks(1, 300, 500);
-        looks(2, 490, 530); // its first failed probe comes after the last one of the previous node
-        looks(4, 0, 290); // not ready before
-        looks(3, 700, 720); // a single failed probe shows no duration
-        assertEquals(List.of(), found(1));
+        addValidHistory();
+        addProbes(0, 100, 300);
+        addProbes(1, 300, 500);
+        addProbes(2, 490, 530); // its first failed probe comes after the last one of the previous node
+        addProbes(4, 0, 290); // not ready before
+        addProbes(3, 700, 720); // a single failed probe shows no duration
+        assertEquals(List.of(), violatedRules(1));
     }
 
     @Test
     void findsALostJob() {
-        clean();
+        addValidHistory();
         ledger.add(job(77, EventLedger.Outcome.LOST));
-        assertEquals(List.of(Rule.LOST), found(1));
+        assertEquals(List.of(Rule.LOST), violatedRules(1));
     }
 
     @Test
     void excusesOnlyTheNodeThatWasStoppedAndOnlyThen() {
-        clean();
+        addValidHistory();
         ledger.addOutage("n1", 0, 769);
         ledger.addOutage("n1", 796, 900);
         ledger.addOutage("n2", 770, 795);
         ledger.add(job(77, EventLedger.Outcome.LOST));
-        assertEquals(List.of(Rule.LOST), found(1));
+        assertEquals(List.of(Rule.LOST), violatedRules(1));
         ledger.addOutage("n1", 795, 796);
-        assertEquals(List.of(), found(1));
+        assertEquals(List.of(), violatedRules(1));
     }
 
     @Test
     void findsASecondAnswer() {
-        clean();
+        addValidHistory();
         ledger.add(new EventLedger.Answer("j120", "n3", 9999));
-        assertEquals(List.of(Rule.ANSWERED_TWICE), found(1));
+        assertEquals(List.of(Rule.ANSWERED_TWICE), violatedRules(1));
     }
 
     @Test
     void findsASecondRunOfSignAtAnyWorker() {
-        clean();
+        addValidHistory();
         ledger.add(new EventLedger.Execution("w7", "n2", "another-id", "sign", "k50", 1, 2, true));
-        assertEquals(List.of(Rule.SIGNED_TWICE), found(1));
+        assertEquals(List.of(Rule.SIGNED_TWICE), violatedRules(1));
     }
 
     @Test
     void findsTooManyAwayOnceForEachTime() {
-        looks(0, 100, 300);
-        looks(1, 200, 400);
-        looks(2, 240, 300);
-        looks(3, 600, 800);
-        assertEquals(List.of(Rule.TOO_MANY_AWAY), found(1));
-        assertEquals(List.of(Rule.TOO_MANY_AWAY), found(2));
-        assertEquals(List.of(), found(3));
-        assertEquals(List.of(), found(-1));
-        looks(4, 700, 760);
-        assertEquals(List.of(Rule.TOO_MANY_AWAY, Rule.TOO_MANY_AWAY), found(1));
-        assertEquals(List.of(), found(3));
+        addProbes(0, 100, 300);
+        addProbes(1, 200, 400);
+        addProbes(2, 240, 300);
+        addProbes(3, 600, 800);
+        assertEquals(List.of(Rule.TOO_MANY_AWAY), violatedRules(1));
+        assertEquals(List.of(Rule.TOO_MANY_AWAY), violatedRules(2));
+        assertEquals(List.of(), violatedRules(3));
+        assertEquals(List.of(), violatedRules(-1));
+        addProbes(4, 700, 760);
+        assertEquals(List.of(Rule.TOO_MANY_AWAY, Rule.TOO_MANY_AWAY), violatedRules(1));
+        assertEquals(List.of(), violatedRules(3));
     }
 
     @Test
     void findsWhateverOrderTheLooksCameIn() {
         long seed = 20261202;
-        looks(0, 100, 300);
-        looks(1, 200, 400);
+        addProbes(0, 100, 300);
+        addProbes(1, 200, 400);
         List<EventLedger.ReadinessProbe> mixed = new ArrayList<>(ledger.probes());
         Collections.shuffle(mixed, new Random(seed));
         EventLedger other = new EventLedger();
--- a/src/test/java/olivechute/rig/InjectedFaults.java
+++ b/src/test/java/olivechute/rig/InjectedFaults.java
@@ -19,12 +19,13 @@
      * Replaces the call that passes a new request to the load balancer: every tenth request of class sign is rejected
      * as the load balancer itself would reject it.
      */
-    public static void rejectEveryTenth(LoadBalancer module, long now, Request request, RequestDispatcher dispatcher) {
+    public static void rejectEveryTenth(
+            LoadBalancer loadBalancer, long now, Request request, RequestDispatcher dispatcher) {
         if (request.requestClass().equals("sign") && SIGN_REQUESTS.incrementAndGet() % REJECTION_INTERVAL == 0) {
             System.err.println("injected rejection of " + request.id());
             dispatcher.reject(request.id(), 0);
         } else {
-            module.onRequest(now, request);
+            loadBalancer.onRequest(now, request);
         }
     }
 
--- a/src/test/java/olivechute/rig/LinkProxy.java
+++ b/src/test/java/olivechute/rig/LinkProxy.java
@@ -67,21 +67,21 @@
     }
 
     /** Stops forwarding in these directions, in both if none is given; no connection is established meanwhile. */
-    public synchronized void partition(Direction... ways) {
-        for (Direction way : ways.length == 0 ? Direction.values() : ways) {
-            faults.get(way).partitioned(true);
+    public synchronized void partition(Direction... directions) {
+        for (Direction direction : directions.length == 0 ? Direction.values() : directions) {
+            faults.get(direction).partitioned(true);
         }
         fillBacklog();
     }
 
     /** Delays all data in this direction. */
-    public void delay(Direction way, Duration by) {
-        faults.get(way).delayNs(by.toNanos());
+    public void delay(Direction direction, Duration delay) {
+        faults.get(direction).delayNs(delay.toNanos());
     }
 
     /** Limits the bytes per second of each connection in this direction. */
-    public void limitRate(Direction way, int bytesPerSecond) {
-        faults.get(way).maxBytesPerSecond(bytesPerSecond);
+    public void limitRate(Direction direction, int bytesPerSecond) {
+        faults.get(direction).maxBytesPerSecond(bytesPerSecond);
     }
 
     /** Resets all connections; new ones are established unless the link is partitioned. */
@@ -178,12 +178,12 @@
 
     private void forward(Socket client) {
         try {
-            for (LinkFaults gate : faults.values()) {
-                gate.awaitOpen(); // accepted just as the link was partitioned: stays silent
+            for (LinkFaults directionFaults : faults.values()) {
+                directionFaults.awaitOpen(); // accepted just as the link was partitioned: stays silent
             }
-            Socket dialled = new Socket();
-            dialled.connect(target, CONNECT_TIMEOUT_MILLIS);
-            ProxiedConnection forwarded = new ProxiedConnection(client, dialled, faults, openConnections);
+            Socket targetSocket = new Socket();
+            targetSocket.connect(target, CONNECT_TIMEOUT_MILLIS);
+            ProxiedConnection forwarded = new ProxiedConnection(client, targetSocket, faults, openConnections);
             openConnections.add(forwarded);
             forwarded.start();
             if (closed) {
--- a/src/test/java/olivechute/rig/LoadClients.java
+++ b/src/test/java/olivechute/rig/LoadClients.java
@@ -75,9 +75,9 @@
     private void probe(String node) {
         long sent = EventLedger.now();
         boolean isReady = false;
-        try (HttpTestConnection line = new HttpTestConnection(nodes.get(node), PROBE_TIMEOUT_MILLIS)) {
-            line.send(PROBE_REQUEST);
-            HttpResponse answer = line.receive(PROBE_TIMEOUT_MILLIS);
+        try (HttpTestConnection connection = new HttpTestConnection(nodes.get(node), PROBE_TIMEOUT_MILLIS)) {
+            connection.send(PROBE_REQUEST);
+            HttpResponse answer = connection.receive(PROBE_TIMEOUT_MILLIS);
             isReady = answer != null && answer.status() == 200;
         } catch (IOException | HttpException e) {
             isReady = false;
@@ -250,10 +250,10 @@
                 () -> openJobs == 0,
                 DEADLINE_MILLIS + 4 * LATE_ANSWER_MILLIS,
                 "jobs open: " + openJobs + ", nodes ready: ");
-        idleConnections.forEach((node, lines) -> lines.forEach(line -> {
-            HttpResponse stray = line.pollUnsolicited();
-            if (stray != null) {
-                recordAnswer(node, "unasked", stray);
+        idleConnections.forEach((node, connections) -> connections.forEach(connection -> {
+            HttpResponse unsolicited = connection.pollUnsolicited();
+            if (unsolicited != null) {
+                recordAnswer(node, "unasked", unsolicited);
             }
         }));
     }
@@ -262,6 +262,6 @@
     public void close() {
         scheduler.shutdownNow();
         jobExecutor.shutdownNow();
-        idleConnections.values().forEach(lines -> lines.forEach(HttpTestConnection::close));
+        idleConnections.values().forEach(connections -> connections.forEach(HttpTestConnection::close));
     }
 }
--- a/src/test/java/olivechute/rig/OutputLines.java
+++ b/src/test/java/olivechute/rig/OutputLines.java
@@ -18,8 +18,8 @@
     private int startNumber;
     private boolean ended;
 
-    OutputLines(String of) {
-        this.processName = of;
+    OutputLines(String processName) {
+        this.processName = processName;
     }
 
     synchronized void add(String line) {
@@ -38,8 +38,8 @@
     }
 
     /** Marks the end of the output of a start, unless the process was started again since. */
-    synchronized void onEnd(int of) {
-        ended |= of == startNumber;
+    synchronized void onEnd(int endedStart) {
+        ended |= endedStart == startNumber;
         notifyAll();
     }
 
--- a/src/test/java/olivechute/rig/ProxiedConnection.java
+++ b/src/test/java/olivechute/rig/ProxiedConnection.java
@@ -30,12 +30,15 @@
     private record Chunk(byte[] bytes, long receivedAtNs, boolean reset) {}
 
     ProxiedConnection(
-            Socket client, Socket target, Map<LinkProxy.Direction, LinkFaults> gates, Set<ProxiedConnection> open)
+            Socket client,
+            Socket target,
+            Map<LinkProxy.Direction, LinkFaults> faults,
+            Set<ProxiedConnection> openConnections)
             throws IOException {
         this.client = client;
         this.target = target;
-        this.faults = gates;
-        this.openConnections = open;
+        this.faults = faults;
+        this.openConnections = openConnections;
         client.setTcpNoDelay(true);
         target.setTcpNoDelay(true);
     }
@@ -45,9 +48,9 @@
         forward(target, client, faults.get(LinkProxy.Direction.FROM_TARGET));
     }
 
-    private void forward(Socket from, Socket to, LinkFaults gate) {
+    private void forward(Socket from, Socket to, LinkFaults directionFaults) {
         ArrayBlockingQueue<Chunk> queue = new ArrayBlockingQueue<>(MAX_QUEUED_CHUNKS);
-        Thread writer = Threads.start("link-write", () -> write(queue, to, gate));
+        Thread writer = Threads.start("link-write", () -> write(queue, to, directionFaults));
         Threads.start("link-read", () -> read(from, queue, writer));
     }
 
@@ -79,19 +82,19 @@
         }
     }
 
-    private void write(ArrayBlockingQueue<Chunk> queue, Socket to, LinkFaults gate) {
-        long passed = System.nanoTime();
+    private void write(ArrayBlockingQueue<Chunk> queue, Socket to, LinkFaults directionFaults) {
+        long lastForwardedNs = System.nanoTime();
         int bytes = 0;
         try {
             for (Chunk chunk = queue.take(); ; chunk = queue.take()) {
                 for (int at = 0; at < chunk.bytes().length; at += bytes) {
-                    gate.awaitPass(chunk.receivedAtNs(), passed, bytes);
-                    bytes = gate.maxChunk(chunk.bytes().length - at);
+                    directionFaults.awaitPass(chunk.receivedAtNs(), lastForwardedNs, bytes);
+                    bytes = directionFaults.maxChunk(chunk.bytes().length - at);
                     to.getOutputStream().write(chunk.bytes(), at, bytes);
-                    passed = System.nanoTime();
+                    lastForwardedNs = System.nanoTime();
                 }
                 if (chunk.bytes().length == 0) {
-                    gate.awaitPass(chunk.receivedAtNs(), passed, bytes);
+                    directionFaults.awaitPass(chunk.receivedAtNs(), lastForwardedNs, bytes);
                     end(to, chunk.reset());
                     return;
                 }
--- a/src/test/java/olivechute/rig/TestNodes.java
+++ b/src/test/java/olivechute/rig/TestNodes.java
@@ -35,7 +35,7 @@
     private final TestDirectory folder = new TestDirectory("nodes");
     private final EventLedger ledger = new EventLedger();
     private final WorkerStubs workers;
-    private final DiscoveryStub registry;
+    private final DiscoveryStub discovery;
     private final LoadClients clients;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, Path> configs = new LinkedHashMap<>();
@@ -44,7 +44,7 @@
     /** Creates the environment of this many nodes; starts none of them. */
     public TestNodes(int count, long seed) {
         workers = new WorkerStubs(ledger, WORKERS, MIN_JOB_MILLIS, MAX_JOB_MILLIS, seed);
-        registry = new DiscoveryStub(workers, "a");
+        discovery = new DiscoveryStub(workers, "a");
         clients = new LoadClients(ledger, seed);
         for (int i = 0; i < count; i++) {
             String node = "n" + i;
@@ -58,7 +58,7 @@
                             node + ".json",
                             CONFIG.replace("NAME", node)
                                     .replace("LISTEN", Ports.hostAndPort(listen))
-                                    .replace("DISCOVERY", registry.addNode(node))
+                                    .replace("DISCOVERY", discovery.addNode(node))
                                     .replace("SIZE", String.valueOf(count))
                                     .replace("KNOWN", workers.entries(node, "a"))));
         }
@@ -121,7 +121,7 @@
         clients.close();
         new ArrayList<>(programs.values()).forEach(TestProcess::close);
         workers.close();
-        registry.close();
+        discovery.close();
         folder.close();
     }
 }
--- a/src/test/java/olivechute/rig/TestProcess.java
+++ b/src/test/java/olivechute/rig/TestProcess.java
@@ -30,7 +30,7 @@
                 .addShutdownHook(new Thread(() -> STARTED.forEach(ProcessHandle::destroyForcibly), "rig-end"));
     }
 
-    private final ProcessSpec recipe;
+    private final ProcessSpec initialSpec;
     private final Set<ProcessHandle> children =
             ConcurrentHashMap.newKeySet(); // all descendants seen so far, alive or not
     private final OutputLines lines;
@@ -38,15 +38,15 @@
     private Thread reader;
     private long firstLine; // number of the first line since the last start
 
-    private TestProcess(ProcessSpec recipe) {
-        this.recipe = recipe;
-        this.lines = new OutputLines(recipe.name());
+    private TestProcess(ProcessSpec initialSpec) {
+        this.initialSpec = initialSpec;
+        this.lines = new OutputLines(initialSpec.name());
     }
 
     /** Starts a process. */
-    public static TestProcess start(ProcessSpec recipe) {
-        TestProcess program = new TestProcess(recipe);
-        program.launch(recipe);
+    public static TestProcess start(ProcessSpec spec) {
+        TestProcess program = new TestProcess(spec);
+        program.launch(spec);
         return program;
     }
 
@@ -58,11 +58,11 @@
         try {
             process = builder.start();
         } catch (IOException e) {
-            throw new TestSetupException(recipe.name() + " cannot be started", e);
+            throw new TestSetupException(initialSpec.name() + " cannot be started", e);
         }
         STARTED.add(process.toHandle());
         Process begun = process;
-        reader = Threads.start("rig-" + recipe.name(), () -> read(begun, startNumber));
+        reader = Threads.start("rig-" + initialSpec.name(), () -> read(begun, startNumber));
     }
 
     private void read(Process of, int startNumber) {
@@ -78,7 +78,7 @@
     }
 
     public String name() {
-        return recipe.name();
+        return initialSpec.name();
     }
 
     public synchronized long pid() {
@@ -173,15 +173,15 @@
 
     /** Restarts the process, which must have ended. */
     public synchronized void restart() {
-        restart(recipe);
+        restart(initialSpec);
     }
 
     /** Restarts the process with its directory cleared. */
     public synchronized void restartEmpty() {
-        if (recipe.directory() == null) {
+        if (initialSpec.directory() == null) {
             throw new TestSetupException(name() + " has no directory of its own");
         }
-        recipe.directory().clear();
+        initialSpec.directory().clear();
         restart();
     }
 
--- a/src/test/java/olivechute/rig/WorkerStubs.java
+++ b/src/test/java/olivechute/rig/WorkerStubs.java
@@ -36,7 +36,7 @@
 
     private final EventLedger ledger;
     private final int count;
-    private final Map<String, List<HttpStub>> peers = new HashMap<>(); // by node
+    private final Map<String, List<HttpStub>> listeners = new HashMap<>(); // by node
     private final Map<String, InetSocketAddress> nodes = new ConcurrentHashMap<>();
     private final Map<String, ConcurrentLinkedDeque<HttpTestConnection>> idleConnections = new ConcurrentHashMap<>();
     private final Map<String, RunningJob> running = new ConcurrentHashMap<>(); // by worker and id
@@ -70,7 +70,7 @@
         final String key;
         final long started = EventLedger.now();
         boolean repeated;
-        boolean over;
+        boolean ended;
 
         RunningJob(String worker, String node, HttpRequest request) {
             this.worker = worker;
@@ -82,8 +82,8 @@
 
         /** Returns true for the first call only. */
         synchronized boolean end() {
-            boolean first = !over;
-            over = true;
+            boolean first = !ended;
+            ended = true;
             return first;
         }
     }
@@ -105,7 +105,7 @@
                 }
             }));
         }
-        peers.put(node, own);
+        listeners.put(node, own);
         idleConnections.put(node, new ConcurrentLinkedDeque<>());
     }
 
@@ -122,7 +122,7 @@
                     .append("{\"name\":\"w")
                     .append(i)
                     .append("\",\"address\":\"")
-                    .append(peers.get(node).get(i).hostAndPort())
+                    .append(listeners.get(node).get(i).hostAndPort())
                     .append("\",\"zone\":\"")
                     .append(zone)
                     .append("\",\"type\":\"k\",\"group\":0,\"status\":\"active\",\"weight\":1.0,\"since_ms\":0}");
@@ -132,10 +132,10 @@
 
     private byte[] handleRequest(String worker, String node, HttpRequest request) {
         if (request.method().equals("DELETE")) {
-            String job = worker + " " + request.path().substring("/jobs/".length());
-            RunningJob given = running.remove(job);
-            if (given != null && given.end()) {
-                recordExecution(given, false);
+            String jobKey = worker + " " + request.path().substring("/jobs/".length());
+            RunningJob cancelled = running.remove(jobKey);
+            if (cancelled != null && cancelled.end()) {
+                recordExecution(cancelled, false);
             }
             return CANCELLED;
         }
@@ -146,12 +146,12 @@
             reportExecutor.execute(() -> finishJob(job));
             return ACCEPTED;
         }
-        int takes;
+        int durationMillis;
         synchronized (this) {
-            takes = random.nextInt(minMillis, maxMillis + 1);
+            durationMillis = random.nextInt(minMillis, maxMillis + 1);
         }
         reportExecutor.execute(() -> reportState(job, "\"started\""));
-        scheduler.schedule(() -> reportExecutor.execute(() -> finishJob(job)), takes, TimeUnit.MILLISECONDS);
+        scheduler.schedule(() -> reportExecutor.execute(() -> finishJob(job)), durationMillis, TimeUnit.MILLISECONDS);
         return ACCEPTED;
     }
 
@@ -198,23 +198,24 @@
 
     private void reportState(String node, byte[] event, int tries) {
         ConcurrentLinkedDeque<HttpTestConnection> idle = idleConnections.get(node);
-        HttpTestConnection line = idle.poll();
+        HttpTestConnection connection = idle.poll();
         try {
-            line = line == null ? new HttpTestConnection(nodes.get(node), REPORT_TIMEOUT_MILLIS) : line;
-            line.send(event);
-            if (line.receive(REPORT_TIMEOUT_MILLIS) != null) {
+            connection =
+                    connection == null ? new HttpTestConnection(nodes.get(node), REPORT_TIMEOUT_MILLIS) : connection;
+            connection.send(event);
+            if (connection.receive(REPORT_TIMEOUT_MILLIS) != null) {
                 if (idle.size() < MAX_IDLE_CONNECTIONS) {
-                    idle.push(line);
+                    idle.push(connection);
                     return;
                 }
-                line.close();
+                connection.close();
                 return;
             }
         } catch (IOException | HttpException broken) {
             // retried below
         }
-        if (line != null) {
-            line.close();
+        if (connection != null) {
+            connection.close();
         }
         if (tries < MAX_REPORT_ATTEMPTS && !scheduler.isShutdown()) {
             scheduler.schedule(
@@ -228,7 +229,7 @@
     public synchronized void close() {
         scheduler.shutdownNow();
         reportExecutor.shutdown();
-        peers.values().forEach(own -> own.forEach(HttpStub::close));
+        listeners.values().forEach(own -> own.forEach(HttpStub::close));
         idleConnections.values().forEach(kept -> kept.forEach(HttpTestConnection::close));
     }
 }
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -24,9 +24,9 @@
                 TestNodes nodes = new TestNodes(1, 1)) {
             FaultShim shim = new FaultShim(folder, "n0", 1);
             shim.rate(FaultShim.Fault.FILE_READ_FAILS, failsAtStart ? ALWAYS_PER_MILLION : 0);
-            ProcessSpec recipe = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
+            ProcessSpec spec = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
                     .withEnvironment("LB_CONFIG", nodes.config("n0").toString());
-            try (TestProcess node = TestProcess.start(shim.preloadedInto(recipe))) {
+            try (TestProcess node = TestProcess.start(shim.preloadedInto(spec))) {
                 test.play(node, shim, nodes.config("n0"));
             }
         }
--- a/src/test/java/olivechute/soak/FaultShim.java
+++ b/src/test/java/olivechute/soak/FaultShim.java
@@ -90,8 +90,8 @@
     }
 
     /** Returns the same process with the library preloaded. */
-    ProcessSpec preloadedInto(ProcessSpec recipe) {
-        return recipe.withEnvironment("LD_PRELOAD", LIBRARY.toString())
+    ProcessSpec preloadedInto(ProcessSpec spec) {
+        return spec.withEnvironment("LD_PRELOAD", LIBRARY.toString())
                 .withEnvironment("FAULTSHIM_CONTROL", control.toString())
                 .withEnvironment("FAULTSHIM_LOG", log.toString())
                 .withEnvironment("FAULTSHIM_SEED", String.valueOf(seed));
--- a/src/test/java/olivechute/soak/InterruptedReadIT.java
+++ b/src/test/java/olivechute/soak/InterruptedReadIT.java
@@ -28,9 +28,9 @@
         try (TestDirectory folder = new TestDirectory("interrupted");
                 TestNodes nodes = new TestNodes(1, 1)) {
             FaultShim shim = new FaultShim(folder, "n0", 1);
-            ProcessSpec recipe = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
+            ProcessSpec spec = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
                     .withEnvironment("LB_CONFIG", nodes.config("n0").toString());
-            try (TestProcess node = TestProcess.start(shim.preloadedInto(recipe))) {
+            try (TestProcess node = TestProcess.start(shim.preloadedInto(spec))) {
                 node.awaitLine("n0 listens on ", Duration.ofSeconds(20));
                 shim.rate(FaultShim.Fault.READ_INTERRUPTED, PER_MILLION);
                 List<Integer> statuses = new ArrayList<>();
--- a/src/test/java/olivechute/soak/SoakClients.java
+++ b/src/test/java/olivechute/soak/SoakClients.java
@@ -26,7 +26,7 @@
 final class SoakClients implements AutoCloseable {
     private static final int COUNT = 16;
     private static final int IDLE_CLIENTS = 150;
-    private static final int DIAL_MILLIS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     /** Time for which a client keeps listening after its deadline, so that late responses are detected. */
     private static final int LATE_ANSWER_MILLIS = 800;
     /**
@@ -88,7 +88,7 @@
     private void idle(String node) {
         while (!stopped) {
             try (Socket socket = new Socket()) {
-                socket.connect(nodes.get(node), DIAL_MILLIS);
+                socket.connect(nodes.get(node), CONNECT_TIMEOUT_MILLIS);
                 socket.setSoTimeout(300);
                 boolean ended = false;
                 while (!stopped && !ended) {
@@ -151,15 +151,15 @@
 
         void run() {
             while (!stopped) {
-                KeptConnection line = connection();
-                if (line == null) {
+                KeptConnection connection = connection();
+                if (connection == null) {
                     pause(20);
                     continue;
                 }
                 if (draw(0.03 * scenario.clientFaultRate())) {
-                    stallMidRequest(line);
+                    stallMidRequest(connection);
                 } else {
-                    request(line);
+                    request(connection);
                 }
                 pause(draw(0.1) ? random.nextInt(600) : random.nextInt(25));
             }
@@ -185,22 +185,22 @@
             }
             try {
                 Socket socket = new Socket();
-                socket.connect(nodes.get(node), DIAL_MILLIS);
+                socket.connect(nodes.get(node), CONNECT_TIMEOUT_MILLIS);
                 socket.setTcpNoDelay(true);
-                KeptConnection line = new KeptConnection(node, socket);
-                connections.put(node, line);
+                KeptConnection connection = new KeptConnection(node, socket);
+                connections.put(node, connection);
                 if (draw(0.3 * scenario.clientFaultRate())) {
                     pause(1850 + random.nextInt(350)); // about the time that a node waits for a first message
                 }
-                return line;
+                return connection;
             } catch (IOException e) {
                 return null;
             }
         }
 
-        private void drop(KeptConnection line) {
-            connections.remove(line.node, line);
-            line.close();
+        private void drop(KeptConnection connection) {
+            connections.remove(connection.node, connection);
+            connection.close();
         }
 
         private byte[] message(String id, String requestClass, long deadlineMillis) {
@@ -223,20 +223,20 @@
             return String.format("%08x%08x", scenario.seed() & 0xffffffffL, requestCount.incrementAndGet());
         }
 
-        private void request(KeptConnection line) {
+        private void request(KeptConnection connection) {
             String id = nextId();
             String requestClass = CLASSES[random.nextInt(CLASSES.length)];
             long deadlineMillis = draw(0.05) ? 20 + random.nextInt(60) : scenario.deadlineMillis();
             byte[] message = message(id, requestClass, deadlineMillis);
-            boolean first = !line.used;
-            line.used = true;
+            boolean first = !connection.used;
+            connection.used = true;
             boolean leaves = draw(0.1 * scenario.clientFaultRate());
             long sentUs;
             try {
-                write(line, message);
+                write(connection, message);
                 sentUs = History.nowUs();
             } catch (IOException e) {
-                drop(line);
+                drop(connection);
                 return; // never written completely
             }
             Result result;
@@ -244,17 +244,17 @@
                 pause(random.nextLong(Math.min(300, deadlineMillis)));
                 result = new Result(History.Ending.LEFT, 0, "", false);
             } else {
-                result = receive(line, deadlineMillis);
+                result = receive(connection, deadlineMillis);
             }
             if (!result.keepAlive()) {
                 // Closed before the end is recorded: no attempt may begin for a disconnected client after that time.
-                drop(line);
+                drop(connection);
             }
             history.add(new History.ClientRequest(
                     id,
                     requestClass,
-                    line.node,
-                    line.socket.getLocalPort(),
+                    connection.node,
+                    connection.socket.getLocalPort(),
                     first,
                     sentUs,
                     deadlineMillis * 1000,
@@ -265,36 +265,36 @@
         }
 
         /** Writes the message at once, or in pieces with pauses. */
-        private void write(KeptConnection line, byte[] message) throws IOException {
+        private void write(KeptConnection connection, byte[] message) throws IOException {
             if (!draw(0.2 * scenario.clientFaultRate())) {
-                line.socket.getOutputStream().write(message);
+                connection.socket.getOutputStream().write(message);
                 return;
             }
             int pieces = 2 + random.nextInt(3);
-            int whole = random.nextInt(2100);
+            int totalPauseMillis = random.nextInt(2100);
             for (int i = 0; i < pieces; i++) {
                 int from = message.length * i / pieces;
                 int to = message.length * (i + 1) / pieces;
-                line.socket.getOutputStream().write(message, from, to - from);
+                connection.socket.getOutputStream().write(message, from, to - from);
                 if (i < pieces - 1) {
-                    pause(whole / (pieces - 1));
+                    pause(totalPauseMillis / (pieces - 1));
                 }
             }
         }
 
-        private Result receive(KeptConnection line, long deadlineMillis) {
+        private Result receive(KeptConnection connection, long deadlineMillis) {
             long endUs = History.nowUs() + 1000 * (deadlineMillis + LATE_ANSWER_MILLIS);
             byte[] buffer = new byte[BUFFER_BYTES];
             try {
                 for (; ; ) {
-                    line.socket.setSoTimeout((int) Math.max(1, (endUs - History.nowUs()) / 1000));
-                    int n = line.socket.getInputStream().read(buffer);
+                    connection.socket.setSoTimeout((int) Math.max(1, (endUs - History.nowUs()) / 1000));
+                    int n = connection.socket.getInputStream().read(buffer);
                     if (n < 0) {
                         return new Result(History.Ending.CUT, 0, "", false);
                     }
-                    line.parser.feed(buffer, 0, n);
-                    if (line.parser.isComplete()) {
-                        HttpResponse response = line.parser.take();
+                    connection.parser.feed(buffer, 0, n);
+                    if (connection.parser.isComplete()) {
+                        HttpResponse response = connection.parser.take();
                         String text = new String(response.body(), StandardCharsets.US_ASCII);
                         return new Result(History.Ending.ANSWERED, response.status(), text, response.keepAlive());
                     }
@@ -306,21 +306,21 @@
             }
         }
 
-        private void stallMidRequest(KeptConnection line) {
+        private void stallMidRequest(KeptConnection connection) {
             byte[] message = message(nextId(), "verify", scenario.deadlineMillis());
-            int incarnation = incarnations.getOrDefault(line.node, 0);
+            int incarnation = incarnations.getOrDefault(connection.node, 0);
             try {
-                line.socket.getOutputStream().write(message, 0, 1 + random.nextInt(message.length - 2));
+                connection.socket.getOutputStream().write(message, 0, 1 + random.nextInt(message.length - 2));
             } catch (IOException e) {
-                drop(line);
+                drop(connection);
                 return;
             }
             long stoppedUs = History.nowUs();
-            receive(line, STALLED_TIMEOUT_MILLIS);
+            receive(connection, STALLED_TIMEOUT_MILLIS);
             long endedUs = History.nowUs();
-            drop(line);
-            boolean lived = incarnation == incarnations.getOrDefault(line.node, 0);
-            history.add(new History.StalledClient(line.node, stoppedUs, endedUs, lived));
+            drop(connection);
+            boolean lived = incarnation == incarnations.getOrDefault(connection.node, 0);
+            history.add(new History.StalledClient(connection.node, stoppedUs, endedUs, lived));
         }
     }
 
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -102,15 +102,15 @@
     }
 
     private void start(String node) throws InterruptedException {
-        ProcessSpec recipe = ProcessSpec.jar(node, ProcessSpec.JAR, "serve")
+        ProcessSpec spec = ProcessSpec.jar(node, ProcessSpec.JAR, "serve")
                 .withEnvironment("LB_CONFIG", writeConfig(node))
                 .withEnvironment("OLIVECHUTE_LOG_LEVEL", "debug");
         startedUs.put(node, History.nowUs());
         TestProcess before = programs.get(node);
         if (before == null) {
-            programs.put(node, TestProcess.start(shims.get(node).preloadedInto(recipe)));
+            programs.put(node, TestProcess.start(shims.get(node).preloadedInto(spec)));
         } else {
-            before.restart(shims.get(node).preloadedInto(recipe));
+            before.restart(shims.get(node).preloadedInto(spec));
         }
         long readyUs = awaitReady(node);
         history.add(new History.Incarnation(node, startedUs.get(node), NEVER, NEVER, NEVER, true, readyUs));
--- a/src/test/java/olivechute/soak/SoakScenario.java
+++ b/src/test/java/olivechute/soak/SoakScenario.java
@@ -38,7 +38,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         Map<FaultShim.Fault, Integer> rates = new EnumMap<>(FaultShim.Fault.class);
         for (FaultShim.Fault fault : FaultShim.Fault.values()) {
-            rates.put(fault, random.nextInt(3) > 0 ? random.nextInt(most(fault)) : 0);
+            rates.put(fault, random.nextInt(3) > 0 ? random.nextInt(maxPerMillion(fault)) : 0);
         }
         return new SoakScenario(
                 seed,
@@ -60,7 +60,7 @@
                 rates);
     }
 
-    private static int most(FaultShim.Fault fault) {
+    private static int maxPerMillion(FaultShim.Fault fault) {
         return switch (fault) {
             case ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS -> FREQUENT_MAX_PER_MILLION;
             case CONNECTION_BREAKS, DELAYED_IO -> RARE_MAX_PER_MILLION;
--- a/src/test/java/olivechute/soak/SoakServers.java
+++ b/src/test/java/olivechute/soak/SoakServers.java
@@ -117,10 +117,10 @@
     private void handle(String node, String server, SoakListener.Exchange exchange) throws IOException {
         HttpRequest request = exchange.request();
         if (request.method().equals("DELETE")) {
-            History.Attempt given =
+            History.Attempt cancelled =
                     openAttempts.get(server + " " + request.path().substring("/jobs/".length()));
-            if (given != null) {
-                given.end(History.AttemptEnd.GIVEN_UP);
+            if (cancelled != null) {
+                cancelled.end(History.AttemptEnd.GIVEN_UP);
             }
             exchange.reply(CANCELLED);
             return;
@@ -218,9 +218,9 @@
     }
 
     private void scheduleFinish(History.Attempt attempt, History.AttemptEnd end) {
-        long takes = (long) (4 + 60 * draw() * draw());
+        long durationMillis = (long) (4 + 60 * draw() * draw());
         scheduler.schedule(
-                () -> Threads.start("soak-status", () -> finish(attempt, end)), takes, TimeUnit.MILLISECONDS);
+                () -> Threads.start("soak-status", () -> finish(attempt, end)), durationMillis, TimeUnit.MILLISECONDS);
     }
 
     private void finish(History.Attempt attempt, History.AttemptEnd end) {
