--- a/src/test/java/olivechute/ClientDisconnectTest.java
+++ b/src/test/java/olivechute/ClientDisconnectTest.java
@@ -27,9 +27,9 @@
  * disconnect is detected promptly, and nothing is done for the client afterwards.
  */
 public class ClientDisconnectTest extends DownstreamServerTestBase {
-    private static final long DISCONNECT_DETECTION_MILLIS =
-            100; // upper bound for detecting a disconnect; PeerCheckIntervalTest covers how often connections are
-    // checked
+    /** Upper bound for detecting a disconnect; {@code PeerCheckIntervalTest} covers how often a client is checked. */
+    private static final long DISCONNECT_DETECTION_MILLIS = 100;
+
     private static final int FLOOD_BYTES = 1 << 20; // more than a connection buffers behind a request
 
     private static byte[] jobRequests(String... ids) {
@@ -114,8 +114,8 @@
             sent += job.length;
         }
         int allBytes = sent;
-        await(() -> bytesRead.get()
-                == allBytes); // a response before the first read behind it would let one request be accepted
+        // A response before the node has read behind its request would let the next request be accepted.
+        await(() -> bytesRead.get() == allBytes);
         assertTrue(first.client().isPresent());
         TestClient other = connect().send(jobRequests("other"));
         sendResult(awaitRequest(), "ok");
@@ -165,17 +165,17 @@
     }
 
     /**
-     * As above behind requests that the node answers itself, where no request is forwarded: the connection is closed
+     * Excess data behind requests that the node answers itself, of which none is forwarded: the connection is closed
      * after their responses.
      */
     @Test
     public void excessDataAfterLocalReplyClosesTheConnection() throws Exception {
         byte[] two = "GET /health/ready HTTP/1.1\r\n\r\n".repeat(2).getBytes(UTF_8);
-        CountDownLatch writes = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenWithBlockedWrites(writes, go);
+        CountDownLatch writeStarted = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenWithBlockedWrites(writeStarted, release);
         TestClient flood = connect().send(two);
-        assertTrue(writes.await(2, TimeUnit.SECONDS));
+        assertTrue(writeStarted.await(2, TimeUnit.SECONDS));
         Threads.start("flood", () -> {
             try {
                 flood.send(new byte[FLOOD_BYTES]);
@@ -183,8 +183,8 @@
                 return;
             }
         });
-        Thread.sleep(50); // longer than a check of the connection is postponed
-        go.countDown();
+        Thread.sleep(50); // longer than the interval between two checks of the connection
+        release.countDown();
         assertEquals(flood.receive().status(), 200);
         while (flood.receive() != null) {
             assertTrue(server.unansweredRequests() == 0);
@@ -209,7 +209,7 @@
         assertEquals(arrivedRequests.size(), 0);
     }
 
-    /** Data pipelined behind the last response is not accepted and does not truncate that response. */
+    /** Data pipelined behind the last request of a connection is not accepted and does not truncate its response. */
     @Test
     public void finalResponseIsCompleteDespitePipelinedData() throws Exception {
         listen(Connection::new);
@@ -228,36 +228,36 @@
     }
 
     /**
-     * As above, where the node has not read the pipelined data. It used to close the connection with unread data, and
-     * the resulting reset discarded the rest of the response.
+     * As above, but the node has not read the pipelined data. Regression test: it closed the connection with unread
+     * data, and the resulting reset discarded the rest of the response.
      */
     @Test
     public void finalResponseIsCompleteDespiteUnreadData() throws Exception {
-        AtomicReference<Connection> link = new AtomicReference<>();
+        AtomicReference<Connection> connection = new AtomicReference<>();
         AtomicInteger reads = new AtomicInteger();
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         listen(channel -> {
-            ObservedConnection made = new ObservedConnection(channel) {
+            ObservedConnection created = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (reads.incrementAndGet() == 2) {
-                        awaitLatch(go);
+                        awaitLatch(release);
                     }
                 }
             };
-            link.set(made);
-            return made;
+            connection.set(created);
+            return created;
         });
         TestClient client = connect();
         client.socket.setReceiveBufferSize(4096);
         client.send(MessageWriter.request("POST", "/verify", "b", null, "X-Txn", "t1", "Connection", "close"));
         ProxyEvent.RequestArrived first = awaitRequest();
         client.send(jobRequests("t2"));
-        await(() -> link.get().hasUnreadInput());
+        await(() -> connection.get().hasUnreadInput());
         String large = "x".repeat(60_000);
         sendResult(first, large);
         await(() -> server.unansweredRequests() == 0);
-        go.countDown();
+        release.countDown();
         assertEquals(statusAndBody(client.receive()), "200 " + large);
         assertNull(client.receive());
         assertEquals(arrivedRequests.size(), 0);
@@ -266,18 +266,18 @@
     /** A response to a client that has disconnected is dropped, and the request no longer counts as unanswered. */
     @Test
     public void disconnectDuringResponseReleasesTheRequest() throws Exception {
-        CountDownLatch writes = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        listenWithBlockedWrites(writes, go);
+        CountDownLatch writeStarted = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        listenWithBlockedWrites(writeStarted, release);
         TestClient client = connect().send(jobRequests("t1", "t2"));
         ProxyEvent.RequestArrived first = awaitRequest();
         Threads.start("answer", () -> sendResult(first, "x".repeat(60_000)));
-        assertTrue(writes.await(2, TimeUnit.SECONDS));
-        assertEquals(
-                server.unansweredRequests(), 1); // handed to the writer but not written: still counts as unanswered
+        assertTrue(writeStarted.await(2, TimeUnit.SECONDS));
+        // Handed to the writer but not written: still counts as unanswered.
+        assertEquals(server.unansweredRequests(), 1);
         client.close();
         Thread.sleep(DISCONNECT_DETECTION_MILLIS);
-        go.countDown();
+        release.countDown();
         await(server::isQuiescent);
         assertEquals(arrivedRequests.size(), 0);
     }
--- a/src/test/java/olivechute/LostSignalProcessTest.java
+++ b/src/test/java/olivechute/LostSignalProcessTest.java
@@ -11,8 +11,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests a real process that misses the signal to reload its configuration: the virtual machine drops a signal for which
- * it gets no thread, which the shell's {@code trap} forces here for every SIGHUP. Discovery moves, and a server drains.
+ * Tests a real process that misses the signal to reload its configuration, as the virtual machine drops a signal for
+ * which it gets no thread. Here the shell's {@code trap} makes the process ignore every SIGHUP. Discovery moves, and a
+ * server drains.
  */
 public class LostSignalProcessTest extends NodeProcessTestBase {
     private static final byte[] UNAVAILABLE_RESPONSE = MessageWriter.response(503, new byte[0], true);
@@ -30,8 +31,8 @@
         TestServer second = startServer(null);
         first.handler = acceptAndReportToProcess("s1", "first");
         second.handler = acceptAndReportToProcess("s2", "second");
-        AtomicReference<byte[]> told = new AtomicReference<>(endpointListResponse(1, false));
-        discovery = startServer(r -> told.get());
+        AtomicReference<byte[]> oldAnswer = new AtomicReference<>(endpointListResponse(1, false));
+        discovery = startServer(r -> oldAnswer.get());
         Path file = writeConfig(discovery, 1024, endpointEntry("s1", first, "active", 0));
         startProcess("trap '' HUP", file);
         assertEquals(runJob(), "200 first");
@@ -39,10 +40,10 @@
         byte[] drained = endpointListResponse(
                 2, false, endpointEntry("s1", first, "leaving", 0), endpointEntry("s2", second, "active", 0));
         byte[] none = endpointListResponse(2, false);
-        TestServer moved = startServer(r -> r.target().contains("since=1&") ? drained : none);
-        Files.move(writeConfig(moved, 1024), file, StandardCopyOption.REPLACE_EXISTING);
+        TestServer newDiscovery = startServer(r -> r.target().contains("since=1&") ? drained : none);
+        Files.move(writeConfig(newDiscovery, 1024), file, StandardCopyOption.REPLACE_EXISTING);
         sendHangupSignal();
-        told.set(answer);
+        oldAnswer.set(answer);
         if (closed) {
             discovery.close();
         }
--- a/src/test/java/olivechute/ShutdownTest.java
+++ b/src/test/java/olivechute/ShutdownTest.java
@@ -10,7 +10,6 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.ConnectException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.SocketException;
@@ -24,6 +23,7 @@
 import olivechute.http.HttpResponse;
 import olivechute.net.Connection;
 import olivechute.net.Threads;
+import olivechute.rig.Ports;
 import org.testng.annotations.Test;
 
 /**
@@ -36,30 +36,30 @@
     /** The bytes are still unread when the node looks for idle connections to close, so this connection is not idle. */
     @Test
     public void unreadRequestIsServedDuringDrain() throws Exception {
-        CountDownLatch waits = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
-        AtomicReference<Connection> link = new AtomicReference<>();
+        CountDownLatch readerWaits = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        AtomicReference<Connection> connection = new AtomicReference<>();
         AtomicBoolean first = new AtomicBoolean(true);
         listen(channel -> {
-            ObservedConnection made = new ObservedConnection(channel) {
+            ObservedConnection created = new ObservedConnection(channel) {
                 @Override
                 void beforeRead() {
                     if (!first.getAndSet(false)) {
-                        waits.countDown();
-                        awaitLatch(go);
+                        readerWaits.countDown();
+                        awaitLatch(release);
                     }
                 }
             };
-            link.set(made);
-            return made;
+            connection.set(created);
+            return created;
         });
         TestClient client = connect();
         assertEquals(client.exchange(READINESS_REQUEST).status(), 200);
-        assertTrue(waits.await(2, TimeUnit.SECONDS));
+        assertTrue(readerWaits.await(2, TimeUnit.SECONDS));
         client.send(TestClient.jobRequest("sign", "t1", 5000));
-        await(() -> link.get().hasUnreadInput());
+        await(() -> connection.get().hasUnreadInput());
         server.drain();
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         assertEquals(statusAndBody(client.receive()), "200 ok");
         assertNull(client.receive());
@@ -71,13 +71,13 @@
     @Test
     public void readRequestIsServedAndCrossingRequestIsNotForwarded() throws Exception {
         CountDownLatch read = new CountDownLatch(2);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         listen(channel -> new ObservedConnection(channel) {
             @Override
             void afterRead(int n) {
                 read.countDown();
                 if (read.getCount() == 0) {
-                    awaitLatch(go);
+                    awaitLatch(release);
                 }
             }
         });
@@ -88,7 +88,7 @@
         server.drain();
         Thread.sleep(300); // several sweep intervals
         client.send(TestClient.jobRequest("sign", "t2", 5000));
-        go.countDown();
+        release.countDown();
         sendResult(awaitRequest(), "ok");
         HttpResponse answer = client.receive();
         assertEquals(statusAndBody(answer), "200 ok");
@@ -156,9 +156,7 @@
         assertTrue(drained.await(1500, TimeUnit.MILLISECONDS));
     }
 
-    /**
-     * An unsent response delays the shutdown, as does its arrival; after the shutdown the node accepts no connections.
-     */
+    /** The shutdown waits until all responses are written and received; after it the node accepts no connections. */
     @Test
     public void drainedNodeRefusesConnections() throws Exception {
         TestServer host = startServer(acceptAndReport("s1", doneEvent("ok")));
@@ -228,8 +226,8 @@
     @Test
     public void listenRetriesWhileAddressIsInUse() throws Exception {
         listen(Connection::new);
-        ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        InetSocketAddress taken = (InetSocketAddress) other.getLocalSocketAddress();
+        InetSocketAddress taken = Ports.free();
+        ServerSocket other = new ServerSocket(taken.getPort(), 1, taken.getAddress());
         Threads.start("other", () -> {
             try (other) {
                 Thread.sleep(500);
--- a/src/test/java/olivechute/UpstreamRaceTest.java
+++ b/src/test/java/olivechute/UpstreamRaceTest.java
@@ -50,8 +50,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests races between the decision to send a request and its first byte, and between a response and its end: the
- * connection pools run on real connections whose connects and reads wait at gates until the test opens them.
+ * Tests races between the decision to send a request and its first byte, between a cancellation and the server's
+ * acceptance, and between a late or duplicate response and the next request: the connection pools run on real
+ * connections whose connects and reads wait at gates until the test opens them.
  */
 @SuppressWarnings("FutureReturnValueIgnored") // the events and server logs show whether the tasks ran
 public class UpstreamRaceTest {
@@ -68,13 +69,15 @@
     private volatile List<GatedConnection> connections; // replaced for each test, as the counter below
     private final List<String> events = new CopyOnWriteArrayList<>();
     private volatile CountDownLatch dialGate; // connects wait for this gate
-    private volatile CountDownLatch readGate;
-    private volatile CountDownLatch
-            firstConnectionReadGate; // reads of the first connection wait for this gate before they read
+    private volatile CountDownLatch readGate; // reads wait for this gate after they have read
+    /** Reads of the first connection wait for this gate before they read. */
+    private volatile CountDownLatch firstConnectionReadGate;
+
     private volatile CountDownLatch dialStarted;
-    private volatile boolean noDescriptors;
-    private volatile AtomicInteger
-            readsStarted; // replaced for each test, as a connection of an earlier test may still read
+    private volatile boolean noDescriptors; // no connection can be created
+    /** Replaced for each test, as a connection of an earlier test may still read. */
+    private volatile AtomicInteger readsStarted;
+
     private EventLoop loop;
     private ConnectionPools pools;
     private RequestDispatcher dispatcher; // null if the test sends requests itself
@@ -122,11 +125,11 @@
         startWith(100, false);
     }
 
-    private void startWith(int most, boolean onlyDrainingBinds) {
-        startWith(most, onlyDrainingBinds, 250 * US_PER_MS);
+    private void startWith(int maxConnections, boolean onlyDrainingBinds) {
+        startWith(maxConnections, onlyDrainingBinds, 250 * US_PER_MS);
     }
 
-    private void startWith(int most, boolean onlyDrainingBinds, long dialTimeout) {
+    private void startWith(int maxConnections, boolean onlyDrainingBinds, long dialTimeout) {
         events.clear();
         dialGate = OPEN_GATE;
         readGate = OPEN_GATE;
@@ -151,7 +154,7 @@
                 new LoadReportHeader(new LoadReportFields(List.of(), null, null)),
                 5 * US_PER_S,
                 dialTimeout,
-                most,
+                maxConnections,
                 onlyDrainingBinds);
         loop.start(event -> {
             if (event instanceof ProxyEvent.AttemptAccepted e) {
@@ -209,16 +212,16 @@
         done.get(5, TimeUnit.SECONDS);
     }
 
-    private static UpstreamRequest request(String id, String host, PreSendCheck look) {
+    private static UpstreamRequest request(String id, String host, PreSendCheck check) {
         return new UpstreamRequest(
-                id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, look);
+                id, 0, host, new Payload("/verify", null, new byte[] {1}, 0, 1), 5 * US_PER_S, false, check);
     }
 
-    private static void await(BooleanSupplier holds) throws InterruptedException {
-        for (int i = 0; i < 500 && !holds.getAsBoolean(); i++) {
+    private static void await(BooleanSupplier condition) throws InterruptedException {
+        for (int i = 0; i < 500 && !condition.getAsBoolean(); i++) {
             Thread.sleep(10);
         }
-        assertTrue(holds.getAsBoolean());
+        assertTrue(condition.getAsBoolean());
     }
 
     /** Lists the endpoint and sends the request; returns while its connect waits at the gate. */
@@ -577,8 +580,8 @@
         Thread.sleep(60);
     }
 
-    private void spinUntil(BooleanSupplier holds) {
-        for (long end = System.nanoTime() + 5_000_000_000L; !holds.getAsBoolean() && System.nanoTime() < end; ) {
+    private void spinUntil(BooleanSupplier condition) {
+        for (long end = System.nanoTime() + 5_000_000_000L; !condition.getAsBoolean() && System.nanoTime() < end; ) {
             Thread.onSpinWait();
         }
     }
@@ -610,22 +613,22 @@
     public void lateResponseBeingReadIsNotTakenForTheNextRequests() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
-        CountDownLatch looks = newGate();
-        CountDownLatch looking = new CountDownLatch(1);
+        CountDownLatch checkReleased = newGate();
+        CountDownLatch checkStarted = new CountDownLatch(1);
         PreSendCheck waits = (request, now, transit) -> {
-            looking.countDown();
+            checkStarted.countDown();
             try {
-                return looks.await(5, TimeUnit.SECONDS);
+                return checkReleased.await(5, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 return false;
             }
         };
         CompletableFuture.runAsync(() -> loop.post(new ProxyEvent.Task(() -> pools.send(request("b", "s1", waits)))));
-        looking.await();
+        checkStarted.await();
         peer.sendUnsolicited(0, ERROR);
         await(() -> !connections.get(0).hasUnreadInput()
                 && connections.get(0).reader.getState() == Thread.State.BLOCKED);
-        looks.countDown();
+        checkReleased.countDown();
         await(() -> events.size() == 2);
         assertEquals(events, List.of("a accepted", "b accepted"));
         assertEquals(peer.connectionCount.get(), 2);
@@ -655,20 +658,20 @@
         spinUntil(() -> peer.openConnections.get() == 0 || readsStarted.get() == 3);
     }
 
-    /** Its connection got an unsolicited response, and the event loop has not yet sent the request on another one. */
+    /** The chosen connection gets an unsolicited response; the event loop has not used another one yet. */
     @Test
     public void requestSuppressedBetweenConnectionsIsNotSent() throws Exception {
         TestServer peer = startServer(acceptAll());
         establishReusableConnection(peer);
         UpstreamRequest request = request("b", "s1", ALLOW);
-        AtomicBoolean begun = new AtomicBoolean(true);
+        AtomicBoolean written = new AtomicBoolean(true);
         runOnLoop(() -> {
             pools.send(request);
             sendUnsolicitedAndAwaitRead(peer);
-            begun.set(pools.hasWrittenBytes(request));
+            written.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
-        assertFalse(begun.get());
+        assertFalse(written.get());
         await(() -> events.contains("b SUPPRESSED"));
         assertNextRequestSent("s1", peer, 1);
         assertEquals(events, List.of("a accepted", "b SUPPRESSED", "last accepted"));
@@ -726,13 +729,13 @@
     public void requestSuppressedWhileWaitingIsNotWrittenAndTheConnectionIsKept() throws Exception {
         TestServer peer = serverWithSlowDial();
         UpstreamRequest request = request("c", "s1", ALLOW);
-        AtomicBoolean begun = new AtomicBoolean(true);
+        AtomicBoolean written = new AtomicBoolean(true);
         runOnLoop(() -> {
             pools.send(request);
-            begun.set(pools.hasWrittenBytes(request));
+            written.set(pools.hasWrittenBytes(request));
             pools.suppressIfUnwritten(request);
         });
-        assertFalse(begun.get());
+        assertFalse(written.get());
         await(() -> events.contains("c SUPPRESSED"));
         Thread.sleep(60);
         assertNextRequestSent("s1", peer, 2);
--- a/src/test/java/olivechute/rig/FleetInvariants.java
+++ b/src/test/java/olivechute/rig/FleetInvariants.java
@@ -9,8 +9,9 @@
 import java.util.TreeMap;
 
 /**
- * Checks the invariants of a fleet during changes against the ledger. Only certain violations are reported: a node that
- * was ready before counts as unavailable from the first to the last of consecutive probes that found it not ready.
+ * Checks the invariants of a fleet during changes against the ledger. Reports only violations that the entries prove: a
+ * node counts as unavailable from the answer to the first to the sending of the last of consecutive probes that found
+ * it not ready, and only once a probe has found it ready.
  */
 public final class FleetInvariants {
     /** An invariant of the fleet. */
@@ -37,20 +38,21 @@
         checkAnsweredTwice(ledger, found);
         checkSignedTwice(ledger, found);
         if (maxUnavailable >= 0) {
-            checkAway(ledger, maxUnavailable, found);
+            checkUnavailableNodes(ledger, maxUnavailable, found);
         }
         return found;
     }
 
     private static void checkLost(EventLedger ledger, List<Violation> found) {
-        Map<String, List<EventLedger.Outage>> excuses = new HashMap<>();
+        Map<String, List<EventLedger.Outage>> outagesByNode = new HashMap<>();
         ledger.outages()
-                .forEach(e -> excuses.computeIfAbsent(e.node(), n -> new ArrayList<>())
+                .forEach(e -> outagesByNode
+                        .computeIfAbsent(e.node(), n -> new ArrayList<>())
                         .add(e));
         for (EventLedger.Job job : ledger.jobs()) {
-            boolean excused = excuses.getOrDefault(job.node(), List.of()).stream()
+            boolean duringOutage = outagesByNode.getOrDefault(job.node(), List.of()).stream()
                     .anyMatch(e -> e.from() <= job.ended() && e.to() >= job.sent());
-            if (job.end() == EventLedger.Outcome.LOST && !excused) {
+            if (job.end() == EventLedger.Outcome.LOST && !duringOutage) {
                 found.add(new Violation(Rule.LOST, job.toString()));
             }
         }
@@ -78,13 +80,13 @@
         }
     }
 
-    private static void checkAway(EventLedger ledger, int maxUnavailable, List<Violation> found) {
+    private static void checkUnavailableNodes(EventLedger ledger, int maxUnavailable, List<Violation> found) {
         Map<String, List<EventLedger.ReadinessProbe>> byNode = new LinkedHashMap<>();
         ledger.probes()
                 .forEach(probe -> byNode.computeIfAbsent(probe.node(), n -> new ArrayList<>())
                         .add(probe));
         TreeMap<Long, List<String>> steps =
-                new TreeMap<>(); // "+node" where its unavailability begins, "-node" where it ends
+                new TreeMap<>(); // by time: "+node" where its unavailability begins, "-node" where it ends
         byNode.forEach((node, probes) -> {
             probes.sort(Comparator.comparingLong(EventLedger.ReadinessProbe::sent));
             int first = 0;
@@ -106,21 +108,21 @@
                 i = Math.max(i, last);
             }
         });
-        List<String> away = new ArrayList<>();
-        boolean over = false;
+        List<String> unavailable = new ArrayList<>();
+        boolean exceeded = false;
         for (var step : steps.entrySet()) {
-            for (String what : step.getValue()) {
-                if (what.startsWith("-")) {
-                    away.remove(what.substring(1));
+            for (String entry : step.getValue()) {
+                if (entry.startsWith("-")) {
+                    unavailable.remove(entry.substring(1));
                 } else {
-                    away.add(what.substring(1));
+                    unavailable.add(entry.substring(1));
                 }
             }
-            if (away.size() > maxUnavailable && !over) {
+            if (unavailable.size() > maxUnavailable && !exceeded) {
                 found.add(new Violation(
-                        Rule.TOO_MANY_AWAY, away + " at " + step.getKey() + ", " + maxUnavailable + " allowed"));
+                        Rule.TOO_MANY_AWAY, unavailable + " at " + step.getKey() + ", " + maxUnavailable + " allowed"));
             }
-            over = away.size() > maxUnavailable;
+            exceeded = unavailable.size() > maxUnavailable;
         }
     }
 }
--- a/src/test/java/olivechute/soak/FailingFileIT.java
+++ b/src/test/java/olivechute/soak/FailingFileIT.java
@@ -12,7 +12,7 @@
 /** Tests a node whose configuration file is temporarily unreadable (EIO). */
 class FailingFileIT {
     private static final int ALWAYS_PER_MILLION = 1_000_000;
-    private static final long FAULT_MILLIS = 700;
+    private static final long FAULT_MILLIS = 700; // less than the second for which a node retries to read the file
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private interface Scenario {
@@ -24,9 +24,9 @@
                 TestNodes nodes = new TestNodes(1, 1)) {
             FaultShim shim = new FaultShim(folder, "n0", 1);
             shim.rate(FaultShim.Fault.FILE_READ_FAILS, failsAtStart ? ALWAYS_PER_MILLION : 0);
-            ProcessSpec recipe = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
+            ProcessSpec spec = ProcessSpec.jar("n0", ProcessSpec.JAR, "serve")
                     .withEnvironment("LB_CONFIG", nodes.config("n0").toString());
-            try (TestProcess node = TestProcess.start(shim.preloadedInto(recipe))) {
+            try (TestProcess node = TestProcess.start(shim.preloadedInto(spec))) {
                 test.play(node, shim, nodes.config("n0"));
             }
         }
--- a/src/test/java/olivechute/soak/SoakRun.java
+++ b/src/test/java/olivechute/soak/SoakRun.java
@@ -1,9 +1,7 @@
 package olivechute.soak;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -17,12 +15,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import olivechute.rig.Ports;
 import olivechute.rig.ProcessSpec;
 import olivechute.rig.TestDirectory;
 import olivechute.rig.TestProcess;
-import olivechute.rig.TestSetupException;
 
 /**
  * A run of one seed: two nodes with their clients, servers and discovery, the faults of the scenario, and the check of
@@ -50,13 +46,10 @@
            {"name":"pay","credit":8,"deadline":DEADLINE,"goal_time":0.15,"effect":"fragile","group":"all"}]}}
         """;
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int LAST_PORT = 32_000;
-    private static final AtomicInteger NEXT_PORT =
-            new AtomicInteger(12_000 + (int) (ProcessHandle.current().pid() % 100) * 150);
     private static final int SOCKETS = 1024;
     private static final int SOCKETS_IN_A_CROWD = 160;
     private static final long WARM_UP_MILLIS = 700;
-    private static final long FIRST_DISCOVERY_ENDS_MILLIS = 1500;
+    private static final long FIRST_DISCOVERY_ENDS_MILLIS = 1500; // after the node was told of the second address
     private static final long READY_WITHIN_MILLIS = 30_000;
     private static final byte[] READINESS_REQUEST =
             "GET /health/ready HTTP/1.1\r\nHost: n\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -82,7 +75,7 @@
         scenario = SoakScenario.of(seed);
         random = new SplittableRandom(seed + 7);
         for (String node : List.of("n0", "n1")) {
-            addresses.put(node, reserved());
+            addresses.put(node, Ports.free());
             shims.put(node, new FaultShim(folder, node, seed));
             moved.put(node, false);
         }
@@ -91,21 +84,6 @@
         clients = new SoakClients(history, scenario, addresses);
     }
 
-    /** Returns a port that no stub gets while a node is down: below the range from which the system assigns ports. */
-    private static InetSocketAddress reserved() {
-        for (int port = NEXT_PORT.getAndIncrement(); ; port = NEXT_PORT.getAndIncrement()) {
-            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-            try (ServerSocket free = new ServerSocket()) {
-                free.bind(address);
-                return address;
-            } catch (IOException taken) {
-                if (port > LAST_PORT) {
-                    throw new TestSetupException("no free port", taken);
-                }
-            }
-        }
-    }
-
     private static Thread daemon(Runnable task) {
         Thread thread = new Thread(task, "soak-clock");
         thread.setDaemon(true);
@@ -124,15 +102,15 @@
     }
 
     private void start(String node) throws InterruptedException {
-        ProcessSpec recipe = ProcessSpec.jar(node, ProcessSpec.JAR, "serve")
+        ProcessSpec spec = ProcessSpec.jar(node, ProcessSpec.JAR, "serve")
                 .withEnvironment("LB_CONFIG", writeConfig(node))
                 .withEnvironment("OLIVECHUTE_LOG_LEVEL", "debug");
         startedUs.put(node, History.nowUs());
         TestProcess before = programs.get(node);
         if (before == null) {
-            programs.put(node, TestProcess.start(shims.get(node).preloadedInto(recipe)));
+            programs.put(node, TestProcess.start(shims.get(node).preloadedInto(spec)));
         } else {
-            before.restart(shims.get(node).preloadedInto(recipe));
+            before.restart(shims.get(node).preloadedInto(spec));
         }
         long readyUs = awaitReady(node);
         history.add(new History.Incarnation(node, startedUs.get(node), NEVER, NEVER, NEVER, true, readyUs));
@@ -302,7 +280,7 @@
         List<String> logs = new ArrayList<>();
         programs.values().forEach(program -> logs.addAll(program.lines()));
         String summary = "seed " + scenario.seed() + ": " + history.requests().size() + " requests " + endings + ", "
-                + history.attempts().size() + " attempts, faults " + faults + ", " + violations.size() + " breaks";
+                + history.attempts().size() + " attempts, faults " + faults + ", " + violations.size() + " violations";
         return new Report(scenario, violations, summary, logs);
     }
 
--- a/src/test/java/olivechute/soak/SoakScenario.java
+++ b/src/test/java/olivechute/soak/SoakScenario.java
@@ -25,7 +25,7 @@
         Map<FaultShim.Fault, Integer> rates) {
     /** Minimum time in ms for which both nodes run under faults. */
     static final long MIN_DURATION_MILLIS = 9000;
-    /** SIGKILL follows SIGTERM no sooner than the longest deadline plus this time in ms. */
+    /** SIGKILL follows SIGTERM after the usual deadline of a request, at most 3 s, plus this time in ms. */
     static final long KILL_DELAY_AFTER_DEADLINE_MILLIS = 700;
 
     private static final long[] DEADLINES = {400, 700, 1200, 3000, 5000};
@@ -38,7 +38,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         Map<FaultShim.Fault, Integer> rates = new EnumMap<>(FaultShim.Fault.class);
         for (FaultShim.Fault fault : FaultShim.Fault.values()) {
-            rates.put(fault, random.nextInt(3) > 0 ? random.nextInt(most(fault)) : 0);
+            rates.put(fault, random.nextInt(3) > 0 ? random.nextInt(maxPerMillion(fault)) : 0);
         }
         return new SoakScenario(
                 seed,
@@ -60,7 +60,7 @@
                 rates);
     }
 
-    private static int most(FaultShim.Fault fault) {
+    private static int maxPerMillion(FaultShim.Fault fault) {
         return switch (fault) {
             case ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS -> FREQUENT_MAX_PER_MILLION;
             case CONNECTION_BREAKS, DELAYED_IO -> RARE_MAX_PER_MILLION;
